--- a/bench/relay/bench_relay.c
+++ b/bench/relay/bench_relay.c
@@ -17,7 +17,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 #include "relay/door/door.h"
-#include "relay/steer/steer.h"
+#include "relay/forwarder/forwarder.h"
 
 #define FLOWS 8192
 #define REPEATS 7
@@ -29,8 +29,8 @@
 static const struct evacuations nowhere = {.revision = 1};
 
 static void
-steer_carry(struct steer_out *out, struct addr agent,
-            const struct frame_carry *frame)
+forwarder_forward(struct forwarder_out *out, struct addr agent,
+                  const struct frame_carry *frame)
 {
     static uint8_t frame_bytes[FRAME_MAX];
 
@@ -38,60 +38,62 @@
 }
 
 static void
-steer_reset(struct steer_out *out, struct relay_flow flow, uint32_t seq)
+forwarder_reset(struct forwarder_out *out, struct relay_flow flow,
+                uint32_t seq)
 {
 }
 
 static void
-steer_ping(struct steer_out *out, struct addr agent, bool unlisted)
+forwarder_ping(struct forwarder_out *out, struct addr agent, bool unlisted)
 {
 }
 
 static void
-steer_ask(struct steer_out *out, struct addr agent,
-          const struct frame_ask *ask)
+forwarder_query(struct forwarder_out *out, struct addr agent,
+                const struct frame_ask *ask)
 {
 }
 
 static void
-steer_confirm(struct steer_out *out, uint64_t now_us)
+forwarder_confirm(struct forwarder_out *out, uint64_t now_us)
 {
 }
 
 static void
-steer_behind(struct steer_out *out, const struct frame_version *newer)
+forwarder_behind(struct forwarder_out *out, const struct frame_version *newer)
 {
 }
 
 static void
-steer_readers(struct steer_out *out, struct frame_readers others)
+forwarder_readers(struct forwarder_out *out, struct frame_readers others)
 {
 }
 
 static void
-steer_dropped(struct steer_out *out, enum steer_drop why,
-              const struct relay_packet *packet)
+forwarder_dropped(struct forwarder_out *out, enum forwarder_drop why,
+                  const struct relay_packet *packet)
 {
     g_error("a packet was dropped");
 }
 
 static void
-steer_decided(struct steer_out *out, enum steer_did did,
-              struct relay_flow flow, struct addr agent, unsigned tries,
-              uint64_t age_us)
+forwarder_decided(struct forwarder_out *out, enum forwarder_decision did,
+                  struct relay_flow flow, struct addr agent, unsigned tries,
+                  uint64_t age_us)
 {
 }
 
 static void
-steer_concluded(struct steer_out *out, const struct steer_round *round,
-                unsigned over)
+forwarder_concluded(struct forwarder_out *out,
+                    const struct orphan_query *query, unsigned over)
 {
 }
 
-static const struct steer_out_ops steer_ops = {
-    steer_carry,   steer_reset,    steer_ping,    steer_ask,
-    steer_confirm, steer_behind,   steer_readers, steer_dropped,
-    steer_decided, steer_concluded};
+static const struct forwarder_out_ops forwarder_ops = {
+    forwarder_forward,  forwarder_reset,   forwarder_ping,
+    forwarder_query,    forwarder_confirm, forwarder_behind,
+    forwarder_readers,  forwarder_dropped, forwarder_decided,
+    forwarder_concluded};
 
 static void
 door_to_endpoint(struct door_out *out, const uint8_t *packet, size_t size)
@@ -193,7 +195,7 @@
 }
 
 static void
-fill_steer(struct steer *steer, size_t agents, size_t of_service)
+fill_forwarder(struct forwarder *forwarder, size_t agents, size_t of_service)
 {
     struct routes routes;
     struct route *route;
@@ -206,7 +208,7 @@
     route->share_count = 1;
     route->target_ms = 100;
     (void)routes_seal(&routes);
-    steer_routes(steer, &routes, 0);
+    forwarder_routes(forwarder, &routes, 0);
     for (size_t i = 0; i < agents; i++) {
         struct frame_status status = {
             .type = FRAME_STATE,
@@ -216,9 +218,9 @@
         if (i >= of_service) {
             status.health.service = (uint32_t)(1 + i % OTHER_SERVICES);
         }
-        agents_list(&steer->agents, agent_addr(i), status.health.service,
+        agents_list(&forwarder->agents, agent_addr(i), status.health.service,
                     "here", 1);
-        steer_status(steer, agent_addr(i), &status, 1);
+        forwarder_status(forwarder, agent_addr(i), &status, 1);
     }
 }
 
@@ -238,15 +240,15 @@
 
 /* One pass over all flows at a balancer. */
 static void
-pass_steer(struct steer *steer, uint64_t now_us, double *open, double *known,
-           double *search)
+pass_forwarder(struct forwarder *forwarder, uint64_t now_us, double *open,
+               double *known, double *search)
 {
     uint64_t since = now_ns();
 
     for (unsigned i = 0; i < FLOWS; i++) {
         struct relay_packet ack = packet_of(i, RELAY_ACK, 2, 9, 40);
 
-        steer_packet(steer, &ack, now_us);
+        forwarder_packet(forwarder, &ack, now_us);
     }
     best(search, per_flow(since));
     since = now_ns();
@@ -260,43 +262,43 @@
             .health = {hash_service("lots"), ENDPOINT_READY, 1, 2, false},
         };
 
-        steer_packet(steer, &syn, now_us);
-        steer_status(steer, agent_addr(i % 7), &status, now_us);
+        forwarder_packet(forwarder, &syn, now_us);
+        forwarder_status(forwarder, agent_addr(i % 7), &status, now_us);
     }
     best(open, per_flow(since));
     since = now_ns();
     for (unsigned i = 0; i < FLOWS; i++) {
         struct relay_packet ack = packet_of(i, RELAY_ACK, 2, 9, 40);
 
-        steer_packet(steer, &ack, now_us);
+        forwarder_packet(forwarder, &ack, now_us);
     }
     best(known, per_flow(since));
     /* All flows are forgotten before the next pass. */
-    steer_tick(steer, now_us + 100 * USEC_PER_SEC);
+    forwarder_tick(forwarder, now_us + 100 * USEC_PER_SEC);
 }
 
 static void
-bench_steer(size_t agents, size_t of_service)
+bench_forwarder(size_t agents, size_t of_service)
 {
-    struct steer_out out = {&steer_ops};
+    struct forwarder_out out = {&forwarder_ops};
     struct addr self = {0x0a090001, 7720};
     double open = 0, known = 0, search = 0;
-    struct steer steer;
+    struct forwarder forwarder;
     size_t before, used;
 
-    if (steer_init(&steer, &out, self, "here") < 0) {
+    if (forwarder_init(&forwarder, &out, self, "here") < 0) {
         g_error("no memory");
     }
     before = mallinfo2().uordblks;
-    fill_steer(&steer, agents, of_service);
+    fill_forwarder(&forwarder, agents, of_service);
     used = mallinfo2().uordblks - before;
     for (unsigned i = 0; i < REPEATS; i++) {
-        pass_steer(&steer, (i + 1) * 1000 * USEC_PER_SEC, &open, &known,
-                   &search);
+        pass_forwarder(&forwarder, (i + 1) * 1000 * USEC_PER_SEC, &open,
+                       &known, &search);
     }
     printf("balancer  %8zu %8zu %8.0f %8.0f %8.0f %10zu\n", agents, of_service,
            open, known, search, used / agents);
-    steer_finish(&steer);
+    forwarder_finish(&forwarder);
 }
 
 static void
@@ -365,7 +367,7 @@
     printf("role        agents  service  open ns known ns search ns  "
            "bytes an agent\n");
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-        bench_steer(sizes[i].agents, sizes[i].of_service);
+        bench_forwarder(sizes[i].agents, sizes[i].of_service);
     }
     bench_door();
     printf("%" G_GUINT64_FORMAT " bytes were carried\n", carried);
--- a/src/idem/reserve.c
+++ b/src/idem/reserve.c
@@ -14,8 +14,8 @@
 }
 
 static void
-ask_all(const struct idem *idem, struct reserve *reserve, uint64_t now_us,
-        struct idem_actions *out)
+query_all(const struct idem *idem, struct reserve *reserve, uint64_t now_us,
+          struct idem_actions *out)
 {
     reserve->sent_us = now_us;
     for (size_t i = 0; i < reserve->asked_count; i++) {
@@ -254,7 +254,7 @@
         own->young = replicas_young(&idem->replicas, now_us);
         own->starting = replicas_starting(&idem->replicas, now_us);
     }
-    ask_all(idem, reserve, now_us, out);
+    query_all(idem, reserve, now_us, out);
     decide(idem, reserve, now_us, out);
     return 0;
 }
@@ -464,7 +464,7 @@
         struct reserve *next = TAILQ_NEXT(reserve, pending);
 
         if (reserve->sent_us + RESERVE_AGAIN_US <= now_us) {
-            ask_all(idem, reserve, now_us, out);
+            query_all(idem, reserve, now_us, out);
         }
         decide(idem, reserve, now_us, out);
         reserve = next;
--- a/src/notice/backup.c
+++ b/src/notice/backup.c
@@ -394,7 +394,7 @@
 
 /* An extra round that is due stands for a regular one that is due too. */
 static void
-end_round(struct held *held, uint64_t now_us)
+end_query(struct held *held, uint64_t now_us)
 {
     held->cursor = 0;
     if (held->round < BACKUP_ROUNDS &&
@@ -419,7 +419,7 @@
     }
     while (*count < max && backup->tokens > 0) {
         if (!caller_set_next(&held->flows, &held->cursor, &caller)) {
-            end_round(held, now_us);
+            end_query(held, now_us);
             return;
         }
         probes[(*count)++] = (struct notice_probe){
--- a/src/relay/door/door_lost.c
+++ b/src/relay/door/door_lost.c
@@ -71,7 +71,7 @@
            const struct frame_ask *ask, uint64_t now_us)
 {
     struct frame_absent absent = {
-        .round = ask->round,
+        .query = ask->query,
         .down = door->endpoint.down,
         .partial = !door_lacks_unknown(door),
         .silent = door->endpoint.state != ENDPOINT_GONE &&
--- a/src/relay/steer/agents.c
+++ b/src/relay/forwarder/agents.c
@@ -1,4 +1,4 @@
-#include "relay/steer/agents_private.h"
+#include "relay/forwarder/agents_private.h"
 
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 
-/* Adds to an array; its new place. */
+/* Adds to an array; its new data_centre_key. */
 static unsigned
 array_add(GPtrArray *array, struct agent_row *row)
 {
@@ -32,7 +32,7 @@
                             GUINT_TO_POINTER(row->health.service), rows);
     }
     row->service_at = array_add(rows, row);
-    agents->changes++;
+    agents->additions++;
 }
 
 static void
@@ -62,14 +62,15 @@
 }
 
 static void
-set_place(struct agents *agents, struct agent_row *row, uint32_t place)
+set_data_centre(struct agents *agents, struct agent_row *row,
+                uint32_t data_centre_key)
 {
-    if (row->place == place) {
+    if (row->data_centre_key == data_centre_key) {
         return;
     }
-    row->place = place;
-    row->region = regions_find(&agents->regions, place);
-    row->evacuated = store_state_evacuated(&agents->store, place);
+    row->data_centre_key = data_centre_key;
+    row->region = regions_find(&agents->regions, data_centre_key);
+    row->evacuated = store_state_evacuated(&agents->store, data_centre_key);
 }
 
 static uint64_t
@@ -115,7 +116,7 @@
 agents_init(struct agents *agents, const char *data_centre)
 {
     memset(agents, 0, sizeof(*agents));
-    agents->here = evacuations_key(data_centre);
+    agents->own_data_centre = evacuations_key(data_centre);
     agents->rows = g_ptr_array_new();
     agents->by_addr = g_hash_table_new(g_int64_hash, g_int64_equal);
     agents->by_service = g_hash_table_new_full(
@@ -130,7 +131,7 @@
     for (guint i = 0; i < agents->rows->len; i++) {
         struct agent_row *row = g_ptr_array_index(agents->rows, i);
 
-        row->region = regions_find(regions, row->place);
+        row->region = regions_find(regions, row->data_centre_key);
     }
 }
 
@@ -183,14 +184,14 @@
         /* Another host has the address now: what the old one said is void,
          * and what the new one says of its service comes with its answer. */
         set_health(agents, row, &nothing);
-        agents_trust(row);
+        agents_clear_suspect(row);
         agents_ping_now(agents, row, now_us);
     }
     row->listed = true;
-    row->named = true;
+    row->ever_listed = true;
     row->unlisted = false;
     g_strlcpy(row->data_centre, data_centre, sizeof(row->data_centre));
-    set_place(agents, row, evacuations_key(data_centre));
+    set_data_centre(agents, row, evacuations_key(data_centre));
 }
 
 void
@@ -202,14 +203,14 @@
         return;
     }
     row->listed = false;
-    row->unlisted = row->named;
+    row->unlisted = row->ever_listed;
     agents_set_ping(agents, row, now_us);
 }
 
 void
-agents_listed(struct agents *agents)
+agents_list_complete(struct agents *agents)
 {
-    agents->listed_once = true;
+    agents->list_complete = true;
 }
 
 static void
@@ -218,15 +219,16 @@
     for (guint i = 0; i < agents->rows->len; i++) {
         struct agent_row *row = g_ptr_array_index(agents->rows, i);
 
-        row->evacuated = store_state_evacuated(&agents->store, row->place);
+        row->evacuated =
+            store_state_evacuated(&agents->store, row->data_centre_key);
     }
 }
 
 bool
-agents_evacuate(struct agents *agents, const struct evacuations *told,
+agents_evacuate(struct agents *agents, const struct evacuations *reported,
                 bool ping, uint64_t now_us)
 {
-    if (!store_state_take(&agents->store, told, now_us)) {
+    if (!store_state_take(&agents->store, reported, now_us)) {
         return false;
     }
     mark_evacuated(agents);
@@ -249,15 +251,15 @@
 }
 
 void
-agents_heard(struct agents *agents, struct addr addr,
-             const struct frame_health *health, uint64_t now_us)
+agents_update_health(struct agents *agents, struct addr addr,
+                     const struct frame_health *health, uint64_t now_us)
 {
     struct agent_row *row = agents_find(agents, addr);
 
     if (row == NULL) {
         row = row_add(agents, addr, health->service, now_us);
     }
-    if (agents->listed_once && row->listed &&
+    if (agents->list_complete && row->listed &&
         row->health.service != health->service) {
         /* Another host has the address, and the list doesn't say so yet; or
          * it had, and this is late. */
@@ -267,13 +269,13 @@
         set_health(agents, row, health);
     }
     if (health->data_centre != 0) {
-        /* Also while the store is away: a route may have homes. */
-        set_place(agents, row, health->data_centre);
+        /* Also while the store is away: a route may have region_affinity. */
+        set_data_centre(agents, row, health->data_centre);
     }
     row->down = row->down && health->state == ENDPOINT_SILENT;
-    row->told_us = now_us;
+    row->health_us = now_us;
     row->sent = 0;
-    agents_alive(agents, row, now_us);
+    agents_mark_alive(agents, row, now_us);
 }
 
 const GPtrArray *
@@ -284,10 +286,10 @@
 
 uint32_t
 agents_next_service(const struct agents *agents, uint32_t service,
-                    uint32_t but)
+                    uint32_t excluded)
 {
-    uint32_t first = but;
-    uint32_t next = but;
+    uint32_t first = excluded;
+    uint32_t next = excluded;
     GHashTableIter services;
     gpointer key;
     gpointer rows;
@@ -296,15 +298,15 @@
     while (g_hash_table_iter_next(&services, &key, &rows)) {
         uint32_t other = GPOINTER_TO_UINT(key);
 
-        if (other == but || ((GPtrArray *)rows)->len == 0) {
+        if (other == excluded || ((GPtrArray *)rows)->len == 0) {
             continue;
         }
-        if (first == but || other < first) {
+        if (first == excluded || other < first) {
             first = other;
         }
-        if (other > service && (next == but || other < next)) {
+        if (other > service && (next == excluded || other < next)) {
             next = other;
         }
     }
-    return next != but ? next : first;
+    return next != excluded ? next : first;
 }
--- a/src/relay/steer/agents.h
+++ b/src/relay/forwarder/agents.h
@@ -4,10 +4,10 @@
  * Whether an agent exists comes from the platform's store or from the agent
  * itself; how its endpoint is comes only from the agent, with each answer.
  * An agent that doesn't answer is suspected: it gets no new flow while
- * another can take it, and is pinged until it answers.
+ * another can take it, and is pinged until it replies.
  */
-#ifndef SWIFTARCH_RELAY_STEER_AGENTS_H
-#define SWIFTARCH_RELAY_STEER_AGENTS_H
+#ifndef SWIFTARCH_RELAY_FORWARDER_AGENTS_H
+#define SWIFTARCH_RELAY_FORWARDER_AGENTS_H
 
 #include <limits.h>
 #include <stdbool.h>
@@ -18,7 +18,7 @@
 
 #include "base/addr.h"
 #include "packet/rank.h"
-#include "relay/steer/homes.h"
+#include "relay/forwarder/region_affinity.h"
 #include "relay/wire/frame.h"
 #include "relay/wire/packet.h"
 #include "relay/wire/store_state.h"
@@ -30,59 +30,60 @@
  * @addr: where it takes frames
  * @member: rank id, from @addr
  * @data_centre: where it stands, empty when not known
- * @place: evacuations_key() of where it stands, which it says itself too
+ * @data_centre_key: evacuations_key() of where it stands, which it says itself
+ * too
  * @region: in which that lies, 0 when it isn't known
  * @evacuated: operators have taken that data centre out of service
  * @health: its own last word
  * @listed: the store names it
- * @named: the store named it once
- * @unlisted: the store named it once and doesn't any more
+ * @ever_listed: the store ever_listed it once
+ * @unlisted: the store ever_listed it once and doesn't any more
  * @suspect: it didn't answer when it should have
  * @silent_us: since when, 0 while it isn't suspected
  * @down: it said last that its endpoint's process isn't there
- * @excused: its answer isn't waited for: it was out of reach when that was
- *           asked, or had nothing to hold flows
- * @in_doubt: that question was left without an answer that says anything: it
- *            was out of reach, or its endpoint is silent
- * @whole: its last answer to that question was for certain on each flow, and
- *         it answered the last one that it was asked
+ * @reply_optional: its answer isn't waited for: it was out of reach when that
+ * was queried, or had nothing to hold flows
+ * @inconclusive: that question was left without an answer that says anything:
+ * it was out of reach, or its endpoint is silent
+ * @complete: its last answer to that question was for certain on each flow,
+ * and it replied the last one that it was queried
  * @partial: it said then that its endpoint may hold flows that it doesn't know
- * @asked: last question about lost flows that it was asked
- * @answered: last one that it answered
+ * @queried: last question about orphaned flows that it was queried
+ * @replied: last one that it replied
  * @heard_us: last frame from it, 0 for never
- * @told_us: when @health was told
+ * @health_us: when @health was reported
  * @sent: flows sent to it since then
  * @sent_us: last of these
  * @pinged_us: last ping, 0 for never
  * @ping_us: when to ping it next, 0 for never
  * @ping_gap_us: pause before the ping after that
  * @key: of @addr
- * @row_at: place among all rows
- * @service_at: place among those of its service
- * @ping_at: place among those to be pinged, or -1
+ * @row_at: data_centre_key among all rows
+ * @service_at: data_centre_key among those of its service
+ * @ping_at: data_centre_key among those to be pinged, or -1
  */
 struct agent_row {
     struct addr addr;
     uint64_t member;
     char data_centre[AGENT_DATA_CENTRE_MAX];
-    uint32_t place;
+    uint32_t data_centre_key;
     uint32_t region;
     bool evacuated;
     struct frame_health health;
     bool listed;
-    bool named;
+    bool ever_listed;
     bool unlisted;
     bool suspect;
     uint64_t silent_us;
     bool down;
-    bool excused;
-    bool in_doubt;
-    bool whole;
+    bool reply_optional;
+    bool inconclusive;
+    bool complete;
     bool partial;
-    uint32_t asked;
-    uint32_t answered;
+    uint32_t queried;
+    uint32_t replied;
     uint64_t heard_us;
-    uint64_t told_us;
+    uint64_t health_us;
     unsigned sent;
     uint64_t sent_us;
     uint64_t pinged_us;
@@ -104,9 +105,9 @@
  * @by_addr: row of an address
  * @by_service: GPtrArray of the rows of a service
  * @pinged: rows that are to be pinged
- * @listed_once: the store's list was read to its end
- * @changes: how often an agent came to a service
- * @here: evacuations_key() of where the balancer stands
+ * @list_complete: the store's list was read to its end
+ * @additions: how often an agent came to a service
+ * @own_data_centre: evacuations_key() of where the balancer stands
  * @store: what is known of the store, and which data centres take no new flow
  * @regions: in which each data centre lies
  */
@@ -115,9 +116,9 @@
     GHashTable *by_addr;
     GHashTable *by_service;
     GPtrArray *pinged;
-    bool listed_once;
-    uint64_t changes;
-    uint32_t here;
+    bool list_complete;
+    uint64_t additions;
+    uint32_t own_data_centre;
     struct store_state store;
     struct regions regions;
 };
@@ -127,7 +128,7 @@
 
 /* Agents that pass on who reads the store: two may be dead or slow at a
  * time. */
-#define AGENTS_WITNESSES 3
+#define AGENTS_WITNESSES_MAX 3
 
 /* More than there can be to ping. */
 #define AGENTS_ALL_PINGS UINT_MAX
@@ -165,7 +166,7 @@
 size_t
 agents_count(const struct agents *agents);
 
-/** agents_at() - one of them, by place; places change as rows go */
+/** agents_at() - one of them, by data_centre_key; places change as rows go */
 struct agent_row *
 agents_at(const struct agents *agents, size_t at);
 
@@ -180,58 +181,61 @@
 /**
  * agents_unlist() - the store doesn't name it, or no more
  *
- * One that it named once is told so. One that it never did may be about to be
- * written, or the list be older than its object.
+ * One that it ever_listed once is reported so. One that it never did may be
+ * about to be written, or the list be older than its object.
  *
  * It stays until it has been silent for seconds; for a minute when its
- * endpoint has ended, so that callers of flows there can be told.
+ * endpoint has ended, so that callers of flows there can be reported.
  */
 void
 agents_unlist(struct agents *agents, struct addr addr, uint64_t now_us);
 
-/** agents_listed() - the store's list was read to its end: new flows go to
- * agents in it from now on, so that whoever reads it later knows who may hold
- * them; to others only when there is nobody else */
+/** agents_list_complete() - the store's list was read to its end: new flows go
+ * to agents in it from now on, so that whoever reads it later knows who may
+ * hold them; to others only when there is nobody else */
 void
-agents_listed(struct agents *agents);
+agents_list_complete(struct agents *agents);
 
 /**
- * agents_evacuate() - somebody told which data centres are evacuated
+ * agents_evacuate() - somebody reported which data centres are evacuated
  * @ping: tell the agents there at once: the caller may be the first to know.
- *        Also where nothing changed for it: others may have told of a state in
- *        between, and no balancer that knows better sends anything there
+ *        Also where nothing changed for it: others may have reported of a
+ * state in between, and no balancer that knows better sends anything there
  *
  * Return: whether the set of evacuated data centres has changed.
  */
 bool
-agents_evacuate(struct agents *agents, const struct evacuations *told,
+agents_evacuate(struct agents *agents, const struct evacuations *reported,
                 bool ping, uint64_t now_us);
 
 /** agents_tick() - mind evacuations of an era of the store that has ended */
 void
 agents_tick(struct agents *agents, uint64_t now_us);
 
-/** agents_all_evacuated() - whether a service has agents in @homes, but in
- * evacuated data centres only */
+/** agents_all_evacuated() - whether a service has agents in @region_affinity,
+ * excluded in evacuated data centres only */
 bool
 agents_all_evacuated(const struct agents *agents, uint32_t service,
-                     const struct homes *homes);
+                     const struct region_affinity *region_affinity);
 
-/** agents_heard() - a frame with its own word came from an agent; of which
- * service it is, the store says first */
+/** agents_update_health() - a frame with its own word came from an agent; of
+ * which service it is, the store says first */
 void
-agents_heard(struct agents *agents, struct addr addr,
-             const struct frame_health *health, uint64_t now_us);
+agents_update_health(struct agents *agents, struct addr addr,
+                     const struct frame_health *health, uint64_t now_us);
 
-/** agents_alive() - a frame without a word on its endpoint came from an agent
+/** agents_mark_alive() - a frame without a word on its endpoint came from an
+ * agent
  */
 void
-agents_alive(struct agents *agents, struct agent_row *row, uint64_t now_us);
+agents_mark_alive(struct agents *agents, struct agent_row *row,
+                  uint64_t now_us);
 
-/** agents_missed() - an agent didn't answer a new flow sent at @sent_us */
+/** agents_mark_unanswered() - an agent didn't answer a new flow sent at
+ * @sent_us */
 void
-agents_missed(struct agents *agents, struct addr addr, uint64_t sent_us,
-              uint64_t now_us);
+agents_mark_unanswered(struct agents *agents, struct addr addr,
+                       uint64_t sent_us, uint64_t now_us);
 
 /** agents_sent() - a new flow went to an agent */
 void
@@ -240,9 +244,9 @@
 /**
  * agents_ping_due() - an agent to ping now
  * @left: places that are still to be looked at; AGENTS_ALL_PINGS at first, so
- *        that a round looks at each once
+ *        that a query looks at each once
  * @addr: its address
- * @unlisted: whether it is to be told that the store doesn't name it any
+ * @unlisted: whether it is to be reported that the store doesn't name it any
  *            more
  *
  * Return: false when none is due.
@@ -255,21 +259,21 @@
 uint64_t
 agents_next_ping_us(const struct agents *agents);
 
-/** agents_for_new() - who may take a new flow in @homes, best first; the
- * suspected only when there is nobody else */
+/** agents_for_new() - who may take a new flow in @region_affinity, best first;
+ * the suspected only when there is nobody else */
 void
 agents_for_new(const struct agents *agents, uint32_t service,
-               const struct homes *homes, uint64_t hash, uint64_t now_us,
-               struct agents_choice *choice);
+               const struct region_affinity *region_affinity, uint64_t hash,
+               uint64_t now_us, struct agents_choice *choice);
 
 /**
- * agents_for_known() - who may hold an open flow, likeliest first
+ * agents_for_established() - who may hold an open flow, likeliest first
  *
  * Agents whose endpoints may hold flows that they don't know are always among
- * them, as only a packet tells; the others can be asked.
+ * them, as only a packet tells; the others can be queried.
  *
- * @homes: where it can have been opened
- * @denied: all agents were asked for it: those whose answers are for certain
+ * @region_affinity: where it can have been opened
+ * @denied: all agents were queried for it: those whose replies are for certain
  *          are left out
  * @below: only those that rank below this, AGENTS_ALL for all; becomes the
  *         rank of the last of @choice
@@ -277,21 +281,22 @@
  * Return: false when there are none.
  */
 bool
-agents_for_known(const struct agents *agents, uint32_t service,
-                 const struct homes *homes, uint64_t hash, bool denied,
-                 uint64_t *below, struct agents_choice *choice);
+agents_for_established(const struct agents *agents, uint32_t service,
+                       const struct region_affinity *region_affinity,
+                       uint64_t hash, bool denied, uint64_t *below,
+                       struct agents_choice *choice);
 
 /** agents_of_service() - rows of a service, NULL for none; valid until any
- * changes */
+ * additions */
 const GPtrArray *
 agents_of_service(const struct agents *agents, uint32_t service);
 
 /** agents_next_service() - the service with agents that follows @service in
- * the order of their hashes, the first after the last; @but is left out, and
- * told when there is no other */
+ * the order of their hashes, the first after the last; @excluded is left out,
+ * and reported when there is no other */
 uint32_t
 agents_next_service(const struct agents *agents, uint32_t service,
-                    uint32_t but);
+                    uint32_t excluded);
 
 /** agent_is_unreachable() - whether an agent has been silent for so long that
  * an answer through it can't be in time any more */
@@ -307,8 +312,8 @@
 void
 agents_witnesses(const struct agents *agents, struct agents_choice *choice);
 
-/** agents_serve() - whether some agent may take a new flow of @service */
+/** agents_can_serve() - whether some agent may take a new flow of @service */
 bool
-agents_serve(const struct agents *agents, uint32_t service);
+agents_can_serve(const struct agents *agents, uint32_t service);
 
 #endif
--- a/src/relay/steer/agents_choice.c
+++ b/src/relay/forwarder/agents_choice.c
@@ -1,4 +1,4 @@
-#include "relay/steer/agents_private.h"
+#include "relay/forwarder/agents_private.h"
 
 #include <glib.h>
 
@@ -6,20 +6,20 @@
 
 /* How long an agent's count of busy slots says something: requests run for
  * some 15 ms, so an older count is as good as none. */
-#define COUNT_FRESH_US (25 * USEC_PER_MSEC)
+#define LOAD_MAX_AGE_US (25 * USEC_PER_MSEC)
 
 /* Load is counted in 1/16 of an endpoint's slots. */
 #define LOAD_UNIT 16
 #define SLOTS_DEFAULT 2
 
 /* What a request in another data centre costs more: as much as one request
- * that waits before it. Bytes between data centres are dear, and one slot's
- * queue is still well inside any aim. */
-#define LOAD_ABROAD (LOAD_UNIT / SLOTS_DEFAULT)
+ * that syn_timers before it. Bytes between data centres are dear, and one
+ * slot's queue is still well inside any aim. */
+#define LOAD_REMOTE (LOAD_UNIT / SLOTS_DEFAULT)
 
-/* An endpoint that resets what it is asked comes after any that has less than
- * four requests on each of its slots more; it is never left out, as the others
- * may be no better. */
+/* An endpoint that resets what it is queried comes after any that has less
+ * than four requests on each of its slots more; it is never left out, as the
+ * others may be no better. */
 #define LOAD_FAILING (4 * LOAD_UNIT)
 
 /* Bucket of the ranking by which witnesses are found, any. */
@@ -28,29 +28,29 @@
 /** struct candidate - an agent in a choice */
 struct candidate {
     const struct agent_row *row;
-    enum standing standing;
+    enum tier tier;
     unsigned load;
     uint64_t score;
 };
 
-enum standing
-agents_standing(const struct agents *agents, const struct agent_row *row)
+enum tier
+agents_tier(const struct agents *agents, const struct agent_row *row)
 {
     switch (row->health.state) {
     case ENDPOINT_DRAINING:
     case ENDPOINT_GONE:
     case ENDPOINT_SILENT:
-        return STANDING_CLOSED;
+        return AGENT_TIER_CLOSED;
     default:
         break;
     }
-    if (agents->listed_once && !row->listed) {
-        return STANDING_ABSENT;
+    if (agents->list_complete && !row->listed) {
+        return AGENT_TIER_UNLISTED;
     }
     if (row->suspect) {
-        return STANDING_SUSPECT;
+        return AGENT_TIER_SUSPECT;
     }
-    return row->heard_us != 0 ? STANDING_OPEN : STANDING_UNHEARD;
+    return row->heard_us != 0 ? AGENT_TIER_OPEN : AGENT_TIER_UNHEARD;
 }
 
 static unsigned
@@ -62,30 +62,30 @@
     unsigned requests = 0;
     unsigned load;
 
-    if (now_us - row->told_us < COUNT_FRESH_US) {
+    if (now_us - row->health_us < LOAD_MAX_AGE_US) {
         requests += row->health.busy;
     }
-    if (now_us - row->sent_us < COUNT_FRESH_US) {
+    if (now_us - row->sent_us < LOAD_MAX_AGE_US) {
         requests += row->sent;
     }
     load = requests * LOAD_UNIT / slots;
     if (row->health.failing) {
         load += LOAD_FAILING;
     }
-    if (row->place != agents->here) {
-        load += LOAD_ABROAD;
+    if (row->data_centre_key != agents->own_data_centre) {
+        load += LOAD_REMOTE;
     }
     return load;
 }
 
-/* Keeps the @room best by score, best first; @count grows up to that. */
+/* Keeps the @capacity best by score, best first; @count grows up to that. */
 static void
-keep_best(struct candidate *best, unsigned room, unsigned *count,
+keep_best(struct candidate *best, unsigned capacity, unsigned *count,
           const struct candidate *candidate)
 {
     unsigned at = *count;
 
-    if (at == room) {
+    if (at == capacity) {
         if (best[at - 1].score >= candidate->score) {
             return;
         }
@@ -104,8 +104,8 @@
 static bool
 goes_before(const struct candidate *a, const struct candidate *b)
 {
-    if (a->standing != b->standing) {
-        return a->standing < b->standing;
+    if (a->tier != b->tier) {
+        return a->tier < b->tier;
     }
     if (a->load != b->load) {
         return a->load < b->load;
@@ -146,14 +146,14 @@
     if (row == NULL) {
         return;
     }
-    row->sent = now_us - row->sent_us < COUNT_FRESH_US ? row->sent + 1 : 1;
+    row->sent = now_us - row->sent_us < LOAD_MAX_AGE_US ? row->sent + 1 : 1;
     row->sent_us = now_us;
 }
 
 void
 agents_for_new(const struct agents *agents, uint32_t service,
-               const struct homes *homes, uint64_t hash, uint64_t now_us,
-               struct agents_choice *choice)
+               const struct region_affinity *region_affinity, uint64_t hash,
+               uint64_t now_us, struct agents_choice *choice)
 {
     const GPtrArray *rows = agents_of_service(agents, service);
     struct candidate best[RANK_DEPTH];
@@ -163,18 +163,19 @@
         const struct agent_row *row = g_ptr_array_index(rows, i);
         struct candidate candidate = {.row = row};
 
-        if (row->evacuated || !homes_allow(homes, row->region) ||
-            agents_standing(agents, row) == STANDING_CLOSED) {
+        if (row->evacuated ||
+            !region_affinity_allows(region_affinity, row->region) ||
+            agents_tier(agents, row) == AGENT_TIER_CLOSED) {
             continue;
         }
-        candidate.standing = agents_standing(agents, row);
+        candidate.tier = agents_tier(agents, row);
         candidate.load = load_of(agents, row, now_us);
         candidate.score = rank_score(row->member, rank_bucket(hash));
         keep_best(best, RANK_DEPTH, &count, &candidate);
     }
     sort_candidates(best, count);
     /* A packet that is handed from agent to agent ends at a dead one. */
-    while (count > 1 && best[count - 1].standing > best[0].standing) {
+    while (count > 1 && best[count - 1].tier > best[0].tier) {
         count--;
     }
     choice_fill(choice, best, count);
@@ -183,7 +184,7 @@
 /* Rank of an agent among those that may hold a flow: the partial before all
  * others. */
 static uint64_t
-known_score(const struct agent_row *row, uint64_t hash)
+established_score(const struct agent_row *row, uint64_t hash)
 {
     uint64_t score = rank_score(row->member, rank_bucket(hash)) >> 1;
 
@@ -191,9 +192,10 @@
 }
 
 bool
-agents_for_known(const struct agents *agents, uint32_t service,
-                 const struct homes *homes, uint64_t hash, bool denied,
-                 uint64_t *below, struct agents_choice *choice)
+agents_for_established(const struct agents *agents, uint32_t service,
+                       const struct region_affinity *region_affinity,
+                       uint64_t hash, bool denied, uint64_t *below,
+                       struct agents_choice *choice)
 {
     const GPtrArray *rows = agents_of_service(agents, service);
     struct candidate best[AGENTS_CHOICE_MAX];
@@ -203,13 +205,14 @@
         const struct agent_row *row = g_ptr_array_index(rows, i);
         struct candidate candidate = {
             .row = row,
-            .standing = row->suspect ? STANDING_SUSPECT : STANDING_OPEN,
+            .tier = row->suspect ? AGENT_TIER_SUSPECT : AGENT_TIER_OPEN,
             .load = !row->partial,
-            .score = known_score(row, hash),
+            .score = established_score(row, hash),
         };
 
         if (row->health.state != ENDPOINT_GONE && candidate.score < *below &&
-            !(denied && row->whole) && homes_allow(homes, row->region)) {
+            !(denied && row->complete) &&
+            region_affinity_allows(region_affinity, row->region)) {
             keep_best(best, AGENTS_CHOICE_MAX, &count, &candidate);
         }
     }
@@ -224,21 +227,23 @@
 void
 agents_witnesses(const struct agents *agents, struct agents_choice *choice)
 {
-    struct candidate best[AGENTS_WITNESSES];
+    struct candidate best[AGENTS_WITNESSES_MAX];
     unsigned count = 0;
 
     for (size_t i = 0; i < agents_count(agents); i++) {
         const struct agent_row *row = agents_at(agents, i);
-        bool here = row->place == agents->here;
+        bool own_data_centre = row->data_centre_key == agents->own_data_centre;
         struct candidate candidate = {
             .row = row,
             .score = rank_score(row->member, WITNESS_BUCKET),
         };
 
-        /* Those of other data centres only where there are none here. */
-        candidate.score = candidate.score >> 1 | (here ? 1ull << 63 : 0);
+        /* Those of other data centres only where there are none
+         * own_data_centre. */
+        candidate.score =
+            candidate.score >> 1 | (own_data_centre ? 1ull << 63 : 0);
         if (!row->suspect && row->health.state != ENDPOINT_GONE) {
-            keep_best(best, AGENTS_WITNESSES, &count, &candidate);
+            keep_best(best, AGENTS_WITNESSES_MAX, &count, &candidate);
         }
     }
     choice_fill(choice, best, count);
@@ -246,7 +251,7 @@
 
 bool
 agents_all_evacuated(const struct agents *agents, uint32_t service,
-                     const struct homes *homes)
+                     const struct region_affinity *region_affinity)
 {
     const GPtrArray *rows = agents_of_service(agents, service);
     bool any = false;
@@ -254,7 +259,7 @@
     for (guint i = 0; rows != NULL && i < rows->len; i++) {
         const struct agent_row *row = g_ptr_array_index(rows, i);
 
-        if (!homes_allow(homes, row->region)) {
+        if (!region_affinity_allows(region_affinity, row->region)) {
             continue;
         }
         if (!row->evacuated && row->health.state != ENDPOINT_GONE) {
@@ -266,16 +271,16 @@
 }
 
 bool
-agents_serve(const struct agents *agents, uint32_t service)
+agents_can_serve(const struct agents *agents, uint32_t service)
 {
     const GPtrArray *rows = agents_of_service(agents, service);
 
     for (guint i = 0; rows != NULL && i < rows->len; i++) {
         const struct agent_row *row = g_ptr_array_index(rows, i);
-        enum standing standing = agents_standing(agents, row);
+        enum tier tier = agents_tier(agents, row);
 
-        if (standing <= STANDING_UNHEARD ||
-            (standing == STANDING_ABSENT && !row->suspect)) {
+        if (tier <= AGENT_TIER_UNHEARD ||
+            (tier == AGENT_TIER_UNLISTED && !row->suspect)) {
             return true;
         }
     }
--- a/src/relay/steer/agents_reach.c
+++ b/src/relay/forwarder/agents_reach.c
@@ -1,4 +1,4 @@
-#include "relay/steer/agents_private.h"
+#include "relay/forwarder/agents_private.h"
 
 #include <glib.h>
 
@@ -13,8 +13,8 @@
 #define PING_SILENCE_PARTS 8
 #define PING_SLOWEST_US (5 * 60 * USEC_PER_SEC)
 
-/* An agent that said that it takes nothing new tells when that changes; the
- * ping is for the word that was lost on its way. */
+/* An agent that said that it takes nothing new tells when that additions; the
+ * ping is for the word that was orphaned on its way. */
 #define PING_CLOSED_US (500 * USEC_PER_MSEC)
 
 /* An agent that is silent for this long can't bring a caller its answer in
@@ -25,7 +25,7 @@
 
 /* How long an agent whose endpoint has ended is remembered: as long as the
  * oldest flow there may be. */
-#define ENDED_KEPT_US (60 * USEC_PER_SEC)
+#define ENDED_RETENTION_US (60 * USEC_PER_SEC)
 
 /* Sets when a row is pinged next; 0 for never. */
 void
@@ -67,18 +67,19 @@
 }
 
 void
-agents_trust(struct agent_row *row)
+agents_clear_suspect(struct agent_row *row)
 {
     row->suspect = false;
     row->silent_us = 0;
 }
 
 void
-agents_alive(struct agents *agents, struct agent_row *row, uint64_t now_us)
+agents_mark_alive(struct agents *agents, struct agent_row *row,
+                  uint64_t now_us)
 {
     bool closed;
 
-    agents_trust(row);
+    agents_clear_suspect(row);
     row->heard_us = now_us;
     row->ping_gap_us = PING_FIRST_US;
     if (row->unlisted && row->ping_us != 0 &&
@@ -86,13 +87,13 @@
         /* It isn't told yet, or the store doesn't name it again yet. */
         return;
     }
-    closed = agents_standing(agents, row) == STANDING_CLOSED;
+    closed = agents_tier(agents, row) == AGENT_TIER_CLOSED;
     agents_set_ping(agents, row, closed ? now_us + PING_CLOSED_US : 0);
 }
 
 void
-agents_missed(struct agents *agents, struct addr addr, uint64_t sent_us,
-              uint64_t now_us)
+agents_mark_unanswered(struct agents *agents, struct addr addr,
+                       uint64_t sent_us, uint64_t now_us)
 {
     struct agent_row *row = agents_find(agents, addr);
 
@@ -112,12 +113,12 @@
     bool ended = row->health.state == ENDPOINT_GONE;
 
     return !row->listed && row->ping_gap_us >= PING_SLOW_US &&
-           (!ended || now_us - row->told_us > ENDED_KEPT_US);
+           (!ended || now_us - row->health_us > ENDED_RETENTION_US);
 }
 
 /* The longest pause before the next ping. */
 static uint64_t
-slowest_gap(const struct agent_row *row, uint64_t now_us)
+max_ping_gap(const struct agent_row *row, uint64_t now_us)
 {
     uint64_t silent_us = row->suspect ? now_us - row->silent_us : 0;
 
@@ -146,7 +147,8 @@
         }
         row->pinged_us = now_us;
         row->ping_us = now_us + row->ping_gap_us;
-        row->ping_gap_us = MIN(2 * row->ping_gap_us, slowest_gap(row, now_us));
+        row->ping_gap_us =
+            MIN(2 * row->ping_gap_us, max_ping_gap(row, now_us));
         *addr = row->addr;
         *unlisted = row->unlisted;
         return true;
--- /dev/null
+++ b/src/relay/forwarder/forwarder_open.c
@@ -0,0 +1,338 @@
+#include "relay/forwarder/forwarder_private.h"
+
+#include <string.h>
+
+#include <glib.h>
+
+#include "base/clock.h"
+
+/* How long an agent may take to answer a SYN: 2 ms on the way at most
+ * between data centres, under 1 ms at the endpoint, and the rest for a host
+ * that has a twentieth of a core. */
+#define ANSWER_TIMEOUT_US (15 * USEC_PER_MSEC)
+
+/* Where agents are further away, so many times their usual trip; and at most
+ * this long, when it is they that are slow. */
+#define ANSWER_RTTS 2
+#define ANSWER_MAX_US (60 * USEC_PER_MSEC)
+
+/* Weight of a trip that is longer than usual, and of one that is shorter: the
+ * slower agents tell how long to syn_timer. */
+#define RTT_UP_WEIGHT 4
+#define RTT_DOWN_WEIGHT 64
+
+static uint64_t
+answer_timeout(const struct forwarder *forwarder)
+{
+    uint64_t timeout_us = ANSWER_RTTS * forwarder->rtt_us;
+
+    return CLAMP(timeout_us, ANSWER_TIMEOUT_US, ANSWER_MAX_US);
+}
+
+void
+forwarder_update_rtt(struct forwarder *forwarder,
+                     const struct forwarder_pin *pin, struct addr agent,
+                     uint64_t now_us)
+{
+    uint64_t rtt_us = now_us - pin->tried_us;
+
+    if (pin->acceptor_count > 0 || pin->queued || pin->try_count == 0 ||
+        !addr_equal(pin->tried[pin->try_count - 1], agent)) {
+        return;
+    }
+    if (rtt_us > forwarder->rtt_us) {
+        forwarder->rtt_us += (rtt_us - forwarder->rtt_us) / RTT_UP_WEIGHT;
+    }
+    else {
+        forwarder->rtt_us -= (forwarder->rtt_us - rtt_us) / RTT_DOWN_WEIGHT;
+    }
+}
+
+static void
+syn_timer_push(struct forwarder *forwarder, uint32_t handle, uint64_t now_us)
+{
+    struct forwarder_syn_timer *syn_timer;
+
+    if (forwarder->syn_timer_count == FORWARDER_SYN_TIMERS_MAX) {
+        /* The caller's own copy takes the place of the try. */
+        return;
+    }
+    syn_timer = &forwarder->syn_timers[(forwarder->syn_timer_first +
+                                        forwarder->syn_timer_count) %
+                                       FORWARDER_SYN_TIMERS_MAX];
+    *syn_timer = (struct forwarder_syn_timer){
+        now_us + answer_timeout(forwarder), handle, now_us};
+    forwarder->syn_timer_count++;
+}
+
+static bool
+was_tried(const struct forwarder_pin *pin, struct addr agent)
+{
+    for (unsigned i = 0; i < pin->try_count; i++) {
+        if (addr_equal(pin->tried[i], agent)) {
+            return true;
+        }
+    }
+    return false;
+}
+
+/* Drops from @choice whom the SYN was sent to. */
+static void
+skip_tried(const struct forwarder_pin *pin, struct agents_choice *choice)
+{
+    unsigned kept = 0;
+
+    for (unsigned i = 0; i < choice->count; i++) {
+        if (!was_tried(pin, choice->addrs[i])) {
+            choice->addrs[kept++] = choice->addrs[i];
+        }
+    }
+    choice->count = kept;
+}
+
+/* Requests that an endpoint may get in a second until it is warm, 0 for any
+ * number. */
+static uint16_t
+warming_limit(const struct forwarder *forwarder, struct addr address,
+              uint32_t service)
+{
+    const struct route *route =
+        routes_find(forwarder_routes_in_force(forwarder), address);
+    const struct route_share *share =
+        route != NULL ? route_share_of(route, service) : NULL;
+    double limit;
+
+    if (share == NULL || share->slow_start_per_s <= 0) {
+        return 0;
+    }
+    limit = share->slow_start_per_s * forwarder->slow_start.over +
+            forwarder->slow_start.slack;
+    return (uint16_t)CLAMP(limit, 1, UINT16_MAX);
+}
+
+/* A SYN's frame that may go on along @choice, from @from on. */
+static struct frame_carry
+syn_frame(const struct forwarder *forwarder, uint32_t handle,
+          const struct agents_choice *choice, unsigned from,
+          const uint8_t *bytes, size_t size)
+{
+    const struct forwarder_pin *pin = &forwarder->pins[handle];
+    struct frame_carry frame =
+        forwarder_frame(forwarder, pin->service, choice, from, bytes, size);
+
+    frame.target_ms = pin->target_ms;
+    frame.priority = pin->priority;
+    frame.patience_ms = pin->patience_ms;
+    frame.budget_ms = pin->budget_ms;
+    frame.warming_limit = warming_limit(
+        forwarder, flow_index_flow(&forwarder->flows, handle).service,
+        pin->service);
+    return frame;
+}
+
+/* Sends a SYN to the best agent that it was not sent to. */
+bool
+forwarder_try_next(struct forwarder *forwarder, uint32_t handle,
+                   const uint8_t *bytes, size_t size, uint64_t now_us)
+{
+    struct forwarder_pin *pin = &forwarder->pins[handle];
+    struct relay_flow flow = flow_index_flow(&forwarder->flows, handle);
+    const struct route *route =
+        routes_find(forwarder_routes_in_force(forwarder), flow.service);
+    struct agents_choice choice;
+    struct frame_carry frame;
+
+    /* The configuration may have dropped the route since the SYN came, or
+     * given it to another service. */
+    if (pin->try_count == FORWARDER_TRIES_MAX || route == NULL ||
+        route_share_of(route, pin->service) == NULL) {
+        return false;
+    }
+    agents_for_new(&forwarder->agents, pin->service, &route->region_affinity,
+                   relay_flow_hash(flow), now_us, &choice);
+    skip_tried(pin, &choice);
+    if (choice.count == 0) {
+        return false;
+    }
+    frame = syn_frame(forwarder, handle, &choice, 1, bytes, size);
+    pin->tried[pin->try_count++] = choice.addrs[0];
+    pin->holder = choice.addrs[0];
+    pin->tried_us = now_us;
+    agents_sent(&forwarder->agents, choice.addrs[0], now_us);
+    syn_timer_push(forwarder, handle, now_us);
+    forwarder->out->ops->forward(forwarder->out, choice.addrs[0], &frame);
+    forwarder->out->ops->decided(forwarder->out, FORWARDER_DECISION_SEND, flow,
+                                 choice.addrs[0], pin->try_count,
+                                 now_us - pin->since_us);
+    return true;
+}
+
+static void
+update_timeouts(struct forwarder_pin *pin, const struct relay_packet *packet,
+                const struct route *route)
+{
+    unsigned target_ms = MIN(route->target_ms, UINT16_MAX);
+    unsigned budget_ms = MIN(route->timeout_ms, UINT16_MAX);
+
+    pin->priority = (uint8_t)MIN(route->priority, UINT8_MAX);
+    pin->target_ms =
+        (uint16_t)(packet->age_ms < target_ms ? target_ms - packet->age_ms
+                                              : 0);
+    pin->patience_ms = packet->patience_ms;
+    pin->budget_ms =
+        (uint16_t)(packet->age_ms < budget_ms ? budget_ms - packet->age_ms
+                                              : 0);
+}
+
+/* Another copy of a SYN that an agent holds goes there too: the agent learns
+ * how long the caller still syn_timers, and whether it lives shows. */
+static void
+resend_to_holder(struct forwarder *forwarder, uint32_t handle,
+                 const struct relay_packet *packet, uint64_t now_us)
+{
+    struct forwarder_pin *pin = &forwarder->pins[handle];
+    struct agents_choice none = {.count = 0};
+    struct frame_carry frame =
+        syn_frame(forwarder, handle, &none, 0, packet->bytes, packet->size);
+
+    pin->queued = false;
+    pin->tried_us = now_us;
+    syn_timer_push(forwarder, handle, now_us);
+    forwarder->out->ops->forward(forwarder->out, pin->holder, &frame);
+}
+
+void
+forwarder_open_flow(struct forwarder *forwarder,
+                    const struct relay_packet *packet,
+                    const struct route *route, uint64_t now_us)
+{
+    struct relay_flow flow = relay_flow_from_caller(packet);
+    uint32_t handle = forwarder_remember(forwarder, flow,
+                                         route_service(route, flow), now_us);
+    struct forwarder_pin *pin = &forwarder->pins[handle];
+
+    update_timeouts(pin, packet, route);
+    pin->syn_seq = packet->seq;
+    if (packet->size <= FORWARDER_SYN_MAX) {
+        memcpy(pin->syn, packet->bytes, packet->size);
+        pin->syn_size = (uint8_t)packet->size;
+    }
+    if (!forwarder_try_next(forwarder, handle, packet->bytes, packet->size,
+                            now_us)) {
+        bool evacuated = agents_all_evacuated(&forwarder->agents, pin->service,
+                                              &route->region_affinity);
+
+        forwarder_forget(forwarder, handle);
+        if (evacuated) {
+            /* Operators want nothing sent there: it is hopeless until they
+             * say otherwise. */
+            forwarder_refuse(forwarder, FORWARDER_DROP_EVACUATED, packet);
+        }
+        else {
+            forwarder_drop_packet(forwarder, FORWARDER_DROP_NO_AGENT, packet);
+        }
+    }
+}
+
+/* Another copy of a SYN that an endpoint has replied goes there: the answer
+ * was orphaned. */
+static void
+resend_to_acceptor(struct forwarder *forwarder, uint32_t handle,
+                   const struct relay_packet *packet)
+{
+    struct agents_choice none = {.count = 0};
+    struct frame_carry frame =
+        syn_frame(forwarder, handle, &none, 0, packet->bytes, packet->size);
+
+    forwarder->out->ops->forward(
+        forwarder->out, forwarder->pins[handle].acceptors[0].agent, &frame);
+}
+
+/* Another copy of a SYN whose route has gone to another service since. What
+ * the first came to may answer still: the caller says whose answer counts. */
+static void
+open_at_other_service(struct forwarder *forwarder, uint32_t handle,
+                      const struct relay_packet *packet,
+                      const struct route *route, uint64_t now_us)
+{
+    struct forwarder_pin *pin = &forwarder->pins[handle];
+
+    pin->service =
+        route_service(route, flow_index_flow(&forwarder->flows, handle));
+    pin->queued = false;
+    pin->try_count = 0;
+    if (!forwarder_try_next(forwarder, handle, packet->bytes, packet->size,
+                            now_us)) {
+        forwarder_drop_packet(forwarder, FORWARDER_DROP_NO_AGENT, packet);
+    }
+}
+
+/* The caller sent its SYN again: an answer was orphaned, or none came. */
+void
+forwarder_open_again(struct forwarder *forwarder, uint32_t handle,
+                     const struct relay_packet *packet,
+                     const struct route *route, uint64_t now_us)
+{
+    struct forwarder_pin *pin = &forwarder->pins[handle];
+
+    update_timeouts(pin, packet, route);
+    if (pin->opened && pin->acceptor_count == 0) {
+        /* A copy that was queued up on its way: the flow is open. */
+        return;
+    }
+    if (route_share_of(route, pin->service) == NULL) {
+        if (!pin->opened) {
+            open_at_other_service(forwarder, handle, packet, route, now_us);
+        }
+        return;
+    }
+    if (pin->acceptor_count > 0) {
+        resend_to_acceptor(forwarder, handle, packet);
+        return;
+    }
+    if (pin->queued) {
+        resend_to_holder(forwarder, handle, packet, now_us);
+        return;
+    }
+    if (forwarder_try_next(forwarder, handle, packet->bytes, packet->size,
+                           now_us)) {
+        return;
+    }
+    /* All were tried, and some may be back since. */
+    pin->try_count = 0;
+    if (!forwarder_try_next(forwarder, handle, packet->bytes, packet->size,
+                            now_us)) {
+        forwarder_drop_packet(forwarder, FORWARDER_DROP_NO_AGENT, packet);
+    }
+}
+
+void
+forwarder_queued(struct forwarder *forwarder, struct addr agent,
+                 const struct frame_status *status)
+{
+    uint32_t handle = flow_index_find(&forwarder->flows, status->flow);
+
+    if (handle != FLOW_INDEX_NONE) {
+        forwarder->pins[handle].queued = true;
+        forwarder->pins[handle].holder = agent;
+    }
+}
+
+void
+forwarder_syn_timeout(struct forwarder *forwarder,
+                      const struct forwarder_syn_timer *syn_timer,
+                      uint64_t now_us)
+{
+    struct forwarder_pin *pin = &forwarder->pins[syn_timer->handle];
+
+    if (pin->tried_us != syn_timer->tried_us || pin->acceptor_count > 0 ||
+        pin->queued || pin->opened || pin->try_count == 0) {
+        return;
+    }
+    agents_mark_unanswered(&forwarder->agents, pin->holder, pin->tried_us,
+                           now_us);
+    if (pin->syn_size > 0) {
+        forwarder_try_next(forwarder, syn_timer->handle, pin->syn,
+                           pin->syn_size, now_us);
+    }
+}
--- a/src/relay/steer/homes.c
+++ b/src/relay/forwarder/region_affinity.c
@@ -1,35 +1,37 @@
-#include "relay/steer/homes.h"
+#include "relay/forwarder/region_affinity.h"
 
 #include "base/hash.h"
 
 uint32_t
-homes_key(const char *region)
+region_key(const char *region)
 {
     return hash_service(region);
 }
 
 bool
-homes_add(struct homes *homes, uint32_t region)
+region_affinity_add(struct region_affinity *region_affinity, uint32_t region)
 {
-    if (homes->count > 0 && homes_allow(homes, region)) {
+    if (region_affinity->count > 0 &&
+        region_affinity_allows(region_affinity, region)) {
         return true;
     }
-    if (homes->count == HOMES_MAX) {
+    if (region_affinity->count == REGION_AFFINITY_MAX) {
         return false;
     }
-    homes->regions[homes->count++] = region;
+    region_affinity->regions[region_affinity->count++] = region;
     return true;
 }
 
 bool
-homes_allow(const struct homes *homes, uint32_t region)
+region_affinity_allows(const struct region_affinity *region_affinity,
+                       uint32_t region)
 {
-    for (unsigned i = 0; i < homes->count; i++) {
-        if (homes->regions[i] == region) {
+    for (unsigned i = 0; i < region_affinity->count; i++) {
+        if (region_affinity->regions[i] == region) {
             return true;
         }
     }
-    return homes->count == 0;
+    return region_affinity->count == 0;
 }
 
 bool
--- a/src/relay/steer/homes.h
+++ b/src/relay/forwarder/region_affinity.h
@@ -1,26 +1,26 @@
 /**
- * DOC: homes - the regions in which a route's requests may be served
+ * DOC: region_affinity - the regions in which a route's requests may be served
  */
-#ifndef SWIFTARCH_RELAY_STEER_HOMES_H
-#define SWIFTARCH_RELAY_STEER_HOMES_H
+#ifndef SWIFTARCH_RELAY_FORWARDER_REGION_AFFINITY_H
+#define SWIFTARCH_RELAY_FORWARDER_REGION_AFFINITY_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 /* Regions that one route may name: twice what the system is designed for. */
-#define HOMES_MAX 16
+#define REGION_AFFINITY_MAX 16
 
 /* Data centres of which the region is known: twice what the system is designed
  * for. */
 #define REGIONS_MAX 64
 
 /**
- * struct homes - regions that a route names
- * @regions: homes_key() of each
+ * struct region_affinity - regions that a route names
+ * @regions: region_key() of each
  * @count: how many, 0 for all regions
  */
-struct homes {
-    uint32_t regions[HOMES_MAX];
+struct region_affinity {
+    uint32_t regions[REGION_AFFINITY_MAX];
     unsigned count;
 };
 
@@ -37,18 +37,19 @@
     unsigned count;
 };
 
-/** homes_key() - what stands for a region; never 0 */
+/** region_key() - what stands for a region; never 0 */
 uint32_t
-homes_key(const char *region);
+region_key(const char *region);
 
-/** homes_add() - one more region; false when there is no room */
+/** region_affinity_add() - one more region; false when there is no room */
 bool
-homes_add(struct homes *homes, uint32_t region);
+region_affinity_add(struct region_affinity *region_affinity, uint32_t region);
 
-/** homes_allow() - whether requests may be served in a region, 0 for one that
- * isn't known */
+/** region_affinity_allows() - whether requests may be served in a region, 0
+ * for one that isn't known */
 bool
-homes_allow(const struct homes *homes, uint32_t region);
+region_affinity_allows(const struct region_affinity *region_affinity,
+                       uint32_t region);
 
 /** regions_differ() - whether data centres lie in more than one region */
 bool
--- a/src/relay/steer/routes.c
+++ b/src/relay/forwarder/routes.c
@@ -1,4 +1,4 @@
-#include "relay/steer/routes.h"
+#include "relay/forwarder/routes.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -9,7 +9,7 @@
 /* How long a flow may be quiet when the configuration doesn't say: callers
  * give up well before. */
 #define IDLE_TIMEOUT_DEFAULT_MS 60000
-#define ROUTES_ROOM_FIRST 32
+#define ROUTES_CAPACITY_INITIAL 32
 
 static int
 compare_addr(struct addr a, struct addr b)
@@ -47,10 +47,10 @@
 {
     struct route *route;
 
-    if (routes->count == routes->room) {
-        routes->room =
-            routes->room == 0 ? ROUTES_ROOM_FIRST : 2 * routes->room;
-        routes->items = g_renew(struct route, routes->items, routes->room);
+    if (routes->count == routes->capacity) {
+        routes->capacity = routes->capacity == 0 ? ROUTES_CAPACITY_INITIAL
+                                                 : 2 * routes->capacity;
+        routes->items = g_renew(struct route, routes->items, routes->capacity);
     }
     route = &routes->items[routes->count++];
     memset(route, 0, sizeof(*route));
@@ -100,8 +100,8 @@
 }
 
 void
-routes_date(struct routes *routes, const struct routes *before,
-            uint64_t now_us)
+routes_inherit_since(struct routes *routes, const struct routes *before,
+                     uint64_t now_us)
 {
     for (size_t i = 0; i < routes->count; i++) {
         struct route *route = &routes->items[i];
--- a/src/relay/steer/routes.h
+++ b/src/relay/forwarder/routes.h
@@ -3,15 +3,15 @@
  *
  * One immutable table for each version of the configuration.
  */
-#ifndef SWIFTARCH_RELAY_STEER_ROUTES_H
-#define SWIFTARCH_RELAY_STEER_ROUTES_H
+#ifndef SWIFTARCH_RELAY_FORWARDER_ROUTES_H
+#define SWIFTARCH_RELAY_FORWARDER_ROUTES_H
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
 #include "base/addr.h"
-#include "relay/steer/homes.h"
+#include "relay/forwarder/region_affinity.h"
 #include "relay/wire/packet.h"
 
 #define ROUTES_NAME_MAX 64
@@ -22,13 +22,13 @@
  * struct route_share - part of a route's flows
  * @service: hash_service() of the service's name
  * @weight: its part, of the sum of all weights of the route
- * @warming_per_s: requests a second that its endpoints bear until they are
+ * @slow_start_per_s: requests a second that its endpoints bear until they are
  *                 warm, 0 for any number
  */
 struct route_share {
     uint32_t service;
     uint32_t weight;
-    float warming_per_s;
+    float slow_start_per_s;
 };
 
 /**
@@ -38,9 +38,9 @@
  * @shares: services that take its new flows
  * @share_count: at least one
  * @since_us: how long it has had the same services, as far as is known
- * @homes: regions in which its requests may be served
+ * @region_affinity: regions in which its requests may be served
  * @timeout_ms: how long a request may take
- * @target_ms: how soon a request should be answered
+ * @target_ms: how soon a request should be replied
  * @priority: 0 is most urgent
  * @idempotent: its requests may run twice
  */
@@ -50,7 +50,7 @@
     struct route_share shares[ROUTE_SHARES_MAX];
     unsigned share_count;
     uint64_t since_us;
-    struct homes homes;
+    struct region_affinity region_affinity;
     unsigned timeout_ms;
     unsigned target_ms;
     unsigned priority;
@@ -63,14 +63,14 @@
  * @idle_timeout_ms: a flow that is quiet for longer may be forgotten
  * @items: routes, sorted by address once routes_seal() was called
  * @count: how many
- * @room: allocated
+ * @capacity: allocated
  */
 struct routes {
     uint64_t version;
     unsigned idle_timeout_ms;
     struct route *items;
     size_t count;
-    size_t room;
+    size_t capacity;
 };
 
 /** routes_init() - an empty table of version 0 */
@@ -93,11 +93,11 @@
 const struct route *
 routes_find(const struct routes *routes, struct addr address);
 
-/** routes_date() - routes whose services are as in @before have had them for
- * as long as there, the others since @now_us */
+/** routes_inherit_since() - routes whose services are as in @before have had
+ * them for as long as there, the others since @now_us */
 void
-routes_date(struct routes *routes, const struct routes *before,
-            uint64_t now_us);
+routes_inherit_since(struct routes *routes, const struct routes *before,
+                     uint64_t now_us);
 
 /** route_share_of() - the part of @route that goes to @service, or NULL */
 const struct route_share *
--- a/src/relay/steer/syn_queue.c
+++ b/src/relay/forwarder/syn_queue.c
@@ -1,4 +1,4 @@
-#include "relay/steer/syn_queue.h"
+#include "relay/forwarder/syn_queue.h"
 
 #include <string.h>
 
@@ -8,7 +8,7 @@
 
 /* Then the caller's next copy has come, or will soon; the last one is waited
  * for no longer either, as the request is late by then. */
-#define KEPT_US (400 * USEC_PER_MSEC)
+#define SYN_MAX_AGE_US (400 * USEC_PER_MSEC)
 
 static bool
 same_flow(const struct relay_packet *a, const struct relay_packet *b)
@@ -19,7 +19,7 @@
 
 /* Moves one out of the queue. */
 static void
-hand_out(struct syn_queue *queue, unsigned at, struct relay_packet *packet)
+dequeue(struct syn_queue *queue, unsigned at, struct relay_packet *packet)
 {
     queue->taken = queue->items[at];
     queue->items[at] = queue->items[--queue->count];
@@ -28,11 +28,11 @@
 }
 
 static bool
-is_over(const struct syn_queued *item, uint64_t now_us)
+is_expired(const struct syn_queued *item, uint64_t now_us)
 {
     uint64_t patience_us = item->packet.patience_ms * USEC_PER_MSEC;
 
-    return now_us - item->since_us >= MIN(patience_us, KEPT_US);
+    return now_us - item->since_us >= MIN(patience_us, SYN_MAX_AGE_US);
 }
 
 static uint64_t
@@ -43,7 +43,7 @@
 
 /* Where a SYN is to be put: the place of an earlier copy, or the end. */
 static unsigned
-place_of(const struct syn_queue *queue, const struct relay_packet *packet)
+slot_of(const struct syn_queue *queue, const struct relay_packet *packet)
 {
     unsigned at = 0;
 
@@ -57,7 +57,7 @@
 syn_queue_put(struct syn_queue *queue, const struct relay_packet *packet,
               uint64_t now_us)
 {
-    unsigned at = place_of(queue, packet);
+    unsigned at = slot_of(queue, packet);
 
     if (at == SYN_QUEUE_MAX || packet->size > SYN_QUEUE_BYTES) {
         return false;
@@ -71,12 +71,12 @@
 }
 
 bool
-syn_queue_take_over(struct syn_queue *queue, uint64_t now_us,
-                    struct relay_packet *packet)
+syn_queue_take_expired(struct syn_queue *queue, uint64_t now_us,
+                       struct relay_packet *packet)
 {
     for (unsigned i = 0; i < queue->count; i++) {
-        if (is_over(&queue->items[i], now_us)) {
-            hand_out(queue, i, packet);
+        if (is_expired(&queue->items[i], now_us)) {
+            dequeue(queue, i, packet);
             return true;
         }
     }
@@ -99,7 +99,7 @@
             youngest = i;
         }
     }
-    hand_out(queue, youngest, packet);
+    dequeue(queue, youngest, packet);
     waited_ms = (now_us - queue->taken.since_us) / USEC_PER_MSEC;
     packet->age_ms = (uint16_t)(packet->age_ms + waited_ms);
     packet->patience_ms = (uint16_t)(packet->patience_ms - waited_ms);
--- a/src/relay/steer/syn_queue.h
+++ b/src/relay/forwarder/syn_queue.h
@@ -4,13 +4,13 @@
  * After a loss of power a balancer receives packets some 100 ms before it has
  * read the configuration and the list of agents. Callers retransmit a dropped
  * SYN after 0.2, 0.4 and 0.8 s, which makes requests late that could have been
- * answered in time. The queue keeps one SYN for each flow, for 0.4 s at most,
+ * replied in time. The queue keeps one SYN for each flow, for 0.4 s at most,
  * and returns the one with the youngest request first, because the others are
  * late in any case. On days with a loss of all hosts this raises the share of
  * worth earned by up to 0.003 (nine days played, none lower).
  */
-#ifndef SWIFTARCH_RELAY_STEER_SYN_QUEUE_H
-#define SWIFTARCH_RELAY_STEER_SYN_QUEUE_H
+#ifndef SWIFTARCH_RELAY_FORWARDER_SYN_QUEUE_H
+#define SWIFTARCH_RELAY_FORWARDER_SYN_QUEUE_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -58,15 +58,15 @@
               uint64_t now_us);
 
 /**
- * syn_queue_take_over() - hand out a SYN that was kept for too long
+ * syn_queue_take_expired() - hand out a SYN that was kept for too long
  *
  * Its bytes are valid until the next call.
  *
  * Return: false when there is none.
  */
 bool
-syn_queue_take_over(struct syn_queue *queue, uint64_t now_us,
-                    struct relay_packet *packet);
+syn_queue_take_expired(struct syn_queue *queue, uint64_t now_us,
+                       struct relay_packet *packet);
 
 /**
  * syn_queue_take() - hand out the SYN whose request is the youngest
--- a/src/relay/program/relay_balancer.c
+++ b/src/relay/program/relay_balancer.c
@@ -65,7 +65,7 @@
 static void
 ask_peers(struct relay_balancer *balancer, uint64_t now_us)
 {
-    if (balancer->steer.routes.version == 0 &&
+    if (balancer->forwarder.routes.version == 0 &&
         watcher_is_away(&balancer->config_watcher, now_us, PEERS_AFTER_US)) {
         share_ask_next(&balancer->share, now_us);
     }
@@ -90,7 +90,7 @@
                        reader->reading ? "reader_started" : "reader_stopped",
                        "others=%u trying=%u config=%" PRIu64,
                        reader->told.reading, reader->told.trying,
-                       balancer->steer.routes.version);
+                       balancer->forwarder.routes.version);
     }
 }
 
@@ -104,11 +104,11 @@
     bool pings = store_reader_tick(reader, failures, now_us);
 
     log_reader(balancer, was_reading);
-    balancer->steer.reader = store_reader_part(reader, failures);
-    balancer->steer.current =
+    balancer->forwarder.reader = store_reader_part(reader, failures);
+    balancer->forwarder.current =
         store_reader_is_current(reader, failures, now_us);
     if (pings) {
-        steer_ping_witnesses(&balancer->steer);
+        forwarder_ping_witnesses(&balancer->forwarder);
     }
 }
 
@@ -120,7 +120,7 @@
     struct watcher *config = &balancer->config_watcher;
     struct watcher *agents = &balancer->agents_watcher;
 
-    config->eager = balancer->steer.routes.version == 0;
+    config->eager = balancer->forwarder.routes.version == 0;
     config->patient = !reader->reading;
     config->told_by_others = true;
     agents->patient = !reader->reading;
@@ -178,8 +178,9 @@
                                    report, sizeof(report));
 
     balancer->log.per_s = balancer->settings.log_per_s;
-    balancer->steer.warming = balancer->settings.warming;
-    agents_set_regions(&balancer->steer.agents, &balancer->settings.regions);
+    balancer->forwarder.slow_start = balancer->settings.slow_start;
+    agents_set_regions(&balancer->forwarder.agents,
+                       &balancer->settings.regions);
     take_peers(balancer);
     event_log_line(&balancer->log, EVENT_RARE, "reload",
                    "result=%s peers=%zu log_per_s=%u stop_ms=%u "
@@ -198,7 +199,7 @@
 
     /* Answers that wait are no missed answers. */
     dgram_poll(&balancer->frames);
-    steer_tick(&balancer->steer, now_us);
+    forwarder_tick(&balancer->forwarder, now_us);
     tick_watchers(balancer, now_us);
     ask_peers(balancer, now_us);
     /* Who asks the witnesses waits for their answers. */
@@ -214,7 +215,7 @@
     if (stop_is_over(balancer, now_us)) {
         loop_end(loop);
     }
-    next_us = MIN(steer_next_us(&balancer->steer), balancer->flush_us);
+    next_us = MIN(forwarder_next_us(&balancer->forwarder), balancer->flush_us);
     next_us = MIN(next_us, watcher_next_us(&balancer->config_watcher));
     next_us = MIN(next_us, store_reader_next_us(&balancer->reader, now_us));
     if (agents_may_call(balancer)) {
@@ -235,7 +236,7 @@
     }
     balancer->stop_us = now_us;
     event_log_line(&balancer->log, EVENT_RARE, "stopping", "flows=%u",
-                   balancer->steer.flows.used);
+                   balancer->forwarder.flows.used);
 }
 
 static void
@@ -344,12 +345,14 @@
     if (ret < 0) {
         return ret;
     }
-    if (steer_init(&balancer->steer, &balancer->out, balancer->frames.addr,
-                   balancer->settings.data_centre) < 0) {
+    if (forwarder_init(&balancer->forwarder, &balancer->out,
+                       balancer->frames.addr,
+                       balancer->settings.data_centre) < 0) {
         return error_set(err, -ENOMEM, "start", NULL, "no memory for flows");
     }
-    balancer->steer.warming = balancer->settings.warming;
-    agents_set_regions(&balancer->steer.agents, &balancer->settings.regions);
+    balancer->forwarder.slow_start = balancer->settings.slow_start;
+    agents_set_regions(&balancer->forwarder.agents,
+                       &balancer->settings.regions);
     event_log_line(&balancer->log, EVENT_RARE, "started",
                    "role=balancer data_centre=%s",
                    balancer->settings.data_centre);
@@ -373,7 +376,7 @@
     httpd_free(balancer->share_httpd);
     dgram_finish(&balancer->data);
     dgram_finish(&balancer->frames);
-    steer_finish(&balancer->steer);
+    forwarder_finish(&balancer->forwarder);
     json_object_put(balancer->config);
     g_hash_table_destroy(balancer->garbled);
     g_hash_table_destroy(balancer->evacuated);
--- a/src/relay/program/relay_balancer.h
+++ b/src/relay/program/relay_balancer.h
@@ -1,6 +1,6 @@
 /**
  * DOC: relay_balancer - the balancer of relay mode: packets, frames, the
- * store and its peers carried to the decisions of steer
+ * store and its peers carried to the decisions of forwarder
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_RELAY_BALANCER_H
 #define SWIFTARCH_RELAY_PROGRAM_RELAY_BALANCER_H
--- a/src/relay/program/relay_balancer_evacuations.c
+++ b/src/relay/program/relay_balancer_evacuations.c
@@ -23,7 +23,7 @@
 static bool
 wants_first(const struct relay_balancer *balancer, uint64_t now_us)
 {
-    const struct store_state *store = &balancer->steer.agents.store;
+    const struct store_state *store = &balancer->forwarder.agents.store;
 
     return store->told.revision == 0 && balancer->was_ready &&
            now_us - balancer->ready_us >= FIRST_LIST_US &&
@@ -55,10 +55,10 @@
         bool known = !row->evacuated;
 
         for (unsigned n = 0; n < count && !known; n++) {
-            known = named[n] == row->place;
+            known = named[n] == row->data_centre_key;
         }
         if (!known) {
-            named[count++] = row->place;
+            named[count++] = row->data_centre_key;
             g_string_append_printf(text, "%s%s", text->len > 0 ? "," : "",
                                    row->data_centre);
         }
@@ -71,7 +71,7 @@
 static void
 take_era(struct relay_balancer *balancer, uint32_t era, const char *source)
 {
-    const struct store_state *store = &balancer->steer.agents.store;
+    const struct store_state *store = &balancer->forwarder.agents.store;
 
     watcher_era(&balancer->config_watcher, era);
     watcher_era(&balancer->agents_watcher, era);
@@ -86,11 +86,11 @@
 relay_balancer_evacuations(struct relay_balancer *balancer,
                            const struct evacuations *told, const char *source)
 {
-    uint32_t era = balancer->steer.agents.store.told.era;
+    uint32_t era = balancer->forwarder.agents.store.told.era;
     char names[NAMES_MAX];
-    bool changed =
-        steer_evacuations(&balancer->steer, told, balancer->reader.reading,
-                          loop_now_us(&balancer->loop));
+    bool changed = forwarder_evacuations(&balancer->forwarder, told,
+                                         balancer->reader.reading,
+                                         loop_now_us(&balancer->loop));
 
     if (told->era > era) {
         take_era(balancer, told->era, source);
@@ -98,7 +98,7 @@
     if (!changed) {
         return;
     }
-    names_of(&balancer->steer.agents, names, sizeof(names));
+    names_of(&balancer->forwarder.agents, names, sizeof(names));
     event_log_line(&balancer->log, EVENT_RARE, "evacuations",
                    "data_centres=%u with_agents=%s era=%u revision=%" PRIu64
                    " source=%s",
--- a/src/relay/program/relay_balancer_http.c
+++ b/src/relay/program/relay_balancer_http.c
@@ -29,7 +29,7 @@
 respond_metrics(struct relay_balancer *balancer, struct httpd_request *request)
 {
     GString *text = g_string_new(NULL);
-    const struct steer *steer = &balancer->steer;
+    const struct forwarder *forwarder = &balancer->forwarder;
 
     g_string_append_printf(
         text,
@@ -52,11 +52,11 @@
         balancer->counts.opened, balancer->counts.tried_again,
         balancer->counts.placed, balancer->counts.searched,
         balancer->counts.pings, balancer->counts.resets,
-        balancer->counts.asked, steer->flows.used,
-        agents_count(&steer->agents), steer->routes.version,
-        steer->agents.store.told.era, balancer->counts.unreadable,
+        balancer->counts.queried, forwarder->flows.used,
+        agents_count(&forwarder->agents), forwarder->routes.version,
+        forwarder->agents.store.told.era, balancer->counts.unreadable,
         balancer->log.left_out_total);
-    for (size_t i = 0; i < STEER_DROP_COUNT; i++) {
+    for (size_t i = 0; i < FORWARDER_DROP_COUNT; i++) {
         g_string_append_printf(
             text, "swiftarch_dropped_total{reason=\"%s\"} %" PRIu64 "\n",
             relay_balancer_drop_names[i], balancer->counts.dropped[i]);
@@ -76,7 +76,8 @@
     struct relay_balancer *balancer =
         container_of(handler, struct relay_balancer, ready_handler);
     const char *path = httpd_request_path(request);
-    bool ready = balancer->stop_us == 0 && steer_ready(&balancer->steer);
+    bool ready =
+        balancer->stop_us == 0 && forwarder_ready(&balancer->forwarder);
 
     if (strcmp(path, "/ready") == 0) {
         httpd_respond(request, ready ? 200 : 503, "application/json", "{}", 2);
@@ -85,11 +86,12 @@
         respond_metrics(balancer, request);
     }
     else if (strcmp(path, RELAY_STATE_PATH) == 0) {
-        relay_state_respond(request, relay_state_balancer(&balancer->settings,
-                                                          &balancer->steer));
+        relay_state_respond(
+            request,
+            relay_state_balancer(&balancer->settings, &balancer->forwarder));
     }
     else if (strcmp(path, RELAY_EXPLAIN_PATH) == 0) {
-        relay_explain_balancer(request, &balancer->steer,
+        relay_explain_balancer(request, &balancer->forwarder,
                                loop_now_us(&balancer->loop));
     }
     else {
@@ -114,7 +116,7 @@
     }
     config_only = httpd_request_query(request, SHARE_CONFIG_ONLY) != NULL;
     json = share_encode(balancer->config,
-                        config_only ? NULL : &balancer->steer.agents);
+                        config_only ? NULL : &balancer->forwarder.agents);
     text =
         json_object_to_json_string_length(json, JSON_C_TO_STRING_PLAIN, &len);
     httpd_respond(request, 200, "application/json", text, len);
--- a/src/relay/program/relay_balancer_out.c
+++ b/src/relay/program/relay_balancer_out.c
@@ -8,43 +8,44 @@
 #include "platform/packet_format.h"
 
 const char *const relay_balancer_drop_names[] = {
-    [STEER_DROP_MALFORMED] = "malformed",
-    [STEER_DROP_NO_CONFIG] = "no_configuration",
-    [STEER_DROP_NO_ROUTE] = "no_route",
-    [STEER_DROP_NO_AGENT] = "no_agent",
-    [STEER_DROP_EVACUATED] = "evacuated",
-    [STEER_DROP_FOREIGN] = "foreign",
+    [FORWARDER_DROP_MALFORMED] = "malformed",
+    [FORWARDER_DROP_NO_CONFIG] = "no_configuration",
+    [FORWARDER_DROP_NO_ROUTE] = "no_route",
+    [FORWARDER_DROP_NO_AGENT] = "no_agent",
+    [FORWARDER_DROP_EVACUATED] = "evacuated",
+    [FORWARDER_DROP_FOREIGN] = "foreign",
 };
 
 static const char *const did_names[] = {
-    [STEER_DID_SEND] = "sent",
-    [STEER_DID_PLACE] = "placed",
-    [STEER_DID_RESET] = "reset",
-    [STEER_DID_SEARCH] = "searched",
+    [FORWARDER_DECISION_SEND] = "sent",
+    [FORWARDER_DECISION_ESTABLISH] = "placed",
+    [FORWARDER_DECISION_RESET] = "reset",
+    [FORWARDER_DECISION_LOOKUP] = "searched",
 };
 
-/* Outputs of steer. */
+/* Outputs of forwarder. */
 
 static struct relay_balancer *
-of_out(struct steer_out *out)
+of_out(struct forwarder_out *out)
 {
     return container_of(out, struct relay_balancer, out);
 }
 
 static void
-out_carry(struct steer_out *out, struct addr agent,
+out_carry(struct forwarder_out *out, struct addr agent,
           const struct frame_carry *frame)
 {
     struct relay_balancer *balancer = of_out(out);
-    size_t size = frame_carry_encode(frame, &balancer->steer.agents.store.told,
-                                     dgram_buffer(&balancer->frames));
+    size_t size =
+        frame_carry_encode(frame, &balancer->forwarder.agents.store.told,
+                           dgram_buffer(&balancer->frames));
 
     dgram_queue(&balancer->frames, agent, size);
     balancer->counts.frames_out++;
 }
 
 static void
-out_reset(struct steer_out *out, struct relay_flow flow, uint32_t seq)
+out_reset(struct forwarder_out *out, struct relay_flow flow, uint32_t seq)
 {
     struct relay_balancer *balancer = of_out(out);
     struct addr to = {flow.caller.ip, balancer->data.addr.port};
@@ -56,33 +57,36 @@
 }
 
 static void
-out_ping(struct steer_out *out, struct addr agent, bool unlisted)
+out_ping(struct forwarder_out *out, struct addr agent, bool unlisted)
 {
     struct relay_balancer *balancer = of_out(out);
     struct frame_ping ping = {
-        .view = steer_store_view(&balancer->steer),
+        .view = forwarder_store_view(&balancer->forwarder),
         .unlisted = unlisted,
     };
-    size_t size = frame_ping_encode(&ping, &balancer->steer.agents.store.told,
-                                    dgram_buffer(&balancer->frames));
+    size_t size =
+        frame_ping_encode(&ping, &balancer->forwarder.agents.store.told,
+                          dgram_buffer(&balancer->frames));
 
     dgram_queue(&balancer->frames, agent, size);
     balancer->counts.pings++;
 }
 
 static void
-out_ask(struct steer_out *out, struct addr agent, const struct frame_ask *ask)
+out_ask(struct forwarder_out *out, struct addr agent,
+        const struct frame_ask *query)
 {
     struct relay_balancer *balancer = of_out(out);
-    size_t size = frame_ask_encode(ask, &balancer->steer.agents.store.told,
-                                   dgram_buffer(&balancer->frames));
+    size_t size =
+        frame_ask_encode(query, &balancer->forwarder.agents.store.told,
+                         dgram_buffer(&balancer->frames));
 
     dgram_queue(&balancer->frames, agent, size);
-    balancer->counts.asked++;
+    balancer->counts.queried++;
 }
 
 static void
-out_confirm(struct steer_out *out, uint64_t now_us)
+out_confirm(struct forwarder_out *out, uint64_t now_us)
 {
     struct relay_balancer *balancer = of_out(out);
 
@@ -90,16 +94,16 @@
 }
 
 static void
-out_behind(struct steer_out *out, const struct frame_version *newer)
+out_behind(struct forwarder_out *out, const struct frame_version *newer)
 {
     struct relay_balancer *balancer = of_out(out);
 
     store_reader_newer(&balancer->reader, newer, loop_now_us(&balancer->loop));
-    balancer->steer.current = false;
+    balancer->forwarder.current = false;
 }
 
 static void
-out_readers(struct steer_out *out, struct frame_readers others)
+out_readers(struct forwarder_out *out, struct frame_readers others)
 {
     struct relay_balancer *balancer = of_out(out);
     uint64_t now_us = loop_now_us(&balancer->loop);
@@ -110,7 +114,7 @@
 }
 
 static void
-out_dropped(struct steer_out *out, enum steer_drop why,
+out_dropped(struct forwarder_out *out, enum forwarder_drop why,
             const struct relay_packet *packet)
 {
     struct relay_balancer *balancer = of_out(out);
@@ -128,22 +132,23 @@
     event_log_line(&balancer->log, EVENT_ROUTINE, "dropped",
                    "caller=%s service=%s reason=%s config=%" PRIu64, caller,
                    service, relay_balancer_drop_names[why],
-                   balancer->steer.routes.version);
+                   balancer->forwarder.routes.version);
 }
 
 static void
-out_decided(struct steer_out *out, enum steer_did did, struct relay_flow flow,
-            struct addr agent, unsigned tries, uint64_t age_us)
+out_decided(struct forwarder_out *out, enum forwarder_decision did,
+            struct relay_flow flow, struct addr agent, unsigned tries,
+            uint64_t age_us)
 {
     struct relay_balancer *balancer = of_out(out);
-    bool placed = did == STEER_DID_PLACE;
-    bool sent = did == STEER_DID_SEND;
+    bool placed = did == FORWARDER_DECISION_ESTABLISH;
+    bool sent = did == FORWARDER_DECISION_SEND;
     char caller[ADDR_TEXT_MAX];
     char service[ADDR_TEXT_MAX];
     char peer[ADDR_TEXT_MAX];
 
     balancer->counts.placed += placed;
-    balancer->counts.searched += did == STEER_DID_SEARCH;
+    balancer->counts.searched += did == FORWARDER_DECISION_LOOKUP;
     balancer->counts.opened += sent && tries == 1;
     balancer->counts.tried_again += sent && tries > 1;
     /* A flow's first try is told by the line that says where it ended. */
@@ -157,11 +162,11 @@
                    addr_format(flow.caller, caller),
                    addr_format(flow.service, service),
                    addr_format(agent, peer), tries, age_us,
-                   balancer->steer.routes.version);
+                   balancer->forwarder.routes.version);
 }
 
 static void
-out_concluded(struct steer_out *out, const struct steer_round *round,
+out_concluded(struct forwarder_out *out, const struct orphan_query *query,
               unsigned over)
 {
     struct relay_balancer *balancer = of_out(out);
@@ -172,18 +177,18 @@
     event_log_line(&balancer->log, EVENT_ROUTINE, "lost_flows",
                    "asked_for=%u over=%u agents=%u missing=%u "
                    "unreachable=%u list_whole=%d took_us=%" PRIu64,
-                   round->count, over, round->asked, round->missing,
-                   round->unreachable, round->confirmed,
-                   loop_now_us(&balancer->loop) - round->started_us);
+                   query->count, over, query->queried, query->missing,
+                   query->unreachable, query->confirmed,
+                   loop_now_us(&balancer->loop) - query->started_us);
 }
 
-const struct steer_out_ops relay_balancer_out_ops = {
-    .carry = out_carry,
+const struct forwarder_out_ops relay_balancer_out_ops = {
+    .forward = out_carry,
     .reset = out_reset,
     .ping = out_ping,
-    .ask = out_ask,
+    .query = out_ask,
     .confirm = out_confirm,
-    .behind = out_behind,
+    .newer_config = out_behind,
     .readers = out_readers,
     .dropped = out_dropped,
     .decided = out_decided,
@@ -202,25 +207,25 @@
     balancer->counts.packets++;
     balancer->packet_us = loop_now_us(&balancer->loop);
     if (packet_format_decode(bytes, size, &packet) < 0) {
-        out_dropped(&balancer->out, STEER_DROP_MALFORMED, NULL);
+        out_dropped(&balancer->out, FORWARDER_DROP_MALFORMED, NULL);
         return;
     }
-    steer_packet(&balancer->steer, &packet, balancer->packet_us);
+    forwarder_packet(&balancer->forwarder, &packet, balancer->packet_us);
 }
 
 static void
 on_served(struct relay_balancer *balancer, struct addr agent,
           const struct frame_served *served)
 {
-    size_t before = balancer->steer.learned.count;
+    size_t before = balancer->forwarder.learned.count;
     char text[ADDR_TEXT_MAX];
 
-    steer_served(&balancer->steer, agent, served);
-    if (balancer->steer.learned.count > before) {
+    forwarder_served(&balancer->forwarder, agent, served);
+    if (balancer->forwarder.learned.count > before) {
         event_log_line(&balancer->log, EVENT_RARE, "route_learned",
                        "agent=%s service=%08x routes=%zu",
                        addr_format(agent, text), served->service,
-                       balancer->steer.learned.count);
+                       balancer->forwarder.learned.count);
     }
 }
 
@@ -247,17 +252,17 @@
     }
     if (type == FRAME_ABSENT &&
         frame_absent_decode(bytes, size, &absent) == 0) {
-        steer_absent(&balancer->steer, from, &absent,
-                     loop_now_us(&balancer->loop));
+        forwarder_query_reply(&balancer->forwarder, from, &absent,
+                              loop_now_us(&balancer->loop));
         return;
     }
     if (type < FRAME_PLACED || type > FRAME_STATE ||
         frame_status_decode(bytes, size, &status) < 0) {
-        out_dropped(&balancer->out, STEER_DROP_FOREIGN, NULL);
+        out_dropped(&balancer->out, FORWARDER_DROP_FOREIGN, NULL);
         return;
     }
-    steer_status(&balancer->steer, from, &status,
-                 loop_now_us(&balancer->loop));
+    forwarder_status(&balancer->forwarder, from, &status,
+                     loop_now_us(&balancer->loop));
 }
 
 static void
@@ -266,7 +271,7 @@
     struct relay_balancer *balancer = dgram->owner;
 
     dgram_flush(&balancer->frames);
-    loop_due(&balancer->loop, steer_next_us(&balancer->steer));
+    loop_due(&balancer->loop, forwarder_next_us(&balancer->forwarder));
 }
 
 const struct dgram_ops relay_balancer_data_ops = {on_packet, on_drained};
--- a/src/relay/program/relay_balancer_private.h
+++ b/src/relay/program/relay_balancer_private.h
@@ -18,15 +18,15 @@
 #include "relay/program/relay_settings.h"
 #include "relay/program/settings_file.h"
 #include "relay/program/share.h"
-#include "relay/steer/steer.h"
+#include "relay/forwarder/forwarder.h"
 
 /**
  * struct relay_balancer - the program
  * @loop: events and time
- * @out: outputs of @steer
+ * @out: outputs of @forwarder
  * @settings: settings
  * @file: the file that they are from
- * @steer: decisions
+ * @forwarder: decisions
  * @data: packets of callers
  * @frames: frames from agents
  * @ready_handler: answers /ready and /metrics
@@ -55,10 +55,10 @@
  */
 struct relay_balancer {
     struct loop loop;
-    struct steer_out out;
+    struct forwarder_out out;
     struct relay_settings settings;
     struct settings_file file;
-    struct steer steer;
+    struct forwarder forwarder;
     struct dgram data;
     struct dgram frames;
     struct httpd_handler ready_handler;
@@ -93,15 +93,15 @@
         uint64_t pings;
         uint64_t resets;
         uint64_t unreadable;
-        uint64_t asked;
-        uint64_t dropped[STEER_DROP_COUNT];
+        uint64_t queried;
+        uint64_t dropped[FORWARDER_DROP_COUNT];
     } counts;
 };
 
-/* Why packets end here, in words, by enum steer_drop. */
+/* Why packets end here, in words, by enum forwarder_drop. */
 extern const char *const relay_balancer_drop_names[];
 
-extern const struct steer_out_ops relay_balancer_out_ops;
+extern const struct forwarder_out_ops relay_balancer_out_ops;
 extern const struct dgram_ops relay_balancer_data_ops;
 extern const struct dgram_ops relay_balancer_frames_ops;
 extern const struct watcher_ops relay_balancer_config_ops;
--- a/src/relay/program/relay_balancer_store.c
+++ b/src/relay/program/relay_balancer_store.c
@@ -13,7 +13,7 @@
 void
 relay_balancer_look(struct relay_balancer *balancer)
 {
-    bool ready = steer_ready(&balancer->steer);
+    bool ready = forwarder_ready(&balancer->forwarder);
 
     if (ready == balancer->was_ready) {
         return;
@@ -22,8 +22,8 @@
     balancer->ready_us = loop_now_us(&balancer->loop);
     event_log_line(&balancer->log, EVENT_RARE, ready ? "ready" : "not_ready",
                    "config=%" PRIu64 " agents=%zu since_start_us=%" PRIu64,
-                   balancer->steer.routes.version,
-                   agents_count(&balancer->steer.agents),
+                   balancer->forwarder.routes.version,
+                   agents_count(&balancer->forwarder.agents),
                    loop_now_us(&balancer->loop) - balancer->started_us);
 }
 
@@ -43,10 +43,10 @@
                        error_format(&err, line, sizeof(line)));
         return;
     }
-    bool newer =
-        steer_routes(&balancer->steer, &routes, loop_now_us(&balancer->loop));
+    bool newer = forwarder_routes(&balancer->forwarder, &routes,
+                                  loop_now_us(&balancer->loop));
 
-    store_reader_took(&balancer->reader, balancer->steer.routes.version);
+    store_reader_took(&balancer->reader, balancer->forwarder.routes.version);
     if (!newer) {
         return;
     }
@@ -54,8 +54,8 @@
     balancer->config = json_object_get(json);
     event_log_line(&balancer->log, EVENT_RARE, "config",
                    "version=%" PRIu64 " routes=%zu source=%s",
-                   balancer->steer.routes.version,
-                   balancer->steer.routes.count, source);
+                   balancer->forwarder.routes.version,
+                   balancer->forwarder.routes.count, source);
 }
 
 static void
@@ -116,7 +116,7 @@
 {
     struct relay_balancer *balancer =
         container_of(watcher, struct relay_balancer, agents_watcher);
-    struct agents *agents = &balancer->steer.agents;
+    struct agents *agents = &balancer->forwarder.agents;
 
     for (size_t i = 0; i < agents_count(agents); i++) {
         agents_at(agents, i)->listed = false;
@@ -162,11 +162,11 @@
     if (object->removed || unreadable) {
         /* An agent that is there writes its object anew when it is told. */
         if (registration_addr(object->name, &addr) == 0) {
-            agents_unlist(&balancer->steer.agents, addr, now_us);
+            agents_unlist(&balancer->forwarder.agents, addr, now_us);
         }
         return;
     }
-    agents_list(&balancer->steer.agents, registration.addr,
+    agents_list(&balancer->forwarder.agents, registration.addr,
                 hash_service(registration.service), registration.data_centre,
                 now_us);
     /* A list has one line for all: a line each costs a host that starts, with
@@ -185,10 +185,10 @@
 {
     struct relay_balancer *balancer =
         container_of(watcher, struct relay_balancer, agents_watcher);
-    struct agents *agents = &balancer->steer.agents;
+    struct agents *agents = &balancer->forwarder.agents;
     uint64_t now_us = loop_now_us(&balancer->loop);
 
-    agents_listed(agents);
+    agents_list_complete(agents);
     event_log_line(&balancer->log, EVENT_RARE, "agents_listed",
                    "agents=%zu revision=%" PRIu64, agents_count(agents),
                    watcher->revision);
@@ -224,8 +224,8 @@
         container_of(confirm, struct relay_balancer, confirm);
 
     if (g_hash_table_size(balancer->garbled) == 0) {
-        steer_confirmed(&balancer->steer, asked_us,
-                        loop_now_us(&balancer->loop));
+        forwarder_confirmed(&balancer->forwarder, asked_us,
+                            loop_now_us(&balancer->loop));
     }
 }
 
@@ -251,8 +251,8 @@
     struct relay_balancer *balancer =
         container_of(share, struct relay_balancer, share);
 
-    if (agents_find(&balancer->steer.agents, addr) == NULL) {
-        agents_list(&balancer->steer.agents, addr, service, data_centre,
+    if (agents_find(&balancer->forwarder.agents, addr) == NULL) {
+        agents_list(&balancer->forwarder.agents, addr, service, data_centre,
                     loop_now_us(&balancer->loop));
     }
 }
@@ -266,7 +266,7 @@
 
     event_log_line(&balancer->log, EVENT_ROUTINE, "peer_asked",
                    "peer=%s config=%" PRIu64 " reason=\"%s\"",
-                   addr_format(peer, text), balancer->steer.routes.version,
+                   addr_format(peer, text), balancer->forwarder.routes.version,
                    status == 0 ? "" : strerror(-status));
 }
 
--- a/src/relay/program/relay_explain.c
+++ b/src/relay/program/relay_explain.c
@@ -50,7 +50,8 @@
 }
 
 static struct json_object *
-balancer_json(const struct steer *steer, const struct steer_explanation *told)
+balancer_json(const struct forwarder *forwarder,
+              const struct forwarder_explanation *told)
 {
     struct json_object *json = json_object_new_object();
     char service[16];
@@ -59,7 +60,7 @@
     json_object_object_add(json, "role", json_object_new_string("balancer"));
     json_object_object_add(
         json, "version",
-        json_object_new_int64((int64_t)steer->routes.version));
+        json_object_new_int64((int64_t)forwarder->routes.version));
     json_object_object_add(json, "route",
                            told->route != NULL
                                ? json_object_new_string(told->route->name)
@@ -69,11 +70,12 @@
                            json_object_new_boolean(told->known));
     json_object_object_add(json, "opened",
                            json_object_new_boolean(told->opened));
-    json_object_object_add(json, "held", json_object_new_boolean(told->held));
+    json_object_object_add(json, "held",
+                           json_object_new_boolean(told->queued));
     json_object_object_add(json, "tries",
                            json_object_new_int((int)told->tries));
     json_object_object_add(json, "searches",
-                           json_object_new_int((int)told->searches));
+                           json_object_new_int((int)told->lookups));
     json_object_object_add(
         json, "age_ms",
         json_object_new_int64((int64_t)(told->age_us / USEC_PER_MSEC)));
@@ -81,7 +83,7 @@
                            json_object_new_boolean(told->evacuated));
     add_addr(json, "holder", told->holder);
     json_object_object_add(json, "places",
-                           list_addrs(told->places, told->place_count));
+                           list_addrs(told->acceptors, told->acceptor_count));
     json_object_object_add(json, "next",
                            list_addrs(told->next.addrs, told->next.count));
     return json;
@@ -89,17 +91,17 @@
 
 void
 relay_explain_balancer(struct httpd_request *request,
-                       const struct steer *steer, uint64_t now_us)
+                       const struct forwarder *forwarder, uint64_t now_us)
 {
-    struct steer_explanation told;
+    struct forwarder_explanation told;
     struct relay_flow flow;
 
     if (!read_flow(request, &flow)) {
         refuse(request);
         return;
     }
-    steer_explain(steer, flow, now_us, &told);
-    relay_state_respond(request, balancer_json(steer, &told));
+    forwarder_explain(forwarder, flow, now_us, &told);
+    relay_state_respond(request, balancer_json(forwarder, &told));
 }
 
 static struct json_object *
--- a/src/relay/program/relay_explain.h
+++ b/src/relay/program/relay_explain.h
@@ -8,14 +8,14 @@
 
 #include "base/httpd.h"
 #include "relay/door/door.h"
-#include "relay/steer/steer.h"
+#include "relay/forwarder/forwarder.h"
 
 #define RELAY_EXPLAIN_PATH "/flow"
 
 /** relay_explain_balancer() - answer where the flow is, or would go */
 void
 relay_explain_balancer(struct httpd_request *request,
-                       const struct steer *steer, uint64_t now_us);
+                       const struct forwarder *forwarder, uint64_t now_us);
 
 /** relay_explain_agent() - answer what the agent knows of the flow */
 void
--- a/src/relay/program/relay_settings.c
+++ b/src/relay/program/relay_settings.c
@@ -83,7 +83,7 @@
         }
         regions->items[regions->count++] =
             (struct region){evacuations_key(data_centre),
-                            homes_key(json_object_get_string(region))};
+                            region_key(json_object_get_string(region))};
     }
 }
 
@@ -107,9 +107,9 @@
     {"peers", 0, BOTH, read_peers, FIELD(peers)},
     {"regions", 0, BALANCER, read_regions, FIELD(regions)},
     {"evacuations", 0, BALANCER, keys_read_bool, FIELD(evacuations)},
-    {"warming_over", 0, BALANCER, keys_read_real, FIELD(warming.over),
+    {"warming_over", 0, BALANCER, keys_read_real, FIELD(slow_start.over),
      .min = 0, .max = WARMING_OVER_MAX},
-    {"warming_slack", 0, BALANCER, keys_read_number, FIELD(warming.slack),
+    {"warming_slack", 0, BALANCER, keys_read_number, FIELD(slow_start.slack),
      .min = 0, .max = WARMING_SLACK_MAX},
     {"stop_ms", 0, BOTH, keys_read_number, FIELD(stop_ms), .min = 0,
      .max = STOP_MAX_MS},
@@ -126,7 +126,7 @@
 
     memset(settings, 0, sizeof(*settings));
     settings->evacuations = true;
-    settings->warming.over = 1;
+    settings->slow_start.over = 1;
     settings->stop_ms = STOP_DEFAULT_MS;
     settings->log_per_s = LOG_DEFAULT_PER_S;
     *report = NULL;
--- a/src/relay/program/relay_settings.h
+++ b/src/relay/program/relay_settings.h
@@ -9,9 +9,9 @@
 
 #include "base/addr.h"
 #include "base/error.h"
-#include "relay/steer/agents.h"
-#include "relay/steer/routes.h"
-#include "relay/steer/steer.h"
+#include "relay/forwarder/agents.h"
+#include "relay/forwarder/routes.h"
+#include "relay/forwarder/forwarder.h"
 
 #define RELAY_NAME_MAX 64
 #define RELAY_PEERS_MAX 8
@@ -49,7 +49,7 @@
  *           object from names to names): routes may name where they are served
  * @evacuations: balancer: operators may take data centres out of service, so
  *               the store is asked for that ("evacuations", default true)
- * @warming: balancer: an endpoint that warms up may get, in any second, its
+ * @slow_start: balancer: an endpoint that warms up may get, in any second, its
  *           service's rate times the first ("warming_over", default 1) and so
  *           many requests more ("warming_slack", default 0)
  * @stop_ms: how long a planned stop may take ("stop_ms")
@@ -74,7 +74,7 @@
     size_t peer_count;
     struct regions regions;
     bool evacuations;
-    struct steer_warming warming;
+    struct forwarder_slow_start slow_start;
     unsigned stop_ms;
     unsigned log_per_s;
 };
--- a/src/relay/program/relay_state.c
+++ b/src/relay/program/relay_state.c
@@ -44,7 +44,7 @@
 
 struct json_object *
 relay_state_balancer(const struct relay_settings *settings,
-                     const struct steer *steer)
+                     const struct forwarder *forwarder)
 {
     struct json_object *json = json_object_new_object();
     struct json_object *agents = json_object_new_array();
@@ -52,17 +52,17 @@
     add_text(json, "role", "balancer");
     add_text(json, "name", settings->name);
     add_text(json, "data_centre", settings->data_centre);
-    add_number(json, "version", steer->routes.version);
-    add_number(json, "routes", steer->routes.count);
-    add_number(json, "learned", steer->learned.count);
-    add_number(json, "flows", steer->flows.used);
-    add_number(json, "store_era", steer->agents.store.told.era);
-    add_number(json, "evacuations", steer->agents.store.told.count);
+    add_number(json, "version", forwarder->routes.version);
+    add_number(json, "routes", forwarder->routes.count);
+    add_number(json, "learned", forwarder->learned.count);
+    add_number(json, "flows", forwarder->flows.used);
+    add_number(json, "store_era", forwarder->agents.store.told.era);
+    add_number(json, "evacuations", forwarder->agents.store.told.count);
     add_number(json, "evacuations_revision",
-               steer->agents.store.told.revision);
-    for (size_t i = 0; i < agents_count(&steer->agents); i++) {
+               forwarder->agents.store.told.revision);
+    for (size_t i = 0; i < agents_count(&forwarder->agents); i++) {
         json_object_array_add(agents,
-                              agent_json(agents_at(&steer->agents, i)));
+                              agent_json(agents_at(&forwarder->agents, i)));
     }
     json_object_object_add(json, "agents", agents);
     return json;
--- a/src/relay/program/relay_state.h
+++ b/src/relay/program/relay_state.h
@@ -9,14 +9,14 @@
 #include "base/httpd.h"
 #include "relay/door/door.h"
 #include "relay/program/relay_settings.h"
-#include "relay/steer/steer.h"
+#include "relay/forwarder/forwarder.h"
 
 #define RELAY_STATE_PATH "/state"
 
 /** relay_state_balancer() - configuration in force and agents known */
 struct json_object *
 relay_state_balancer(const struct relay_settings *settings,
-                     const struct steer *steer);
+                     const struct forwarder *forwarder);
 
 /** relay_state_agent() - the endpoint, and what waits for it */
 struct json_object *
--- a/src/relay/program/share.h
+++ b/src/relay/program/share.h
@@ -15,7 +15,7 @@
 
 #include "base/addr.h"
 #include "base/httpc.h"
-#include "relay/steer/agents.h"
+#include "relay/forwarder/agents.h"
 #include "relay/program/relay_settings.h"
 
 #define SHARE_PATH "/share"
--- a/src/relay/store/registration.h
+++ b/src/relay/store/registration.h
@@ -17,8 +17,8 @@
 #include <stdint.h>
 
 #include "base/addr.h"
-#include "relay/steer/agents.h"
-#include "relay/steer/routes.h"
+#include "relay/forwarder/agents.h"
+#include "relay/forwarder/routes.h"
 #include "relay/store/store.h"
 
 #define REGISTRATION_KIND "swiftarch-agents"
--- a/src/relay/store/store_reader.c
+++ b/src/relay/store/store_reader.c
@@ -42,7 +42,7 @@
 
 /* A read of the latest takes some milliseconds; past this the store is slow
  * or away, and the balancer that has the configuration is asked. */
-#define ASK_AFTER_US (600 * USEC_PER_MSEC)
+#define QUERY_AFTER_US (600 * USEC_PER_MSEC)
 
 /* How much sooner some ask, by balancer: those that ask later ask those that
  * have asked. */
@@ -80,7 +80,7 @@
 static uint64_t
 ask_after_us(const struct store_reader *reader)
 {
-    return ASK_AFTER_US -
+    return QUERY_AFTER_US -
            hash_pair(reader->seed, reader->newer.version) % ASK_SPREAD_US;
 }
 
--- a/src/relay/wire/frame.c
+++ b/src/relay/wire/frame.c
@@ -312,7 +312,7 @@
 {
     struct writer writer = begin(FRAME_ASK, evacuations, bytes);
 
-    put(&writer, ask->round, 4);
+    put(&writer, ask->query, 4);
     put_view(&writer, &ask->view);
     put(&writer, ask->count, 1);
     for (unsigned i = 0; i < ask->count; i++) {
@@ -327,7 +327,7 @@
 {
     struct reader reader = body_of(bytes, size);
 
-    ask->round = (uint32_t)get(&reader, 4);
+    ask->query = (uint32_t)get(&reader, 4);
     ask->view = get_view(&reader);
     ask->count = (uint8_t)get(&reader, 1);
     if (reader.short_of || ask->count > FRAME_ASK_MAX ||
@@ -347,7 +347,7 @@
 {
     struct writer writer = begin(FRAME_ABSENT, evacuations, bytes);
 
-    put(&writer, absent->round, 4);
+    put(&writer, absent->query, 4);
     put(&writer, absent->silent, 1);
     put(&writer, absent->down, 1);
     put(&writer, absent->partial, 1);
@@ -363,7 +363,7 @@
 {
     struct reader reader = body_of(bytes, size);
 
-    absent->round = (uint32_t)get(&reader, 4);
+    absent->query = (uint32_t)get(&reader, 4);
     absent->silent = get(&reader, 1) != 0;
     absent->down = get(&reader, 1) != 0;
     absent->partial = get(&reader, 1) != 0;
--- a/src/relay/wire/frame.h
+++ b/src/relay/wire/frame.h
@@ -220,13 +220,13 @@
 /**
  * struct frame_ask - a balancer asks all agents of a service for flows that no
  * search has found
- * @round: names the question
+ * @query: names the question
  * @view: how the balancer keeps up with the store
  * @flows: the flows
  * @count: how many
  */
 struct frame_ask {
-    uint32_t round;
+    uint32_t query;
     struct frame_store_view view;
     struct relay_flow flows[FRAME_ASK_MAX];
     uint8_t count;
@@ -234,7 +234,7 @@
 
 /**
  * struct frame_absent - an agent's answer
- * @round: the question
+ * @query: the question
  * @silent: the endpoint shows no sign of life: the rest says nothing
  * @down: the endpoint's process isn't there
  * @partial: the endpoint may hold flows that the agent doesn't know, so that
@@ -242,7 +242,7 @@
  * @absent: a bit for each flow that the endpoint doesn't hold, for certain
  */
 struct frame_absent {
-    uint32_t round;
+    uint32_t query;
     bool silent;
     bool down;
     bool partial;
--- a/tests/relay/door_lost_test.c
+++ b/tests/relay/door_lost_test.c
@@ -9,7 +9,7 @@
 static void
 ask_from(struct site *site, unsigned first, unsigned count)
 {
-    struct frame_ask question = {.round = 7, .view.version = 1};
+    struct frame_ask question = {.query = 7, .view.version = 1};
 
     for (unsigned i = 0; i < count; i++) {
         question.flows[question.count++] = rig_flow(first + i);
--- a/tests/relay/format_test.c
+++ b/tests/relay/format_test.c
@@ -373,9 +373,11 @@
     g_assert_cmpint(config_format_decode(json, &routes, &err), ==, 0);
     route = &routes.items[0];
     g_assert_cmpfloat(
-        route_share_of(route, hash_service("lots"))->warming_per_s, ==, 7.5);
+        route_share_of(route, hash_service("lots"))->slow_start_per_s, ==,
+        7.5);
     g_assert_cmpfloat(
-        route_share_of(route, hash_service("albums"))->warming_per_s, ==, 0);
+        route_share_of(route, hash_service("albums"))->slow_start_per_s, ==,
+        0);
     g_assert_null(route_share_of(route, hash_service("other")));
     routes_finish(&routes);
     json_object_put(json);
@@ -403,12 +405,15 @@
     struct routes routes;
 
     g_assert_cmpint(decode_homes("[\"coast\",\"inland\"]", &routes), ==, 0);
-    g_assert_true(homes_allow(&routes.items[0].homes, homes_key("inland")));
-    g_assert_false(homes_allow(&routes.items[0].homes, homes_key("north")));
-    g_assert_false(homes_allow(&routes.items[0].homes, 0));
+    g_assert_true(region_affinity_allows(&routes.items[0].region_affinity,
+                                         region_key("inland")));
+    g_assert_false(region_affinity_allows(&routes.items[0].region_affinity,
+                                          region_key("north")));
+    g_assert_false(
+        region_affinity_allows(&routes.items[0].region_affinity, 0));
     routes_finish(&routes);
     g_assert_cmpint(decode_homes("[]", &routes), ==, 0);
-    g_assert_true(homes_allow(&routes.items[0].homes, 0));
+    g_assert_true(region_affinity_allows(&routes.items[0].region_affinity, 0));
     routes_finish(&routes);
     /* Better the configuration before than a home that is ignored. */
     g_assert_cmpint(decode_homes("\"coast\"", &routes), ==, -EINVAL);
--- a/tests/relay/frame_test.c
+++ b/tests/relay/frame_test.c
@@ -261,7 +261,7 @@
 static struct frame_ask
 sample_ask(void)
 {
-    struct frame_ask ask = {.round = 0x01020304,
+    struct frame_ask ask = {.query = 0x01020304,
                             .view = {1ull << 40, FRAME_READER_TRIES},
                             .count = FRAME_ASK_MAX};
 
@@ -281,7 +281,7 @@
     g_assert_cmpuint(size, <=, FRAME_MAX);
     g_assert_cmpint(frame_type(bytes, size), ==, FRAME_ASK);
     g_assert_cmpint(frame_ask_decode(bytes, size, &read), ==, 0);
-    g_assert_cmpuint(read.round, ==, ask.round);
+    g_assert_cmpuint(read.query, ==, ask.query);
     g_assert_cmpuint(read.view.version, ==, ask.view.version);
     g_assert_cmpuint(read.view.reader, ==, FRAME_READER_TRIES);
     g_assert_cmpuint(read.count, ==, FRAME_ASK_MAX);
@@ -295,7 +295,7 @@
 
 TEST(an_answer_to_it_comes_back_as_it_was)
 {
-    struct frame_absent absent = {.round = 9,
+    struct frame_absent absent = {.query = 9,
                                   .silent = true,
                                   .down = true,
                                   .partial = true,
@@ -306,7 +306,7 @@
 
     g_assert_cmpint(frame_type(bytes, size), ==, FRAME_ABSENT);
     g_assert_cmpint(frame_absent_decode(bytes, size, &read), ==, 0);
-    g_assert_cmpuint(read.round, ==, 9);
+    g_assert_cmpuint(read.query, ==, 9);
     g_assert_true(read.silent);
     g_assert_true(read.down);
     g_assert_true(read.partial);
--- a/tests/relay/kept_test.c
+++ b/tests/relay/kept_test.c
@@ -50,7 +50,7 @@
     int chains[KEPT_MAX + 1];
 
     g_assert_cmpint(kept_init(&kept), ==, 0);
-    for (unsigned round = 0; round < 3; round++) {
+    for (unsigned query = 0; query < 3; query++) {
         for (unsigned i = 0; i <= KEPT_MAX; i++) {
             chains[i] = KEPT_NONE;
             g_assert_true(add(&kept, &chains[i], i, 1) == (i < KEPT_MAX));
--- a/tests/relay/settings_test.c
+++ b/tests/relay/settings_test.c
@@ -126,16 +126,16 @@
 
     g_assert_cmpstr(faults, ==, "");
     g_free(faults);
-    g_assert_cmpfloat(settings.warming.over, ==, 1.5);
-    g_assert_cmpuint(settings.warming.slack, ==, 5);
+    g_assert_cmpfloat(settings.slow_start.over, ==, 1.5);
+    g_assert_cmpuint(settings.slow_start.slack, ==, 5);
     g_assert_false(settings.evacuations);
     g_assert_cmpuint(regions_find(&settings.regions, evacuations_key("here")),
-                     ==, homes_key("coast"));
+                     ==, region_key("coast"));
     faults = faults_of("{" BALANCER_KEYS "}", RELAY_BALANCER, &settings);
     g_assert_cmpstr(faults, ==, "");
     g_free(faults);
     g_assert_true(settings.evacuations);
-    g_assert_cmpfloat(settings.warming.over, ==, 1);
+    g_assert_cmpfloat(settings.slow_start.over, ==, 1);
 }
 
 TEST(faults_of_what_operators_know_are_named)
--- a/tests/relay/store_state_test.c
+++ b/tests/relay/store_state_test.c
@@ -158,7 +158,7 @@
     store_state_take(&started, &known.told, NOW_US);
     g_assert_false(store_state_settled(&started, NOW_US));
     g_assert_true(store_state_settled(&started, NOW_US + 6 * USEC_PER_SEC));
-    /* It doesn't go round: each keeps its own word. */
+    /* It doesn't go query: each keeps its own word. */
     store_state_take(&known, &started.told, NOW_US + 19 * USEC_PER_SEC);
     g_assert_true(store_state_settled(&known, NOW_US + 21 * USEC_PER_SEC));
     store_state_tick(&started, NOW_US + 6 * USEC_PER_SEC);
--- a/tests/relay/syn_queue_test.c
+++ b/tests/relay/syn_queue_test.c
@@ -3,7 +3,7 @@
 #include "base/clock.h"
 #include "lib/harness.h"
 #include "relay/relay_rig.h"
-#include "relay/steer/syn_queue.h"
+#include "relay/forwarder/syn_queue.h"
 
 #define SUITE "/relay/syn_queue"
 #define MS USEC_PER_MSEC
@@ -80,11 +80,15 @@
     queue.count = 0;
     g_assert_true(put(1, 0, START_US));
     g_assert_true(put(2, 1300, START_US));
-    g_assert_false(syn_queue_take_over(&queue, START_US + 99 * MS, &packet));
-    g_assert_true(syn_queue_take_over(&queue, START_US + 100 * MS, &packet));
+    g_assert_false(
+        syn_queue_take_expired(&queue, START_US + 99 * MS, &packet));
+    g_assert_true(
+        syn_queue_take_expired(&queue, START_US + 100 * MS, &packet));
     g_assert_cmpuint(packet.from.port, ==, rig_flow(2).caller.port);
-    g_assert_false(syn_queue_take_over(&queue, START_US + 399 * MS, &packet));
-    g_assert_true(syn_queue_take_over(&queue, START_US + 400 * MS, &packet));
+    g_assert_false(
+        syn_queue_take_expired(&queue, START_US + 399 * MS, &packet));
+    g_assert_true(
+        syn_queue_take_expired(&queue, START_US + 400 * MS, &packet));
     g_assert_cmpuint(queue.count, ==, 0);
 }
 
--- a/tests/relay/world.c
+++ b/tests/relay/world.c
@@ -59,7 +59,7 @@
 {
     struct front *front = any_front(world);
 
-    steer_finish(&front->steer);
+    forwarder_finish(&front->forwarder);
     world_front_start(front);
     world->fault_us = world->now_us;
 }
@@ -160,8 +160,8 @@
                          world->now_us);
     }
     else {
-        steer_evacuations(&world->fronts[message->number].steer, &told, false,
-                          world->now_us);
+        forwarder_evacuations(&world->fronts[message->number].forwarder, &told,
+                              false, world->now_us);
     }
 }
 
@@ -181,25 +181,26 @@
     switch (message->target) {
     case TO_BALANCER:
         packet = world_packet_of(message->bytes);
-        steer_packet(&world->fronts[message->number].steer, &packet,
-                     world->now_us);
+        forwarder_packet(&world->fronts[message->number].forwarder, &packet,
+                         world->now_us);
         return;
     case TO_BALANCER_FRAME:
         if (frame_type(message->bytes, message->size - 1) == FRAME_ABSENT) {
             g_assert_cmpint(frame_absent_decode(message->bytes,
                                                 message->size - 1, &absent),
                             ==, 0);
-            steer_absent(&world->fronts[message->number].steer,
-                         world_host_addr(message->bytes[message->size - 1]),
-                         &absent, world->now_us);
+            forwarder_query_reply(
+                &world->fronts[message->number].forwarder,
+                world_host_addr(message->bytes[message->size - 1]), &absent,
+                world->now_us);
             return;
         }
         g_assert_cmpint(
             frame_status_decode(message->bytes, message->size - 1, &status),
             ==, 0);
-        steer_status(&world->fronts[message->number].steer,
-                     world_host_addr(message->bytes[message->size - 1]),
-                     &status, world->now_us);
+        forwarder_status(&world->fronts[message->number].forwarder,
+                         world_host_addr(message->bytes[message->size - 1]),
+                         &status, world->now_us);
         return;
     case TO_AGENT:
         if (frame_type(message->bytes, message->size) == FRAME_PING) {
@@ -338,7 +339,7 @@
         world_agent_start(host);
     }
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        steer_finish(&world->fronts[i].steer);
+        forwarder_finish(&world->fronts[i].forwarder);
         world_front_start(&world->fronts[i]);
     }
     world->fault_us = back_us;
@@ -430,7 +431,7 @@
         host->started_us = 0;
     }
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        world->fronts[i].out.ops = &world_steer_ops;
+        world->fronts[i].out.ops = &world_forwarder_ops;
         world->fronts[i].world = world;
         world->fronts[i].number = i;
         world_front_start(&world->fronts[i]);
@@ -444,7 +445,7 @@
         door_finish(&world->hosts[i].door);
     }
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        steer_finish(&world->fronts[i].steer);
+        forwarder_finish(&world->fronts[i].forwarder);
     }
     g_sequence_free(world->messages);
     g_rand_free(world->rand);
--- a/tests/relay/world.h
+++ b/tests/relay/world.h
@@ -1,7 +1,7 @@
 /**
  * DOC: world - callers, balancers, agents and endpoints in one test
  *
- * The real decisions (steer, door) on a paused clock; the network between
+ * The real decisions (forwarder, door) on a paused clock; the network between
  * them delays and loses, hosts fail, the fabric moves flows. The world checks
  * after each step what must always hold and keeps the first breach.
  */
--- a/tests/relay/world_evacuations.c
+++ b/tests/relay/world_evacuations.c
@@ -57,8 +57,8 @@
 world_evacuations_read(struct front *front)
 {
     front->evacuations_us = 0;
-    steer_evacuations(&front->steer, &front->world->evacuations, true,
-                      front->world->now_us);
+    forwarder_evacuations(&front->forwarder, &front->world->evacuations, true,
+                          front->world->now_us);
 }
 
 /* Operators have written to the store. */
--- a/tests/relay/world_fronts.c
+++ b/tests/relay/world_fronts.c
@@ -14,7 +14,8 @@
 }
 
 static void
-steer_resets(struct steer_out *out, struct relay_flow flow, uint32_t seq)
+forwarder_resets(struct forwarder_out *out, struct relay_flow flow,
+                 uint32_t seq)
 {
     world_check_reset(container_of(out, struct front, out)->world, flow,
                       "a balancer");
@@ -46,14 +47,14 @@
 }
 
 static void
-steer_carries(struct steer_out *out, struct addr agent,
-              const struct frame_carry *frame)
+forwarder_forwards(struct forwarder_out *out, struct addr agent,
+                   const struct frame_carry *frame)
 {
     struct front *front = container_of(out, struct front, out);
     struct relay_packet packet = world_packet_of(frame->bytes);
     uint8_t bytes[FRAME_MAX];
     size_t size =
-        frame_carry_encode(frame, &front->steer.agents.store.told, bytes);
+        frame_carry_encode(frame, &front->forwarder.agents.store.told, bytes);
 
     if (relay_packet_opens(&packet)) {
         check_service(front, frame, &packet);
@@ -66,7 +67,7 @@
 }
 
 static void
-ping(struct steer_out *out, struct addr agent, bool unlisted)
+ping(struct forwarder_out *out, struct addr agent, bool unlisted)
 {
     struct front *front = container_of(out, struct front, out);
     struct frame_ping ping = {
@@ -75,7 +76,7 @@
     };
     uint8_t bytes[FRAME_HEAD_MAX + 1];
     size_t size =
-        frame_ping_encode(&ping, &front->steer.agents.store.told, bytes);
+        frame_ping_encode(&ping, &front->forwarder.agents.store.told, bytes);
 
     if (is_cut(front, agent)) {
         return;
@@ -87,12 +88,12 @@
 }
 
 static void
-ask(struct steer_out *out, struct addr agent, const struct frame_ask *ask)
+ask(struct forwarder_out *out, struct addr agent, const struct frame_ask *ask)
 {
     struct front *front = container_of(out, struct front, out);
     uint8_t bytes[FRAME_MAX];
     size_t size =
-        frame_ask_encode(ask, &front->steer.agents.store.told, bytes);
+        frame_ask_encode(ask, &front->forwarder.agents.store.told, bytes);
 
     if (is_cut(front, agent)) {
         return;
@@ -104,7 +105,7 @@
 }
 
 static void
-confirm(struct steer_out *out, uint64_t now_us)
+confirm(struct forwarder_out *out, uint64_t now_us)
 {
     struct front *front = container_of(out, struct front, out);
 
@@ -112,38 +113,44 @@
 }
 
 static void
-behind(struct steer_out *out, const struct frame_version *newer)
+behind(struct forwarder_out *out, const struct frame_version *newer)
 {
 }
 
 static void
-readers(struct steer_out *out, struct frame_readers others)
+readers(struct forwarder_out *out, struct frame_readers others)
 {
 }
 
 static void
-steer_dropped(struct steer_out *out, enum steer_drop why,
-              const struct relay_packet *packet)
+forwarder_dropped(struct forwarder_out *out, enum forwarder_drop why,
+                  const struct relay_packet *packet)
 {
 }
 
 static void
-steer_decided(struct steer_out *out, enum steer_did did,
-              struct relay_flow flow, struct addr agent, unsigned tries,
-              uint64_t age_us)
+forwarder_decided(struct forwarder_out *out, enum forwarder_decision did,
+                  struct relay_flow flow, struct addr agent, unsigned tries,
+                  uint64_t age_us)
 {
 }
 
 static void
-steer_concluded(struct steer_out *out, const struct steer_round *round,
-                unsigned over)
+forwarder_concluded(struct forwarder_out *out,
+                    const struct orphan_query *query, unsigned over)
 {
 }
 
-const struct steer_out_ops world_steer_ops = {
-    steer_carries, steer_resets,   ping,    ask,
-    confirm,       behind,         readers, steer_dropped,
-    steer_decided, steer_concluded};
+const struct forwarder_out_ops world_forwarder_ops = {forwarder_forwards,
+                                                      forwarder_resets,
+                                                      ping,
+                                                      ask,
+                                                      confirm,
+                                                      behind,
+                                                      readers,
+                                                      forwarder_dropped,
+                                                      forwarder_decided,
+                                                      forwarder_concluded};
 
 /* Configuration and membership. */
 
@@ -172,7 +179,7 @@
         route->idempotent = i % 2 == 0;
     }
     g_assert_cmpint(routes_seal(&routes), ==, 0);
-    if (steer_routes(&front->steer, &routes, world->now_us)) {
+    if (forwarder_routes(&front->forwarder, &routes, world->now_us)) {
         front->version = version;
     }
 }
@@ -183,7 +190,8 @@
 {
     struct evacuations told = {.era = front->world->evacuations.era};
 
-    steer_evacuations(&front->steer, &told, false, front->world->now_us);
+    forwarder_evacuations(&front->forwarder, &told, false,
+                          front->world->now_us);
 }
 
 /* The front learns what the store says of an agent. */
@@ -193,10 +201,11 @@
     front->listings[host->number] = host->listing;
     see_era(front);
     if (host->lost_until_us != 0) {
-        agents_unlist(&front->steer.agents, host->addr, front->world->now_us);
+        agents_unlist(&front->forwarder.agents, host->addr,
+                      front->world->now_us);
         return;
     }
-    agents_list(&front->steer.agents, host->addr,
+    agents_list(&front->forwarder.agents, host->addr,
                 hash_service(world_services[host->listed_service]),
                 world_data_centre(front->world, host), front->world->now_us);
 }
@@ -206,8 +215,8 @@
 {
     struct world *world = front->world;
 
-    g_assert_cmpint(steer_init(&front->steer, &front->out,
-                               world_front_addr(front->number), "here"),
+    g_assert_cmpint(forwarder_init(&front->forwarder, &front->out,
+                                   world_front_addr(front->number), "here"),
                     ==, 0);
     front->version = 0;
     front->confirm_us = 0;
@@ -216,9 +225,9 @@
     for (unsigned i = 0; i < WORLD_AGENTS; i++) {
         see_listing(front, &world->hosts[i]);
     }
-    agents_listed(&front->steer.agents);
+    agents_list_complete(&front->forwarder.agents);
     if (world->plan->evacuate > 0) {
-        front->steer.current = true;
+        front->forwarder.current = true;
         world_evacuations_soon(front);
     }
 }
@@ -227,7 +236,7 @@
 static bool
 knows_list(const struct front *front)
 {
-    const struct store_state *store = &front->steer.agents.store;
+    const struct store_state *store = &front->forwarder.agents.store;
 
     if (store->told.era != front->world->evacuations.era) {
         return false;
@@ -254,14 +263,15 @@
     if (front->confirm_us != 0 &&
         world->now_us >= front->confirm_us + CONFIRM_US) {
         if (knows_list(front)) {
-            steer_confirmed(&front->steer, front->confirm_us, world->now_us);
+            forwarder_confirmed(&front->forwarder, front->confirm_us,
+                                world->now_us);
         }
         front->confirm_us = 0;
     }
     if (front->evacuations_us != 0 && world->now_us >= front->evacuations_us) {
         world_evacuations_read(front);
     }
-    steer_tick(&front->steer, world->now_us);
+    forwarder_tick(&front->forwarder, world->now_us);
 }
 
 void
--- a/tests/relay/world_private.h
+++ b/tests/relay/world_private.h
@@ -10,7 +10,7 @@
 
 #include "relay/door/door.h"
 #include "relay/relay_rig.h"
-#include "relay/steer/steer.h"
+#include "relay/forwarder/forwarder.h"
 #include "relay/world.h"
 
 #define STEP_US (500)
@@ -130,10 +130,10 @@
 
 /** struct front - a balancer */
 struct front {
-    struct steer_out out;
+    struct forwarder_out out;
     struct world *world;
     unsigned number;
-    struct steer steer;
+    struct forwarder forwarder;
     unsigned version;
     uint64_t follow_us;
     uint64_t fault_us;
@@ -302,7 +302,7 @@
 void
 world_agent_start(struct host *host);
 
-extern const struct steer_out_ops world_steer_ops;
+extern const struct forwarder_out_ops world_forwarder_ops;
 
 void
 world_follow_config(struct front *front, unsigned version);
