--- a/bench/relay/bench_relay.c
+++ b/bench/relay/bench_relay.c
@@ -30,11 +30,11 @@
 
 static void
 forwarder_forward(struct forwarder_out *out, struct addr agent,
-                  const struct frame_carry *frame)
+                  const struct frame_forward *frame)
 {
     static uint8_t frame_bytes[FRAME_MAX];
 
-    carried += frame_carry_encode(frame, &nowhere, frame_bytes);
+    carried += frame_forward_encode(frame, &nowhere, frame_bytes);
 }
 
 static void
@@ -50,7 +50,7 @@
 
 static void
 forwarder_query(struct forwarder_out *out, struct addr agent,
-                const struct frame_ask *ask)
+                const struct frame_query *ask)
 {
 }
 
@@ -60,7 +60,8 @@
 }
 
 static void
-forwarder_behind(struct forwarder_out *out, const struct frame_version *newer)
+forwarder_behind(struct forwarder_out *out,
+                 const struct frame_config_version *newer)
 {
 }
 
@@ -117,7 +118,7 @@
 
 static void
 admission_forward_next(struct admission_out *out, struct addr agent,
-                       const struct frame_carry *frame)
+                       const struct frame_forward *frame)
 {
     g_error("a flow went on");
 }
@@ -126,7 +127,7 @@
 admission_notify(struct admission_out *out, struct addr balancer,
                  const struct frame_status *status)
 {
-    static uint8_t frame_bytes[FRAME_HEAD_MAX];
+    static uint8_t frame_bytes[FRAME_HEADER_MAX];
 
     carried += frame_status_encode(status, &nowhere, frame_bytes);
 }
@@ -139,7 +140,7 @@
 
 static void
 admission_query_reply(struct admission_out *out, struct addr balancer,
-                      const struct frame_absent *absent)
+                      const struct frame_query_reply *absent)
 {
 }
 
@@ -157,7 +158,7 @@
 static void
 admission_decided(struct admission_out *out, enum admission_decision did,
                   struct relay_flow flow, enum frame_reason why,
-                  const struct frame_carry *frame)
+                  const struct frame_forward *frame)
 {
 }
 
@@ -187,7 +188,7 @@
         .ack = ack,
         .len = len,
         .flags = (uint8_t)flags,
-        .patience_ms = 1400,
+        .caller_timeout_ms = 1400,
         .bytes = bytes,
         .size = sizeof(bytes),
     };
@@ -261,7 +262,7 @@
         struct relay_packet syn =
             packet_of(i, RELAY_SYN, (uint32_t)now_us, 0, 0);
         struct frame_status status = {
-            .type = FRAME_PLACED,
+            .type = FRAME_ESTABLISHED,
             .flow = relay_flow_from_caller(&syn),
             .seq = 8,
             .health = {hash_service("lots"), ENDPOINT_READY, 1, 2, false},
@@ -310,12 +311,12 @@
 bench_admission(void)
 {
     struct admission_out out = {&admission_ops};
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = hash_service("lots"),
         .origin = {0x0a090001, 7720},
         .view.version = 1,
         .target_ms = 100,
-        .patience_ms = 1400,
+        .caller_timeout_ms = 1400,
         .bytes = bytes,
         .size = sizeof(bytes),
     };
--- a/bench/relay/bench_store.c
+++ b/bench/relay/bench_store.c
@@ -26,7 +26,7 @@
 #define AGENT_LIFE_US (1000 * 3600 * USEC_PER_SEC)
 
 /* As balancers have them. */
-static const struct watcher_pace paces[KINDS] = {
+static const struct watcher_backoff paces[KINDS] = {
     {25 * USEC_PER_MSEC, 300 * USEC_PER_MSEC},
     {100 * USEC_PER_MSEC, 1 * USEC_PER_SEC},
 };
@@ -49,7 +49,7 @@
 
 static int
 store_list(struct store *store, const char *kind, const char *after,
-           enum store_read read, struct store_call *call)
+           enum store_read_mode read, struct store_call *call)
 {
     struct store_reply reply = {.revision = revision};
 
@@ -60,7 +60,8 @@
 
 static int
 store_watch(struct store *store, const char *kind, uint64_t from,
-            unsigned wait_ms, enum store_read read, struct store_call *call)
+            unsigned wait_ms, enum store_read_mode read,
+            struct store_call *call)
 {
     struct client *client = container_of(store, struct client, store);
 
--- a/src/relay/admission/admission.c
+++ b/src/relay/admission/admission.c
@@ -116,7 +116,7 @@
 
 void
 admission_handle_forward(struct admission *admission,
-                         const struct frame_carry *frame,
+                         const struct frame_forward *frame,
                          const struct relay_packet *packet, uint64_t now_us)
 {
     uint32_t handle =
@@ -127,7 +127,7 @@
         admission_drop(admission, ADMISSION_DROP_NO_AGENT);
         return;
     }
-    if (relay_packet_opens(packet)) {
+    if (relay_packet_is_syn(packet)) {
         if (handle == FLOW_INDEX_NONE) {
             admission_open_flow(admission, frame, packet, now_us);
         }
@@ -148,7 +148,7 @@
 bool
 admission_is_evacuated(const struct admission *admission)
 {
-    return store_state_evacuated(&admission->store, admission->data_centre);
+    return store_state_is_evacuated(&admission->store, admission->data_centre);
 }
 
 bool
@@ -157,7 +157,7 @@
 {
     bool was_evacuated = admission_is_evacuated(admission);
 
-    if (!store_state_take(&admission->store, told, now_us) ||
+    if (!store_state_update(&admission->store, told, now_us) ||
         admission_is_evacuated(admission) == was_evacuated) {
         return false;
     }
--- a/src/relay/admission/admission.h
+++ b/src/relay/admission/admission.h
@@ -69,7 +69,7 @@
                   uint32_t seq);
     /** @forward: send a packet on to another agent */
     void (*forward)(struct admission_out *out, struct addr agent,
-                    const struct frame_carry *frame);
+                    const struct frame_forward *frame);
     /** @notify: send a balancer a word */
     void (*notify)(struct admission_out *out, struct addr balancer,
                    const struct frame_status *status);
@@ -78,7 +78,7 @@
                    const struct frame_served *served);
     /** @query_reply: answer a balancer that asks for flows */
     void (*query_reply)(struct admission_out *out, struct addr balancer,
-                        const struct frame_absent *query_reply);
+                        const struct frame_query_reply *query_reply);
     /** @probe: ask the host whether the endpoint's process is there; when it
      * isn't, admission_endpoint_down() tells */
     void (*probe)(struct admission_out *out);
@@ -87,7 +87,7 @@
     /** @decided: what became of a SYN or of a flow */
     void (*decided)(struct admission_out *out,
                     enum admission_decision decision, struct relay_flow flow,
-                    enum frame_reason why, const struct frame_carry *frame);
+                    enum frame_reason why, const struct frame_forward *frame);
 };
 
 /** struct admission_out - where outputs go; the vtable comes first */
@@ -183,7 +183,7 @@
     uint64_t slow_start_due_us;
     struct outcome outcome;
     uint64_t sweep_us;
-    struct frame_version heard;
+    struct frame_config_version heard;
     struct admission_balancer balancers[ADMISSION_BALANCERS_MAX];
     unsigned balancer_count;
     uint64_t unanswered_us;
@@ -222,7 +222,7 @@
 /** admission_handle_forward() - a frame with a packet came */
 void
 admission_handle_forward(struct admission *admission,
-                         const struct frame_carry *frame,
+                         const struct frame_forward *frame,
                          const struct relay_packet *packet, uint64_t now_us);
 
 /**
@@ -253,7 +253,7 @@
  */
 void
 admission_handle_query(struct admission *admission, struct addr balancer,
-                       const struct frame_ask *ask, uint64_t now_us);
+                       const struct frame_query *ask, uint64_t now_us);
 
 /** admission_handle_endpoint_packet() - the endpoint sent a packet */
 void
--- a/src/relay/admission/admission_endpoint.c
+++ b/src/relay/admission/admission_endpoint.c
@@ -12,7 +12,7 @@
 redirect_again(struct admission *admission, const struct admission_flow *flow,
                const struct relay_packet *packet)
 {
-    struct frame_carry frame = flow->frame;
+    struct frame_forward frame = flow->frame;
 
     assert(frame.hops > 0);
     frame.hops--;
@@ -38,7 +38,7 @@
     flow = &admission->flows[handle];
     if (flow->state == ADMISSION_FLOW_QUEUED ||
         (flow->state == ADMISSION_FLOW_OPENING &&
-         !relay_packet_opens(packet))) {
+         !relay_packet_is_syn(packet))) {
         /* It belongs to another endpoint's answer; the handshake here goes
          * on, and the caller sends it again. */
         admission_drop(admission, ADMISSION_DROP_NO_AGENT);
@@ -63,8 +63,8 @@
         flow->frame.next_count = 0;
         flow->frame.best.ip = 0;
     }
-    flow->denied = !relay_packet_opens(packet);
-    if (relay_packet_opens(packet)) {
+    flow->denied = !relay_packet_is_syn(packet);
+    if (relay_packet_is_syn(packet)) {
         if (endpoint_refused(&admission->endpoint, admission->busy_count)) {
             slow_start_restart(&admission->slow_start);
             admission_notify_state(admission, now_us);
@@ -130,7 +130,7 @@
     uint32_t handle =
         admission_flow_add(admission, key, ADMISSION_FLOW_ESTABLISHED, now_us);
 
-    if (relay_packet_accepts(packet)) {
+    if (relay_packet_is_syn_ack(packet)) {
         admission->flows[handle].seq = packet->seq;
         return;
     }
@@ -201,7 +201,7 @@
         reject_reset(admission, handle, now_us);
         return false;
     }
-    if (relay_packet_accepts(packet)) {
+    if (relay_packet_is_syn_ack(packet)) {
         if (flow->state == ADMISSION_FLOW_REMOTE) {
             admission_drop(admission, ADMISSION_DROP_STALE);
             return false;
--- a/src/relay/admission/admission_established.c
+++ b/src/relay/admission/admission_established.c
@@ -7,9 +7,9 @@
 /* Sends a packet of a flow along the agents that its frame names. */
 void
 admission_forward_next(struct admission *admission,
-                       const struct frame_carry *frame, struct addr agent)
+                       const struct frame_forward *frame, struct addr agent)
 {
-    struct frame_carry on = *frame;
+    struct frame_forward on = *frame;
     unsigned kept = 0;
 
     for (unsigned i = 0; i < on.next_count; i++) {
@@ -26,7 +26,7 @@
  * and only its end is told: after a loss of all hosts every packet of a flow
  * from before passes many agents, each with a word to its balancer. */
 static void
-continue_lookup(struct admission *admission, const struct frame_carry *frame,
+continue_lookup(struct admission *admission, const struct frame_forward *frame,
                 const struct relay_packet *packet, uint64_t now_us)
 {
     struct relay_flow flow = relay_flow_from_caller(packet);
@@ -50,7 +50,7 @@
  * doesn't hold the flow. */
 static void
 offer(struct admission *admission, uint32_t handle,
-      const struct frame_carry *frame, const struct relay_packet *packet,
+      const struct frame_forward *frame, const struct relay_packet *packet,
       uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
@@ -72,7 +72,7 @@
  * agent's start. */
 void
 admission_offer_unknown(struct admission *admission,
-                        const struct frame_carry *frame,
+                        const struct frame_forward *frame,
                         const struct relay_packet *packet, uint64_t now_us)
 {
     uint32_t handle;
@@ -99,8 +99,8 @@
 /* Another endpoint's answer to the SYN came first: the flow is there. */
 static void
 yield_flow(struct admission *admission, uint32_t handle,
-           const struct frame_carry *frame, const struct relay_packet *packet,
-           uint64_t now_us)
+           const struct frame_forward *frame,
+           const struct relay_packet *packet, uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
 
@@ -140,7 +140,7 @@
 
 static void
 deliver(struct admission *admission, uint32_t handle,
-        const struct frame_carry *frame, const struct relay_packet *packet,
+        const struct frame_forward *frame, const struct relay_packet *packet,
         uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
@@ -176,7 +176,8 @@
  * unless the packet is on a search that doesn't name that agent any more. A
  * search says itself where it goes. */
 static struct addr
-next_agent(const struct admission_flow *flow, const struct frame_carry *frame)
+next_agent(const struct admission_flow *flow,
+           const struct frame_forward *frame)
 {
     if (flow->asked && frame->next_count > 0) {
         return frame->next[0];
@@ -192,7 +193,7 @@
 /* A packet of a flow that went on goes after it. */
 static void
 forward_remote(struct admission *admission, uint32_t handle,
-               const struct frame_carry *frame, uint64_t now_us)
+               const struct frame_forward *frame, uint64_t now_us)
 {
     struct addr next = next_agent(&admission->flows[handle], frame);
 
@@ -212,7 +213,7 @@
 
 void
 admission_handle_flow_packet(struct admission *admission, uint32_t handle,
-                             const struct frame_carry *frame,
+                             const struct frame_forward *frame,
                              const struct relay_packet *packet,
                              uint64_t now_us)
 {
--- a/src/relay/admission/admission_notify.c
+++ b/src/relay/admission/admission_notify.c
@@ -29,8 +29,8 @@
 
         if (now_us - balancer->heard_us < READER_FRESH_US &&
             !addr_equal(balancer->addr, but)) {
-            count.reading += balancer->view.reader == FRAME_READER_READS;
-            count.trying += balancer->view.reader == FRAME_READER_TRIES;
+            count.reading += balancer->view.reader == FRAME_READER_READING;
+            count.trying += balancer->view.reader == FRAME_READER_TRYING;
         }
     }
     return count;
@@ -63,7 +63,7 @@
 {
     struct admission_flow *flow = &admission->flows[handle];
     struct frame_status status = {
-        .type = FRAME_PLACED,
+        .type = FRAME_ESTABLISHED,
         .flow = flow_index_flow(&admission->table, handle),
         .seq = flow->seq,
     };
@@ -79,7 +79,7 @@
                             struct addr target, uint64_t now_us)
 {
     struct frame_status status = {
-        .type = FRAME_PASSED,
+        .type = FRAME_REDIRECTED,
         .reason = (uint8_t)why,
         .target = target,
         .flow = key,
@@ -126,7 +126,8 @@
 
     /* Of those that have it, whoever spoke last is the likeliest to answer. */
     if (view->version >= admission->heard.version) {
-        admission->heard = (struct frame_version){view->version, balancer};
+        admission->heard =
+            (struct frame_config_version){view->version, balancer};
     }
     for (unsigned i = 0; i < admission->balancer_count; i++) {
         if (addr_equal(admission->balancers[i].addr, balancer)) {
--- a/src/relay/admission/admission_open.c
+++ b/src/relay/admission/admission_open.c
@@ -76,7 +76,7 @@
 }
 
 static struct addr
-next_pop(struct frame_carry *frame)
+next_pop(struct frame_forward *frame)
 {
     struct addr next = frame->next[0];
 
@@ -132,7 +132,7 @@
     struct admission_flow *flow = &admission->flows[handle];
     struct relay_flow key = flow_index_flow(&admission->table, handle);
     struct addr origin = flow->origin;
-    struct frame_carry frame = flow->frame;
+    struct frame_forward frame = flow->frame;
     struct addr target = {0};
     bool search = flow->asked;
 
@@ -168,10 +168,10 @@
 /* Why a SYN shouldn't be given to the endpoint, or FRAME_REASON_NONE. */
 static enum frame_reason
 refusal_reason(const struct admission *admission,
-               const struct frame_carry *frame, uint64_t now_us)
+               const struct frame_forward *frame, uint64_t now_us)
 {
     if (frame->service != admission->endpoint.service) {
-        return FRAME_REASON_SERVICE;
+        return FRAME_REASON_WRONG_SERVICE;
     }
     if (admission_is_evacuated(admission)) {
         return FRAME_REASON_EVACUATED;
@@ -198,7 +198,7 @@
 }
 
 static void
-keep_frame(struct admission_flow *flow, const struct frame_carry *frame)
+keep_frame(struct admission_flow *flow, const struct frame_forward *frame)
 {
     flow->frame = *frame;
     flow->origin = frame->origin;
@@ -214,7 +214,7 @@
 }
 
 static void
-note_best(struct admission *admission, struct frame_carry *frame,
+note_best(struct admission *admission, struct frame_forward *frame,
           uint64_t now_us)
 {
     unsigned load = load_of(admission, now_us);
@@ -226,7 +226,7 @@
 }
 
 static void
-open_flow(struct admission *admission, const struct frame_carry *frame,
+open_flow(struct admission *admission, const struct frame_forward *frame,
           const struct relay_packet *packet, bool maybe_local, uint64_t now_us)
 {
     struct relay_flow key = relay_flow_from_caller(packet);
@@ -256,7 +256,7 @@
 
 void
 admission_open_flow(struct admission *admission,
-                    const struct frame_carry *frame,
+                    const struct frame_forward *frame,
                     const struct relay_packet *packet, uint64_t now_us)
 {
     open_flow(admission, frame, packet, false, now_us);
@@ -265,8 +265,8 @@
 /* The endpoint seems to have started anew since the SYN was seen here. */
 static void
 reopen_flow(struct admission *admission, uint32_t handle,
-            const struct frame_carry *frame, const struct relay_packet *packet,
-            uint64_t now_us)
+            const struct frame_forward *frame,
+            const struct relay_packet *packet, uint64_t now_us)
 {
     bool was_here =
         admission->flows[handle].state == ADMISSION_FLOW_ESTABLISHED;
@@ -278,7 +278,7 @@
 /* Another copy of a SYN that was seen here. */
 void
 admission_handle_duplicate_syn(struct admission *admission, uint32_t handle,
-                               const struct frame_carry *frame,
+                               const struct frame_forward *frame,
                                const struct relay_packet *packet,
                                uint64_t now_us)
 {
--- a/src/relay/admission/admission_orphans.c
+++ b/src/relay/admission/admission_orphans.c
@@ -72,9 +72,9 @@
 
 void
 admission_handle_query(struct admission *admission, struct addr balancer,
-                       const struct frame_ask *ask, uint64_t now_us)
+                       const struct frame_query *ask, uint64_t now_us)
 {
-    struct frame_absent absent = {
+    struct frame_query_reply absent = {
         .query = ask->query,
         .down = admission->endpoint.down,
         .partial = !admission_knows_all_flows(admission),
--- a/src/relay/admission/admission_private.h
+++ b/src/relay/admission/admission_private.h
@@ -81,7 +81,7 @@
     uint64_t abandon_us;
     uint64_t asked_us;
     unsigned depth;
-    struct frame_carry frame;
+    struct frame_forward frame;
     uint8_t syn[ADMISSION_SYN_MAX];
 };
 
@@ -212,7 +212,7 @@
  */
 void
 admission_queue_refresh(struct admission *admission, uint32_t handle,
-                        const struct frame_carry *frame, uint64_t now_us);
+                        const struct frame_forward *frame, uint64_t now_us);
 
 /** admission_queue_request() - a packet of a request that is to wait came;
  * whether it waits */
@@ -241,14 +241,14 @@
 /** admission_open_flow() - a SYN of a flow that isn't known */
 void
 admission_open_flow(struct admission *admission,
-                    const struct frame_carry *frame,
+                    const struct frame_forward *frame,
                     const struct relay_packet *packet, uint64_t now_us);
 
 /** admission_handle_duplicate_syn() - another copy of a SYN that was seen here
  */
 void
 admission_handle_duplicate_syn(struct admission *admission, uint32_t handle,
-                               const struct frame_carry *frame,
+                               const struct frame_forward *frame,
                                const struct relay_packet *packet,
                                uint64_t now_us);
 
@@ -271,7 +271,7 @@
  * names */
 void
 admission_forward_next(struct admission *admission,
-                       const struct frame_carry *frame, struct addr agent);
+                       const struct frame_forward *frame, struct addr agent);
 
 /** admission_knows_all_flows() - whether the endpoint holds no flow but those
  * in the table, for certain: each that its current incarnation holds passed
@@ -283,7 +283,7 @@
  * endpoint */
 void
 admission_offer_unknown(struct admission *admission,
-                        const struct frame_carry *frame,
+                        const struct frame_forward *frame,
                         const struct relay_packet *packet, uint64_t now_us);
 
 /** admission_reset_flow() - notify a caller that its flow is over */
@@ -294,7 +294,7 @@
 /** admission_handle_flow_packet() - a packet of a flow that is known */
 void
 admission_handle_flow_packet(struct admission *admission, uint32_t handle,
-                             const struct frame_carry *frame,
+                             const struct frame_forward *frame,
                              const struct relay_packet *packet,
                              uint64_t now_us);
 
--- a/src/relay/admission/admission_queue.c
+++ b/src/relay/admission/admission_queue.c
@@ -66,18 +66,18 @@
 
 /* When a waiting SYN's caller wants its answer, and how long it waits. */
 static void
-set_deadlines(struct admission_flow *flow, const struct frame_carry *frame,
+set_deadlines(struct admission_flow *flow, const struct frame_forward *frame,
               uint64_t now_us)
 {
     flow->target_us = now_us + frame->target_ms * USEC_PER_MSEC;
-    flow->abandon_us = now_us + frame->patience_ms * USEC_PER_MSEC;
+    flow->abandon_us = now_us + frame->caller_timeout_ms * USEC_PER_MSEC;
 }
 
 static void
 notify_queued(struct admission *admission, uint32_t handle, uint64_t now_us)
 {
     struct frame_status status = {
-        .type = FRAME_HELD,
+        .type = FRAME_QUEUED,
         .flow = flow_index_flow(&admission->table, handle),
     };
 
@@ -94,7 +94,7 @@
 
     flow->queued = true;
     flow->target_us = now_us + flow->frame.target_ms * USEC_PER_MSEC;
-    flow->abandon_us = now_us + flow->frame.budget_ms * USEC_PER_MSEC;
+    flow->abandon_us = now_us + flow->frame.request_timeout_ms * USEC_PER_MSEC;
     admission_decided(admission, ADMISSION_DECISION_QUEUE, handle,
                       FRAME_REASON_BUSY);
     admission_deliver_syn(admission, handle, now_us);
@@ -122,7 +122,7 @@
     if (admission->queue_count == ADMISSION_QUEUE_MAX) {
         return false;
     }
-    if (flow->frame.budget_ms > 0 &&
+    if (flow->frame.request_timeout_ms > 0 &&
         slow_start_allows(&admission->slow_start, now_us)) {
         open_and_queue_request(admission, handle, now_us);
     }
@@ -134,7 +134,7 @@
 
 void
 admission_queue_refresh(struct admission *admission, uint32_t handle,
-                        const struct frame_carry *frame, uint64_t now_us)
+                        const struct frame_forward *frame, uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
 
--- a/src/relay/forwarder/agents.c
+++ b/src/relay/forwarder/agents.c
@@ -70,7 +70,7 @@
     }
     row->data_centre_key = data_centre_key;
     row->region = regions_find(&agents->regions, data_centre_key);
-    row->evacuated = store_state_evacuated(&agents->store, data_centre_key);
+    row->evacuated = store_state_is_evacuated(&agents->store, data_centre_key);
 }
 
 static uint64_t
@@ -220,7 +220,7 @@
         struct agent_row *row = g_ptr_array_index(agents->rows, i);
 
         row->evacuated =
-            store_state_evacuated(&agents->store, row->data_centre_key);
+            store_state_is_evacuated(&agents->store, row->data_centre_key);
     }
 }
 
@@ -228,7 +228,7 @@
 agents_evacuate(struct agents *agents, const struct evacuations *reported,
                 bool ping, uint64_t now_us)
 {
-    if (!store_state_take(&agents->store, reported, now_us)) {
+    if (!store_state_update(&agents->store, reported, now_us)) {
         return false;
     }
     mark_evacuated(agents);
--- a/src/relay/forwarder/agents.h
+++ b/src/relay/forwarder/agents.h
@@ -208,7 +208,7 @@
 agents_evacuate(struct agents *agents, const struct evacuations *reported,
                 bool ping, uint64_t now_us);
 
-/** agents_tick() - mind evacuations of an era of the store that has ended */
+/** agents_tick() - mind evacuations of an epoch of the store that has ended */
 void
 agents_tick(struct agents *agents, uint64_t now_us);
 
--- a/src/relay/forwarder/forwarder.c
+++ b/src/relay/forwarder/forwarder.c
@@ -19,7 +19,7 @@
 is_from_caller(const struct relay_packet *packet)
 {
     return (packet->flags & RELAY_BOUNCED) == 0 &&
-           !relay_packet_accepts(packet);
+           !relay_packet_is_syn_ack(packet);
 }
 
 /* Whether the caller uses its port again for a flow of its own. */
@@ -104,7 +104,7 @@
 {
     forwarder_drop_packet(forwarder, why, packet);
     if (forwarder->routes.version != 0 && forwarder->current &&
-        relay_packet_opens(packet) && packet->age_ms == 0) {
+        relay_packet_is_syn(packet) && packet->age_ms == 0) {
         forwarder->out->ops->reset(
             forwarder->out, relay_flow_from_caller(packet), packet->ack);
     }
@@ -214,7 +214,7 @@
         forwarder_drop_packet(forwarder, FORWARDER_DROP_MALFORMED, packet);
         return;
     }
-    if (relay_packet_opens(packet) && !can_route_syn(forwarder) &&
+    if (relay_packet_is_syn(packet) && !can_route_syn(forwarder) &&
         syn_queue_put(&forwarder->early_syns, packet, now_us)) {
         return;
     }
@@ -227,7 +227,7 @@
     if (handle != FLOW_INDEX_NONE) {
         flow_index_touch(&forwarder->flows, handle, now_us);
     }
-    if (relay_packet_opens(packet)) {
+    if (relay_packet_is_syn(packet)) {
         if (handle != FLOW_INDEX_NONE &&
             (is_other_flow(&forwarder->pins[handle], packet) ||
              forwarder->pins[handle].proved_us != 0)) {
@@ -262,13 +262,13 @@
         forwarder->out->ops->newer_config(forwarder->out, &status->heard);
     }
     forwarder->out->ops->readers(forwarder->out, status->readers);
-    if (status->type == FRAME_PLACED) {
+    if (status->type == FRAME_ESTABLISHED) {
         forwarder_established(forwarder, agent, status, now_us);
     }
-    else if (status->type == FRAME_HELD) {
+    else if (status->type == FRAME_QUEUED) {
         forwarder_queued(forwarder, agent, status);
     }
-    else if (status->type == FRAME_PASSED) {
+    else if (status->type == FRAME_REDIRECTED) {
         forwarder_redirected(forwarder, agent, status, now_us);
     }
 }
--- a/src/relay/forwarder/forwarder.h
+++ b/src/relay/forwarder/forwarder.h
@@ -63,7 +63,7 @@
 struct forwarder_out_ops {
     /** @forward: send a caller's packet to an agent */
     void (*forward)(struct forwarder_out *out, struct addr agent,
-                    const struct frame_carry *frame);
+                    const struct frame_forward *frame);
     /** @reset: tell a caller that its flow is over, or won't open; @seq: what
      * it last acknowledged */
     void (*reset)(struct forwarder_out *out, struct relay_flow flow,
@@ -73,13 +73,13 @@
     void (*ping)(struct forwarder_out *out, struct addr agent, bool unlisted);
     /** @query: query an agent which of some flows its endpoint holds */
     void (*query)(struct forwarder_out *out, struct addr agent,
-                  const struct frame_ask *query);
+                  const struct frame_query *query);
     /** @confirm: query the store whether the list of agents is complete; the
      * answer comes with forwarder_confirmed() */
     void (*confirm)(struct forwarder_out *out, uint64_t now_us);
     /** @newer_config: some balancer follows a newer configuration */
     void (*newer_config)(struct forwarder_out *out,
-                         const struct frame_version *newer);
+                         const struct frame_config_version *newer);
     /** @readers: an agent tells who else reads the store's latest */
     void (*readers)(struct forwarder_out *out, struct frame_readers others);
     /** @dropped: a packet was dropped; @packet may be NULL */
@@ -160,9 +160,9 @@
     unsigned queried;
     unsigned missing;
     unsigned unreachable;
-    struct forwarder_orphan flows[FRAME_ASK_MAX];
+    struct forwarder_orphan flows[FRAME_QUERY_MAX];
     unsigned count;
-    uint32_t absent[FRAME_ASK_WORDS];
+    uint32_t absent[FRAME_QUERY_WORDS];
 };
 
 /**
@@ -212,7 +212,7 @@
 struct forwarder {
     struct forwarder_out *out;
     struct addr self;
-    enum frame_reader reader;
+    enum frame_reader_state reader;
     struct forwarder_slow_start slow_start;
     bool current;
     struct agents agents;
@@ -297,7 +297,7 @@
  * hold */
 void
 forwarder_query_reply(struct forwarder *forwarder, struct addr agent,
-                      const struct frame_absent *absent, uint64_t now_us);
+                      const struct frame_query_reply *absent, uint64_t now_us);
 
 /** forwarder_confirmed() - the store, queried at @asked_us, says that the list
  * of agents is complete */
--- a/src/relay/forwarder/forwarder_established.c
+++ b/src/relay/forwarder/forwarder_established.c
@@ -90,7 +90,7 @@
         routes_find(forwarder_routes_in_force(forwarder), packet->to);
     uint64_t hash = relay_flow_hash(relay_flow_from_caller(packet));
     struct agents_choice choice;
-    struct frame_carry frame;
+    struct frame_forward frame;
 
     if (route == NULL ||
         !agents_for_established(&forwarder->agents, service,
--- a/src/relay/forwarder/forwarder_open.c
+++ b/src/relay/forwarder/forwarder_open.c
@@ -111,19 +111,19 @@
 }
 
 /* A SYN's frame that may go on along @choice, from @from on. */
-static struct frame_carry
+static struct frame_forward
 syn_frame(const struct forwarder *forwarder, uint32_t handle,
           const struct agents_choice *choice, unsigned from,
           const uint8_t *bytes, size_t size)
 {
     const struct forwarder_pin *pin = &forwarder->pins[handle];
-    struct frame_carry frame =
+    struct frame_forward frame =
         forwarder_frame(forwarder, pin->service, choice, from, bytes, size);
 
     frame.target_ms = pin->target_ms;
     frame.priority = pin->priority;
-    frame.patience_ms = pin->patience_ms;
-    frame.budget_ms = pin->budget_ms;
+    frame.caller_timeout_ms = pin->caller_timeout_ms;
+    frame.request_timeout_ms = pin->request_timeout_ms;
     frame.slow_start_limit = slow_start_limit(
         forwarder, flow_index_flow(&forwarder->flows, handle).service,
         pin->service);
@@ -140,7 +140,7 @@
     const struct route *route =
         routes_find(forwarder_routes_in_force(forwarder), flow.service);
     struct agents_choice choice;
-    struct frame_carry frame;
+    struct frame_forward frame;
 
     /* The configuration may have dropped the route since the SYN came, or
      * given it to another service. */
@@ -172,16 +172,17 @@
                 const struct route *route)
 {
     unsigned target_ms = MIN(route->target_ms, UINT16_MAX);
-    unsigned budget_ms = MIN(route->timeout_ms, UINT16_MAX);
+    unsigned request_timeout_ms = MIN(route->timeout_ms, UINT16_MAX);
 
     pin->priority = (uint8_t)MIN(route->priority, UINT8_MAX);
     pin->target_ms =
         (uint16_t)(packet->age_ms < target_ms ? target_ms - packet->age_ms
                                               : 0);
-    pin->patience_ms = packet->patience_ms;
-    pin->budget_ms =
-        (uint16_t)(packet->age_ms < budget_ms ? budget_ms - packet->age_ms
-                                              : 0);
+    pin->caller_timeout_ms = packet->caller_timeout_ms;
+    pin->request_timeout_ms =
+        (uint16_t)(packet->age_ms < request_timeout_ms
+                       ? request_timeout_ms - packet->age_ms
+                       : 0);
 }
 
 /* Another copy of a SYN that an agent holds goes there too: the agent learns
@@ -192,7 +193,7 @@
 {
     struct forwarder_pin *pin = &forwarder->pins[handle];
     struct agents_choice none = {.count = 0};
-    struct frame_carry frame =
+    struct frame_forward frame =
         syn_frame(forwarder, handle, &none, 0, packet->bytes, packet->size);
 
     pin->queued = false;
@@ -241,7 +242,7 @@
                    const struct relay_packet *packet)
 {
     struct agents_choice none = {.count = 0};
-    struct frame_carry frame =
+    struct frame_forward frame =
         syn_frame(forwarder, handle, &none, 0, packet->bytes, packet->size);
 
     forwarder->out->ops->forward(
--- a/src/relay/forwarder/forwarder_orphan_proof.c
+++ b/src/relay/forwarder/forwarder_orphan_proof.c
@@ -79,7 +79,7 @@
     uint32_t service;
 
     if (!absent || query->missing > 0 || query->queried == 0 ||
-        !store_state_settled(&forwarder->agents.store, now_us) ||
+        !store_state_is_recovered(&forwarder->agents.store, now_us) ||
         query->additions != forwarder->agents.additions ||
         !forwarder_find_holders(forwarder, flow, now_us, &service) ||
         service != query->service) {
--- a/src/relay/forwarder/forwarder_orphans.c
+++ b/src/relay/forwarder/forwarder_orphans.c
@@ -81,7 +81,7 @@
     orphaned->count = kept;
 }
 
-/* Takes up to FRAME_ASK_MAX flows that the same agents may hold, those that
+/* Takes up to FRAME_QUERY_MAX flows that the same agents may hold, those that
  * have waited longest since they were queried for. */
 static void
 take_flows(struct forwarder *forwarder, uint64_t now_us)
@@ -97,7 +97,7 @@
         uint32_t service = FORWARDER_ANY_SERVICE;
         bool due =
             now_us - flow->since_us >= QUERY_AFTER_US &&
-            query->count < FRAME_ASK_MAX &&
+            query->count < FRAME_QUERY_MAX &&
             forwarder_find_holders(forwarder, flow->flow, now_us, &service) &&
             (query->count == 0 || service == query->service);
 
@@ -119,7 +119,7 @@
 {
     struct orphan_query *query = &forwarder->orphaned.query;
     const GPtrArray *rows = queried_rows(forwarder);
-    struct frame_ask frame = {
+    struct frame_query frame = {
         .query = query->number,
         .view = forwarder_store_view(forwarder),
         .count = (uint8_t)query->count,
@@ -330,7 +330,7 @@
 
 void
 forwarder_query_reply(struct forwarder *forwarder, struct addr agent,
-                      const struct frame_absent *absent, uint64_t now_us)
+                      const struct frame_query_reply *absent, uint64_t now_us)
 {
     struct orphan_query *query = &forwarder->orphaned.query;
     struct agent_row *row = agents_find(&forwarder->agents, agent);
@@ -358,7 +358,7 @@
         query->queried--;
     }
     else {
-        for (unsigned i = 0; i < FRAME_ASK_WORDS; i++) {
+        for (unsigned i = 0; i < FRAME_QUERY_WORDS; i++) {
             query->absent[i] &= absent->absent[i];
         }
     }
--- a/src/relay/forwarder/forwarder_pin.c
+++ b/src/relay/forwarder/forwarder_pin.c
@@ -43,12 +43,12 @@
 }
 
 /* A frame for @packet that may go on along @choice from @from on. */
-struct frame_carry
+struct frame_forward
 forwarder_frame(const struct forwarder *forwarder, uint32_t service,
                 const struct agents_choice *choice, unsigned from,
                 const uint8_t *bytes, size_t size)
 {
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = service,
         .origin = forwarder->self,
         .view = forwarder_store_view(forwarder),
@@ -83,8 +83,8 @@
                      const struct relay_packet *packet)
 {
     struct agents_choice none = {.count = 0};
-    struct frame_carry frame = forwarder_frame(forwarder, pin->service, &none,
-                                               0, packet->bytes, packet->size);
+    struct frame_forward frame = forwarder_frame(
+        forwarder, pin->service, &none, 0, packet->bytes, packet->size);
 
     forwarder->out->ops->forward(forwarder->out, agent, &frame);
 }
--- a/src/relay/forwarder/forwarder_private.h
+++ b/src/relay/forwarder/forwarder_private.h
@@ -42,8 +42,9 @@
  * @priority: of its route
  * @target_ms: how soon after the last copy of its SYN its request should be
  *             replied, 0 when that is late already
- * @patience_ms: how long the caller syn_timers for an answer to that copy
- * @budget_ms: how long its request may take from that copy on
+ * @caller_timeout_ms: how long the caller syn_timers for an answer to that
+ * copy
+ * @request_timeout_ms: how long its request may take from that copy on
  * @acceptors: endpoints that replied
  * @acceptor_count: how many
  * @tried: agents that the SYN was sent to
@@ -70,8 +71,8 @@
     uint32_t service;
     uint8_t priority;
     uint16_t target_ms;
-    uint16_t patience_ms;
-    uint16_t budget_ms;
+    uint16_t caller_timeout_ms;
+    uint16_t request_timeout_ms;
     struct forwarder_acceptor acceptors[FORWARDER_ACCEPTORS_MAX];
     uint8_t acceptor_count;
     struct addr tried[FORWARDER_TRIES_MAX];
@@ -252,7 +253,7 @@
 
 /** forwarder_frame() - a frame for a packet that may go on along @choice, from
  * @from on */
-struct frame_carry
+struct frame_forward
 forwarder_frame(const struct forwarder *forwarder, uint32_t service,
                 const struct agents_choice *choice, unsigned from,
                 const uint8_t *bytes, size_t size);
--- a/src/relay/forwarder/syn_queue.c
+++ b/src/relay/forwarder/syn_queue.c
@@ -30,7 +30,7 @@
 static bool
 is_expired(const struct syn_queued *item, uint64_t now_us)
 {
-    uint64_t patience_us = item->packet.patience_ms * USEC_PER_MSEC;
+    uint64_t patience_us = item->packet.caller_timeout_ms * USEC_PER_MSEC;
 
     return now_us - item->since_us >= MIN(patience_us, SYN_MAX_AGE_US);
 }
@@ -102,6 +102,7 @@
     dequeue(queue, youngest, packet);
     waited_ms = (now_us - queue->taken.since_us) / USEC_PER_MSEC;
     packet->age_ms = (uint16_t)(packet->age_ms + waited_ms);
-    packet->patience_ms = (uint16_t)(packet->patience_ms - waited_ms);
+    packet->caller_timeout_ms =
+        (uint16_t)(packet->caller_timeout_ms - waited_ms);
     return true;
 }
--- a/src/relay/program/relay_agent.c
+++ b/src/relay/program/relay_agent.c
@@ -31,8 +31,8 @@
            (agent->admission.busy_count == 0 &&
             agent->admission.queue_count == 0 &&
             now_us - agent->packet_us >= STOP_QUIET_US &&
-            (agent->registration.step == REGISTRATION_KEPT ||
-             agent->registration.step == REGISTRATION_GONE));
+            (agent->registration.step == REGISTRATION_DONE ||
+             agent->registration.step == REGISTRATION_REMOVED));
 }
 
 static void
@@ -65,7 +65,7 @@
 static void
 note_era(struct relay_agent *agent, uint64_t now_us)
 {
-    struct evacuations told = {.era = agent->registration.era};
+    struct evacuations told = {.epoch = agent->registration.epoch};
 
     (void)admission_handle_evacuations(&agent->admission, &told, now_us);
 }
@@ -79,7 +79,7 @@
         event_log_line(
             &agent->log, EVENT_RARE, "unlisted", "endpoint=%s",
             relay_agent_state_names[agent->admission.endpoint.state]);
-        registration_writer_again(&agent->registration, now_us);
+        registration_writer_restore(&agent->registration, now_us);
     }
     agent->admission.unlisted = false;
 }
--- a/src/relay/program/relay_agent_http.c
+++ b/src/relay/program/relay_agent_http.c
@@ -33,7 +33,7 @@
 };
 
 static const enum heartbeat_refusal refusal_of[] = {
-    [HEARTBEAT_FORMAT_NO_JSON] = HEARTBEAT_NO_JSON,
+    [HEARTBEAT_FORMAT_NOT_JSON] = HEARTBEAT_NO_JSON,
     [HEARTBEAT_FORMAT_SERVICE] = HEARTBEAT_SERVICE,
     [HEARTBEAT_FORMAT_STATE] = HEARTBEAT_STATE,
     [HEARTBEAT_FORMAT_FIELD] = HEARTBEAT_FIELD,
@@ -102,7 +102,7 @@
     const char *body = httpd_request_body(request, &len);
 
     admission_endpoint_left(&agent->admission, id,
-                            heartbeat_format_goodbye(body, len),
+                            heartbeat_format_goodbye_decode(body, len),
                             loop_now_us(&agent->loop));
     if (agent->admission.endpoint.state != before) {
         log_endpoint(agent, id, "goodbye");
--- a/src/relay/program/relay_agent_out.c
+++ b/src/relay/program/relay_agent_out.c
@@ -9,10 +9,14 @@
 #include "platform/packet_format.h"
 
 const char *const relay_agent_reason_names[] = {
-    [FRAME_REASON_NONE] = "none",       [FRAME_REASON_BUSY] = "busy",
-    [FRAME_REASON_LEAVING] = "leaving", [FRAME_REASON_SILENT] = "silent",
-    [FRAME_REASON_REFUSED] = "refused", [FRAME_REASON_SERVICE] = "service",
-    [FRAME_REASON_FAILING] = "failing", [FRAME_REASON_EVACUATED] = "evacuated",
+    [FRAME_REASON_NONE] = "none",
+    [FRAME_REASON_BUSY] = "busy",
+    [FRAME_REASON_LEAVING] = "leaving",
+    [FRAME_REASON_SILENT] = "silent",
+    [FRAME_REASON_REFUSED] = "refused",
+    [FRAME_REASON_WRONG_SERVICE] = "service",
+    [FRAME_REASON_FAILING] = "failing",
+    [FRAME_REASON_EVACUATED] = "evacuated",
 };
 
 const char *const relay_agent_state_names[] = {
@@ -73,17 +77,17 @@
     struct addr to = {flow.caller.ip, (uint16_t)agent->settings.callers_port};
 
     packet_format_reset(flow, seq, dgram_buffer(&agent->frames));
-    dgram_queue(&agent->frames, to, PACKET_FORMAT_HEAD);
+    dgram_queue(&agent->frames, to, PACKET_FORMAT_HEADER_SIZE);
     agent->counts.resets++;
 }
 
 static void
 out_carry(struct admission_out *out, struct addr peer,
-          const struct frame_carry *frame)
+          const struct frame_forward *frame)
 {
     struct relay_agent *agent = of_out(out);
-    size_t size = frame_carry_encode(frame, &agent->admission.store.told,
-                                     dgram_buffer(&agent->frames));
+    size_t size = frame_forward_encode(frame, &agent->admission.store.latest,
+                                       dgram_buffer(&agent->frames));
 
     agent->counts.frames_on++;
     dgram_queue(&agent->frames, peer, size);
@@ -94,7 +98,7 @@
          const struct frame_status *status)
 {
     struct relay_agent *agent = of_out(out);
-    size_t size = frame_status_encode(status, &agent->admission.store.told,
+    size_t size = frame_status_encode(status, &agent->admission.store.latest,
                                       dgram_buffer(&agent->frames));
 
     dgram_queue(&agent->frames, balancer, size);
@@ -105,7 +109,7 @@
            const struct frame_served *served)
 {
     struct relay_agent *agent = of_out(out);
-    size_t size = frame_served_encode(served, &agent->admission.store.told,
+    size_t size = frame_served_encode(served, &agent->admission.store.latest,
                                       dgram_buffer(&agent->frames));
 
     dgram_queue(&agent->frames, balancer, size);
@@ -115,12 +119,12 @@
 
 static void
 out_absent(struct admission_out *out, struct addr balancer,
-           const struct frame_absent *query_reply)
+           const struct frame_query_reply *query_reply)
 {
     struct relay_agent *agent = of_out(out);
     size_t size =
-        frame_absent_encode(query_reply, &agent->admission.store.told,
-                            dgram_buffer(&agent->frames));
+        frame_query_reply_encode(query_reply, &agent->admission.store.latest,
+                                 dgram_buffer(&agent->frames));
 
     agent->counts.asked++;
     dgram_queue(&agent->frames, balancer, size);
@@ -177,7 +181,7 @@
 static void
 out_decided(struct admission_out *out, enum admission_decision did,
             struct relay_flow flow, enum frame_reason why,
-            const struct frame_carry *frame)
+            const struct frame_forward *frame)
 {
     struct relay_agent *agent = of_out(out);
     char caller[ADDR_TEXT_MAX];
@@ -218,12 +222,12 @@
 on_carry(struct relay_agent *agent, const uint8_t *bytes, size_t size,
          uint64_t now_us)
 {
-    struct frame_carry frame;
+    struct frame_forward frame;
     struct relay_packet packet;
 
-    if (frame_carry_decode(bytes, size, &frame) < 0 ||
+    if (frame_forward_decode(bytes, size, &frame) < 0 ||
         packet_format_decode(frame.bytes, frame.size, &packet) < 0 ||
-        relay_packet_accepts(&packet)) {
+        relay_packet_is_syn_ack(&packet)) {
         out_dropped(&agent->out, ADMISSION_DROP_MALFORMED);
         return;
     }
@@ -235,20 +239,22 @@
 take_evacuations(struct relay_agent *agent, struct addr from,
                  const uint8_t *bytes, uint64_t now_us)
 {
-    struct evacuations told;
+    struct evacuations latest;
     char text[ADDR_TEXT_MAX];
 
-    frame_evacuations(bytes, &told);
-    if (registration_writer_era(&agent->registration, told.era, now_us)) {
+    frame_evacuations_decode(bytes, &latest);
+    if (registration_writer_set_epoch(&agent->registration, latest.epoch,
+                                      now_us)) {
         event_log_line(&agent->log, EVENT_RARE, "store_older",
-                       "era=%u from=%s", told.era, addr_format(from, text));
+                       "era=%u from=%s", latest.epoch,
+                       addr_format(from, text));
     }
-    if (admission_handle_evacuations(&agent->admission, &told, now_us)) {
+    if (admission_handle_evacuations(&agent->admission, &latest, now_us)) {
         event_log_line(&agent->log, EVENT_RARE,
                        admission_is_evacuated(&agent->admission) ? "evacuated"
                                                                  : "returned",
                        "data_centre=%s revision=%" PRIu64 " from=%s",
-                       agent->settings.data_centre, told.revision,
+                       agent->settings.data_centre, latest.revision,
                        addr_format(from, text));
     }
 }
@@ -261,14 +267,14 @@
     uint64_t now_us = loop_now_us(&agent->loop);
     int type = frame_type(bytes, size);
     struct frame_ping ping;
-    struct frame_ask ask;
+    struct frame_query ask;
 
     agent->counts.frames_in++;
     if (type > 0) {
         take_evacuations(agent, from, bytes, now_us);
     }
     switch (type) {
-    case FRAME_CARRY:
+    case FRAME_FORWARD:
         on_carry(agent, bytes, size, now_us);
         return;
     case FRAME_PING:
@@ -277,8 +283,8 @@
             return;
         }
         break;
-    case FRAME_ASK:
-        if (frame_ask_decode(bytes, size, &ask) == 0) {
+    case FRAME_QUERY:
+        if (frame_query_decode(bytes, size, &ask) == 0) {
             admission_handle_query(&agent->admission, from, &ask, now_us);
             return;
         }
--- a/src/relay/program/relay_balancer.c
+++ b/src/relay/program/relay_balancer.c
@@ -19,16 +19,16 @@
 /* Agents come in bursts (a data centre that starts) and series (a release, one
  * a second): a watch then brings several. New ones aren't missed for that
  * long, and those that have gone say so themselves. */
-static const struct watcher_pace agents_pace = {
-    .first_us = 100 * USEC_PER_MSEC,
-    .longest_us = 2 * USEC_PER_SEC,
+static const struct watcher_backoff agents_pace = {
+    .min_us = 100 * USEC_PER_MSEC,
+    .max_us = 2 * USEC_PER_SEC,
 };
 
 /* Operators may change the configuration many times a second. The longest is
  * a tenth of the shortest bound that they set. */
-static const struct watcher_pace config_pace = {
-    .first_us = 25 * USEC_PER_MSEC,
-    .longest_us = 300 * USEC_PER_MSEC,
+static const struct watcher_backoff config_pace = {
+    .min_us = 25 * USEC_PER_MSEC,
+    .max_us = 300 * USEC_PER_MSEC,
 };
 
 /* When the store takes longer than this, peers are asked too: its answers
@@ -42,9 +42,9 @@
 #define STOP_LEAST_US (1200 * USEC_PER_MSEC)
 
 /* Evacuations come one at a time, by hand. */
-static const struct watcher_pace evacuations_pace = {
-    .first_us = 25 * USEC_PER_MSEC,
-    .longest_us = 300 * USEC_PER_MSEC,
+static const struct watcher_backoff evacuations_pace = {
+    .min_us = 25 * USEC_PER_MSEC,
+    .max_us = 300 * USEC_PER_MSEC,
 };
 
 enum { EXIT_STOPPED = 0, EXIT_ERROR = 1, EXIT_SETTINGS = 2 };
@@ -89,7 +89,7 @@
         event_log_line(&balancer->log, EVENT_RARE,
                        reader->reading ? "reader_started" : "reader_stopped",
                        "others=%u trying=%u config=%" PRIu64,
-                       reader->told.reading, reader->told.trying,
+                       reader->reported.reading, reader->reported.trying,
                        balancer->forwarder.routes.version);
     }
 }
@@ -104,7 +104,7 @@
     bool pings = store_reader_tick(reader, failures, now_us);
 
     log_reader(balancer, was_reading);
-    balancer->forwarder.reader = store_reader_part(reader, failures);
+    balancer->forwarder.reader = store_reader_state(reader, failures);
     balancer->forwarder.current =
         store_reader_is_current(reader, failures, now_us);
     if (pings) {
@@ -120,19 +120,19 @@
     struct watcher *config = &balancer->config_watcher;
     struct watcher *agents = &balancer->agents_watcher;
 
-    config->eager = balancer->forwarder.routes.version == 0;
-    config->patient = !reader->reading;
-    config->told_by_others = true;
-    agents->patient = !reader->reading;
-    watcher_set_read(
-        config, config->eager
-                    ? store_reader_first(reader)
-                    : store_reader_read(reader, config->failures, now_us));
+    config->fast_retry = balancer->forwarder.routes.version == 0;
+    config->slow_retry = !reader->reading;
+    config->notified_by_peers = true;
+    agents->slow_retry = !reader->reading;
+    watcher_set_read(config, config->fast_retry
+                                 ? store_reader_initial_mode(reader)
+                                 : store_reader_next_mode(
+                                       reader, config->failures, now_us));
     /* Agents whose objects were taken away are to hear of it soon, from
      * whoever knows first; nothing else waits for this list. */
     watcher_set_read(agents, reader->reading && agents->failures == 0
                                  ? STORE_READ_LATEST
-                                 : STORE_READ_ANY);
+                                 : STORE_READ_STALE);
 }
 
 /* Asks whoever is known to have a newer configuration. */
@@ -143,8 +143,8 @@
     struct addr self = balancer->settings.share;
     struct addr holder = {reader->newer.holder.ip, self.port};
 
-    if (store_reader_asks_peer(reader, balancer->config_watcher.failures,
-                               now_us) &&
+    if (store_reader_needs_peer(reader, balancer->config_watcher.failures,
+                                now_us) &&
         !addr_equal(holder, self)) {
         share_ask_config(&balancer->share, holder, now_us);
     }
@@ -270,12 +270,12 @@
     watcher_init(&balancer->agents_watcher, &relay_balancer_agents_ops,
                  balancer->stores[1], REGISTRATION_KIND, agents_pace, seed + 1,
                  now_us);
-    balancer->agents_watcher.read = STORE_READ_ANY;
+    balancer->agents_watcher.read = STORE_READ_STALE;
     watcher_init(&balancer->evacuations_watcher,
                  &relay_balancer_evacuations_ops, balancer->stores[3],
                  CONFIG_FORMAT_EVACUATIONS_KIND, evacuations_pace, seed + 2,
                  now_us);
-    balancer->evacuations_watcher.read = STORE_READ_ANY;
+    balancer->evacuations_watcher.read = STORE_READ_STALE;
     store_reader_init(&balancer->reader, seed, now_us);
     confirm_init(&balancer->confirm, &relay_balancer_confirm_ops,
                  balancer->stores[2], &balancer->agents_watcher);
--- a/src/relay/program/relay_balancer_evacuations.c
+++ b/src/relay/program/relay_balancer_evacuations.c
@@ -6,9 +6,10 @@
 
 #include "base/container.h"
 
-/* How long a balancer that serves callers waits to be told by agents before it
- * reads the list itself: answers of agents take milliseconds, and the store's
- * answer costs processor time that a host that has just started lacks. */
+/* How long a balancer that serves callers waits to be latest by agents before
+ * it reads the list itself: answers of agents take milliseconds, and the
+ * store's answer costs processor time that a host that has just started lacks.
+ */
 #define FIRST_LIST_US (200 * USEC_PER_MSEC)
 
 /* The same after the store came back older, when its readers list at once. */
@@ -18,19 +19,20 @@
 #define NAMES_MAX 512
 
 /* Whether the list is to be read though this balancer leaves the store's
- * latest to others: no agent has told of it, as after a loss of all hosts, or
- * while the store came back older and no reader has read it since. */
+ * latest to others: no agent has latest of it, as after a loss of all hosts,
+ * or while the store came back older and no reader has read it since. */
 static bool
 wants_first(const struct relay_balancer *balancer, uint64_t now_us)
 {
     const struct store_state *store = &balancer->forwarder.agents.store;
 
-    return store->told.revision == 0 && balancer->was_ready &&
+    return store->latest.revision == 0 && balancer->was_ready &&
            now_us - balancer->ready_us >= FIRST_LIST_US &&
-           (store->older_us == 0 || now_us - store->older_us >= OLDER_LIST_US);
+           (store->rollback_us == 0 ||
+            now_us - store->rollback_us >= OLDER_LIST_US);
 }
 
-/* Readers follow the list; the others are told by agents. As for the agents'
+/* Readers follow the list; the others are latest by agents. As for the agents'
  * list, the configuration's calls find out whether the store is back. */
 static bool
 may_call(const struct relay_balancer *balancer, uint64_t now_us)
@@ -69,31 +71,32 @@
 
 /* The store has come back older: nothing that was read of it stands. */
 static void
-take_era(struct relay_balancer *balancer, uint32_t era, const char *source)
+take_era(struct relay_balancer *balancer, uint32_t epoch, const char *source)
 {
     const struct store_state *store = &balancer->forwarder.agents.store;
 
-    watcher_era(&balancer->config_watcher, era);
-    watcher_era(&balancer->agents_watcher, era);
-    watcher_era(&balancer->evacuations_watcher, era);
-    if (store->older_us != 0) {
+    watcher_set_epoch(&balancer->config_watcher, epoch);
+    watcher_set_epoch(&balancer->agents_watcher, epoch);
+    watcher_set_epoch(&balancer->evacuations_watcher, epoch);
+    if (store->rollback_us != 0) {
         event_log_line(&balancer->log, EVENT_RARE, "store_older",
-                       "era=%u source=%s", era, source);
+                       "era=%u source=%s", epoch, source);
     }
 }
 
 void
 relay_balancer_evacuations(struct relay_balancer *balancer,
-                           const struct evacuations *told, const char *source)
+                           const struct evacuations *latest,
+                           const char *source)
 {
-    uint32_t era = balancer->forwarder.agents.store.told.era;
+    uint32_t epoch = balancer->forwarder.agents.store.latest.epoch;
     char names[NAMES_MAX];
-    bool changed = forwarder_evacuations(&balancer->forwarder, told,
+    bool changed = forwarder_evacuations(&balancer->forwarder, latest,
                                          balancer->reader.reading,
                                          loop_now_us(&balancer->loop));
 
-    if (told->era > era) {
-        take_era(balancer, told->era, source);
+    if (latest->epoch > epoch) {
+        take_era(balancer, latest->epoch, source);
     }
     if (!changed) {
         return;
@@ -102,8 +105,8 @@
     event_log_line(&balancer->log, EVENT_RARE, "evacuations",
                    "data_centres=%u with_agents=%s era=%u revision=%" PRIu64
                    " source=%s",
-                   told->count, names[0] != '\0' ? names : "-", told->era,
-                   told->revision, source);
+                   latest->count, names[0] != '\0' ? names : "-",
+                   latest->epoch, latest->revision, source);
 }
 
 static void
@@ -135,23 +138,23 @@
     /* What a whole list says is taken over when its call has ended. */
 }
 
-/* Takes over the names that the store has told. */
+/* Takes over the names that the store has latest. */
 static void
-take_names(struct relay_balancer *balancer, uint32_t era, uint64_t revision)
+take_names(struct relay_balancer *balancer, uint32_t epoch, uint64_t revision)
 {
-    struct evacuations told = {.era = era, .revision = revision};
+    struct evacuations latest = {.epoch = epoch, .revision = revision};
     GHashTableIter names;
     gpointer name;
 
     g_hash_table_iter_init(&names, balancer->evacuated);
     while (g_hash_table_iter_next(&names, &name, NULL)) {
-        if (!evacuations_add(&told, evacuations_key(name))) {
+        if (!evacuations_add(&latest, evacuations_key(name))) {
             event_log_line(&balancer->log, EVENT_RARE, "evacuation_refused",
                            "data_centre=%s reason=\"more than %d\"",
                            (const char *)name, EVACUATIONS_MAX);
         }
     }
-    relay_balancer_evacuations(balancer, &told, "store");
+    relay_balancer_evacuations(balancer, &latest, "store");
 }
 
 static void
@@ -161,7 +164,7 @@
         container_of(watcher, struct relay_balancer, evacuations_watcher);
 
     if (status == 0 && watcher->state == WATCHER_WATCH) {
-        take_names(balancer, watcher->era, watcher->revision);
+        take_names(balancer, watcher->epoch, watcher->revision);
     }
     relay_balancer_store_ended(balancer, watcher, status, changed);
 }
@@ -180,10 +183,10 @@
     const struct store_reader *reader = &balancer->reader;
     struct watcher *watcher = &balancer->evacuations_watcher;
 
-    watcher->patient = !reader->reading;
+    watcher->slow_retry = !reader->reading;
     watcher_set_read(watcher, reader->reading && watcher->failures == 0
                                   ? STORE_READ_LATEST
-                                  : STORE_READ_ANY);
+                                  : STORE_READ_STALE);
     if (may_call(balancer, now_us)) {
         watcher_tick(watcher, now_us);
     }
--- a/src/relay/program/relay_balancer_http.c
+++ b/src/relay/program/relay_balancer_http.c
@@ -14,7 +14,7 @@
 {
     static const char *const ages[] = {
         [STORE_READ_LATEST] = "latest",
-        [STORE_READ_ANY] = "any",
+        [STORE_READ_STALE] = "any",
     };
 
     for (unsigned i = 0; i < STORE_READ_COUNT; i++) {
@@ -54,7 +54,7 @@
         balancer->counts.pings, balancer->counts.resets,
         balancer->counts.queried, forwarder->flows.used,
         agents_count(&forwarder->agents), forwarder->routes.version,
-        forwarder->agents.store.told.era, balancer->counts.unreadable,
+        forwarder->agents.store.latest.epoch, balancer->counts.unreadable,
         balancer->log.left_out_total);
     for (size_t i = 0; i < FORWARDER_DROP_COUNT; i++) {
         g_string_append_printf(
--- a/src/relay/program/relay_balancer_out.c
+++ b/src/relay/program/relay_balancer_out.c
@@ -33,12 +33,12 @@
 
 static void
 out_carry(struct forwarder_out *out, struct addr agent,
-          const struct frame_carry *frame)
+          const struct frame_forward *frame)
 {
     struct relay_balancer *balancer = of_out(out);
     size_t size =
-        frame_carry_encode(frame, &balancer->forwarder.agents.store.told,
-                           dgram_buffer(&balancer->frames));
+        frame_forward_encode(frame, &balancer->forwarder.agents.store.latest,
+                             dgram_buffer(&balancer->frames));
 
     dgram_queue(&balancer->frames, agent, size);
     balancer->counts.frames_out++;
@@ -51,7 +51,7 @@
     struct addr to = {flow.caller.ip, balancer->data.addr.port};
 
     packet_format_reset(flow, seq, dgram_buffer(&balancer->data));
-    dgram_queue(&balancer->data, to, PACKET_FORMAT_HEAD);
+    dgram_queue(&balancer->data, to, PACKET_FORMAT_HEADER_SIZE);
     dgram_flush(&balancer->data);
     balancer->counts.resets++;
 }
@@ -65,7 +65,7 @@
         .unlisted = unlisted,
     };
     size_t size =
-        frame_ping_encode(&ping, &balancer->forwarder.agents.store.told,
+        frame_ping_encode(&ping, &balancer->forwarder.agents.store.latest,
                           dgram_buffer(&balancer->frames));
 
     dgram_queue(&balancer->frames, agent, size);
@@ -74,12 +74,12 @@
 
 static void
 out_ask(struct forwarder_out *out, struct addr agent,
-        const struct frame_ask *query)
+        const struct frame_query *query)
 {
     struct relay_balancer *balancer = of_out(out);
     size_t size =
-        frame_ask_encode(query, &balancer->forwarder.agents.store.told,
-                         dgram_buffer(&balancer->frames));
+        frame_query_encode(query, &balancer->forwarder.agents.store.latest,
+                           dgram_buffer(&balancer->frames));
 
     dgram_queue(&balancer->frames, agent, size);
     balancer->counts.queried++;
@@ -90,15 +90,16 @@
 {
     struct relay_balancer *balancer = of_out(out);
 
-    confirm_ask(&balancer->confirm, now_us);
+    confirm_start(&balancer->confirm, now_us);
 }
 
 static void
-out_behind(struct forwarder_out *out, const struct frame_version *newer)
+out_behind(struct forwarder_out *out, const struct frame_config_version *newer)
 {
     struct relay_balancer *balancer = of_out(out);
 
-    store_reader_newer(&balancer->reader, newer, loop_now_us(&balancer->loop));
+    store_reader_notify_newer(&balancer->reader, newer,
+                              loop_now_us(&balancer->loop));
     balancer->forwarder.current = false;
 }
 
@@ -108,7 +109,7 @@
     struct relay_balancer *balancer = of_out(out);
     uint64_t now_us = loop_now_us(&balancer->loop);
 
-    if (store_reader_others(&balancer->reader, others, now_us)) {
+    if (store_reader_report(&balancer->reader, others, now_us)) {
         watcher_retry(&balancer->config_watcher, now_us);
     }
 }
@@ -151,7 +152,7 @@
     balancer->counts.searched += did == FORWARDER_DECISION_LOOKUP;
     balancer->counts.opened += sent && tries == 1;
     balancer->counts.tried_again += sent && tries > 1;
-    /* A flow's first try is told by the line that says where it ended. */
+    /* A flow's first try is latest by the line that says where it ended. */
     if ((sent && tries == 1) ||
         !event_log_wants(&balancer->log, EVENT_ROUTINE)) {
         return;
@@ -237,11 +238,11 @@
     struct evacuations evacuations;
     struct frame_status status;
     struct frame_served served;
-    struct frame_absent absent;
+    struct frame_query_reply absent;
     int type = frame_type(bytes, size);
 
     if (type > 0) {
-        frame_evacuations(bytes, &evacuations);
+        frame_evacuations_decode(bytes, &evacuations);
         relay_balancer_evacuations(balancer, &evacuations, "agent");
     }
 
@@ -250,13 +251,13 @@
         on_served(balancer, from, &served);
         return;
     }
-    if (type == FRAME_ABSENT &&
-        frame_absent_decode(bytes, size, &absent) == 0) {
+    if (type == FRAME_QUERY_REPLY &&
+        frame_query_reply_decode(bytes, size, &absent) == 0) {
         forwarder_query_reply(&balancer->forwarder, from, &absent,
                               loop_now_us(&balancer->loop));
         return;
     }
-    if (type < FRAME_PLACED || type > FRAME_STATE ||
+    if (type < FRAME_ESTABLISHED || type > FRAME_STATE ||
         frame_status_decode(bytes, size, &status) < 0) {
         out_dropped(&balancer->out, FORWARDER_DROP_FOREIGN, NULL);
         return;
--- a/src/relay/program/relay_balancer_store.c
+++ b/src/relay/program/relay_balancer_store.c
@@ -46,7 +46,8 @@
     bool newer = forwarder_routes(&balancer->forwarder, &routes,
                                   loop_now_us(&balancer->loop));
 
-    store_reader_took(&balancer->reader, balancer->forwarder.routes.version);
+    store_reader_applied(&balancer->reader,
+                         balancer->forwarder.routes.version);
     if (!newer) {
         return;
     }
@@ -80,7 +81,7 @@
                            const struct watcher *watcher, int status,
                            bool changed)
 {
-    struct evacuations told = {.era = watcher->era};
+    struct evacuations told = {.epoch = watcher->epoch};
 
     relay_balancer_evacuations(balancer, &told, "store");
     loop_due(&balancer->loop, loop_now_us(&balancer->loop));
--- a/src/relay/program/relay_state.c
+++ b/src/relay/program/relay_state.c
@@ -56,10 +56,10 @@
     add_number(json, "routes", forwarder->routes.count);
     add_number(json, "learned", forwarder->learned.count);
     add_number(json, "flows", forwarder->flows.used);
-    add_number(json, "store_era", forwarder->agents.store.told.era);
-    add_number(json, "evacuations", forwarder->agents.store.told.count);
+    add_number(json, "store_era", forwarder->agents.store.latest.epoch);
+    add_number(json, "evacuations", forwarder->agents.store.latest.count);
     add_number(json, "evacuations_revision",
-               forwarder->agents.store.told.revision);
+               forwarder->agents.store.latest.revision);
     for (size_t i = 0; i < agents_count(&forwarder->agents); i++) {
         json_object_array_add(agents,
                               agent_json(agents_at(&forwarder->agents, i)));
@@ -87,7 +87,7 @@
     json_object_object_add(
         json, "evacuated",
         json_object_new_boolean(admission_is_evacuated(admission)));
-    add_number(json, "store_era", admission->store.told.era);
+    add_number(json, "store_era", admission->store.latest.epoch);
     /* The newest that any balancer spoke of. */
     add_number(json, "version", admission->heard.version);
     return json;
--- a/src/relay/store/confirm.c
+++ b/src/relay/store/confirm.c
@@ -11,9 +11,10 @@
     struct confirm *confirm = container_of(call, struct confirm, call);
 
     confirm->open = false;
-    if (reply->era != confirm->era || confirm->watcher->era != confirm->era) {
+    if (reply->epoch != confirm->epoch ||
+        confirm->watcher->epoch != confirm->epoch) {
         /* Its revision stands for something else by now. */
-        watcher_era(confirm->watcher, reply->era);
+        watcher_set_epoch(confirm->watcher, reply->epoch);
         return;
     }
     if (reply->status == 0 && reply->count > 0) {
@@ -23,7 +24,7 @@
     if (reply->status == 0 && reply->unreadable == 0 &&
         confirm->watcher->state == WATCHER_WATCH &&
         confirm->watcher->revision >= confirm->revision) {
-        confirm->ops->whole(confirm, confirm->asked_us);
+        confirm->ops->complete(confirm, confirm->asked_us);
     }
 }
 
@@ -40,13 +41,13 @@
 }
 
 void
-confirm_ask(struct confirm *confirm, uint64_t now_us)
+confirm_start(struct confirm *confirm, uint64_t now_us)
 {
     if (confirm->open || confirm->watcher->state != WATCHER_WATCH) {
         return;
     }
     confirm->open = true;
-    confirm->era = confirm->watcher->era;
+    confirm->epoch = confirm->watcher->epoch;
     confirm->revision = confirm->watcher->revision;
     confirm->asked_us = now_us;
     if (confirm->store->ops->watch(confirm->store, confirm->watcher->kind,
--- a/src/relay/store/confirm.h
+++ b/src/relay/store/confirm.h
@@ -1,9 +1,9 @@
 /**
- * DOC: confirm - asks the store whether a list that is followed is whole
+ * DOC: confirm - asks the store whether a list that is followed is complete
  *
  * A watch may have been silent for seconds without a sign. Where a decision
  * rests on nothing being missing, a call of its own asks for changes since the
- * revision that the follower knows: none means that the list is whole as of
+ * revision that the follower knows: none means that the list is complete as of
  * that call. Changes that it brings instead are handed to the follower, whose
  * own watch may be told of them seconds later.
  */
@@ -20,8 +20,9 @@
 
 /** struct confirm_ops - what the owner is told */
 struct confirm_ops {
-    /** @whole: the list was whole when the store was asked at @asked_us */
-    void (*whole)(struct confirm *confirm, uint64_t asked_us);
+    /** @complete: the list was complete when the store was asked at @asked_us
+     */
+    void (*complete)(struct confirm *confirm, uint64_t asked_us);
 };
 
 /**
@@ -31,7 +32,7 @@
  * @store: connection of its own
  * @watcher: follower of the list
  * @open: a call is open
- * @era: era of the store in which it asked
+ * @epoch: epoch of the store in which it asked
  * @revision: revision that it asked for changes since
  * @asked_us: when
  */
@@ -41,7 +42,7 @@
     struct store *store;
     struct watcher *watcher;
     bool open;
-    uint32_t era;
+    uint32_t epoch;
     uint64_t revision;
     uint64_t asked_us;
 };
@@ -51,9 +52,9 @@
 confirm_init(struct confirm *confirm, const struct confirm_ops *ops,
              struct store *store, struct watcher *watcher);
 
-/** confirm_ask() - ask, unless a call is open or the list isn't read yet: then
- * nothing is told */
+/** confirm_start() - ask, unless a call is open or the list isn't read yet:
+ * then nothing is told */
 void
-confirm_ask(struct confirm *confirm, uint64_t now_us);
+confirm_start(struct confirm *confirm, uint64_t now_us);
 
 #endif
--- a/src/relay/store/registration.c
+++ b/src/relay/store/registration.c
@@ -12,16 +12,16 @@
 
 /* Pauses after a write that failed: a new agent is unknown to balancers
  * until it is done, and during an outage each try is paid for. */
-#define PAUSE_FIRST_US (100 * USEC_PER_MSEC)
-#define PAUSE_LONGEST_US (1600 * USEC_PER_MSEC)
+#define RETRY_MIN_US (100 * USEC_PER_MSEC)
+#define RETRY_MAX_US (1600 * USEC_PER_MSEC)
 #define JITTER_PARTS 4
 
 /* The first look may be as old as the store's history is long at least, some
  * ten seconds: the object may have been removed since. */
-#define CHECK_AFTER_US (10 * USEC_PER_SEC)
+#define RECHECK_DELAY_US (10 * USEC_PER_SEC)
 
 /* All agents look after their objects when the store has come back older. */
-#define ERA_SPREAD_US (3 * USEC_PER_SEC)
+#define EPOCH_JITTER_US (3 * USEC_PER_SEC)
 
 static const char *
 text(struct json_object *object, const char *name)
@@ -44,17 +44,17 @@
                addr.port);
 }
 
-/* Digits and then @end; a number up to @most, without zeros before it. */
+/* Digits and then @end; a number up to @max, without zeros before it. */
 static bool
-read_part(const char **at, char end, unsigned most, unsigned *part)
+read_part(const char **at, char end, unsigned max, unsigned *part)
 {
     const char *first = *at;
 
     *part = 0;
-    while (g_ascii_isdigit(**at) && *part <= most) {
+    while (g_ascii_isdigit(**at) && *part <= max) {
         *part = *part * 10 + (unsigned)(*(*at)++ - '0');
     }
-    if (*at == first || *part > most || **at != end ||
+    if (*at == first || *part > max || **at != end ||
         (*first == '0' && *at - first > 1)) {
         return false;
     }
@@ -131,10 +131,10 @@
 static uint64_t
 pause_after(const struct registration_writer *writer)
 {
-    uint64_t pause_us = PAUSE_FIRST_US;
+    uint64_t pause_us = RETRY_MIN_US;
     uint64_t seed = hash_pair(writer->registration.addr.ip, writer->failures);
 
-    for (unsigned i = 1; i < writer->failures && pause_us < PAUSE_LONGEST_US;
+    for (unsigned i = 1; i < writer->failures && pause_us < RETRY_MAX_US;
          i++) {
         pause_us *= 2;
     }
@@ -159,17 +159,17 @@
 {
     writer->failures = 0;
     switch (writer->step) {
-    case REGISTRATION_LOOK:
-        writer->looks++;
+    case REGISTRATION_READ:
+        writer->reads++;
         writer->step =
-            is_there(writer, reply) ? REGISTRATION_KEPT : REGISTRATION_PUT;
+            is_there(writer, reply) ? REGISTRATION_DONE : REGISTRATION_PUT;
         break;
     case REGISTRATION_REMOVE:
-        writer->step = REGISTRATION_GONE;
+        writer->step = REGISTRATION_REMOVED;
         break;
     default:
-        writer->looks = REGISTRATION_LOOKS;
-        writer->step = REGISTRATION_KEPT;
+        writer->reads = REGISTRATION_READS;
+        writer->step = REGISTRATION_DONE;
     }
 }
 
@@ -182,20 +182,20 @@
 
     writer->open = false;
     writer->next_us = 0;
-    if (writer->called != writer->step) {
+    if (writer->called_step != writer->step) {
         /* Something else is wanted since; it comes next. */
         return;
     }
-    if (reply->era != 0 && reply->era < writer->era) {
+    if (reply->epoch != 0 && reply->epoch < writer->epoch) {
         /* An answer of before the store came back. */
         writer->failures++;
         return;
     }
-    if (writer->era != 0 && reply->era > writer->era) {
+    if (writer->epoch != 0 && reply->epoch > writer->epoch) {
         /* What an earlier look found may be lost. */
-        writer->looks = 0;
+        writer->reads = 0;
     }
-    writer->era = MAX(writer->era, reply->era);
+    writer->epoch = MAX(writer->epoch, reply->epoch);
     if (reply->status == 0 || (removing && reply->status == -ENOENT)) {
         on_success(writer, reply);
     }
@@ -220,9 +220,9 @@
     int ret;
 
     registration_name(writer->registration.addr, name);
-    if (writer->step == REGISTRATION_LOOK) {
-        return store->ops->get(store, REGISTRATION_KIND, name, STORE_READ_ANY,
-                               &writer->call);
+    if (writer->step == REGISTRATION_READ) {
+        return store->ops->get(store, REGISTRATION_KIND, name,
+                               STORE_READ_STALE, &writer->call);
     }
     if (writer->step == REGISTRATION_REMOVE) {
         return store->ops->remove(store, REGISTRATION_KIND, name, 0,
@@ -244,10 +244,10 @@
 static bool
 has_work(const struct registration_writer *writer)
 {
-    bool stands = writer->step == REGISTRATION_KEPT &&
-                  writer->looks >= REGISTRATION_LOOKS;
+    bool stands = writer->step == REGISTRATION_DONE &&
+                  writer->reads >= REGISTRATION_READS;
 
-    return !writer->open && !stands && writer->step != REGISTRATION_GONE;
+    return !writer->open && !stands && writer->step != REGISTRATION_REMOVED;
 }
 
 /* How long the next call waits for. */
@@ -257,7 +257,7 @@
     if (writer->failures > 0) {
         return pause_after(writer);
     }
-    return writer->step == REGISTRATION_KEPT ? CHECK_AFTER_US : 0;
+    return writer->step == REGISTRATION_DONE ? RECHECK_DELAY_US : 0;
 }
 
 void
@@ -270,15 +270,16 @@
         .call.done = on_done,
         .store = store,
         .registration = *registration,
-        .step = REGISTRATION_LOOK,
+        .step = REGISTRATION_READ,
         .next_us = now_us,
     };
 }
 
 void
-registration_writer_again(struct registration_writer *writer, uint64_t now_us)
+registration_writer_restore(struct registration_writer *writer,
+                            uint64_t now_us)
 {
-    if (writer->step == REGISTRATION_KEPT) {
+    if (writer->step == REGISTRATION_DONE) {
         writer->step = REGISTRATION_CREATE;
         writer->next_us = now_us;
     }
@@ -293,23 +294,24 @@
 }
 
 bool
-registration_writer_era(struct registration_writer *writer, uint32_t era,
-                        uint64_t now_us)
+registration_writer_set_epoch(struct registration_writer *writer,
+                              uint32_t epoch, uint64_t now_us)
 {
     uint64_t spread_us =
-        hash_pair(writer->registration.addr.ip, era) % ERA_SPREAD_US;
+        hash_pair(writer->registration.addr.ip, epoch) % EPOCH_JITTER_US;
 
-    if (writer->era == 0 || era <= writer->era || era <= writer->told_era) {
+    if (writer->epoch == 0 || epoch <= writer->epoch ||
+        epoch <= writer->reported_epoch) {
         return false;
     }
-    writer->told_era = era;
-    if (writer->step == REGISTRATION_GONE) {
+    writer->reported_epoch = epoch;
+    if (writer->step == REGISTRATION_REMOVED) {
         writer->step = REGISTRATION_REMOVE;
     }
-    else if (writer->step == REGISTRATION_KEPT) {
-        writer->step = REGISTRATION_LOOK;
+    else if (writer->step == REGISTRATION_DONE) {
+        writer->step = REGISTRATION_READ;
     }
-    writer->looks = 0;
+    writer->reads = 0;
     if (!writer->open) {
         writer->next_us = now_us + spread_us;
     }
@@ -328,11 +330,11 @@
     if (writer->next_us > now_us) {
         return;
     }
-    if (writer->step == REGISTRATION_KEPT) {
-        writer->step = REGISTRATION_LOOK;
+    if (writer->step == REGISTRATION_DONE) {
+        writer->step = REGISTRATION_READ;
     }
     writer->open = true;
-    writer->called = writer->step;
+    writer->called_step = writer->step;
     if (make_call(writer) < 0) {
         writer->open = false;
         writer->failures++;
--- a/src/relay/store/registration.h
+++ b/src/relay/store/registration.h
@@ -3,7 +3,7 @@
  *
  * It says only that an agent is at an address, of which service and in which
  * data centre; how its endpoint is goes from agent to balancer directly. So
- * it is written once in a host's life: an agent that starts looks first, with
+ * it is written once in a host's life: an agent that starts reads first, with
  * a read that costs a tenth of a write and may be seconds old, and writes only
  * what isn't there. It looks once more when such a read can't be that old any
  * longer, and both again when the store has come back from an older copy of
@@ -68,16 +68,16 @@
 
 /** enum registration_step - what the writer does next */
 enum registration_step {
-    REGISTRATION_LOOK,   /* read what is there */
-    REGISTRATION_PUT,    /* replace: it says something else */
-    REGISTRATION_CREATE, /* there is none */
-    REGISTRATION_KEPT,   /* it stands */
-    REGISTRATION_REMOVE, /* the endpoint has ended for good */
-    REGISTRATION_GONE,   /* it is removed */
+    REGISTRATION_READ,    /* read what is there */
+    REGISTRATION_PUT,     /* replace: it says something else */
+    REGISTRATION_CREATE,  /* there is none */
+    REGISTRATION_DONE,    /* it stands */
+    REGISTRATION_REMOVE,  /* the endpoint has ended for good */
+    REGISTRATION_REMOVED, /* it is removed */
 };
 
 /* Looks after which an object that was found is taken to stand. */
-#define REGISTRATION_LOOKS 2
+#define REGISTRATION_READS 2
 
 /**
  * struct registration_writer - writes the object until it stands
@@ -87,10 +87,10 @@
  * @step: what is done or due
  * @open: a call is open
  * @failures: calls that failed in a row
- * @called: what the open call is for; @step may have changed since
- * @era: the store's era by its last answer, 0 when it isn't known
- * @told_era: the last that others told of
- * @looks: looks that found the object, REGISTRATION_LOOKS once it was written
+ * @called_step: what the open call is for; @step may have changed since
+ * @epoch: the store's era by its last answer, 0 when it isn't known
+ * @reported_epoch: the last that others told of
+ * @reads: reads that found the object, REGISTRATION_READS once it was written
  * @next_us: when the next call is due, 0 when the last one has just ended
  */
 struct registration_writer {
@@ -100,10 +100,10 @@
     enum registration_step step;
     bool open;
     unsigned failures;
-    enum registration_step called;
-    uint32_t era;
-    uint32_t told_era;
-    unsigned looks;
+    enum registration_step called_step;
+    uint32_t epoch;
+    uint32_t reported_epoch;
+    unsigned reads;
     uint64_t next_us;
 };
 
@@ -114,22 +114,24 @@
                          const struct registration *registration,
                          uint64_t now_us);
 
-/** registration_writer_again() - the object that stood is gone: write it anew
+/** registration_writer_restore() - the object that stood is gone: write it
+ * anew
  */
 void
-registration_writer_again(struct registration_writer *writer, uint64_t now_us);
+registration_writer_restore(struct registration_writer *writer,
+                            uint64_t now_us);
 
 /** registration_writer_remove() - remove the object instead */
 void
 registration_writer_remove(struct registration_writer *writer,
                            uint64_t now_us);
 
-/** registration_writer_era() - the store's era is @era, somebody told; whether
- * it has come back older since the object was written or removed, which is
- * looked after then */
+/** registration_writer_set_epoch() - the store's epoch is @epoch, somebody
+ * told; whether it has come back older since the object was written or
+ * removed, which is looked after then */
 bool
-registration_writer_era(struct registration_writer *writer, uint32_t era,
-                        uint64_t now_us);
+registration_writer_set_epoch(struct registration_writer *writer,
+                              uint32_t epoch, uint64_t now_us);
 
 /** registration_writer_tick() - make the call that is due */
 void
--- a/src/relay/store/store.h
+++ b/src/relay/store/store.h
@@ -33,8 +33,8 @@
  *          -EBUSY (refused, nothing was done), -EPROTO (an answer that can't
  *          be read), or what the connection met; for a write, whether it
  *          took effect is then unknown
- * @era: grows each time the store comes back from an older copy of itself and
- *       has lost what was written since: revisions of two eras say nothing of
+ * @epoch: grows each time the store comes back from an older copy of itself
+ * and has lost what was written since: revisions of two eras say nothing of
  *       each other. 0 when the answer doesn't say
  * @revision: the store's revision that the answer stands for
  * @more: the list goes on after its last name
@@ -43,7 +43,7 @@
  * @unreadable: how many items were left out because they can't be read
  */
 struct store_reply {
-    uint32_t era;
+    uint32_t epoch;
     uint64_t revision;
     struct store_object *objects;
     size_t count;
@@ -52,10 +52,10 @@
     bool more;
 };
 
-/** enum store_read - how new the answer to a read must be */
-enum store_read {
+/** enum store_read_mode - how new the answer to a read must be */
+enum store_read_mode {
     STORE_READ_LATEST, /* all that was acknowledged before the call */
-    STORE_READ_ANY,    /* may be seconds old; a tenth of the price, and free
+    STORE_READ_STALE,  /* may be seconds old; a tenth of the price, and free
                         * of the store's limit of calls */
     STORE_READ_COUNT,
 };
@@ -72,14 +72,14 @@
 struct store_ops {
     /** @list: objects of a kind; @after names the last one known, or NULL */
     int (*list)(struct store *store, const char *kind, const char *after,
-                enum store_read read, struct store_call *call);
+                enum store_read_mode read, struct store_call *call);
     /** @watch: changes after @revision, as soon as there are any */
     int (*watch)(struct store *store, const char *kind, uint64_t revision,
-                 unsigned wait_ms, enum store_read read,
+                 unsigned wait_ms, enum store_read_mode read,
                  struct store_call *call);
     /** @get: one object, or -ENOENT */
     int (*get)(struct store *store, const char *kind, const char *name,
-               enum store_read read, struct store_call *call);
+               enum store_read_mode read, struct store_call *call);
     /** @put: replace the value of an object that exists */
     int (*put)(struct store *store, const char *kind, const char *name,
                struct json_object *value, struct store_call *call);
--- a/src/relay/store/store_reader.h
+++ b/src/relay/store/store_reader.h
@@ -11,15 +11,15 @@
  * There is no election. Every frame says whether its sender is a reader; each
  * agent counts the readers that it has heard from in the last second and
  * reports that count to every balancer, without the balancer itself. A
- * balancer that is told of no reader for a window of half a second to a second
- * asks the witnesses, three agents that all balancers of its data centre rank
- * first, and becomes a reader unless one of them knows a reader; if they know
- * of one only, it becomes a reader with a small probability. When there are
- * more than three readers, each stops with a probability that leaves three on
- * average. A reader pings the witnesses so that they know of it, and once when
- * it stops. A reader
- * that is dead, frozen or cut off sends no frames and is no longer counted. A
- * balancer that hears from no agent becomes a reader, which costs calls only.
+ * balancer that is reported of no reader for a window of half a second to a
+ * second asks the witnesses, three agents that all balancers of its data
+ * centre rank first, and becomes a reader unless one of them knows a reader;
+ * if they know of one only, it becomes a reader with a small probability. When
+ * there are more than three readers, each stops with a probability that leaves
+ * three on average. A reader pings the witnesses so that they know of it, and
+ * once when it stops. A reader that is dead, frozen or cut off sends no frames
+ * and is no longer counted. A balancer that hears from no agent becomes a
+ * reader, which costs calls only.
  *
  * While the store does not answer, only the readers retry often. The others
  * retry soon after an agent reports a reader that reaches the store.
@@ -37,30 +37,30 @@
  * struct store_reader - one balancer's part
  * @seed: differs between processes
  * @reading: it reads the latest
- * @others: most other readers, of either kind, that an agent told of in this
- *          window
- * @told: the same of the window before, which decided on @reading
- * @heard_us: when an agent last told of a reader, 0 for never
+ * @others: most other readers, of either kind, that an agent reported of in
+ * this window
+ * @reported: the same of the window before, which decided on @reading
+ * @heard_us: when an agent last reported of a reader, 0 for never
  * @asked: the witnesses were asked in this window
- * @stopped: it has stopped reading, and the witnesses aren't told yet
+ * @stopped: it has stopped reading, and the witnesses aren't reported yet
  * @windows: windows that have ended
  * @window_us: when this window ends
  * @ping_us: when a reader pings the witnesses next
- * @newer: newest configuration that was told of, while it isn't known here
+ * @newer: newest configuration that was reported of, while it isn't known here
  * @behind_us: since when it is known that there is one, 0 for never
  */
 struct store_reader {
     uint64_t seed;
     bool reading;
     struct frame_readers others;
-    struct frame_readers told;
+    struct frame_readers reported;
     uint64_t heard_us;
     bool asked;
     bool stopped;
     uint64_t windows;
     uint64_t window_us;
     uint64_t ping_us;
-    struct frame_version newer;
+    struct frame_config_version newer;
     uint64_t behind_us;
 };
 
@@ -69,36 +69,38 @@
 store_reader_init(struct store_reader *reader, uint64_t seed, uint64_t now_us);
 
 /**
- * store_reader_first() - how new the first read of the configuration must be
+ * store_reader_initial_mode() - how new the first read of the configuration
+ * must be
  *
  * Of balancers that start together some, by draw, read the latest and tell the
- * others through agents; one that starts alone is told by those that run.
+ * others through agents; one that starts alone is reported by those that run.
  */
-enum store_read
-store_reader_first(const struct store_reader *reader);
+enum store_read_mode
+store_reader_initial_mode(const struct store_reader *reader);
 
 /**
- * store_reader_others() - an agent reported the other readers
+ * store_reader_report() - an agent reported the other readers
  *
  * Return: whether a reader reaches the store again, after a second without a
  * report of one.
  */
 bool
-store_reader_others(struct store_reader *reader, struct frame_readers others,
+store_reader_report(struct store_reader *reader, struct frame_readers others,
                     uint64_t now_us);
 
-/** store_reader_part() - what frames say of this balancer */
-enum frame_reader
-store_reader_part(const struct store_reader *reader, unsigned failures);
+/** store_reader_state() - what frames say of this balancer */
+enum frame_reader_state
+store_reader_state(const struct store_reader *reader, unsigned failures);
 
-/** store_reader_newer() - some balancer has a newer configuration */
+/** store_reader_notify_newer() - some balancer has a newer configuration */
 void
-store_reader_newer(struct store_reader *reader,
-                   const struct frame_version *newer, uint64_t now_us);
+store_reader_notify_newer(struct store_reader *reader,
+                          const struct frame_config_version *newer,
+                          uint64_t now_us);
 
-/** store_reader_took() - configuration @version is in force here */
+/** store_reader_applied() - configuration @version is in force here */
 void
-store_reader_took(struct store_reader *reader, uint64_t version);
+store_reader_applied(struct store_reader *reader, uint64_t version);
 
 /**
  * store_reader_tick() - end the window that is over
@@ -116,29 +118,29 @@
 store_reader_next_us(const struct store_reader *reader, uint64_t now_us);
 
 /**
- * store_reader_read() - how new the next read must be
+ * store_reader_next_mode() - how new the next read must be
  * @failures: calls to the store that failed in a row: until one succeeds, it
  *            is tried with the cheap ones
  */
-enum store_read
-store_reader_read(const struct store_reader *reader, unsigned failures,
-                  uint64_t now_us);
+enum store_read_mode
+store_reader_next_mode(const struct store_reader *reader, unsigned failures,
+                       uint64_t now_us);
 
 /**
  * store_reader_is_current() - whether no newer configuration can have been in
  * force elsewhere for longer than a second or so
  *
- * It reads the latest, or was told of others that do, and of no newer one.
+ * It reads the latest, or was reported of others that do, and of no newer one.
  */
 bool
 store_reader_is_current(const struct store_reader *reader, unsigned failures,
                         uint64_t now_us);
 
-/** store_reader_asks_peer() - whether the balancer that is known to have a
+/** store_reader_needs_peer() - whether the balancer that is known to have a
  * newer configuration is to be asked for it: the store can't be, or doesn't
  * say */
 bool
-store_reader_asks_peer(const struct store_reader *reader, unsigned failures,
-                       uint64_t now_us);
+store_reader_needs_peer(const struct store_reader *reader, unsigned failures,
+                        uint64_t now_us);
 
 #endif
--- a/src/relay/store/watcher.c
+++ b/src/relay/store/watcher.c
@@ -20,63 +20,63 @@
  * isn't tells the others through the agents. After a failure the store may be
  * silent by now: a tenth of what operators give a change to be in force. */
 #define WATCH_WAIT_MS 15000
-#define WATCH_BRIEF_MS 2000
-#define WATCH_BRIEF_SPREAD_MS 1000
+#define WATCH_SHORT_MS 2000
+#define WATCH_SHORT_JITTER_MS 1000
 #define WATCH_FAILED_MS 500
 
 /* First and longest pause after a call that failed. A process without
  * configuration serves nobody, so the first is short; the longest bounds
  * what an outage costs, and how long its end goes unnoticed. */
-#define PAUSE_FIRST_US (50 * USEC_PER_MSEC)
-#define PAUSE_LONGEST_US (800 * USEC_PER_MSEC)
+#define RETRY_MIN_US (50 * USEC_PER_MSEC)
+#define RETRY_MAX_US (800 * USEC_PER_MSEC)
 
 /* The longest for an owner that can't work without an answer: a balancer
  * without configuration serves nobody, and a call is worth a fifth of a
  * request. */
-#define PAUSE_EAGER_US (150 * USEC_PER_MSEC)
+#define RETRY_FAST_MAX_US (150 * USEC_PER_MSEC)
 
 /* The first and the longest for an owner that is told when others reach the
  * store again, and within what time it then tries: what an outage costs grows
  * with those that look for its end, not with the fleet. Its end goes unnoticed
  * for no longer than operators give a change to be in force. */
-#define PAUSE_PATIENT_FIRST_US (400 * USEC_PER_MSEC)
-#define PAUSE_PATIENT_US (3200 * USEC_PER_MSEC)
+#define RETRY_SLOW_MIN_US (400 * USEC_PER_MSEC)
+#define RETRY_SLOW_MAX_US (3200 * USEC_PER_MSEC)
 #define RETRY_WITHIN_US (300 * USEC_PER_MSEC)
 
 /* How old cheap reads are at most: some seconds. */
-#define OLD_READS_US (10 * USEC_PER_SEC)
+#define STALE_READ_MAX_US (10 * USEC_PER_SEC)
 
 /* Pauses differ by up to a quarter between processes. */
 #define JITTER_PARTS 4
 
 static uint64_t
-longest_pause(const struct watcher *watcher)
+max_retry_pause(const struct watcher *watcher)
 {
-    if (watcher->eager) {
-        return PAUSE_EAGER_US;
+    if (watcher->fast_retry) {
+        return RETRY_FAST_MAX_US;
     }
-    return watcher->patient ? PAUSE_PATIENT_US : PAUSE_LONGEST_US;
+    return watcher->slow_retry ? RETRY_SLOW_MAX_US : RETRY_MAX_US;
 }
 
 static uint64_t
 pause_after(const struct watcher *watcher)
 {
-    uint64_t longest_us = longest_pause(watcher);
-    bool waits = watcher->patient && !watcher->eager;
-    uint64_t pause_us = waits ? PAUSE_PATIENT_FIRST_US : PAUSE_FIRST_US;
+    uint64_t max_us = max_retry_pause(watcher);
+    bool waits = watcher->slow_retry && !watcher->fast_retry;
+    uint64_t pause_us = waits ? RETRY_SLOW_MIN_US : RETRY_MIN_US;
     uint64_t jitter;
 
-    for (unsigned i = 1; i < watcher->failures && pause_us < longest_us; i++) {
+    for (unsigned i = 1; i < watcher->failures && pause_us < max_us; i++) {
         pause_us *= 2;
     }
-    pause_us = MIN(pause_us, longest_us);
+    pause_us = MIN(pause_us, max_us);
     jitter = hash_pair(watcher->seed, watcher->failures) %
              (pause_us / JITTER_PARTS);
     return pause_us + jitter;
 }
 
 static void
-list_page(struct watcher *watcher, const struct store_reply *reply)
+on_list_page(struct watcher *watcher, const struct store_reply *reply)
 {
     if (watcher->after == NULL) {
         watcher->list_revision = reply->revision;
@@ -94,15 +94,15 @@
     /* Changes made between two pages are watched for from the first. */
     watcher->revision = watcher->list_revision;
     watcher->state = WATCHER_WATCH;
-    watcher->outdated = false;
+    watcher->needs_latest = false;
     watcher->older = false;
     watcher->ops->listed(watcher);
 }
 
 static void
-watch_events(struct watcher *watcher, const struct store_reply *reply)
+on_watch_events(struct watcher *watcher, const struct store_reply *reply)
 {
-    watcher->quiet = reply->count == 0;
+    watcher->last_empty = reply->count == 0;
     for (size_t i = 0; i < reply->count; i++) {
         watcher->ops->object(watcher, &reply->objects[i]);
     }
@@ -114,12 +114,12 @@
 static void
 on_failure(struct watcher *watcher, int status)
 {
-    watcher->quiet = false;
+    watcher->last_empty = false;
     if (status == -ESTALE) {
         /* A list that may be old could be as old as what is known: watches
          * from there would fail again and again. */
         watcher->state = WATCHER_LIST;
-        watcher->outdated = true;
+        watcher->needs_latest = true;
     }
     if (watcher->state == WATCHER_LIST) {
         g_free(watcher->after);
@@ -130,37 +130,38 @@
 
 /* Nothing that is known stands any more. */
 static void
-begin_anew(struct watcher *watcher)
+reset_list(struct watcher *watcher)
 {
     watcher->state = WATCHER_LIST;
     g_free(watcher->after);
     watcher->after = NULL;
     watcher->revision = 0;
-    watcher->outdated = false;
-    watcher->quiet = false;
+    watcher->needs_latest = false;
+    watcher->last_empty = false;
     watcher->older = true;
-    watcher->settled_us = 0;
+    watcher->recovered_us = 0;
 }
 
-/* Minds the era that an answer is of; whether the rest of it can be used. */
+/* Minds the epoch that an answer is of; whether the rest of it can be used. */
 static bool
-take_era(struct watcher *watcher, uint32_t era)
+update_epoch(struct watcher *watcher, uint32_t epoch)
 {
     bool lists = watcher->state == WATCHER_LIST && watcher->after == NULL;
 
-    if (era == 0 || era == watcher->era) {
+    if (epoch == 0 || epoch == watcher->epoch) {
         return true;
     }
-    if (watcher->era == 0 || (era > watcher->era && watcher->older && lists)) {
-        watcher->era = era;
+    if (watcher->epoch == 0 ||
+        (epoch > watcher->epoch && watcher->older && lists)) {
+        watcher->epoch = epoch;
         return true;
     }
-    if (era < watcher->era) {
+    if (epoch < watcher->epoch) {
         return false;
     }
-    watcher->era = era;
-    begin_anew(watcher);
-    /* A list that began in the new era is whole; an old one may show what is
+    watcher->epoch = epoch;
+    reset_list(watcher);
+    /* A list that began in the new epoch is whole; an old one may show what is
      * lost. */
     return lists && watcher->read == STORE_READ_LATEST;
 }
@@ -171,16 +172,16 @@
     bool first_page = watcher->state == WATCHER_LIST && watcher->after == NULL;
     bool older = first_page && reply->revision < watcher->revision;
 
-    if (older && !watcher->outdated) {
+    if (older && !watcher->needs_latest) {
         /* Nothing that is known is given up for it. */
-        watcher->outdated = true;
+        watcher->needs_latest = true;
         return;
     }
     if (watcher->state == WATCHER_LIST) {
-        list_page(watcher, reply);
+        on_list_page(watcher, reply);
     }
     else {
-        watch_events(watcher, reply);
+        on_watch_events(watcher, reply);
     }
 }
 
@@ -189,7 +190,7 @@
 {
     struct watcher *watcher = container_of(call, struct watcher, call);
     int before = watcher->status;
-    bool usable = take_era(watcher, reply->era);
+    bool usable = update_epoch(watcher, reply->epoch);
 
     watcher->open = false;
     watcher->status = reply->status;
@@ -216,11 +217,11 @@
     if (watcher->failures > 0) {
         return WATCH_FAILED_MS;
     }
-    if (!watcher->quiet &&
-        !(watcher->told_by_others && watcher->read == STORE_READ_ANY)) {
-        return WATCH_BRIEF_MS +
+    if (!watcher->last_empty &&
+        !(watcher->notified_by_peers && watcher->read == STORE_READ_STALE)) {
+        return WATCH_SHORT_MS +
                (unsigned)(hash_pair(watcher->seed, watcher->revision) %
-                          WATCH_BRIEF_SPREAD_MS);
+                          WATCH_SHORT_JITTER_MS);
     }
     return WATCH_WAIT_MS;
 }
@@ -228,34 +229,34 @@
 /* When the list after the store came back older is due: soon, but not for all
  * at once, where it is the latest. */
 static uint64_t
-list_anew_us(struct watcher *watcher, uint64_t now_us)
+relist_due_us(struct watcher *watcher, uint64_t now_us)
 {
     uint64_t spread_us =
-        hash_pair(watcher->seed, watcher->told_era) % RETRY_WITHIN_US;
+        hash_pair(watcher->seed, watcher->reported_epoch) % RETRY_WITHIN_US;
 
-    if (watcher->settled_us == 0) {
-        watcher->settled_us = now_us + OLD_READS_US;
+    if (watcher->recovered_us == 0) {
+        watcher->recovered_us = now_us + STALE_READ_MAX_US;
     }
     return spread_us + (watcher->read == STORE_READ_LATEST
                             ? now_us
-                            : MAX(now_us, watcher->settled_us));
+                            : MAX(now_us, watcher->recovered_us));
 }
 
 /* Pause before the next watch. */
 static uint64_t
-next_gap(struct watcher *watcher, uint64_t now_us)
+next_delay(struct watcher *watcher, uint64_t now_us)
 {
-    const struct watcher_pace *pace = &watcher->pace;
-    bool soon = now_us - watcher->opened_us < pace->longest_us;
+    const struct watcher_backoff *backoff = &watcher->backoff;
+    bool soon = now_us - watcher->opened_us < backoff->max_us;
 
-    if (watcher->quiet || !soon) {
-        watcher->gap_us = pace->first_us;
+    if (watcher->last_empty || !soon) {
+        watcher->delay_us = backoff->min_us;
     }
     else {
-        watcher->gap_us =
-            CLAMP(2 * watcher->gap_us, pace->first_us, pace->longest_us);
+        watcher->delay_us =
+            CLAMP(2 * watcher->delay_us, backoff->min_us, backoff->max_us);
     }
-    return watcher->gap_us;
+    return watcher->delay_us;
 }
 
 static int
@@ -263,9 +264,9 @@
 {
     struct store *store = watcher->store;
     bool unsettled =
-        watcher->older && watcher->opened_us < watcher->settled_us;
-    enum store_read read =
-        watcher->outdated || unsettled ? STORE_READ_LATEST : watcher->read;
+        watcher->older && watcher->opened_us < watcher->recovered_us;
+    enum store_read_mode read =
+        watcher->needs_latest || unsettled ? STORE_READ_LATEST : watcher->read;
 
     watcher->calls[read]++;
     if (watcher->state == WATCHER_LIST) {
@@ -278,15 +279,15 @@
 
 void
 watcher_init(struct watcher *watcher, const struct watcher_ops *ops,
-             struct store *store, const char *kind, struct watcher_pace pace,
-             uint64_t seed, uint64_t now_us)
+             struct store *store, const char *kind,
+             struct watcher_backoff backoff, uint64_t seed, uint64_t now_us)
 {
     memset(watcher, 0, sizeof(*watcher));
     watcher->ops = ops;
     watcher->call.done = on_done;
     watcher->store = store;
     watcher->kind = kind;
-    watcher->pace = pace;
+    watcher->backoff = backoff;
     watcher->seed = seed;
     watcher->next_us = now_us;
     /* Neither reached nor failed so far: the first end of a call is told. */
@@ -302,7 +303,7 @@
 
 /* Ends an open watch; the next begins at once. */
 static void
-watch_anew(struct watcher *watcher)
+restart_watch(struct watcher *watcher)
 {
     if (watcher->open && watcher->state == WATCHER_WATCH) {
         watcher->store->ops->cancel(watcher->store);
@@ -312,19 +313,20 @@
 }
 
 void
-watcher_era(struct watcher *watcher, uint32_t era)
+watcher_set_epoch(struct watcher *watcher, uint32_t epoch)
 {
     bool lists = watcher->state == WATCHER_LIST;
 
-    if (watcher->era == 0 || era <= watcher->era || era <= watcher->told_era) {
+    if (watcher->epoch == 0 || epoch <= watcher->epoch ||
+        epoch <= watcher->reported_epoch) {
         return;
     }
-    watcher->told_era = era;
+    watcher->reported_epoch = epoch;
     if (watcher->open) {
         watcher->store->ops->cancel(watcher->store);
         watcher->open = false;
     }
-    begin_anew(watcher);
+    reset_list(watcher);
     if (!lists || watcher->failures == 0) {
         watcher->next_us = 0;
     }
@@ -337,18 +339,19 @@
     if (watcher->state != WATCHER_WATCH || watcher->revision != since) {
         return;
     }
-    watch_anew(watcher);
-    watch_events(watcher, reply);
+    restart_watch(watcher);
+    on_watch_events(watcher, reply);
 }
 
 void
-watcher_set_read(struct watcher *watcher, enum store_read read)
+watcher_set_read(struct watcher *watcher, enum store_read_mode read)
 {
-    bool better = read == STORE_READ_LATEST && watcher->read == STORE_READ_ANY;
+    bool better =
+        read == STORE_READ_LATEST && watcher->read == STORE_READ_STALE;
 
     watcher->read = read;
     if (better) {
-        watch_anew(watcher);
+        restart_watch(watcher);
     }
     if (better && watcher->older && !watcher->open) {
         watcher->next_us = 0;
@@ -380,12 +383,12 @@
             pause_us = pause_after(watcher);
         }
         else if (watcher->state == WATCHER_WATCH) {
-            pause_us = next_gap(watcher, now_us);
+            pause_us = next_delay(watcher, now_us);
         }
         watcher->next_us = now_us + pause_us;
         if (watcher->older) {
             watcher->next_us =
-                MAX(watcher->next_us, list_anew_us(watcher, now_us));
+                MAX(watcher->next_us, relist_due_us(watcher, now_us));
         }
     }
     if (watcher->next_us > now_us) {
@@ -402,12 +405,12 @@
 
 bool
 watcher_is_away(const struct watcher *watcher, uint64_t now_us,
-                uint64_t patience_us)
+                uint64_t timeout_us)
 {
     bool listing = watcher->open && watcher->state == WATCHER_LIST;
 
     return watcher->failures > 0 ||
-           (listing && now_us - watcher->opened_us > patience_us);
+           (listing && now_us - watcher->opened_us > timeout_us);
 }
 
 uint64_t
--- a/src/relay/store/watcher.h
+++ b/src/relay/store/watcher.h
@@ -36,17 +36,17 @@
 };
 
 /**
- * struct watcher_pace - how soon a watch follows one that brought changes
+ * struct watcher_backoff - how soon a watch follows one that brought changes
  *
  * Each that brings some soon after it began doubles the pause before the
  * next, so that a burst costs few calls and a single change is known at once.
  *
- * @first_us: the shortest pause
- * @longest_us: the longest
+ * @min_us: the shortest pause
+ * @max_us: the longest
  */
-struct watcher_pace {
-    uint64_t first_us;
-    uint64_t longest_us;
+struct watcher_backoff {
+    uint64_t min_us;
+    uint64_t max_us;
 };
 
 /**
@@ -58,26 +58,26 @@
  * @state: what is done or due
  * @open: a call is open
  * @after: last name of a list that goes on, or NULL
- * @era: the store's era by its last answer, 0 when it isn't known
- * @told_era: the last that others told of
- * @revision: the store's revision that is known, of that era
+ * @epoch: the store's era by its last answer, 0 when it isn't known
+ * @reported_epoch: the last that others told of
+ * @revision: the store's revision that is known, of that epoch
  * @list_revision: revision of a list's first page
- * @outdated: what is known has left the store's history, or a list was older
- *            than it: the next list is the latest
+ * @needs_latest: what is known has left the store's history, or a list was
+ * older than it: the next list is the latest
  * @older: the store has come back older, and the kind isn't listed since
- * @settled_us: when cheap reads show nothing any more that it has lost
- * @quiet: the last watch ended empty: the store answers
+ * @recovered_us: when cheap reads show nothing any more that it has lost
+ * @last_empty: the last watch ended empty: the store answers
  * @failures: calls that failed in a row
  * @next_us: when the next call is due
  * @opened_us: when the open call began
- * @pace: pauses between calls while changes keep coming
- * @gap_us: the last of these
+ * @backoff: pauses between calls while changes keep coming
+ * @delay_us: the last of these
  * @seed: makes the pauses differ between processes
  * @read: how new what is read must be
- * @calls: calls made, by enum store_read
- * @patient: somebody else finds out when the store is back: pauses get long
- * @eager: the owner can't work without an answer: pauses stay short
- * @told_by_others: its owner is told of changes by others too: a watch that
+ * @calls: calls made, by enum store_read_mode
+ * @slow_retry: somebody else finds out when the store is back: pauses get long
+ * @fast_retry: the owner can't work without an answer: pauses stay short
+ * @notified_by_peers: its owner is told of changes by others too: a watch that
  *                  the store has dropped without a sign costs little
  * @status: how the last call ended
  */
@@ -89,38 +89,38 @@
     enum watcher_state state;
     bool open;
     char *after;
-    uint32_t era;
-    uint32_t told_era;
+    uint32_t epoch;
+    uint32_t reported_epoch;
     uint64_t revision;
     uint64_t list_revision;
-    bool outdated;
+    bool needs_latest;
     bool older;
-    uint64_t settled_us;
-    bool quiet;
+    uint64_t recovered_us;
+    bool last_empty;
     unsigned failures;
     uint64_t next_us;
     uint64_t opened_us;
-    struct watcher_pace pace;
-    uint64_t gap_us;
+    struct watcher_backoff backoff;
+    uint64_t delay_us;
     uint64_t seed;
-    enum store_read read;
+    enum store_read_mode read;
     uint64_t calls[STORE_READ_COUNT];
-    bool patient;
-    bool eager;
-    bool told_by_others;
+    bool slow_retry;
+    bool fast_retry;
+    bool notified_by_peers;
     int status;
 };
 
 /**
  * watcher_init() - follow @kind from @now_us on
  * @store: not freed by watcher_finish()
- * @pace: pauses after changes
+ * @backoff: pauses after changes
  * @seed: differs between processes
  */
 void
 watcher_init(struct watcher *watcher, const struct watcher_ops *ops,
-             struct store *store, const char *kind, struct watcher_pace pace,
-             uint64_t seed, uint64_t now_us);
+             struct store *store, const char *kind,
+             struct watcher_backoff backoff, uint64_t seed, uint64_t now_us);
 
 /** watcher_finish() - free the memory */
 void
@@ -129,7 +129,7 @@
 /** watcher_set_read() - how new the next changes must be; a watch that may be
  * told of old ones only is ended for one that isn't */
 void
-watcher_set_read(struct watcher *watcher, enum store_read read);
+watcher_set_read(struct watcher *watcher, enum store_read_mode read);
 
 /**
  * watcher_advance() - take changes that another call brought
@@ -141,14 +141,14 @@
                 const struct store_reply *reply);
 
 /**
- * watcher_era() - the store's era is @era, somebody told
+ * watcher_set_epoch() - the store's epoch is @epoch, somebody told
  *
  * After a change nothing that is known stands: the kind is listed anew, the
  * latest soon, by others once cheap reads can't show any more what is lost.
- * What the store then says of its era is believed, also if it is another.
+ * What the store then says of its epoch is believed, also if it is another.
  */
 void
-watcher_era(struct watcher *watcher, uint32_t era);
+watcher_set_epoch(struct watcher *watcher, uint32_t epoch);
 
 /** watcher_retry() - the store answers others again: don't wait for long */
 void
@@ -159,10 +159,10 @@
 watcher_tick(struct watcher *watcher, uint64_t now_us);
 
 /** watcher_is_away() - whether the store doesn't answer: the last call failed,
- * or a list is open for longer than @patience_us */
+ * or a list is open for longer than @timeout_us */
 bool
 watcher_is_away(const struct watcher *watcher, uint64_t now_us,
-                uint64_t patience_us);
+                uint64_t timeout_us);
 
 /** watcher_next_us() - when watcher_tick() is due; UINT64_MAX while a call is
  * open */
--- a/src/relay/wire/evacuations.c
+++ b/src/relay/wire/evacuations.c
@@ -11,7 +11,7 @@
 bool
 evacuations_add(struct evacuations *evacuations, uint32_t key)
 {
-    if (evacuations_has(evacuations, key)) {
+    if (evacuations_contains(evacuations, key)) {
         return true;
     }
     if (evacuations->count == EVACUATIONS_MAX) {
@@ -22,7 +22,7 @@
 }
 
 bool
-evacuations_has(const struct evacuations *evacuations, uint32_t key)
+evacuations_contains(const struct evacuations *evacuations, uint32_t key)
 {
     for (unsigned i = 0; i < evacuations->count; i++) {
         if (evacuations->data_centres[i] == key) {
@@ -33,21 +33,21 @@
 }
 
 bool
-evacuations_newer(const struct evacuations *told,
+evacuations_newer(const struct evacuations *latest,
                   const struct evacuations *known)
 {
-    return told->era != known->era ? told->era > known->era
-                                   : told->revision > known->revision;
+    return latest->epoch != known->epoch ? latest->epoch > known->epoch
+                                         : latest->revision > known->revision;
 }
 
 bool
-evacuations_same(const struct evacuations *a, const struct evacuations *b)
+evacuations_equal(const struct evacuations *a, const struct evacuations *b)
 {
     if (a->count != b->count) {
         return false;
     }
     for (unsigned i = 0; i < a->count; i++) {
-        if (!evacuations_has(b, a->data_centres[i])) {
+        if (!evacuations_contains(b, a->data_centres[i])) {
             return false;
         }
     }
--- a/src/relay/wire/flow_index.c
+++ b/src/relay/wire/flow_index.c
@@ -10,7 +10,7 @@
  * struct flow_index_item - one flow
  * @flow: key
  * @used_us: last use
- * @next: next in its chain plus one, 0 at the end; or next of the free ones
+ * @next: next in its bucket plus one, 0 at the end; or next of the free ones
  * @older: used before it
  * @newer: used after it
  */
@@ -23,13 +23,13 @@
 };
 
 static uint32_t *
-chain_of(const struct flow_index *table, struct relay_flow flow)
+bucket_of(const struct flow_index *table, struct relay_flow flow)
 {
-    return &table->heads[(uint32_t)relay_flow_hash(flow) & table->mask];
+    return &table->bucket_heads[(uint32_t)relay_flow_hash(flow) & table->mask];
 }
 
 static void
-unlink_age(struct flow_index *table, uint32_t handle)
+lru_unlink(struct flow_index *table, uint32_t handle)
 {
     struct flow_index_item *item = &table->items[handle];
 
@@ -48,7 +48,7 @@
 }
 
 static void
-link_newest(struct flow_index *table, uint32_t handle)
+lru_append(struct flow_index *table, uint32_t handle)
 {
     struct flow_index_item *item = &table->items[handle];
 
@@ -64,7 +64,7 @@
 }
 
 static uint32_t
-handle_take(struct flow_index *table)
+alloc_handle(struct flow_index *table)
 {
     uint32_t handle = table->free;
 
@@ -78,23 +78,24 @@
 int
 flow_index_init(struct flow_index *table, uint32_t capacity)
 {
-    uint32_t chains = 1;
+    uint32_t buckets = 1;
 
-    while (chains < capacity) {
-        chains *= 2;
+    while (buckets < capacity) {
+        buckets *= 2;
     }
     *table = (struct flow_index){
-        .mask = chains - 1,
+        .mask = buckets - 1,
         .capacity = capacity,
         .free = FLOW_INDEX_NONE,
         .oldest = FLOW_INDEX_NONE,
         .newest = FLOW_INDEX_NONE,
     };
     /* Pages that were never used cost nothing, neither memory nor time at
-     * the start: so an empty chain is 0, and heads hold handles plus one. */
-    table->heads = calloc(chains, sizeof(*table->heads));
+     * the start: so an empty bucket is 0, and bucket_heads hold handles plus
+     * one. */
+    table->bucket_heads = calloc(buckets, sizeof(*table->bucket_heads));
     table->items = calloc(capacity, sizeof(*table->items));
-    if (table->heads == NULL || table->items == NULL) {
+    if (table->bucket_heads == NULL || table->items == NULL) {
         flow_index_finish(table);
         return -ENOMEM;
     }
@@ -104,16 +105,16 @@
 void
 flow_index_finish(struct flow_index *table)
 {
-    free(table->heads);
+    free(table->bucket_heads);
     free(table->items);
-    table->heads = NULL;
+    table->bucket_heads = NULL;
     table->items = NULL;
 }
 
 uint32_t
 flow_index_find(const struct flow_index *table, struct relay_flow flow)
 {
-    uint32_t handle = *chain_of(table, flow) - 1;
+    uint32_t handle = *bucket_of(table, flow) - 1;
 
     while (handle != FLOW_INDEX_NONE &&
            !relay_flow_equal(table->items[handle].flow, flow)) {
@@ -126,18 +127,18 @@
 flow_index_add(struct flow_index *table, struct relay_flow flow,
                uint64_t now_us)
 {
-    uint32_t *chain = chain_of(table, flow);
+    uint32_t *bucket = bucket_of(table, flow);
     struct flow_index_item *item;
     uint32_t handle;
 
     assert(table->used < table->capacity);
-    handle = handle_take(table);
+    handle = alloc_handle(table);
     item = &table->items[handle];
     item->flow = flow;
     item->used_us = now_us;
-    item->next = *chain;
-    *chain = handle + 1;
-    link_newest(table, handle);
+    item->next = *bucket;
+    *bucket = handle + 1;
+    lru_append(table, handle);
     table->used++;
     return handle;
 }
@@ -149,22 +150,22 @@
     if (table->newest == handle) {
         return;
     }
-    unlink_age(table, handle);
-    link_newest(table, handle);
+    lru_unlink(table, handle);
+    lru_append(table, handle);
 }
 
 void
 flow_index_remove(struct flow_index *table, uint32_t handle)
 {
     struct flow_index_item *item = &table->items[handle];
-    uint32_t *at = chain_of(table, item->flow);
+    uint32_t *at = bucket_of(table, item->flow);
 
     while (*at != handle + 1) {
         assert(*at != 0);
         at = &table->items[*at - 1].next;
     }
     *at = item->next;
-    unlink_age(table, handle);
+    lru_unlink(table, handle);
     item->next = table->free;
     table->free = handle;
     table->used--;
--- a/src/relay/wire/flow_index.h
+++ b/src/relay/wire/flow_index.h
@@ -19,7 +19,7 @@
 
 /**
  * struct flow_index - the table
- * @heads: first item of each chain plus one, a power of two of them
+ * @bucket_heads: first item of each chain plus one, a power of two of them
  * @mask: chains less one
  * @items: one for each handle
  * @capacity: handles
@@ -30,7 +30,7 @@
  * @newest: handle used last
  */
 struct flow_index {
-    uint32_t *heads;
+    uint32_t *bucket_heads;
     uint32_t mask;
     struct flow_index_item *items;
     uint32_t capacity;
--- a/src/relay/wire/frame.c
+++ b/src/relay/wire/frame.c
@@ -17,11 +17,11 @@
     uint8_t *at;
 };
 
-/** struct reader - what is left; @short_of is set once a read fails */
+/** struct reader - what is remaining; @underrun is set once a read fails */
 struct reader {
     const uint8_t *at;
-    size_t left;
-    bool short_of;
+    size_t remaining;
+    bool underrun;
 };
 
 static void
@@ -49,9 +49,9 @@
     bytes[1] = MAGIC_1;
     bytes[2] = VERSION;
     bytes[3] = (uint8_t)type;
-    put(&writer, evacuations->era, 4);
+    put(&writer, evacuations->epoch, 4);
     put(&writer, evacuations->revision, 8);
-    put(&writer, evacuations->unsettled_s, 1);
+    put(&writer, evacuations->recovery_s, 1);
     put(&writer, evacuations->count, 1);
     for (unsigned i = 0; i < evacuations->count; i++) {
         put(&writer, evacuations->data_centres[i], KEY_SIZE);
@@ -64,15 +64,15 @@
 {
     uint64_t value = 0;
 
-    if (reader->left < size) {
-        reader->short_of = true;
+    if (reader->remaining < size) {
+        reader->underrun = true;
         return 0;
     }
     for (unsigned i = 0; i < size; i++) {
         value |= (uint64_t)reader->at[i] << (8 * i);
     }
     reader->at += size;
-    reader->left -= size;
+    reader->remaining -= size;
     return value;
 }
 
@@ -110,7 +110,7 @@
         bytes[1] != MAGIC_1 || bytes[2] != VERSION) {
         return -EBADMSG;
     }
-    if (bytes[3] < FRAME_CARRY || bytes[3] > FRAME_TYPE_MAX) {
+    if (bytes[3] < FRAME_FORWARD || bytes[3] > FRAME_TYPE_MAX) {
         return -EBADMSG;
     }
     if (bytes[HEAD_SIZE - 1] > EVACUATIONS_MAX || size < head_size(bytes)) {
@@ -120,14 +120,14 @@
 }
 
 void
-frame_evacuations(const uint8_t *bytes, struct evacuations *evacuations)
+frame_evacuations_decode(const uint8_t *bytes, struct evacuations *evacuations)
 {
     struct reader reader = {bytes + TYPE_SIZE, head_size(bytes) - TYPE_SIZE,
                             false};
 
-    evacuations->era = (uint32_t)get(&reader, 4);
+    evacuations->epoch = (uint32_t)get(&reader, 4);
     evacuations->revision = get(&reader, 8);
-    evacuations->unsettled_s = (uint8_t)get(&reader, 1);
+    evacuations->recovery_s = (uint8_t)get(&reader, 1);
     evacuations->count = (uint8_t)get(&reader, 1);
     for (unsigned i = 0; i < evacuations->count; i++) {
         evacuations->data_centres[i] = (uint32_t)get(&reader, KEY_SIZE);
@@ -135,14 +135,14 @@
 }
 
 static void
-put_view(struct writer *writer, const struct frame_store_view *view)
+put_store_view(struct writer *writer, const struct frame_store_view *view)
 {
     put(writer, view->version, 8);
     put(writer, view->reader, 1);
 }
 
 static struct frame_store_view
-get_view(struct reader *reader)
+get_store_view(struct reader *reader)
 {
     uint64_t version = get(reader, 8);
 
@@ -150,74 +150,74 @@
 }
 
 size_t
-frame_carry_encode(const struct frame_carry *carry,
-                   const struct evacuations *evacuations, uint8_t *bytes)
+frame_forward_encode(const struct frame_forward *forward,
+                     const struct evacuations *evacuations, uint8_t *bytes)
 {
-    struct writer writer = begin(FRAME_CARRY, evacuations, bytes);
-
-    put(&writer, carry->service, 4);
-    put_addr(&writer, carry->origin);
-    put_view(&writer, &carry->view);
-    put(&writer, carry->forced, 1);
-    put(&writer, carry->target_ms, 2);
-    put(&writer, carry->priority, 1);
-    put(&writer, carry->patience_ms, 2);
-    put(&writer, carry->budget_ms, 2);
-    put(&writer, carry->slow_start_limit, 2);
-    put(&writer, carry->hops, 1);
-    put_addr(&writer, carry->best);
-    put(&writer, carry->best_load, 2);
-    put(&writer, carry->next_count, 1);
-    for (unsigned i = 0; i < carry->next_count; i++) {
-        put_addr(&writer, carry->next[i]);
+    struct writer writer = begin(FRAME_FORWARD, evacuations, bytes);
+
+    put(&writer, forward->service, 4);
+    put_addr(&writer, forward->origin);
+    put_store_view(&writer, &forward->view);
+    put(&writer, forward->forced, 1);
+    put(&writer, forward->target_ms, 2);
+    put(&writer, forward->priority, 1);
+    put(&writer, forward->caller_timeout_ms, 2);
+    put(&writer, forward->request_timeout_ms, 2);
+    put(&writer, forward->slow_start_limit, 2);
+    put(&writer, forward->hops, 1);
+    put_addr(&writer, forward->best);
+    put(&writer, forward->best_load, 2);
+    put(&writer, forward->next_count, 1);
+    for (unsigned i = 0; i < forward->next_count; i++) {
+        put_addr(&writer, forward->next[i]);
     }
-    memcpy(writer.at, carry->bytes, carry->size);
-    return (size_t)(writer.at - bytes) + carry->size;
+    memcpy(writer.at, forward->bytes, forward->size);
+    return (size_t)(writer.at - bytes) + forward->size;
 }
 
 int
-frame_carry_decode(const uint8_t *bytes, size_t size,
-                   struct frame_carry *carry)
+frame_forward_decode(const uint8_t *bytes, size_t size,
+                     struct frame_forward *forward)
 {
     struct reader reader = body_of(bytes, size);
 
-    carry->service = (uint32_t)get(&reader, 4);
-    carry->origin = get_addr(&reader);
-    carry->view = get_view(&reader);
-    carry->forced = get(&reader, 1) != 0;
-    carry->target_ms = (uint16_t)get(&reader, 2);
-    carry->priority = (uint8_t)get(&reader, 1);
-    carry->patience_ms = (uint16_t)get(&reader, 2);
-    carry->budget_ms = (uint16_t)get(&reader, 2);
-    carry->slow_start_limit = (uint16_t)get(&reader, 2);
-    carry->hops = (uint8_t)get(&reader, 1);
-    carry->best = get_addr(&reader);
-    carry->best_load = (uint16_t)get(&reader, 2);
-    carry->next_count = (uint8_t)get(&reader, 1);
-    if (reader.short_of || carry->next_count > FRAME_NEXT_MAX ||
-        carry->view.reader > FRAME_READER_MAX) {
+    forward->service = (uint32_t)get(&reader, 4);
+    forward->origin = get_addr(&reader);
+    forward->view = get_store_view(&reader);
+    forward->forced = get(&reader, 1) != 0;
+    forward->target_ms = (uint16_t)get(&reader, 2);
+    forward->priority = (uint8_t)get(&reader, 1);
+    forward->caller_timeout_ms = (uint16_t)get(&reader, 2);
+    forward->request_timeout_ms = (uint16_t)get(&reader, 2);
+    forward->slow_start_limit = (uint16_t)get(&reader, 2);
+    forward->hops = (uint8_t)get(&reader, 1);
+    forward->best = get_addr(&reader);
+    forward->best_load = (uint16_t)get(&reader, 2);
+    forward->next_count = (uint8_t)get(&reader, 1);
+    if (reader.underrun || forward->next_count > FRAME_NEXT_MAX ||
+        forward->view.reader > FRAME_READER_MAX) {
         return -EBADMSG;
     }
-    for (unsigned i = 0; i < carry->next_count; i++) {
-        carry->next[i] = get_addr(&reader);
+    for (unsigned i = 0; i < forward->next_count; i++) {
+        forward->next[i] = get_addr(&reader);
     }
-    if (reader.short_of || reader.left > RELAY_PACKET_MAX) {
+    if (reader.underrun || reader.remaining > RELAY_PACKET_MAX) {
         return -EBADMSG;
     }
-    carry->bytes = reader.at;
-    carry->size = reader.left;
+    forward->bytes = reader.at;
+    forward->size = reader.remaining;
     return 0;
 }
 
 static void
-put_version(struct writer *writer, const struct frame_version *version)
+put_version(struct writer *writer, const struct frame_config_version *version)
 {
     put(writer, version->version, 8);
     put_addr(writer, version->holder);
 }
 
 static void
-get_version(struct reader *reader, struct frame_version *version)
+get_version(struct reader *reader, struct frame_config_version *version)
 {
     version->version = get(reader, 8);
     version->holder = get_addr(reader);
@@ -267,7 +267,7 @@
     get_version(&reader, &status->heard);
     status->readers.reading = (uint8_t)get(&reader, 1);
     status->readers.trying = (uint8_t)get(&reader, 1);
-    if (reader.short_of || reader.left != 0 ||
+    if (reader.underrun || reader.remaining != 0 ||
         status->reason > FRAME_REASON_MAX ||
         status->health.state > ENDPOINT_STATE_MAX) {
         return -EBADMSG;
@@ -297,69 +297,70 @@
 
     served->service = (uint32_t)get(&reader, 4);
     served->count = (uint8_t)get(&reader, 1);
-    if (reader.short_of || served->count > FRAME_SERVED_MAX) {
+    if (reader.underrun || served->count > FRAME_SERVED_MAX) {
         return -EBADMSG;
     }
     for (unsigned i = 0; i < served->count; i++) {
         served->addrs[i] = get_addr(&reader);
     }
-    return reader.short_of || reader.left != 0 ? -EBADMSG : 0;
+    return reader.underrun || reader.remaining != 0 ? -EBADMSG : 0;
 }
 
 size_t
-frame_ask_encode(const struct frame_ask *ask,
-                 const struct evacuations *evacuations, uint8_t *bytes)
+frame_query_encode(const struct frame_query *query,
+                   const struct evacuations *evacuations, uint8_t *bytes)
 {
-    struct writer writer = begin(FRAME_ASK, evacuations, bytes);
-
-    put(&writer, ask->query, 4);
-    put_view(&writer, &ask->view);
-    put(&writer, ask->count, 1);
-    for (unsigned i = 0; i < ask->count; i++) {
-        put_addr(&writer, ask->flows[i].caller);
-        put_addr(&writer, ask->flows[i].service);
+    struct writer writer = begin(FRAME_QUERY, evacuations, bytes);
+
+    put(&writer, query->query, 4);
+    put_store_view(&writer, &query->view);
+    put(&writer, query->count, 1);
+    for (unsigned i = 0; i < query->count; i++) {
+        put_addr(&writer, query->flows[i].caller);
+        put_addr(&writer, query->flows[i].service);
     }
     return (size_t)(writer.at - bytes);
 }
 
 int
-frame_ask_decode(const uint8_t *bytes, size_t size, struct frame_ask *ask)
+frame_query_decode(const uint8_t *bytes, size_t size,
+                   struct frame_query *query)
 {
     struct reader reader = body_of(bytes, size);
 
-    ask->query = (uint32_t)get(&reader, 4);
-    ask->view = get_view(&reader);
-    ask->count = (uint8_t)get(&reader, 1);
-    if (reader.short_of || ask->count > FRAME_ASK_MAX ||
-        ask->view.reader > FRAME_READER_MAX) {
+    query->query = (uint32_t)get(&reader, 4);
+    query->view = get_store_view(&reader);
+    query->count = (uint8_t)get(&reader, 1);
+    if (reader.underrun || query->count > FRAME_QUERY_MAX ||
+        query->view.reader > FRAME_READER_MAX) {
         return -EBADMSG;
     }
-    for (unsigned i = 0; i < ask->count; i++) {
-        ask->flows[i].caller = get_addr(&reader);
-        ask->flows[i].service = get_addr(&reader);
+    for (unsigned i = 0; i < query->count; i++) {
+        query->flows[i].caller = get_addr(&reader);
+        query->flows[i].service = get_addr(&reader);
     }
-    return reader.short_of || reader.left != 0 ? -EBADMSG : 0;
+    return reader.underrun || reader.remaining != 0 ? -EBADMSG : 0;
 }
 
 size_t
-frame_absent_encode(const struct frame_absent *absent,
-                    const struct evacuations *evacuations, uint8_t *bytes)
+frame_query_reply_encode(const struct frame_query_reply *absent,
+                         const struct evacuations *evacuations, uint8_t *bytes)
 {
-    struct writer writer = begin(FRAME_ABSENT, evacuations, bytes);
+    struct writer writer = begin(FRAME_QUERY_REPLY, evacuations, bytes);
 
     put(&writer, absent->query, 4);
     put(&writer, absent->silent, 1);
     put(&writer, absent->down, 1);
     put(&writer, absent->partial, 1);
-    for (unsigned i = 0; i < FRAME_ASK_WORDS; i++) {
+    for (unsigned i = 0; i < FRAME_QUERY_WORDS; i++) {
         put(&writer, absent->absent[i], 4);
     }
     return (size_t)(writer.at - bytes);
 }
 
 int
-frame_absent_decode(const uint8_t *bytes, size_t size,
-                    struct frame_absent *absent)
+frame_query_reply_decode(const uint8_t *bytes, size_t size,
+                         struct frame_query_reply *absent)
 {
     struct reader reader = body_of(bytes, size);
 
@@ -367,10 +368,10 @@
     absent->silent = get(&reader, 1) != 0;
     absent->down = get(&reader, 1) != 0;
     absent->partial = get(&reader, 1) != 0;
-    for (unsigned i = 0; i < FRAME_ASK_WORDS; i++) {
+    for (unsigned i = 0; i < FRAME_QUERY_WORDS; i++) {
         absent->absent[i] = (uint32_t)get(&reader, 4);
     }
-    return reader.short_of || reader.left != 0 ? -EBADMSG : 0;
+    return reader.underrun || reader.remaining != 0 ? -EBADMSG : 0;
 }
 
 size_t
@@ -379,7 +380,7 @@
 {
     struct writer writer = begin(FRAME_PING, evacuations, bytes);
 
-    put_view(&writer, &ping->view);
+    put_store_view(&writer, &ping->view);
     put(&writer, ping->unlisted, 1);
     return (size_t)(writer.at - bytes);
 }
@@ -389,9 +390,9 @@
 {
     struct reader reader = body_of(bytes, size);
 
-    ping->view = get_view(&reader);
+    ping->view = get_store_view(&reader);
     ping->unlisted = get(&reader, 1) != 0;
-    return reader.short_of || reader.left != 0 ||
+    return reader.underrun || reader.remaining != 0 ||
                    ping->view.reader > FRAME_READER_MAX
                ? -EBADMSG
                : 0;
--- a/src/relay/wire/frame.h
+++ b/src/relay/wire/frame.h
@@ -3,7 +3,7 @@
  *
  * A carried packet travels behind a small head of ours that holds what its
  * endpoint needn't see: the service, where else the flow may be, and whom to
- * tell. Each frame, whichever way it goes, names the store's era and the
+ * tell. Each frame, whichever way it goes, names the store's epoch and the
  * evacuated data centres that its sender knows of. All integers are
  * little-endian; a frame of another version or with a wrong length is refused.
  */
@@ -21,33 +21,33 @@
  * flow ranks highest; a packet whose flow is looked for names more, as the
  * order of agents may have changed since. */
 #define FRAME_NEXT_MAX 15
-#define FRAME_HEAD_MAX 309
-#define FRAME_MAX (FRAME_HEAD_MAX + RELAY_PACKET_MAX)
+#define FRAME_HEADER_MAX 309
+#define FRAME_MAX (FRAME_HEADER_MAX + RELAY_PACKET_MAX)
 
 /** enum frame_type - kinds of frames */
 enum frame_type {
-    FRAME_CARRY = 1,  /* a caller's packet towards an endpoint */
-    FRAME_PLACED = 2, /* an agent's endpoint holds the flow */
-    FRAME_PASSED = 3, /* an agent sent the flow on, or let go of it */
-    FRAME_HELD = 4,   /* an agent keeps a SYN until a slot is free */
-    FRAME_STATE = 5,  /* how an agent's endpoint is */
-    FRAME_PING = 6,   /* asks for FRAME_STATE */
-    FRAME_SERVED = 7, /* addresses that an endpoint serves */
-    FRAME_ASK = 8,    /* asks an agent which flows its endpoint holds */
-    FRAME_ABSENT = 9, /* the flows among these that it doesn't hold */
-    FRAME_TYPE_MAX = FRAME_ABSENT,
+    FRAME_FORWARD = 1,     /* a caller's packet towards an endpoint */
+    FRAME_ESTABLISHED = 2, /* an agent's endpoint holds the flow */
+    FRAME_REDIRECTED = 3,  /* an agent sent the flow on, or let go of it */
+    FRAME_QUEUED = 4,      /* an agent keeps a SYN until a slot is free */
+    FRAME_STATE = 5,       /* how an agent's endpoint is */
+    FRAME_PING = 6,        /* asks for FRAME_STATE */
+    FRAME_SERVED = 7,      /* addresses that an endpoint serves */
+    FRAME_QUERY = 8,       /* asks an agent which flows its endpoint holds */
+    FRAME_QUERY_REPLY = 9, /* the flows among these that it doesn't hold */
+    FRAME_TYPE_MAX = FRAME_QUERY_REPLY,
 };
 
 /** enum frame_reason - why an agent passed a flow on */
 enum frame_reason {
     FRAME_REASON_NONE = 0,
-    FRAME_REASON_BUSY = 1,      /* all slots taken, others may be free */
-    FRAME_REASON_LEAVING = 2,   /* draining or gone */
-    FRAME_REASON_SILENT = 3,    /* the endpoint didn't answer */
-    FRAME_REASON_REFUSED = 4,   /* the endpoint bounced the packet */
-    FRAME_REASON_SERVICE = 5,   /* the endpoint is of another service */
-    FRAME_REASON_FAILING = 6,   /* it resets requests; others may not */
-    FRAME_REASON_EVACUATED = 7, /* its data centre is evacuated */
+    FRAME_REASON_BUSY = 1,          /* all slots taken, others may be free */
+    FRAME_REASON_LEAVING = 2,       /* draining or gone */
+    FRAME_REASON_SILENT = 3,        /* the endpoint didn't answer */
+    FRAME_REASON_REFUSED = 4,       /* the endpoint bounced the packet */
+    FRAME_REASON_WRONG_SERVICE = 5, /* the endpoint is of another service */
+    FRAME_REASON_FAILING = 6,       /* it resets requests; others may not */
+    FRAME_REASON_EVACUATED = 7,     /* its data centre is evacuated */
     FRAME_REASON_MAX = FRAME_REASON_EVACUATED,
 };
 
@@ -81,27 +81,28 @@
 };
 
 /**
- * struct frame_version - highest configuration that a host has heard of
+ * struct frame_config_version - highest configuration that a host has heard of
  * @version: its number, 0 for none
  * @holder: a balancer that has it
  */
-struct frame_version {
+struct frame_config_version {
     uint64_t version;
     struct addr holder;
 };
 
-/** enum frame_reader - a balancer's part in reading the store's latest */
-enum frame_reader {
-    FRAME_READER_NONE = 0,  /* it leaves that to others */
-    FRAME_READER_READS = 1, /* it reads, and the store answers */
-    FRAME_READER_TRIES = 2, /* it would, and the store doesn't answer */
-    FRAME_READER_MAX = FRAME_READER_TRIES,
+/** enum frame_reader_state - a balancer's part in reading the store's latest
+ */
+enum frame_reader_state {
+    FRAME_READER_NONE = 0,    /* it leaves that to others */
+    FRAME_READER_READING = 1, /* it reads, and the store answers */
+    FRAME_READER_TRYING = 2,  /* it would, and the store doesn't answer */
+    FRAME_READER_MAX = FRAME_READER_TRYING,
 };
 
 /**
  * struct frame_store_view - how a balancer keeps up with the store
  * @version: configuration that it follows, 0 for none
- * @reader: enum frame_reader
+ * @reader: enum frame_reader_state
  */
 struct frame_store_view {
     uint64_t version;
@@ -120,7 +121,7 @@
 };
 
 /**
- * struct frame_carry - a caller's packet on its way
+ * struct frame_forward - a caller's packet on its way
  * @service: hash_service() of the service that its route names
  * @origin: balancer that took it from the caller
  * @view: how that balancer keeps up with the store
@@ -128,9 +129,9 @@
  * @target_ms: of a SYN, how soon its request should be answered to be in
  *             time; 0 when it is late already
  * @priority: of its route, 0 is most urgent
- * @patience_ms: of a SYN, how long its caller waits for an answer
- * @budget_ms: of a SYN, how long its request may take until its answer is of
- *             no use
+ * @caller_timeout_ms: of a SYN, how long its caller waits for an answer
+ * @request_timeout_ms: of a SYN, how long its request may take until its
+ * answer is of no use
  * @slow_start_limit: of a SYN, requests that the endpoint may get in a second
  *                 until it is warm; 0 for any number
  * @hops: agents that have seen it
@@ -141,15 +142,15 @@
  * @bytes: the packet
  * @size: its size
  */
-struct frame_carry {
+struct frame_forward {
     uint32_t service;
     struct addr origin;
     struct frame_store_view view;
     bool forced;
     uint16_t target_ms;
     uint8_t priority;
-    uint16_t patience_ms;
-    uint16_t budget_ms;
+    uint16_t caller_timeout_ms;
+    uint16_t request_timeout_ms;
     uint16_t slow_start_limit;
     uint8_t hops;
     struct addr best;
@@ -172,12 +173,12 @@
 
 /**
  * struct frame_status - an agent's answer to a balancer
- * @type: FRAME_PLACED, FRAME_PASSED, FRAME_HELD or FRAME_STATE
- * @reason: for FRAME_PASSED, enum frame_reason
- * @target: for FRAME_PASSED, the agent that has the packet now; ip 0 when
+ * @type: FRAME_ESTABLISHED, FRAME_REDIRECTED, FRAME_QUEUED or FRAME_STATE
+ * @reason: for FRAME_REDIRECTED, enum frame_reason
+ * @target: for FRAME_REDIRECTED, the agent that has the packet now; ip 0 when
  *          nobody has
  * @flow: the flow, but for FRAME_STATE
- * @seq: for FRAME_PLACED, sequence number of the endpoint's SYN+ACK
+ * @seq: for FRAME_ESTABLISHED, sequence number of the endpoint's SYN+ACK
  * @health: the endpoint
  * @heard: newest configuration that the agent has heard of
  * @readers: who reads the store
@@ -189,7 +190,7 @@
     struct relay_flow flow;
     uint32_t seq;
     struct frame_health health;
-    struct frame_version heard;
+    struct frame_config_version heard;
     struct frame_readers readers;
 };
 
@@ -214,26 +215,26 @@
 
 /* Flows that one frame asks for: 12 bytes each, the whole no larger than a
  * carried packet. A multiple of 32. */
-#define FRAME_ASK_MAX 96
-#define FRAME_ASK_WORDS (FRAME_ASK_MAX / 32)
+#define FRAME_QUERY_MAX 96
+#define FRAME_QUERY_WORDS (FRAME_QUERY_MAX / 32)
 
 /**
- * struct frame_ask - a balancer asks all agents of a service for flows that no
- * search has found
+ * struct frame_query - a balancer asks all agents of a service for flows that
+ * no search has found
  * @query: names the question
  * @view: how the balancer keeps up with the store
  * @flows: the flows
  * @count: how many
  */
-struct frame_ask {
+struct frame_query {
     uint32_t query;
     struct frame_store_view view;
-    struct relay_flow flows[FRAME_ASK_MAX];
+    struct relay_flow flows[FRAME_QUERY_MAX];
     uint8_t count;
 };
 
 /**
- * struct frame_absent - an agent's answer
+ * struct frame_query_reply - an agent's answer
  * @query: the question
  * @silent: the endpoint shows no sign of life: the rest says nothing
  * @down: the endpoint's process isn't there
@@ -241,35 +242,37 @@
  *           only their packets can tell
  * @absent: a bit for each flow that the endpoint doesn't hold, for certain
  */
-struct frame_absent {
+struct frame_query_reply {
     uint32_t query;
     bool silent;
     bool down;
     bool partial;
-    uint32_t absent[FRAME_ASK_WORDS];
+    uint32_t absent[FRAME_QUERY_WORDS];
 };
 
 /** frame_type() - kind of a frame, -EBADMSG for what is none of ours */
 int
 frame_type(const uint8_t *bytes, size_t size);
 
-/** frame_evacuations() - the store's era and the evacuated data centres that a
- * frame names; frame_type() has accepted it */
+/** frame_evacuations_decode() - the store's epoch and the evacuated data
+ * centres that a frame names; frame_type() has accepted it */
 void
-frame_evacuations(const uint8_t *bytes, struct evacuations *evacuations);
+frame_evacuations_decode(const uint8_t *bytes,
+                         struct evacuations *evacuations);
 
-/** frame_carry_encode() - write @carry into FRAME_MAX bytes; its size */
+/** frame_forward_encode() - write @forward into FRAME_MAX bytes; its size */
 size_t
-frame_carry_encode(const struct frame_carry *carry,
-                   const struct evacuations *evacuations, uint8_t *bytes);
+frame_forward_encode(const struct frame_forward *forward,
+                     const struct evacuations *evacuations, uint8_t *bytes);
 
-/** frame_carry_decode() - read it; 0 or -EBADMSG. @carry->bytes points into
+/** frame_forward_decode() - read it; 0 or -EBADMSG. @forward->bytes points
+ * into
  * @bytes. */
 int
-frame_carry_decode(const uint8_t *bytes, size_t size,
-                   struct frame_carry *carry);
+frame_forward_decode(const uint8_t *bytes, size_t size,
+                     struct frame_forward *forward);
 
-/** frame_status_encode() - write @status into FRAME_HEAD_MAX bytes */
+/** frame_status_encode() - write @status into FRAME_HEADER_MAX bytes */
 size_t
 frame_status_encode(const struct frame_status *status,
                     const struct evacuations *evacuations, uint8_t *bytes);
@@ -279,7 +282,7 @@
 frame_status_decode(const uint8_t *bytes, size_t size,
                     struct frame_status *status);
 
-/** frame_served_encode() - write @served into FRAME_HEAD_MAX bytes */
+/** frame_served_encode() - write @served into FRAME_HEADER_MAX bytes */
 size_t
 frame_served_encode(const struct frame_served *served,
                     const struct evacuations *evacuations, uint8_t *bytes);
@@ -289,26 +292,28 @@
 frame_served_decode(const uint8_t *bytes, size_t size,
                     struct frame_served *served);
 
-/** frame_ask_encode() - write @ask into FRAME_MAX bytes */
+/** frame_query_encode() - write @query into FRAME_MAX bytes */
 size_t
-frame_ask_encode(const struct frame_ask *ask,
-                 const struct evacuations *evacuations, uint8_t *bytes);
+frame_query_encode(const struct frame_query *query,
+                   const struct evacuations *evacuations, uint8_t *bytes);
 
-/** frame_ask_decode() - read it; 0 or -EBADMSG */
+/** frame_query_decode() - read it; 0 or -EBADMSG */
 int
-frame_ask_decode(const uint8_t *bytes, size_t size, struct frame_ask *ask);
+frame_query_decode(const uint8_t *bytes, size_t size,
+                   struct frame_query *query);
 
-/** frame_absent_encode() - write @absent into FRAME_HEAD_MAX bytes */
+/** frame_query_reply_encode() - write @absent into FRAME_HEADER_MAX bytes */
 size_t
-frame_absent_encode(const struct frame_absent *absent,
-                    const struct evacuations *evacuations, uint8_t *bytes);
+frame_query_reply_encode(const struct frame_query_reply *absent,
+                         const struct evacuations *evacuations,
+                         uint8_t *bytes);
 
-/** frame_absent_decode() - read it; 0 or -EBADMSG */
+/** frame_query_reply_decode() - read it; 0 or -EBADMSG */
 int
-frame_absent_decode(const uint8_t *bytes, size_t size,
-                    struct frame_absent *absent);
+frame_query_reply_decode(const uint8_t *bytes, size_t size,
+                         struct frame_query_reply *absent);
 
-/** frame_ping_encode() - write @ping into FRAME_HEAD_MAX bytes */
+/** frame_ping_encode() - write @ping into FRAME_HEADER_MAX bytes */
 size_t
 frame_ping_encode(const struct frame_ping *ping,
                   const struct evacuations *evacuations, uint8_t *bytes);
--- a/src/relay/wire/packet.c
+++ b/src/relay/wire/packet.c
@@ -30,14 +30,14 @@
 }
 
 bool
-relay_packet_opens(const struct relay_packet *packet)
+relay_packet_is_syn(const struct relay_packet *packet)
 {
     return (packet->flags & RELAY_SYN) != 0 &&
            (packet->flags & RELAY_ACK) == 0;
 }
 
 bool
-relay_packet_accepts(const struct relay_packet *packet)
+relay_packet_is_syn_ack(const struct relay_packet *packet)
 {
     return (packet->flags & RELAY_SYN) != 0 &&
            (packet->flags & RELAY_ACK) != 0;
--- a/src/relay/wire/packet.h
+++ b/src/relay/wire/packet.h
@@ -35,7 +35,7 @@
  * @len: bytes of data behind the head
  * @flags: enum relay_packet_flag
  * @age_ms: of a SYN, how long ago its first copy was sent
- * @patience_ms: of a SYN, how long its caller waits for an answer to it
+ * @caller_timeout_ms: of a SYN, how long its caller waits for an answer to it
  * @bytes: the whole packet, owned by the caller of a decision
  * @size: its size in bytes
  */
@@ -47,7 +47,7 @@
     uint16_t len;
     uint8_t flags;
     uint16_t age_ms;
-    uint16_t patience_ms;
+    uint16_t caller_timeout_ms;
     const uint8_t *bytes;
     size_t size;
 };
@@ -78,12 +78,12 @@
 struct relay_flow
 relay_flow_from_endpoint(const struct relay_packet *packet);
 
-/** relay_packet_opens() - a caller's SYN, the first or a copy */
+/** relay_packet_is_syn() - a caller's SYN, the first or a copy */
 bool
-relay_packet_opens(const struct relay_packet *packet);
+relay_packet_is_syn(const struct relay_packet *packet);
 
-/** relay_packet_accepts() - an endpoint's SYN+ACK */
+/** relay_packet_is_syn_ack() - an endpoint's SYN+ACK */
 bool
-relay_packet_accepts(const struct relay_packet *packet);
+relay_packet_is_syn_ack(const struct relay_packet *packet);
 
 #endif
--- a/tests/relay/admission_established_test.c
+++ b/tests/relay/admission_established_test.c
@@ -114,9 +114,9 @@
 
 TEST_F(fixture, balancers_that_read_the_store_are_counted_for_the_others)
 {
-    struct frame_ping reads = {.view = {4, FRAME_READER_READS}};
+    struct frame_ping reads = {.view = {4, FRAME_READER_READING}};
     struct frame_ping reads_not = {.view = {4, FRAME_READER_NONE}};
-    struct frame_ping tries = {.view = {4, FRAME_READER_TRIES}};
+    struct frame_ping tries = {.view = {4, FRAME_READER_TRYING}};
     struct addr second = rig_addr("10.9.0.2:7720");
 
     admission_handle_ping(&fixture->admission, rig_addr(FIXTURE_BALANCER),
--- a/tests/relay/admission_fixture.c
+++ b/tests/relay/admission_fixture.c
@@ -34,7 +34,7 @@
 
 static void
 forward(struct admission_out *out, struct addr agent,
-        const struct frame_carry *frame)
+        const struct frame_forward *frame)
 {
     char text[ADDR_TEXT_MAX];
 
@@ -48,9 +48,9 @@
        const struct frame_status *status)
 {
     static const char *const types[] = {
-        [FRAME_PLACED] = "placed",
-        [FRAME_PASSED] = "passed",
-        [FRAME_HELD] = "held",
+        [FRAME_ESTABLISHED] = "placed",
+        [FRAME_REDIRECTED] = "passed",
+        [FRAME_QUEUED] = "held",
         [FRAME_STATE] = "state",
     };
 
@@ -70,7 +70,7 @@
 
 static void
 absent(struct admission_out *out, struct addr balancer,
-       const struct frame_absent *absent)
+       const struct frame_query_reply *absent)
 {
     rig_note(of_out(out)->record, "absent %x%s", absent->absent[0],
              absent->silent ? " silent" : "");
@@ -91,7 +91,7 @@
 static void
 decided(struct admission_out *out, enum admission_decision decision,
         struct relay_flow flow, enum frame_reason why,
-        const struct frame_carry *frame)
+        const struct frame_forward *frame)
 {
 }
 
@@ -122,13 +122,13 @@
 fixture_receive(struct fixture *fixture, struct relay_packet packet,
                 unsigned next, bool forced)
 {
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = hash_service("lots"),
         .origin = rig_addr(FIXTURE_BALANCER),
         .view.version = 1,
         .forced = forced,
         .target_ms = 100,
-        .patience_ms = 1400,
+        .caller_timeout_ms = 1400,
         .next = {rig_addr(FIXTURE_SECOND), rig_addr(FIXTURE_THIRD)},
         .next_count = (uint8_t)next,
         .bytes = packet.bytes,
@@ -143,7 +143,7 @@
 fixture_receive_along(struct fixture *fixture, struct relay_packet packet,
                       const char *next, const char *last)
 {
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = hash_service("lots"),
         .origin = rig_addr(FIXTURE_BALANCER),
         .view.version = 1,
@@ -216,17 +216,17 @@
 
 void
 fixture_receive_forced(struct fixture *fixture, unsigned number,
-                       unsigned target_ms, unsigned patience_ms,
+                       unsigned target_ms, unsigned caller_timeout_ms,
                        unsigned priority)
 {
     struct relay_packet syn =
         rig_from_caller(rig_flow(number), RELAY_SYN, 100, 0, 0);
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = hash_service("lots"),
         .origin = rig_addr(FIXTURE_BALANCER),
         .forced = true,
         .target_ms = (uint16_t)target_ms,
-        .patience_ms = (uint16_t)patience_ms,
+        .caller_timeout_ms = (uint16_t)caller_timeout_ms,
         .priority = (uint8_t)priority,
         .bytes = syn.bytes,
         .size = syn.size,
--- a/tests/relay/admission_fixture.h
+++ b/tests/relay/admission_fixture.h
@@ -60,7 +60,7 @@
  * within @target_ms */
 void
 fixture_receive_forced(struct fixture *fixture, unsigned number,
-                       unsigned target_ms, unsigned patience_ms,
+                       unsigned target_ms, unsigned caller_timeout_ms,
                        unsigned priority);
 
 /** fixture_answer() - the endpoint sends a packet */
--- a/tests/relay/admission_load_test.c
+++ b/tests/relay/admission_load_test.c
@@ -25,7 +25,7 @@
  * @service_us: what a request takes, in the mean
  * @rtt_us: from the endpoint's answer to the caller's next packet
  * @target_ms: how soon a caller wants its answer
- * @budget_ms: how long it waits at most; 0: the agent isn't told
+ * @request_timeout_ms: how long it waits at most; 0: the agent isn't told
  * @fresh: callers that come one after the other in LOAD_US
  * @late: callers whose SYN's last copy, 600 ms old, comes at the start
  * @attempts: how often a caller opens a flow, while none is answered
@@ -34,7 +34,7 @@
     uint64_t service_us;
     uint64_t rtt_us;
     unsigned target_ms;
-    unsigned budget_ms;
+    unsigned request_timeout_ms;
     unsigned fresh;
     unsigned late;
     unsigned attempts;
@@ -60,7 +60,7 @@
     .service_us = 53 * USEC_PER_MSEC,
     .rtt_us = 2 * USEC_PER_MSEC,
     .target_ms = 250,
-    .budget_ms = 3000,
+    .request_timeout_ms = 3000,
     .fresh = 68,
     .late = 34,
     .attempts = 3,
@@ -140,7 +140,7 @@
 
 static void
 forward(struct admission_out *out, struct addr agent,
-        const struct frame_carry *frame)
+        const struct frame_forward *frame)
 {
 }
 
@@ -158,7 +158,7 @@
 
 static void
 absent(struct admission_out *out, struct addr balancer,
-       const struct frame_absent *frame)
+       const struct frame_query_reply *frame)
 {
 }
 
@@ -175,7 +175,7 @@
 static void
 decided(struct admission_out *out, enum admission_decision decision,
         struct relay_flow flow, enum frame_reason why,
-        const struct frame_carry *frame)
+        const struct frame_forward *frame)
 {
 }
 
@@ -230,23 +230,25 @@
 {
     const struct load *load = fixture->load;
     struct relay_packet packet = packet_of(fixture, number, RELAY_SYN, 0, 0);
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = hash_service("lots"),
         .origin = rig_addr("10.9.0.1:7720"),
         .forced = true,
         .target_ms =
             (uint16_t)(age_ms < load->target_ms ? load->target_ms - age_ms
                                                 : 0),
-        .patience_ms = (uint16_t)(PATIENCE_MS - age_ms),
-        .budget_ms =
-            (uint16_t)(load->budget_ms > 0 ? load->budget_ms - age_ms : 0),
+        .caller_timeout_ms = (uint16_t)(PATIENCE_MS - age_ms),
+        .request_timeout_ms =
+            (uint16_t)(load->request_timeout_ms > 0
+                           ? load->request_timeout_ms - age_ms
+                           : 0),
         .bytes = packet.bytes,
         .size = packet.size,
     };
 
     fixture->callers[number].attempts++;
     fixture->callers[number].abandon_at_us =
-        fixture->now_us + frame.patience_ms * USEC_PER_MSEC;
+        fixture->now_us + frame.caller_timeout_ms * USEC_PER_MSEC;
     admission_handle_forward(&fixture->admission, &frame, &packet,
                              fixture->now_us);
 }
@@ -268,7 +270,7 @@
 {
     struct relay_packet packet =
         packet_of(fixture, number, RELAY_ACK, 501, 40);
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = hash_service("lots"),
         .origin = rig_addr("10.9.0.1:7720"),
         .bytes = packet.bytes,
@@ -407,7 +409,7 @@
     unsigned queued;
     unsigned held;
 
-    waiting_syns.budget_ms = 0;
+    waiting_syns.request_timeout_ms = 0;
     fixture_init(other);
     run(other, &waiting_syns);
     held = in_time_from(other, long_work.late) * 1000 / long_work.fresh;
--- a/tests/relay/admission_orphans_test.c
+++ b/tests/relay/admission_orphans_test.c
@@ -9,7 +9,7 @@
 static void
 ask_from(struct fixture *fixture, unsigned first, unsigned count)
 {
-    struct frame_ask question = {.query = 7, .view.version = 1};
+    struct frame_query question = {.query = 7, .view.version = 1};
 
     for (unsigned i = 0; i < count; i++) {
         question.flows[question.count++] = rig_flow(first + i);
--- a/tests/relay/admission_queue_test.c
+++ b/tests/relay/admission_queue_test.c
@@ -16,14 +16,14 @@
 {
     struct relay_packet syn =
         rig_from_caller(rig_flow(number), RELAY_SYN, 100, 0, 0);
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = fixture->admission.endpoint.service,
         .origin = rig_addr(FIXTURE_BALANCER),
         .view.version = 1,
         .forced = true,
         .target_ms = (uint16_t)target_ms,
-        .patience_ms = 1400,
-        .budget_ms = BUDGET_MS,
+        .caller_timeout_ms = 1400,
+        .request_timeout_ms = BUDGET_MS,
         .bytes = syn.bytes,
         .size = syn.size,
     };
@@ -152,12 +152,12 @@
 {
     struct relay_packet syn =
         rig_from_caller(rig_flow(number), RELAY_SYN, 100, 0, 0);
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = fixture->admission.endpoint.service,
         .origin = rig_addr(FIXTURE_BALANCER),
         .target_ms = 200,
-        .patience_ms = 1400,
-        .budget_ms = BUDGET_MS,
+        .caller_timeout_ms = 1400,
+        .request_timeout_ms = BUDGET_MS,
         .best = rig_addr(FIXTURE_SECOND),
         .best_load = 36,
         .bytes = syn.bytes,
--- a/tests/relay/evacuations_test.c
+++ b/tests/relay/evacuations_test.c
@@ -3,7 +3,7 @@
 
 #define SUITE "/relay/evacuations"
 
-TEST(one_is_named_once_and_there_is_an_end_of_room)
+TEST(duplicates_and_overflow)
 {
     struct evacuations evacuations = {.revision = 1};
 
--- a/tests/relay/flow_index_test.c
+++ b/tests/relay/flow_index_test.c
@@ -33,7 +33,7 @@
     flow_index_finish(&index);
 }
 
-TEST(the_quiet_come_first)
+TEST(least_recently_used_comes_first)
 {
     struct flow_index index;
     uint32_t first, second;
@@ -53,7 +53,7 @@
     flow_index_finish(&index);
 }
 
-TEST(a_full_index_makes_room_by_age)
+TEST(a_full_index_evicts_the_oldest)
 {
     struct flow_index index;
 
--- a/tests/relay/format_test.c
+++ b/tests/relay/format_test.c
@@ -11,7 +11,7 @@
 #define MUTATIONS 20000
 
 /* A caller's SYN, second copy, and how it should be read. */
-static const uint8_t syn[PACKET_FORMAT_HEAD] = {
+static const uint8_t syn[PACKET_FORMAT_HEADER_SIZE] = {
     0xd2, 0x04, 0x09, 0x00, 0x40, 0x64, 0x39, 0x30, 0x07, 0x00, 0x12, 0xc6,
     0x78, 0x56, 0x34, 0x12, 0x01, 0x00, 0x00, 0x00, 0xaa, 0xbb, 0xcc, 0xdd,
     0x00, 0x00, 0x04, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00};
@@ -28,7 +28,7 @@
     g_assert_cmpuint(packet.seq, ==, 0x12345678);
     g_assert_cmpuint(packet.flags, ==, RELAY_SYN);
     g_assert_cmpuint(packet.age_ms, ==, 200);
-    g_assert_cmpuint(packet.patience_ms, ==, 1200);
+    g_assert_cmpuint(packet.caller_timeout_ms, ==, 1200);
 }
 
 TEST(a_copy_beyond_the_last_is_as_old_as_the_last)
@@ -45,7 +45,8 @@
 
 TEST(what_is_no_packet_is_refused)
 {
-    uint8_t bytes[PACKET_FORMAT_HEAD + PACKET_FORMAT_DATA_MAX + 1] = {0};
+    uint8_t bytes[PACKET_FORMAT_HEADER_SIZE + PACKET_FORMAT_DATA_MAX + 1] = {
+        0};
     struct relay_packet packet;
 
     memcpy(bytes, syn, sizeof(syn));
@@ -60,7 +61,7 @@
 
 TEST(a_reset_goes_from_the_service_to_the_caller)
 {
-    uint8_t bytes[PACKET_FORMAT_HEAD];
+    uint8_t bytes[PACKET_FORMAT_HEADER_SIZE];
     struct relay_packet packet;
     struct relay_flow flow;
 
@@ -213,7 +214,7 @@
 
 #define BEAT(rest) "{\"service\":\"lots\",\"state\":\"ready\"," rest "}"
 
-TEST(a_start_is_told_by_its_time)
+TEST(an_incarnation_is_known_by_its_time)
 {
     struct heartbeat heartbeat;
 
@@ -228,7 +229,7 @@
     g_assert_cmpuint(heartbeat.started_ms, ==, 1790000000123);
 }
 
-TEST(a_goodbye_may_name_its_start)
+TEST(a_goodbye_may_name_its_incarnation)
 {
     static const struct {
         const char *body;
@@ -241,9 +242,9 @@
                 {"{", 0}};
 
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        g_assert_cmpuint(
-            heartbeat_format_goodbye(rows[i].body, strlen(rows[i].body)), ==,
-            rows[i].started_ms);
+        g_assert_cmpuint(heartbeat_format_goodbye_decode(rows[i].body,
+                                                         strlen(rows[i].body)),
+                         ==, rows[i].started_ms);
     }
 }
 
@@ -312,7 +313,7 @@
     return len;
 }
 
-TEST(mutated_packets_end_no_process)
+TEST(mutated_packets_do_not_crash)
 {
     for (unsigned i = 0; i < MUTATIONS; i++) {
         char bytes[sizeof(syn)];
@@ -322,12 +323,12 @@
         memcpy(bytes, syn, sizeof(syn));
         len = mutate(bytes, sizeof(bytes));
         if (packet_format_decode((uint8_t *)bytes, len, &packet) == 0) {
-            g_assert_cmpuint(packet.len, ==, len - PACKET_FORMAT_HEAD);
+            g_assert_cmpuint(packet.len, ==, len - PACKET_FORMAT_HEADER_SIZE);
         }
     }
 }
 
-TEST(mutated_texts_end_no_process)
+TEST(mutated_texts_do_not_crash)
 {
     static const char beat[] = "{\"service\":\"lots\",\"slots\":3,"
                                "\"state\":\"ready\",\"sequence\":12}";
@@ -384,7 +385,7 @@
 }
 
 static int
-decode_homes(const char *regions, struct routes *routes)
+decode_region_affinity(const char *regions, struct routes *routes)
 {
     char *config = g_strdup_printf(
         "{\"version\":3,\"routes\":[{\"name\":\"a\",\"host\":"
@@ -400,11 +401,12 @@
     return ret;
 }
 
-TEST(homes_of_a_route_are_read)
+TEST(region_affinity_of_a_route_is_read)
 {
     struct routes routes;
 
-    g_assert_cmpint(decode_homes("[\"coast\",\"inland\"]", &routes), ==, 0);
+    g_assert_cmpint(decode_region_affinity("[\"coast\",\"inland\"]", &routes),
+                    ==, 0);
     g_assert_true(region_affinity_allows(&routes.items[0].region_affinity,
                                          region_key("inland")));
     g_assert_false(region_affinity_allows(&routes.items[0].region_affinity,
@@ -412,10 +414,10 @@
     g_assert_false(
         region_affinity_allows(&routes.items[0].region_affinity, 0));
     routes_finish(&routes);
-    g_assert_cmpint(decode_homes("[]", &routes), ==, 0);
+    g_assert_cmpint(decode_region_affinity("[]", &routes), ==, 0);
     g_assert_true(region_affinity_allows(&routes.items[0].region_affinity, 0));
     routes_finish(&routes);
     /* Better the configuration before than a home that is ignored. */
-    g_assert_cmpint(decode_homes("\"coast\"", &routes), ==, -EINVAL);
-    g_assert_cmpint(decode_homes("[7]", &routes), ==, -EINVAL);
+    g_assert_cmpint(decode_region_affinity("\"coast\"", &routes), ==, -EINVAL);
+    g_assert_cmpint(decode_region_affinity("[7]", &routes), ==, -EINVAL);
 }
--- a/tests/relay/forwarder_data_centres_test.c
+++ b/tests/relay/forwarder_data_centres_test.c
@@ -150,7 +150,7 @@
     /* Each copy: the agent that held the flow may have forgotten it. */
     fixture_report(
         fixture, 1,
-        (struct frame_status){.type = FRAME_HELD, .flow = rig_flow(1)});
+        (struct frame_status){.type = FRAME_QUEUED, .flow = rig_flow(1)});
     fixture->frame.slow_start_limit = 0;
     fixture_receive(fixture, rig_from_caller(rig_flow(1), RELAY_SYN, 9, 1, 0));
     g_assert_cmpuint(fixture->frame.slow_start_limit, ==, 12);
--- a/tests/relay/forwarder_fixture.c
+++ b/tests/relay/forwarder_fixture.c
@@ -8,7 +8,7 @@
 
 static void
 forward(struct forwarder_out *out, struct addr agent,
-        const struct frame_carry *frame)
+        const struct frame_forward *frame)
 {
     struct fixture *fixture = (struct fixture *)out;
 
@@ -36,7 +36,8 @@
 }
 
 static void
-ask(struct forwarder_out *out, struct addr agent, const struct frame_ask *ask)
+ask(struct forwarder_out *out, struct addr agent,
+    const struct frame_query *ask)
 {
     struct fixture *fixture = (struct fixture *)out;
 
@@ -51,7 +52,7 @@
 }
 
 static void
-behind(struct forwarder_out *out, const struct frame_version *newer)
+behind(struct forwarder_out *out, const struct frame_config_version *newer)
 {
     rig_note(((struct fixture *)out)->record, "behind %" G_GUINT64_FORMAT,
              newer->version);
@@ -174,7 +175,7 @@
                     uint32_t seq)
 {
     struct frame_status status = {
-        .type = FRAME_PLACED,
+        .type = FRAME_ESTABLISHED,
         .flow = rig_flow(flow),
         .seq = seq,
         .health = {hash_service("lots"), ENDPOINT_READY, 1, 2, false},
@@ -198,7 +199,7 @@
 fixture_abandon(struct fixture *fixture, unsigned agent, unsigned flow)
 {
     fixture_report(fixture, agent,
-                   (struct frame_status){.type = FRAME_PASSED,
+                   (struct frame_status){.type = FRAME_REDIRECTED,
                                          .reason = FRAME_REASON_REFUSED,
                                          .flow = rig_flow(flow)});
 }
--- a/tests/relay/forwarder_fixture.h
+++ b/tests/relay/forwarder_fixture.h
@@ -25,13 +25,13 @@
     GString *record;
     uint64_t now_us;
     struct addr sent;
-    struct frame_carry frame;
+    struct frame_forward frame;
     unsigned carried;
     unsigned pings;
     unsigned lookups;
     unsigned asked;
     unsigned confirms;
-    struct frame_ask ask;
+    struct frame_query ask;
     unsigned readers;
     bool unlisted;
     bool named[FIXTURE_AGENTS_MAX + 1];
--- a/tests/relay/forwarder_moved_test.c
+++ b/tests/relay/forwarder_moved_test.c
@@ -51,7 +51,8 @@
 static void
 deny(struct fixture *fixture, unsigned agent)
 {
-    struct frame_absent frame = {.query = fixture->ask.query, .absent = {ALL}};
+    struct frame_query_reply frame = {.query = fixture->ask.query,
+                                      .absent = {ALL}};
 
     forwarder_query_reply(&fixture->forwarder, fixture_agent_addr(agent),
                           &frame, fixture->now_us);
--- a/tests/relay/forwarder_orphans_test.c
+++ b/tests/relay/forwarder_orphans_test.c
@@ -26,7 +26,7 @@
     GString *record;
     uint64_t now_us;
     bool asked[AGENTS + 1];
-    struct frame_ask ask;
+    struct frame_query ask;
     unsigned questions;
     unsigned carried_to;
     unsigned carried;
@@ -43,7 +43,7 @@
 
 static void
 carry(struct forwarder_out *out, struct addr agent,
-      const struct frame_carry *frame)
+      const struct frame_forward *frame)
 {
     struct fixture *fixture = (struct fixture *)out;
 
@@ -65,7 +65,8 @@
 }
 
 static void
-ask(struct forwarder_out *out, struct addr agent, const struct frame_ask *ask)
+ask(struct forwarder_out *out, struct addr agent,
+    const struct frame_query *ask)
 {
     struct fixture *fixture = (struct fixture *)out;
 
@@ -81,7 +82,7 @@
 }
 
 static void
-behind(struct forwarder_out *out, const struct frame_version *newer)
+behind(struct forwarder_out *out, const struct frame_config_version *newer)
 {
 }
 
@@ -191,7 +192,7 @@
 static void
 answer(struct fixture *fixture, unsigned agent, uint32_t absent, bool silent)
 {
-    struct frame_absent frame = {
+    struct frame_query_reply frame = {
         .query = fixture->ask.query, .silent = silent, .absent = {absent}};
 
     forwarder_query_reply(&fixture->forwarder, agent_addr(agent), &frame,
@@ -281,7 +282,7 @@
 
 TEST_F(fixture, an_answer_to_an_earlier_question_does_not_count, true)
 {
-    struct frame_absent late = {.absent = {ALL}};
+    struct frame_query_reply late = {.absent = {ALL}};
 
     open_question(fixture);
     late.query = fixture->ask.query;
@@ -299,7 +300,7 @@
 TEST_F(fixture, a_flow_that_was_found_is_not_asked_for, false)
 {
     struct frame_status placed = {
-        .type = FRAME_PLACED,
+        .type = FRAME_ESTABLISHED,
         .flow = rig_flow(1),
         .seq = 500,
         .health = {.service = hash_service("lots"),
@@ -548,7 +549,7 @@
 /* Its host is taken away: it needn't be silent for a second first. */
 TEST_F(fixture, who_had_no_endpoint_and_vanishes_is_not_waited_for, true)
 {
-    struct frame_absent down = {.down = true, .absent = {ALL}};
+    struct frame_query_reply down = {.down = true, .absent = {ALL}};
 
     open_question(fixture);
     down.query = fixture->ask.query;
@@ -567,7 +568,7 @@
 
 TEST_F(fixture, unsafe_callers_wait_for_it_all_the_same, false)
 {
-    struct frame_absent down = {.down = true, .absent = {ALL}};
+    struct frame_query_reply down = {.down = true, .absent = {ALL}};
 
     open_question(fixture);
     down.query = fixture->ask.query;
@@ -643,8 +644,8 @@
 /* The store came back older: its list may lack agents that live. */
 TEST_F(fixture, nothing_is_proved_until_all_can_be_listed_again, true)
 {
-    struct evacuations first = {.era = 1, .revision = 90};
-    struct evacuations later = {.era = 2, .revision = 40};
+    struct evacuations first = {.epoch = 1, .revision = 90};
+    struct evacuations later = {.epoch = 2, .revision = 40};
 
     forwarder_evacuations(&fixture->forwarder, &first, false, fixture->now_us);
     forwarder_evacuations(&fixture->forwarder, &later, false, fixture->now_us);
@@ -663,10 +664,10 @@
     rig_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
-/* Its own first word of the store is of that era already. */
+/* Its own first word of the store is of that epoch already. */
 TEST_F(fixture, who_has_started_since_is_told_of_it, true)
 {
-    struct evacuations told = {.era = 2, .unsettled_s = 7};
+    struct evacuations told = {.epoch = 2, .recovery_s = 7};
 
     forwarder_evacuations(&fixture->forwarder, &told, false, fixture->now_us);
     open_question(fixture);
@@ -681,7 +682,8 @@
 static void
 answer_partly(struct fixture *fixture, unsigned agent)
 {
-    struct frame_absent frame = {.query = fixture->ask.query, .partial = true};
+    struct frame_query_reply frame = {.query = fixture->ask.query,
+                                      .partial = true};
 
     forwarder_query_reply(&fixture->forwarder, agent_addr(agent), &frame,
                           fixture->now_us);
--- a/tests/relay/forwarder_test.c
+++ b/tests/relay/forwarder_test.c
@@ -61,7 +61,7 @@
 TEST_F(fixture, whoever_has_the_syn_last_is_blamed, 3)
 {
     struct frame_status passed = {
-        .type = FRAME_PASSED,
+        .type = FRAME_REDIRECTED,
         .reason = FRAME_REASON_BUSY,
         .flow = rig_flow(1),
         .health.state = ENDPOINT_READY,
@@ -186,7 +186,7 @@
 TEST_F(fixture, an_agent_that_lets_go_is_followed_by_the_next, 2)
 {
     struct frame_status passed = {
-        .type = FRAME_PASSED,
+        .type = FRAME_REDIRECTED,
         .reason = FRAME_REASON_LEAVING,
         .flow = rig_flow(1),
         .health.state = ENDPOINT_DRAINING,
@@ -274,7 +274,7 @@
 /* An agent that is dead ends each chain that comes to it. */
 TEST_F(fixture, the_next_search_goes_the_other_way, 4)
 {
-    struct frame_carry frame;
+    struct frame_forward frame;
     struct addr first;
 
     fixture_receive(fixture,
@@ -292,7 +292,7 @@
 {
     struct relay_flow flow = rig_flow(1);
     struct frame_status refused = {
-        .type = FRAME_PASSED,
+        .type = FRAME_REDIRECTED,
         .reason = FRAME_REASON_REFUSED,
         .flow = flow,
         .health.state = ENDPOINT_READY,
@@ -332,7 +332,7 @@
     fixture_receive(fixture, rig_from_caller(flow, RELAY_SYN, 9, 0, 0));
     fixture_established(fixture, fixture_agent_addr(2), 1, 500);
     fixture_report(fixture, 2,
-                   (struct frame_status){.type = FRAME_PASSED,
+                   (struct frame_status){.type = FRAME_REDIRECTED,
                                          .reason = FRAME_REASON_REFUSED,
                                          .flow = flow});
     fixture_receive(fixture, rig_from_caller(flow, RELAY_ACK, 10, 501, 20));
@@ -342,7 +342,7 @@
 TEST_F(fixture, a_flow_whose_endpoint_is_no_more_is_reset, 4)
 {
     struct frame_status refused = {
-        .type = FRAME_PASSED,
+        .type = FRAME_REDIRECTED,
         .reason = FRAME_REASON_REFUSED,
         .flow = rig_flow(1),
     };
@@ -472,7 +472,7 @@
         rig_from_caller(rig_flow(2), RELAY_ACK, 9, 77, 40);
 
     routes_finish(&fixture->forwarder.routes);
-    syn.patience_ms = 1400;
+    syn.caller_timeout_ms = 1400;
     fixture_receive(fixture, syn);
     fixture_receive(fixture, ack);
     /* Only an endpoint can say what becomes of a flow that is open. */
@@ -483,7 +483,7 @@
     fixture_set_routes(fixture, 3, false);
     forwarder_tick(&fixture->forwarder, fixture->now_us);
     g_assert_cmpuint(fixture->carried, ==, 1);
-    g_assert_cmpuint(fixture->frame.patience_ms, ==, 1350);
+    g_assert_cmpuint(fixture->frame.caller_timeout_ms, ==, 1350);
     forwarder_tick(&fixture->forwarder, fixture->now_us);
     g_assert_cmpuint(fixture->carried, ==, 1);
 }
@@ -492,7 +492,7 @@
 {
     struct relay_packet syn = rig_from_caller(rig_flow(1), RELAY_SYN, 9, 0, 0);
 
-    syn.patience_ms = 1400;
+    syn.caller_timeout_ms = 1400;
     fixture->forwarder.agents.list_complete = false;
     fixture_receive(fixture, syn);
     rig_expect(fixture->record, NULL);
@@ -581,10 +581,10 @@
 
 TEST_F(fixture, frames_say_how_the_balancer_keeps_up_with_the_store, 2)
 {
-    fixture->forwarder.reader = FRAME_READER_READS;
+    fixture->forwarder.reader = FRAME_READER_READING;
     fixture_receive(fixture,
                     rig_from_caller(rig_flow(1), RELAY_SYN, 100, 0, 0));
-    g_assert_cmpuint(fixture->frame.view.reader, ==, FRAME_READER_READS);
+    g_assert_cmpuint(fixture->frame.view.reader, ==, FRAME_READER_READING);
     g_assert_cmpuint(fixture->frame.view.version, ==,
                      fixture->forwarder.routes.version);
 }
--- a/tests/relay/frame_test.c
+++ b/tests/relay/frame_test.c
@@ -11,19 +11,19 @@
 static const uint8_t packet[40] = {1, 2, 3, 4};
 
 /* What frames say of evacuations where a test isn't about them. */
-static const struct evacuations nowhere = {.revision = 1};
+static const struct evacuations no_evacuations = {.revision = 1};
 
-static struct frame_carry
-sample_carry(void)
+static struct frame_forward
+sample_forward(void)
 {
-    struct frame_carry carry = {
+    struct frame_forward forward = {
         .service = 0x11223344,
         .origin = rig_addr("10.9.0.1:7720"),
-        .view = {1ull << 40, FRAME_READER_TRIES},
+        .view = {1ull << 40, FRAME_READER_TRYING},
         .forced = true,
         .target_ms = 100,
         .priority = 3,
-        .patience_ms = 1400,
+        .caller_timeout_ms = 1400,
         .slow_start_limit = 35,
         .hops = 2,
         .best = rig_addr("10.0.0.7:7000"),
@@ -34,32 +34,32 @@
     };
 
     for (unsigned i = 0; i < FRAME_NEXT_MAX; i++) {
-        carry.next[i] = (struct addr){0x0a000000 + i, (uint16_t)(7000 + i)};
+        forward.next[i] = (struct addr){0x0a000000 + i, (uint16_t)(7000 + i)};
     }
-    return carry;
+    return forward;
 }
 
-TEST(a_carried_packet_comes_back_as_it_was)
+TEST(forward_round_trip)
 {
-    struct frame_carry carry = sample_carry();
-    struct frame_carry read;
+    struct frame_forward forward = sample_forward();
+    struct frame_forward read;
     uint8_t bytes[FRAME_MAX];
-    size_t size = frame_carry_encode(&carry, &nowhere, bytes);
-
-    g_assert_cmpint(frame_type(bytes, size), ==, FRAME_CARRY);
-    g_assert_cmpint(frame_carry_decode(bytes, size, &read), ==, 0);
-    g_assert_cmpuint(read.service, ==, carry.service);
-    g_assert_true(addr_equal(read.origin, carry.origin));
-    g_assert_cmpuint(read.view.version, ==, carry.view.version);
-    g_assert_cmpuint(read.view.reader, ==, FRAME_READER_TRIES);
+    size_t size = frame_forward_encode(&forward, &no_evacuations, bytes);
+
+    g_assert_cmpint(frame_type(bytes, size), ==, FRAME_FORWARD);
+    g_assert_cmpint(frame_forward_decode(bytes, size, &read), ==, 0);
+    g_assert_cmpuint(read.service, ==, forward.service);
+    g_assert_true(addr_equal(read.origin, forward.origin));
+    g_assert_cmpuint(read.view.version, ==, forward.view.version);
+    g_assert_cmpuint(read.view.reader, ==, FRAME_READER_TRYING);
     g_assert_true(read.forced);
     g_assert_cmpuint(read.target_ms, ==, 100);
     g_assert_cmpuint(read.priority, ==, 3);
-    g_assert_cmpuint(read.patience_ms, ==, 1400);
+    g_assert_cmpuint(read.caller_timeout_ms, ==, 1400);
     g_assert_cmpuint(read.best_load, ==, 48);
     g_assert_cmpuint(read.next_count, ==, FRAME_NEXT_MAX);
     for (unsigned i = 0; i < FRAME_NEXT_MAX; i++) {
-        g_assert_true(addr_equal(read.next[i], carry.next[i]));
+        g_assert_true(addr_equal(read.next[i], forward.next[i]));
     }
     g_assert_cmpmem(read.bytes, read.size, packet, sizeof(packet));
 }
@@ -67,19 +67,19 @@
 TEST(the_largest_frame_fits)
 {
     static uint8_t whole[RELAY_PACKET_MAX];
-    struct frame_carry carry = sample_carry();
+    struct frame_forward forward = sample_forward();
     uint8_t bytes[FRAME_MAX];
 
-    carry.bytes = whole;
-    carry.size = sizeof(whole);
-    g_assert_cmpuint(frame_carry_encode(&carry, &nowhere, bytes), <=,
-                     FRAME_MAX);
+    forward.bytes = whole;
+    forward.size = sizeof(whole);
+    g_assert_cmpuint(frame_forward_encode(&forward, &no_evacuations, bytes),
+                     <=, FRAME_MAX);
 }
 
-TEST(a_status_comes_back_as_it_was)
+TEST(status_round_trip)
 {
     struct frame_status status = {
-        .type = FRAME_PASSED,
+        .type = FRAME_REDIRECTED,
         .reason = FRAME_REASON_BUSY,
         .target = rig_addr("10.0.0.3:7000"),
         .flow = rig_flow(5),
@@ -89,11 +89,11 @@
         .readers = {2, 3},
     };
     struct frame_status read;
-    uint8_t bytes[FRAME_HEAD_MAX];
-    size_t size = frame_status_encode(&status, &nowhere, bytes);
+    uint8_t bytes[FRAME_HEADER_MAX];
+    size_t size = frame_status_encode(&status, &no_evacuations, bytes);
 
     g_assert_cmpint(frame_status_decode(bytes, size, &read), ==, 0);
-    g_assert_cmpuint(read.type, ==, FRAME_PASSED);
+    g_assert_cmpuint(read.type, ==, FRAME_REDIRECTED);
     g_assert_cmpuint(read.reason, ==, FRAME_REASON_BUSY);
     g_assert_true(addr_equal(read.target, status.target));
     g_assert_true(relay_flow_equal(read.flow, status.flow));
@@ -105,45 +105,45 @@
     g_assert_cmpuint(read.readers.trying, ==, 3);
 }
 
-TEST(pings_and_served_addresses_come_back)
+TEST(ping_and_served_round_trip)
 {
-    struct frame_ping ping = {{4, FRAME_READER_TRIES}, true};
+    struct frame_ping ping = {{4, FRAME_READER_TRYING}, true};
     struct frame_ping read = {0};
     struct frame_served served = {
         .service = 3, .addrs = {rig_addr("198.18.0.1:80")}, .count = 1};
     struct frame_served told;
-    uint8_t bytes[FRAME_HEAD_MAX];
-    size_t size = frame_ping_encode(&ping, &nowhere, bytes);
+    uint8_t bytes[FRAME_HEADER_MAX];
+    size_t size = frame_ping_encode(&ping, &no_evacuations, bytes);
 
     g_assert_cmpint(frame_ping_decode(bytes, size, &read), ==, 0);
     g_assert_true(read.unlisted);
-    g_assert_cmpuint(read.view.reader, ==, FRAME_READER_TRIES);
+    g_assert_cmpuint(read.view.reader, ==, FRAME_READER_TRYING);
     g_assert_cmpuint(read.view.version, ==, 4);
-    size = frame_served_encode(&served, &nowhere, bytes);
+    size = frame_served_encode(&served, &no_evacuations, bytes);
     g_assert_cmpint(frame_served_decode(bytes, size, &told), ==, 0);
     g_assert_cmpuint(told.count, ==, 1);
     g_assert_true(addr_equal(told.addrs[0], served.addrs[0]));
 }
 
-TEST(a_part_in_reading_that_is_not_known_is_refused)
+TEST(an_unknown_reader_state_is_refused)
 {
     struct frame_ping ping = {{4, FRAME_READER_MAX + 1}, true};
-    struct frame_carry carry = sample_carry();
+    struct frame_forward forward = sample_forward();
     uint8_t bytes[FRAME_MAX];
-    size_t size = frame_ping_encode(&ping, &nowhere, bytes);
+    size_t size = frame_ping_encode(&ping, &no_evacuations, bytes);
 
     g_assert_cmpint(frame_ping_decode(bytes, size, &ping), ==, -EBADMSG);
-    carry.view.reader = FRAME_READER_MAX + 1;
-    size = frame_carry_encode(&carry, &nowhere, bytes);
-    g_assert_cmpint(frame_carry_decode(bytes, size, &carry), ==, -EBADMSG);
+    forward.view.reader = FRAME_READER_MAX + 1;
+    size = frame_forward_encode(&forward, &no_evacuations, bytes);
+    g_assert_cmpint(frame_forward_decode(bytes, size, &forward), ==, -EBADMSG);
 }
 
 /* Whatever a frame is of, its evacuations come first and the rest is whole. */
 TEST(frames_name_the_evacuated_data_centres)
 {
     struct evacuations evacuations = {
-        .era = 3, .revision = 1ull << 40, .unsettled_s = 17};
-    struct frame_carry carry = sample_carry();
+        .epoch = 3, .revision = 1ull << 40, .recovery_s = 17};
+    struct frame_forward forward = sample_forward();
     struct evacuations told;
     uint8_t bytes[FRAME_MAX];
     size_t size;
@@ -151,20 +151,21 @@
     for (unsigned i = 0; i < EVACUATIONS_MAX; i++) {
         g_assert_true(evacuations_add(&evacuations, 0x80000000u + i));
     }
-    size = frame_carry_encode(&carry, &evacuations, bytes);
-    g_assert_cmpuint(size, <=, FRAME_HEAD_MAX + sizeof(packet));
-    g_assert_cmpint(frame_type(bytes, size), ==, FRAME_CARRY);
-    frame_evacuations(bytes, &told);
-    g_assert_cmpuint(told.era, ==, 3);
-    g_assert_cmpuint(told.unsettled_s, ==, 17);
+    size = frame_forward_encode(&forward, &evacuations, bytes);
+    g_assert_cmpuint(size, <=, FRAME_HEADER_MAX + sizeof(packet));
+    g_assert_cmpint(frame_type(bytes, size), ==, FRAME_FORWARD);
+    frame_evacuations_decode(bytes, &told);
+    g_assert_cmpuint(told.epoch, ==, 3);
+    g_assert_cmpuint(told.recovery_s, ==, 17);
     g_assert_cmpuint(told.revision, ==, 1ull << 40);
     g_assert_cmpuint(told.count, ==, EVACUATIONS_MAX);
-    g_assert_true(evacuations_has(&told, 0x80000000u));
-    g_assert_true(evacuations_has(&told, 0x80000000u + EVACUATIONS_MAX - 1));
-    g_assert_cmpint(frame_carry_decode(bytes, size, &carry), ==, 0);
-    g_assert_cmpuint(carry.best_load, ==, 48);
-    g_assert_cmpuint(carry.slow_start_limit, ==, 35);
-    g_assert_cmpmem(carry.bytes, carry.size, packet, sizeof(packet));
+    g_assert_true(evacuations_contains(&told, 0x80000000u));
+    g_assert_true(
+        evacuations_contains(&told, 0x80000000u + EVACUATIONS_MAX - 1));
+    g_assert_cmpint(frame_forward_decode(bytes, size, &forward), ==, 0);
+    g_assert_cmpuint(forward.best_load, ==, 48);
+    g_assert_cmpuint(forward.slow_start_limit, ==, 35);
+    g_assert_cmpmem(forward.bytes, forward.size, packet, sizeof(packet));
     g_assert_cmpint(frame_type(bytes, 60), ==, -EBADMSG);
     bytes[17] = EVACUATIONS_MAX + 1;
     g_assert_cmpint(frame_type(bytes, size), ==, -EBADMSG);
@@ -177,8 +178,8 @@
 
     g_assert_cmpint(frame_type(bytes, 0), ==, -EBADMSG);
     g_assert_cmpint(frame_type(bytes, 40), ==, -EBADMSG);
-    frame_carry_encode(&(struct frame_carry){.bytes = packet}, &nowhere,
-                       bytes);
+    frame_forward_encode(&(struct frame_forward){.bytes = packet},
+                         &no_evacuations, bytes);
     g_assert_cmpint(frame_type(bytes, FRAME_MAX + 1), ==, -EBADMSG);
     bytes[2]++;
     g_assert_cmpint(frame_type(bytes, 40), ==, -EBADMSG);
@@ -189,28 +190,28 @@
 static void
 read_any(const uint8_t *bytes, size_t size)
 {
-    struct frame_carry carry;
+    struct frame_forward forward;
     struct frame_status status;
     struct frame_ping ping;
     struct frame_served served;
-    struct frame_absent absent;
-    struct frame_ask ask;
+    struct frame_query_reply absent;
+    struct frame_query query;
     struct evacuations evacuations;
 
     if (frame_type(bytes, size) > 0) {
-        frame_evacuations(bytes, &evacuations);
+        frame_evacuations_decode(bytes, &evacuations);
         g_assert_cmpuint(evacuations.count, <=, EVACUATIONS_MAX);
     }
     switch (frame_type(bytes, size)) {
-    case FRAME_CARRY:
-        if (frame_carry_decode(bytes, size, &carry) == 0) {
-            g_assert_cmpuint(carry.next_count, <=, FRAME_NEXT_MAX);
-            g_assert_true(carry.bytes + carry.size == bytes + size);
+    case FRAME_FORWARD:
+        if (frame_forward_decode(bytes, size, &forward) == 0) {
+            g_assert_cmpuint(forward.next_count, <=, FRAME_NEXT_MAX);
+            g_assert_true(forward.bytes + forward.size == bytes + size);
         }
         break;
-    case FRAME_PLACED:
-    case FRAME_PASSED:
-    case FRAME_HELD:
+    case FRAME_ESTABLISHED:
+    case FRAME_REDIRECTED:
+    case FRAME_QUEUED:
     case FRAME_STATE:
         if (frame_status_decode(bytes, size, &status) == 0) {
             g_assert_cmpuint(status.health.state, <=, ENDPOINT_STATE_MAX);
@@ -224,24 +225,24 @@
             g_assert_cmpuint(served.count, <=, FRAME_SERVED_MAX);
         }
         break;
-    case FRAME_ASK:
-        if (frame_ask_decode(bytes, size, &ask) == 0) {
-            g_assert_cmpuint(ask.count, <=, FRAME_ASK_MAX);
+    case FRAME_QUERY:
+        if (frame_query_decode(bytes, size, &query) == 0) {
+            g_assert_cmpuint(query.count, <=, FRAME_QUERY_MAX);
         }
         break;
-    case FRAME_ABSENT:
-        (void)frame_absent_decode(bytes, size, &absent);
+    case FRAME_QUERY_REPLY:
+        (void)frame_query_reply_decode(bytes, size, &absent);
         break;
     default:
         break;
     }
 }
 
-TEST(mutated_frames_end_no_process)
+TEST(mutated_frames_do_not_crash)
 {
-    struct frame_carry carry = sample_carry();
+    struct frame_forward forward = sample_forward();
     uint8_t sample[FRAME_MAX];
-    size_t whole = frame_carry_encode(&carry, &nowhere, sample);
+    size_t whole = frame_forward_encode(&forward, &no_evacuations, sample);
 
     for (unsigned i = 0; i < MUTATIONS; i++) {
         size_t size = (size_t)g_test_rand_int_range(0, (gint32)whole + 1);
@@ -258,79 +259,80 @@
     }
 }
 
-static struct frame_ask
-sample_ask(void)
+static struct frame_query
+sample_query(void)
 {
-    struct frame_ask ask = {.query = 0x01020304,
-                            .view = {1ull << 40, FRAME_READER_TRIES},
-                            .count = FRAME_ASK_MAX};
+    struct frame_query query = {.query = 0x01020304,
+                                .view = {1ull << 40, FRAME_READER_TRYING},
+                                .count = FRAME_QUERY_MAX};
 
-    for (unsigned i = 0; i < FRAME_ASK_MAX; i++) {
-        ask.flows[i] = rig_flow(i);
+    for (unsigned i = 0; i < FRAME_QUERY_MAX; i++) {
+        query.flows[i] = rig_flow(i);
     }
-    return ask;
+    return query;
 }
 
-TEST(a_question_comes_back_as_it_was)
+TEST(query_round_trip)
 {
-    struct frame_ask ask = sample_ask();
-    struct frame_ask read;
+    struct frame_query query = sample_query();
+    struct frame_query read;
     uint8_t bytes[FRAME_MAX];
-    size_t size = frame_ask_encode(&ask, &nowhere, bytes);
+    size_t size = frame_query_encode(&query, &no_evacuations, bytes);
 
     g_assert_cmpuint(size, <=, FRAME_MAX);
-    g_assert_cmpint(frame_type(bytes, size), ==, FRAME_ASK);
-    g_assert_cmpint(frame_ask_decode(bytes, size, &read), ==, 0);
-    g_assert_cmpuint(read.query, ==, ask.query);
-    g_assert_cmpuint(read.view.version, ==, ask.view.version);
-    g_assert_cmpuint(read.view.reader, ==, FRAME_READER_TRIES);
-    g_assert_cmpuint(read.count, ==, FRAME_ASK_MAX);
-    for (unsigned i = 0; i < FRAME_ASK_MAX; i++) {
-        g_assert_true(relay_flow_equal(read.flows[i], ask.flows[i]));
+    g_assert_cmpint(frame_type(bytes, size), ==, FRAME_QUERY);
+    g_assert_cmpint(frame_query_decode(bytes, size, &read), ==, 0);
+    g_assert_cmpuint(read.query, ==, query.query);
+    g_assert_cmpuint(read.view.version, ==, query.view.version);
+    g_assert_cmpuint(read.view.reader, ==, FRAME_READER_TRYING);
+    g_assert_cmpuint(read.count, ==, FRAME_QUERY_MAX);
+    for (unsigned i = 0; i < FRAME_QUERY_MAX; i++) {
+        g_assert_true(relay_flow_equal(read.flows[i], query.flows[i]));
     }
-    g_assert_cmpint(frame_ask_decode(bytes, size - 1, &read), ==, -EBADMSG);
+    g_assert_cmpint(frame_query_decode(bytes, size - 1, &read), ==, -EBADMSG);
     bytes[size] = 0;
-    g_assert_cmpint(frame_ask_decode(bytes, size + 1, &read), ==, -EBADMSG);
+    g_assert_cmpint(frame_query_decode(bytes, size + 1, &read), ==, -EBADMSG);
 }
 
-TEST(an_answer_to_it_comes_back_as_it_was)
+TEST(query_reply_round_trip)
 {
-    struct frame_absent absent = {.query = 9,
-                                  .silent = true,
-                                  .down = true,
-                                  .partial = true,
-                                  .absent = {1, 0x80000000, 5}};
-    struct frame_absent read;
-    uint8_t bytes[FRAME_HEAD_MAX];
-    size_t size = frame_absent_encode(&absent, &nowhere, bytes);
-
-    g_assert_cmpint(frame_type(bytes, size), ==, FRAME_ABSENT);
-    g_assert_cmpint(frame_absent_decode(bytes, size, &read), ==, 0);
+    struct frame_query_reply absent = {.query = 9,
+                                       .silent = true,
+                                       .down = true,
+                                       .partial = true,
+                                       .absent = {1, 0x80000000, 5}};
+    struct frame_query_reply read;
+    uint8_t bytes[FRAME_HEADER_MAX];
+    size_t size = frame_query_reply_encode(&absent, &no_evacuations, bytes);
+
+    g_assert_cmpint(frame_type(bytes, size), ==, FRAME_QUERY_REPLY);
+    g_assert_cmpint(frame_query_reply_decode(bytes, size, &read), ==, 0);
     g_assert_cmpuint(read.query, ==, 9);
     g_assert_true(read.silent);
     g_assert_true(read.down);
     g_assert_true(read.partial);
     g_assert_cmpmem(read.absent, sizeof(read.absent), absent.absent,
                     sizeof(absent.absent));
-    g_assert_cmpint(frame_absent_decode(bytes, size - 1, &read), ==, -EBADMSG);
+    g_assert_cmpint(frame_query_reply_decode(bytes, size - 1, &read), ==,
+                    -EBADMSG);
 }
 
-TEST(mutated_questions_end_no_process)
+TEST(mutated_queries_do_not_crash)
 {
-    struct frame_ask ask = sample_ask();
+    struct frame_query query = sample_query();
     uint8_t bytes[FRAME_MAX];
-    size_t whole = frame_ask_encode(&ask, &nowhere, bytes);
+    size_t whole = frame_query_encode(&query, &no_evacuations, bytes);
 
     for (unsigned i = 0; i < MUTATIONS; i++) {
-        struct frame_ask read;
+        struct frame_query read;
         uint8_t copy[FRAME_MAX];
         size_t size = (size_t)g_test_rand_int_range(4, (gint32)whole + 1);
 
         memcpy(copy, bytes, whole);
         copy[g_test_rand_int_range(4, 20)] =
             (uint8_t)g_test_rand_int_range(0, 256);
-        if (frame_ask_decode(copy, size, &read) == 0) {
-            g_assert_cmpuint(read.count, <=, FRAME_ASK_MAX);
+        if (frame_query_decode(copy, size, &read) == 0) {
+            g_assert_cmpuint(read.count, <=, FRAME_QUERY_MAX);
         }
     }
 }
--- a/tests/relay/readers_world_test.c
+++ b/tests/relay/readers_world_test.c
@@ -120,9 +120,10 @@
     if (is_away(world, front)) {
         return;
     }
-    store_reader_others(&front->reader, status->readers, world->now_us);
+    store_reader_report(&front->reader, status->readers, world->now_us);
     if (status->heard.version > front->version) {
-        store_reader_newer(&front->reader, &status->heard, world->now_us);
+        store_reader_notify_newer(&front->reader, &status->heard,
+                                  world->now_us);
     }
 }
 
@@ -181,15 +182,16 @@
 follow(struct world *world, struct front *front)
 {
     bool silent = front->cut_until_us > world->now_us;
-    bool latest = store_reader_read(&front->reader, failures(world, front),
-                                    world->now_us) == STORE_READ_LATEST;
+    bool latest =
+        store_reader_next_mode(&front->reader, failures(world, front),
+                               world->now_us) == STORE_READ_LATEST;
     uint64_t age_us = latest ? LATEST_US : ANY_US;
 
     world->reader_us += latest && !is_away(world, front) ? MS : 0;
     while (!silent && front->version < world->version &&
            world->committed_us[front->version + 1] + age_us <= world->now_us) {
         front->version++;
-        store_reader_took(&front->reader, front->version);
+        store_reader_applied(&front->reader, front->version);
     }
 }
 
@@ -199,14 +201,14 @@
     unsigned holder = front->reader.newer.holder.ip - front_addr(0).ip;
     const struct front *peer = &world->fronts[holder % world->size.balancers];
 
-    if (!store_reader_asks_peer(&front->reader, failures(world, front),
-                                world->now_us) ||
+    if (!store_reader_needs_peer(&front->reader, failures(world, front),
+                                 world->now_us) ||
         world->now_us - front->asked_us < 150 * MS || is_away(world, peer)) {
         return;
     }
     front->asked_us = world->now_us;
     front->version = MAX(front->version, peer->version);
-    store_reader_took(&front->reader, front->version);
+    store_reader_applied(&front->reader, front->version);
 }
 
 static void
@@ -215,7 +217,7 @@
     struct front *front = &world->fronts[number];
     struct frame_ping ping = {
         .view = {front->version,
-                 store_reader_part(&front->reader, failures(world, front))},
+                 store_reader_state(&front->reader, failures(world, front))},
     };
 
     admission_handle_ping(&world->hosts[host].admission, front_addr(number),
