--- a/tests/relay/registration_test.c
+++ b/tests/relay/registration_test.c
@@ -4,20 +4,20 @@
 #include "lib/harness.h"
 #include "relay/relay_rig.h"
 #include "relay/store/registration.h"
-#include "relay/store_rig.h"
+#include "relay/store_fixture.h"
 
 #define SUITE "/relay/registration"
 #define MS USEC_PER_MSEC
 
-/** struct site - an agent's object is written to a store */
-struct site {
-    struct store_rig rig;
+/** struct fixture - an agent's object is written to a store */
+struct fixture {
+    struct store_fixture store;
     struct registration_writer writer;
     uint64_t now_us;
 };
 
 static void
-site_init(struct site *site)
+fixture_init(struct fixture *fixture)
 {
     struct registration registration = {
         .addr = rig_addr("10.1.0.13:8172"),
@@ -25,138 +25,138 @@
         .data_centre = "here",
     };
 
-    store_rig_init(&site->rig);
-    site->now_us = USEC_PER_SEC;
-    registration_writer_init(&site->writer, &site->rig.store, &registration,
-                             site->now_us);
+    store_fixture_init(&fixture->store);
+    fixture->now_us = USEC_PER_SEC;
+    registration_writer_init(&fixture->writer, &fixture->store.store,
+                             &registration, fixture->now_us);
 }
 
 static void
-site_finish(struct site *site)
+fixture_finish(struct fixture *fixture)
 {
-    store_rig_finish(&site->rig);
+    store_fixture_finish(&fixture->store);
 }
 
 /* Answers the open look with an object that says @service. */
 static void
-answer_look(struct site *site, const char *service)
+reply_to_read(struct fixture *fixture, const char *service)
 {
-    struct registration registration = site->writer.registration;
+    struct registration registration = fixture->writer.registration;
     struct store_object told = {.name = "10-1-0-13-8172", .revision = 7};
     struct store_reply reply = {
-        .era = site->rig.era, .objects = &told, .count = 1};
-    struct store_call *call = site->rig.call;
+        .epoch = fixture->store.epoch, .objects = &told, .count = 1};
+    struct store_call *call = fixture->store.call;
 
     g_strlcpy(registration.service, service, sizeof(registration.service));
     told.value = registration_encode(&registration);
-    site->rig.call = NULL;
+    fixture->store.call = NULL;
     call->done(call, &reply);
     json_object_put(told.value);
 }
 
 static void
-writer_tick(struct site *site, unsigned ms)
+writer_tick(struct fixture *fixture, unsigned ms)
 {
-    for (unsigned i = 0; i < ms && site->rig.call == NULL; i++) {
-        site->now_us += MS;
-        registration_writer_tick(&site->writer, site->now_us);
+    for (unsigned i = 0; i < ms && fixture->store.call == NULL; i++) {
+        fixture->now_us += MS;
+        registration_writer_tick(&fixture->writer, fixture->now_us);
     }
 }
 
-TEST_F(site, a_known_host_writes_nothing)
+TEST_F(fixture, a_known_host_writes_nothing)
 {
-    writer_tick(site, 1);
-    answer_look(site, "lots");
-    g_assert_cmpint(site->writer.step, ==, REGISTRATION_KEPT);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any", NULL);
+    writer_tick(fixture, 1);
+    reply_to_read(fixture, "lots");
+    g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_DONE);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
     /* The look may have been seconds old. */
-    writer_tick(site, 9000);
-    rig_expect(site->rig.record, NULL);
-    writer_tick(site, 2000);
-    answer_look(site, "lots");
-    writer_tick(site, 60000);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any", NULL);
+    writer_tick(fixture, 9000);
+    rig_expect(fixture->store.record, NULL);
+    writer_tick(fixture, 2000);
+    reply_to_read(fixture, "lots");
+    writer_tick(fixture, 60000);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
 }
 
-TEST_F(site, a_host_whose_object_was_removed_after_the_look_writes_it)
+TEST_F(fixture, a_host_whose_object_was_removed_after_the_look_writes_it)
 {
-    writer_tick(site, 1);
-    answer_look(site, "lots");
-    writer_tick(site, 11000);
-    store_rig_answer(&site->rig, -ENOENT, 0, NULL, false);
-    writer_tick(site, 2);
-    store_rig_answer(&site->rig, 0, 12, NULL, false);
-    writer_tick(site, 60000);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any",
+    writer_tick(fixture, 1);
+    reply_to_read(fixture, "lots");
+    writer_tick(fixture, 11000);
+    store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
+    writer_tick(fixture, 2);
+    store_fixture_reply(&fixture->store, 0, 12, NULL, false);
+    writer_tick(fixture, 60000);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
                "get 10-1-0-13-8172 any", "create 10-1-0-13-8172", NULL);
 }
 
-TEST_F(site, an_object_of_the_address_before_is_replaced)
+TEST_F(fixture, an_object_of_the_address_before_is_replaced)
 {
-    writer_tick(site, 1);
-    answer_look(site, "albums");
-    writer_tick(site, 2);
-    store_rig_answer(&site->rig, 0, 9, NULL, false);
-    writer_tick(site, 60000);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any",
+    writer_tick(fixture, 1);
+    reply_to_read(fixture, "albums");
+    writer_tick(fixture, 2);
+    store_fixture_reply(&fixture->store, 0, 9, NULL, false);
+    writer_tick(fixture, 60000);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
                "put 10-1-0-13-8172", NULL);
 }
 
 /* The endpoint may end while its object is still being written. */
-TEST_F(site, a_removal_that_is_wanted_during_a_write_follows_it)
+TEST_F(fixture, a_removal_that_is_wanted_during_a_write_follows_it)
 {
-    writer_tick(site, 1);
-    store_rig_answer(&site->rig, -ENOENT, 0, NULL, false);
-    writer_tick(site, 2);
-    registration_writer_remove(&site->writer, site->now_us);
-    store_rig_answer(&site->rig, 0, 9, NULL, false);
-    g_assert_cmpint(site->writer.step, ==, REGISTRATION_REMOVE);
-    writer_tick(site, 2);
-    store_rig_answer(&site->rig, 0, 12, NULL, false);
-    g_assert_cmpint(site->writer.step, ==, REGISTRATION_GONE);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any",
+    writer_tick(fixture, 1);
+    store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
+    writer_tick(fixture, 2);
+    registration_writer_remove(&fixture->writer, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 9, NULL, false);
+    g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_REMOVE);
+    writer_tick(fixture, 2);
+    store_fixture_reply(&fixture->store, 0, 12, NULL, false);
+    g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_REMOVED);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
                "create 10-1-0-13-8172", "remove 10-1-0-13-8172", NULL);
 }
 
-TEST_F(site, a_new_host_creates_its_object)
+TEST_F(fixture, a_new_host_creates_its_object)
 {
-    writer_tick(site, 1);
-    store_rig_answer(&site->rig, -ENOENT, 0, NULL, false);
-    writer_tick(site, 2);
+    writer_tick(fixture, 1);
+    store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
+    writer_tick(fixture, 2);
     /* The answer was lost, and what the call did was not. */
-    store_rig_answer(&site->rig, -ETIMEDOUT, 0, NULL, false);
-    writer_tick(site, 200);
-    store_rig_answer(&site->rig, -EEXIST, 0, NULL, false);
-    writer_tick(site, 200);
-    store_rig_answer(&site->rig, 0, 9, NULL, false);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any",
+    store_fixture_reply(&fixture->store, -ETIMEDOUT, 0, NULL, false);
+    writer_tick(fixture, 200);
+    store_fixture_reply(&fixture->store, -EEXIST, 0, NULL, false);
+    writer_tick(fixture, 200);
+    store_fixture_reply(&fixture->store, 0, 9, NULL, false);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
                "create 10-1-0-13-8172", "create 10-1-0-13-8172",
                "put 10-1-0-13-8172", NULL);
 }
 
-TEST_F(site, an_object_that_was_taken_away_is_written_anew)
+TEST_F(fixture, an_object_that_was_taken_away_is_written_anew)
 {
-    writer_tick(site, 1);
-    answer_look(site, "lots");
-    registration_writer_again(&site->writer, site->now_us);
-    writer_tick(site, 2);
-    store_rig_answer(&site->rig, 0, 12, NULL, false);
-    g_assert_cmpint(site->writer.step, ==, REGISTRATION_KEPT);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any",
+    writer_tick(fixture, 1);
+    reply_to_read(fixture, "lots");
+    registration_writer_restore(&fixture->writer, fixture->now_us);
+    writer_tick(fixture, 2);
+    store_fixture_reply(&fixture->store, 0, 12, NULL, false);
+    g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_DONE);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
                "create 10-1-0-13-8172", NULL);
 }
 
-TEST_F(site, a_removal_is_repeated_until_it_is_done)
+TEST_F(fixture, a_removal_is_repeated_until_it_is_done)
 {
-    writer_tick(site, 1);
-    answer_look(site, "lots");
-    registration_writer_remove(&site->writer, site->now_us);
-    writer_tick(site, 2);
-    store_rig_answer(&site->rig, -EBUSY, 0, NULL, false);
-    writer_tick(site, 500);
-    store_rig_answer(&site->rig, -ENOENT, 0, NULL, false);
-    g_assert_cmpint(site->writer.step, ==, REGISTRATION_GONE);
-    g_assert_cmpuint(registration_writer_next_us(&site->writer), ==,
+    writer_tick(fixture, 1);
+    reply_to_read(fixture, "lots");
+    registration_writer_remove(&fixture->writer, fixture->now_us);
+    writer_tick(fixture, 2);
+    store_fixture_reply(&fixture->store, -EBUSY, 0, NULL, false);
+    writer_tick(fixture, 500);
+    store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
+    g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_REMOVED);
+    g_assert_cmpuint(registration_writer_next_us(&fixture->writer), ==,
                      UINT64_MAX);
 }
 
@@ -228,69 +228,73 @@
 }
 
 /* The store came back from a copy that is some seconds old. */
-TEST_F(site, after_the_store_came_back_older_it_is_looked_for_again)
+TEST_F(fixture, a_store_rollback_causes_a_reread)
 {
-    site->rig.era = 1;
-    writer_tick(site, 10);
-    store_rig_answer(&site->rig, -ENOENT, 0, NULL, false);
-    writer_tick(site, 10);
-    store_rig_answer(&site->rig, 0, 5, "a", false);
-    g_string_truncate(site->rig.record, 0);
-    g_assert_false(registration_writer_era(&site->writer, 1, site->now_us));
-    writer_tick(site, 20000);
-    rig_expect(site->rig.record, NULL);
-    g_assert_true(registration_writer_era(&site->writer, 2, site->now_us));
-    site->rig.era = 2;
-    writer_tick(site, 3000);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any", NULL);
+    fixture->store.epoch = 1;
+    writer_tick(fixture, 10);
+    store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
+    writer_tick(fixture, 10);
+    store_fixture_reply(&fixture->store, 0, 5, "a", false);
+    g_string_truncate(fixture->store.record, 0);
+    g_assert_false(
+        registration_writer_set_epoch(&fixture->writer, 1, fixture->now_us));
+    writer_tick(fixture, 20000);
+    rig_expect(fixture->store.record, NULL);
+    g_assert_true(
+        registration_writer_set_epoch(&fixture->writer, 2, fixture->now_us));
+    fixture->store.epoch = 2;
+    writer_tick(fixture, 3000);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
     /* Only what is missing is written. */
-    store_rig_answer(&site->rig, -ENOENT, 0, NULL, false);
-    writer_tick(site, 10);
-    rig_expect(site->rig.record, "create 10-1-0-13-8172", NULL);
+    store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
+    writer_tick(fixture, 10);
+    rig_expect(fixture->store.record, "create 10-1-0-13-8172", NULL);
 }
 
-TEST_F(site, what_is_found_then_may_be_old_and_is_looked_for_twice)
+TEST_F(fixture, a_stale_read_after_a_rollback_is_repeated)
 {
-    site->rig.era = 1;
-    writer_tick(site, 10);
-    answer_look(site, "lots");
-    registration_writer_era(&site->writer, 2, site->now_us);
-    site->rig.era = 2;
-    g_string_truncate(site->rig.record, 0);
-    writer_tick(site, 3000);
-    answer_look(site, "lots");
-    writer_tick(site, 12000);
-    rig_expect(site->rig.record, "get 10-1-0-13-8172 any",
+    fixture->store.epoch = 1;
+    writer_tick(fixture, 10);
+    reply_to_read(fixture, "lots");
+    registration_writer_set_epoch(&fixture->writer, 2, fixture->now_us);
+    fixture->store.epoch = 2;
+    g_string_truncate(fixture->store.record, 0);
+    writer_tick(fixture, 3000);
+    reply_to_read(fixture, "lots");
+    writer_tick(fixture, 12000);
+    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
                "get 10-1-0-13-8172 any", NULL);
 }
 
-TEST_F(site, what_was_removed_is_removed_again)
+TEST_F(fixture, what_was_removed_is_removed_again)
 {
-    site->rig.era = 1;
-    writer_tick(site, 10);
-    answer_look(site, "lots");
-    registration_writer_remove(&site->writer, site->now_us);
-    writer_tick(site, 10);
-    store_rig_answer(&site->rig, 0, 0, NULL, false);
-    g_string_truncate(site->rig.record, 0);
-    registration_writer_era(&site->writer, 2, site->now_us);
-    writer_tick(site, 3000);
-    rig_expect(site->rig.record, "remove 10-1-0-13-8172", NULL);
+    fixture->store.epoch = 1;
+    writer_tick(fixture, 10);
+    reply_to_read(fixture, "lots");
+    registration_writer_remove(&fixture->writer, fixture->now_us);
+    writer_tick(fixture, 10);
+    store_fixture_reply(&fixture->store, 0, 0, NULL, false);
+    g_string_truncate(fixture->store.record, 0);
+    registration_writer_set_epoch(&fixture->writer, 2, fixture->now_us);
+    writer_tick(fixture, 3000);
+    rig_expect(fixture->store.record, "remove 10-1-0-13-8172", NULL);
 }
 
-/* A frame can tell of any era. */
-TEST_F(site, an_era_that_the_store_is_not_in_costs_two_looks)
+/* A frame can tell of any epoch. */
+TEST_F(fixture, a_false_epoch_costs_two_reads)
 {
-    site->rig.era = 1;
-    writer_tick(site, 10);
-    answer_look(site, "lots");
-    g_assert_true(registration_writer_era(&site->writer, 900, site->now_us));
-    writer_tick(site, 3000);
-    answer_look(site, "lots");
-    writer_tick(site, 12000);
-    answer_look(site, "lots");
-    g_assert_false(registration_writer_era(&site->writer, 900, site->now_us));
-    g_string_truncate(site->rig.record, 0);
-    writer_tick(site, 20000);
-    rig_expect(site->rig.record, NULL);
+    fixture->store.epoch = 1;
+    writer_tick(fixture, 10);
+    reply_to_read(fixture, "lots");
+    g_assert_true(
+        registration_writer_set_epoch(&fixture->writer, 900, fixture->now_us));
+    writer_tick(fixture, 3000);
+    reply_to_read(fixture, "lots");
+    writer_tick(fixture, 12000);
+    reply_to_read(fixture, "lots");
+    g_assert_false(
+        registration_writer_set_epoch(&fixture->writer, 900, fixture->now_us));
+    g_string_truncate(fixture->store.record, 0);
+    writer_tick(fixture, 20000);
+    rig_expect(fixture->store.record, NULL);
 }
--- a/tests/relay/slow_start_test.c
+++ b/tests/relay/slow_start_test.c
@@ -146,13 +146,13 @@
 {
     struct relay_packet syn =
         rig_from_caller(rig_flow(number), RELAY_SYN, 100, 0, 0);
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = fixture->admission.endpoint.service,
         .origin = rig_addr(FIXTURE_BALANCER),
         .view.version = 1,
         .forced = forced,
         .target_ms = 1000,
-        .patience_ms = 1400,
+        .caller_timeout_ms = 1400,
         .slow_start_limit = 1,
         .next = {rig_addr(FIXTURE_SECOND)},
         .next_count = (uint8_t)next,
@@ -202,11 +202,11 @@
 {
     struct relay_packet syn =
         rig_from_caller(rig_flow(2), RELAY_SYN, 100, 0, 0);
-    struct frame_carry frame = {
+    struct frame_forward frame = {
         .service = fixture->admission.endpoint.service,
         .origin = rig_addr(FIXTURE_BALANCER),
         .target_ms = 1000,
-        .patience_ms = 1400,
+        .caller_timeout_ms = 1400,
         .next = {rig_addr(FIXTURE_SECOND)},
         .next_count = 1,
         .bytes = syn.bytes,
--- a/tests/relay/syn_queue_test.c
+++ b/tests/relay/syn_queue_test.c
@@ -18,7 +18,7 @@
         rig_from_caller(rig_flow(caller), RELAY_SYN, 100, 0, 0);
 
     packet.age_ms = age_ms;
-    packet.patience_ms = (uint16_t)(1400 - age_ms);
+    packet.caller_timeout_ms = (uint16_t)(1400 - age_ms);
     return packet;
 }
 
@@ -51,7 +51,7 @@
     g_assert_cmpuint(take(START_US + 100 * MS, &packet), ==,
                      rig_flow(2).caller.port);
     g_assert_cmpuint(packet.age_ms, ==, 90);
-    g_assert_cmpuint(packet.patience_ms, ==, 1310);
+    g_assert_cmpuint(packet.caller_timeout_ms, ==, 1310);
     g_assert_cmpuint(packet.size, ==, RIG_DATA);
     g_assert_cmpuint(take(START_US + 100 * MS, &packet), ==,
                      rig_flow(3).caller.port);
--- a/tests/relay/watcher_test.c
+++ b/tests/relay/watcher_test.c
@@ -5,14 +5,14 @@
 #include "lib/harness.h"
 #include "relay/relay_rig.h"
 #include "relay/store/watcher.h"
-#include "relay/store_rig.h"
+#include "relay/store_fixture.h"
 
 #define SUITE "/relay/watcher"
 #define MS USEC_PER_MSEC
 
-/** struct site - a watcher of a store */
-struct site {
-    struct store_rig rig;
+/** struct fixture - a watcher of a store */
+struct fixture {
+    struct store_fixture store;
     struct watcher watcher;
     uint64_t now_us;
 };
@@ -20,21 +20,21 @@
 static void
 listing(struct watcher *watcher)
 {
-    rig_note(container_of(watcher, struct site, watcher)->rig.record,
+    rig_note(container_of(watcher, struct fixture, watcher)->store.record,
              "listing");
 }
 
 static void
 object(struct watcher *watcher, const struct store_object *told)
 {
-    rig_note(container_of(watcher, struct site, watcher)->rig.record,
+    rig_note(container_of(watcher, struct fixture, watcher)->store.record,
              "object %s%s", told->name, told->removed ? " removed" : "");
 }
 
 static void
 listed(struct watcher *watcher)
 {
-    rig_note(container_of(watcher, struct site, watcher)->rig.record,
+    rig_note(container_of(watcher, struct fixture, watcher)->store.record,
              "listed");
 }
 
@@ -42,7 +42,7 @@
 ended(struct watcher *watcher, int status, bool changed)
 {
     if (changed) {
-        rig_note(container_of(watcher, struct site, watcher)->rig.record,
+        rig_note(container_of(watcher, struct fixture, watcher)->store.record,
                  status == 0 ? "reached" : "lost");
     }
 }
@@ -50,119 +50,119 @@
 static const struct watcher_ops watcher_ops = {listing, object, listed, ended};
 
 static void
-site_init(struct site *site)
+fixture_init(struct fixture *fixture)
 {
-    store_rig_init(&site->rig);
-    site->now_us = USEC_PER_SEC;
-    watcher_init(&site->watcher, &watcher_ops, &site->rig.store, "kind",
-                 (struct watcher_pace){0}, 1, site->now_us);
+    store_fixture_init(&fixture->store);
+    fixture->now_us = USEC_PER_SEC;
+    watcher_init(&fixture->watcher, &watcher_ops, &fixture->store.store,
+                 "kind", (struct watcher_backoff){0}, 1, fixture->now_us);
 }
 
 static void
-site_finish(struct site *site)
+fixture_finish(struct fixture *fixture)
 {
-    watcher_finish(&site->watcher);
-    store_rig_finish(&site->rig);
+    watcher_finish(&fixture->watcher);
+    store_fixture_finish(&fixture->store);
 }
 
 /* Time until the follower calls, in ms; at most 10 s. */
 static unsigned
-wait_for_call(struct site *site)
+wait_for_call(struct fixture *fixture)
 {
     unsigned waited = 0;
 
-    watcher_tick(&site->watcher, site->now_us);
-    while (site->rig.call == NULL && waited < 10000) {
-        site->now_us += MS;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    while (fixture->store.call == NULL && waited < 10000) {
+        fixture->now_us += MS;
         waited++;
-        watcher_tick(&site->watcher, site->now_us);
+        watcher_tick(&fixture->watcher, fixture->now_us);
     }
     return waited;
 }
 
-TEST_F(site, a_list_is_followed_by_a_watch_from_where_it_was)
+TEST_F(fixture, a_list_is_followed_by_a_watch_from_where_it_was)
 {
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 30, "a", true);
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 34, "b", false);
-    watcher_tick(&site->watcher, site->now_us);
-    rig_expect(site->rig.record, "list kind -", "listing", "object a",
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 30, "a", true);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 34, "b", false);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    rig_expect(fixture->store.record, "list kind -", "listing", "object a",
                "reached", "list kind a", "object b", "listed", "watch kind 30",
                NULL);
-    store_rig_answer(&site->rig, 0, 36, "c", false);
-    watcher_tick(&site->watcher, site->now_us);
-    rig_expect(site->rig.record, "object c", "watch kind 36", NULL);
+    store_fixture_reply(&fixture->store, 0, 36, "c", false);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    rig_expect(fixture->store.record, "object c", "watch kind 36", NULL);
 }
 
-TEST_F(site, a_cut_watch_goes_on_and_a_lost_history_is_listed)
+TEST_F(fixture, a_cut_watch_goes_on_and_a_lost_history_is_listed)
 {
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 30, NULL, false);
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, -ECONNRESET, 0, NULL, false);
-    g_string_truncate(site->rig.record, 0);
-    g_assert_cmpuint(wait_for_call(site), >=, 50);
-    rig_expect(site->rig.record, "watch kind 30", NULL);
-    store_rig_answer(&site->rig, -ESTALE, 0, NULL, false);
-    g_string_truncate(site->rig.record, 0);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "list kind -", NULL);
-    store_rig_answer(&site->rig, 0, 50, NULL, false);
-    rig_expect(site->rig.record, "listing", "listed", "reached", NULL);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 30, NULL, false);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, -ECONNRESET, 0, NULL, false);
+    g_string_truncate(fixture->store.record, 0);
+    g_assert_cmpuint(wait_for_call(fixture), >=, 50);
+    rig_expect(fixture->store.record, "watch kind 30", NULL);
+    store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
+    g_string_truncate(fixture->store.record, 0);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "list kind -", NULL);
+    store_fixture_reply(&fixture->store, 0, 50, NULL, false);
+    rig_expect(fixture->store.record, "listing", "listed", "reached", NULL);
 }
 
 /* A store that has fallen silent never answers a call that reached it then,
  * also not when it is back. */
-TEST_F(site, a_watch_is_brief_until_the_store_has_shown_that_it_answers)
+TEST_F(fixture, a_watch_is_short_until_the_store_answers)
 {
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 7, NULL, false);
-    wait_for_call(site);
-    g_assert_cmpuint(site->rig.wait_ms, >=, 2000);
-    g_assert_cmpuint(site->rig.wait_ms, <=, 3000);
-    store_rig_answer(&site->rig, 0, 7, NULL, false);
-    wait_for_call(site);
-    g_assert_cmpuint(site->rig.wait_ms, ==, 15000);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 7, NULL, false);
+    wait_for_call(fixture);
+    g_assert_cmpuint(fixture->store.wait_ms, >=, 2000);
+    g_assert_cmpuint(fixture->store.wait_ms, <=, 3000);
+    store_fixture_reply(&fixture->store, 0, 7, NULL, false);
+    wait_for_call(fixture);
+    g_assert_cmpuint(fixture->store.wait_ms, ==, 15000);
     /* Everybody's watch ends with a change, and all ask again at once. */
-    store_rig_answer(&site->rig, 0, 8, "a", false);
-    wait_for_call(site);
-    g_assert_cmpuint(site->rig.wait_ms, <=, 3000);
-    store_rig_answer(&site->rig, -ECONNRESET, 0, NULL, false);
-    wait_for_call(site);
-    g_assert_cmpuint(site->rig.wait_ms, ==, 500);
-    store_rig_answer(&site->rig, 0, 8, NULL, false);
-    wait_for_call(site);
-    g_assert_cmpuint(site->rig.wait_ms, ==, 15000);
+    store_fixture_reply(&fixture->store, 0, 8, "a", false);
+    wait_for_call(fixture);
+    g_assert_cmpuint(fixture->store.wait_ms, <=, 3000);
+    store_fixture_reply(&fixture->store, -ECONNRESET, 0, NULL, false);
+    wait_for_call(fixture);
+    g_assert_cmpuint(fixture->store.wait_ms, ==, 500);
+    store_fixture_reply(&fixture->store, 0, 8, NULL, false);
+    wait_for_call(fixture);
+    g_assert_cmpuint(fixture->store.wait_ms, ==, 15000);
 }
 
-TEST_F(site, pauses_grow_while_changes_keep_coming)
+TEST_F(fixture, pauses_grow_while_changes_keep_coming)
 {
     static const unsigned pauses[] = {100, 200, 400, 800, 1000, 1000};
 
-    site->watcher.pace = (struct watcher_pace){100 * MS, 1000 * MS};
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 7, NULL, false);
+    fixture->watcher.backoff = (struct watcher_backoff){100 * MS, 1000 * MS};
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 7, NULL, false);
     for (unsigned i = 0; i < G_N_ELEMENTS(pauses); i++) {
-        g_assert_cmpuint(wait_for_call(site), ==, pauses[i]);
-        store_rig_answer(&site->rig, 0, 8 + i, "a", false);
+        g_assert_cmpuint(wait_for_call(fixture), ==, pauses[i]);
+        store_fixture_reply(&fixture->store, 0, 8 + i, "a", false);
     }
     /* A change that comes alone is followed by the shortest. */
-    wait_for_call(site);
-    site->now_us += 1500 * MS;
-    store_rig_answer(&site->rig, 0, 20, "a", false);
-    g_assert_cmpuint(wait_for_call(site), ==, 100);
+    wait_for_call(fixture);
+    fixture->now_us += 1500 * MS;
+    store_fixture_reply(&fixture->store, 0, 20, "a", false);
+    g_assert_cmpuint(wait_for_call(fixture), ==, 100);
 }
 
-TEST_F(site, pauses_grow_while_the_store_is_away)
+TEST_F(fixture, pauses_grow_while_the_store_is_away)
 {
     unsigned before = 0;
     unsigned calls = 0;
 
-    watcher_tick(&site->watcher, site->now_us);
-    while (site->now_us < 11 * USEC_PER_SEC) {
-        store_rig_answer(&site->rig, -ECONNREFUSED, 0, NULL, false);
-        before = wait_for_call(site);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    while (fixture->now_us < 11 * USEC_PER_SEC) {
+        store_fixture_reply(&fixture->store, -ECONNREFUSED, 0, NULL, false);
+        before = wait_for_call(fixture);
         calls++;
     }
     g_assert_cmpuint(before, >=, 800);
@@ -170,282 +170,283 @@
     g_assert_cmpuint(calls, <, 20);
 }
 
-TEST_F(site, whoever_is_told_of_its_return_tries_rarely_and_then_soon)
+TEST_F(fixture, slow_retry_until_peers_report_its_return)
 {
     unsigned waited = 0;
 
-    site->watcher.patient = true;
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, -EBUSY, 0, NULL, false);
-    g_assert_cmpuint(wait_for_call(site), >=, 400);
+    fixture->watcher.slow_retry = true;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, -EBUSY, 0, NULL, false);
+    g_assert_cmpuint(wait_for_call(fixture), >=, 400);
     for (unsigned i = 0; i < 12; i++) {
-        store_rig_answer(&site->rig, -EBUSY, 0, NULL, false);
-        waited = wait_for_call(site);
+        store_fixture_reply(&fixture->store, -EBUSY, 0, NULL, false);
+        waited = wait_for_call(fixture);
     }
     g_assert_cmpuint(waited, >=, 3200);
     g_assert_cmpuint(waited, <=, 4000);
-    store_rig_answer(&site->rig, -EBUSY, 0, NULL, false);
-    watcher_tick(&site->watcher, site->now_us);
-    watcher_retry(&site->watcher, site->now_us);
-    g_assert_cmpuint(wait_for_call(site), <=, 300);
+    store_fixture_reply(&fixture->store, -EBUSY, 0, NULL, false);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    watcher_retry(&fixture->watcher, fixture->now_us);
+    g_assert_cmpuint(wait_for_call(fixture), <=, 300);
 }
 
-TEST_F(site, pauses_stay_short_for_who_cannot_work_without)
+TEST_F(fixture, fast_retry_keeps_pauses_short)
 {
-    site->watcher.eager = true;
-    watcher_tick(&site->watcher, site->now_us);
+    fixture->watcher.fast_retry = true;
+    watcher_tick(&fixture->watcher, fixture->now_us);
     for (unsigned i = 0; i < 20; i++) {
-        store_rig_answer(&site->rig, -EBUSY, 0, NULL, false);
-        g_assert_cmpuint(wait_for_call(site), <=, 190);
+        store_fixture_reply(&fixture->store, -EBUSY, 0, NULL, false);
+        g_assert_cmpuint(wait_for_call(fixture), <=, 190);
     }
 }
 
-TEST_F(site, a_store_that_does_not_answer_is_away)
+TEST_F(fixture, a_store_that_does_not_answer_is_away)
 {
-    g_assert_false(watcher_is_away(&site->watcher, site->now_us, 60 * MS));
-    watcher_tick(&site->watcher, site->now_us);
     g_assert_false(
-        watcher_is_away(&site->watcher, site->now_us + 50 * MS, 60 * MS));
-    g_assert_true(
-        watcher_is_away(&site->watcher, site->now_us + 70 * MS, 60 * MS));
-    store_rig_answer(&site->rig, 0, 3, NULL, false);
-    watcher_tick(&site->watcher, site->now_us);
-    g_assert_false(
-        watcher_is_away(&site->watcher, site->now_us + 9000 * MS, 60 * MS));
+        watcher_is_away(&fixture->watcher, fixture->now_us, 60 * MS));
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    g_assert_false(watcher_is_away(&fixture->watcher,
+                                   fixture->now_us + 50 * MS, 60 * MS));
+    g_assert_true(watcher_is_away(&fixture->watcher, fixture->now_us + 70 * MS,
+                                  60 * MS));
+    store_fixture_reply(&fixture->store, 0, 3, NULL, false);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    g_assert_false(watcher_is_away(&fixture->watcher,
+                                   fixture->now_us + 9000 * MS, 60 * MS));
 }
 
-TEST_F(site, a_watch_of_old_changes_ends_when_the_latest_are_wanted)
+TEST_F(fixture, a_watch_of_old_changes_ends_when_the_latest_are_wanted)
 {
-    site->watcher.read = STORE_READ_ANY;
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 30, NULL, false);
-    watcher_tick(&site->watcher, site->now_us);
-    watcher_set_read(&site->watcher, STORE_READ_LATEST);
-    watcher_tick(&site->watcher, site->now_us);
-    rig_expect(site->rig.record, "list kind - any", "listing", "listed",
+    fixture->watcher.read = STORE_READ_STALE;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 30, NULL, false);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    rig_expect(fixture->store.record, "list kind - any", "listing", "listed",
                "reached", "watch kind 30 any", "cancel", "watch kind 30",
                NULL);
     /* The better one may go on to its end. */
-    watcher_set_read(&site->watcher, STORE_READ_ANY);
-    watcher_tick(&site->watcher, site->now_us);
-    rig_expect(site->rig.record, NULL);
-    store_rig_answer(&site->rig, 0, 31, "a", false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "object a", "watch kind 31 any", NULL);
+    watcher_set_read(&fixture->watcher, STORE_READ_STALE);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    rig_expect(fixture->store.record, NULL);
+    store_fixture_reply(&fixture->store, 0, 31, "a", false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "object a", "watch kind 31 any", NULL);
     /* A list goes on to its end. */
-    store_rig_answer(&site->rig, -ESTALE, 0, NULL, false);
-    wait_for_call(site);
-    watcher_set_read(&site->watcher, STORE_READ_LATEST);
-    rig_expect(site->rig.record, "lost", "list kind -", NULL);
-    store_rig_answer(&site->rig, 0, 40, NULL, false);
+    store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
+    wait_for_call(fixture);
+    watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
+    rig_expect(fixture->store.record, "lost", "list kind -", NULL);
+    store_fixture_reply(&fixture->store, 0, 40, NULL, false);
 }
 
 /* The store has forgotten what followed on what is known. A list as old as
  * that would bring nothing new, and the next watch would fail like the last.
  */
-TEST_F(site, after_a_lost_history_the_list_is_the_latest)
+TEST_F(fixture, after_a_lost_history_the_list_is_the_latest)
 {
-    site->watcher.read = STORE_READ_ANY;
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 30, NULL, false);
-    wait_for_call(site);
-    store_rig_answer(&site->rig, -ESTALE, 0, NULL, false);
-    g_string_truncate(site->rig.record, 0);
-    wait_for_call(site);
+    fixture->watcher.read = STORE_READ_STALE;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 30, NULL, false);
+    wait_for_call(fixture);
+    store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
+    g_string_truncate(fixture->store.record, 0);
+    wait_for_call(fixture);
     /* Also when a call fails meanwhile, and on each page. */
-    store_rig_answer(&site->rig, -ECONNRESET, 0, NULL, false);
-    wait_for_call(site);
-    store_rig_answer(&site->rig, 0, 31, "a", true);
-    wait_for_call(site);
-    store_rig_answer(&site->rig, 0, 31, "b", false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "list kind -", "list kind -", "listing",
+    store_fixture_reply(&fixture->store, -ECONNRESET, 0, NULL, false);
+    wait_for_call(fixture);
+    store_fixture_reply(&fixture->store, 0, 31, "a", true);
+    wait_for_call(fixture);
+    store_fixture_reply(&fixture->store, 0, 31, "b", false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "list kind -", "list kind -", "listing",
                "object a", "reached", "list kind a", "object b", "listed",
                "watch kind 31 any", NULL);
 }
 
-TEST_F(site, a_list_that_is_older_than_what_is_known_is_read_anew)
+TEST_F(fixture, a_list_that_is_older_than_what_is_known_is_read_anew)
 {
-    site->watcher.read = STORE_READ_ANY;
-    site->watcher.revision = 30;
-    watcher_tick(&site->watcher, site->now_us);
-    g_string_truncate(site->rig.record, 0);
-    store_rig_answer(&site->rig, 0, 28, "a", false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "reached", "list kind -", NULL);
-    store_rig_answer(&site->rig, 0, 31, "b", false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "listing", "object b", "listed",
+    fixture->watcher.read = STORE_READ_STALE;
+    fixture->watcher.revision = 30;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    g_string_truncate(fixture->store.record, 0);
+    store_fixture_reply(&fixture->store, 0, 28, "a", false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "reached", "list kind -", NULL);
+    store_fixture_reply(&fixture->store, 0, 31, "b", false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "listing", "object b", "listed",
                "watch kind 31 any", NULL);
 }
 
 /* Then the store itself has lost what it knew. */
-TEST_F(site, the_latest_list_is_taken_whatever_its_revision)
+TEST_F(fixture, the_latest_list_is_taken_whatever_its_revision)
 {
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 30, NULL, false);
-    wait_for_call(site);
-    store_rig_answer(&site->rig, -ESTALE, 0, NULL, false);
-    wait_for_call(site);
-    g_string_truncate(site->rig.record, 0);
-    store_rig_answer(&site->rig, 0, 5, "a", false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "listing", "object a", "listed", "reached",
-               "watch kind 5", NULL);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 30, NULL, false);
+    wait_for_call(fixture);
+    store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
+    wait_for_call(fixture);
+    g_string_truncate(fixture->store.record, 0);
+    store_fixture_reply(&fixture->store, 0, 5, "a", false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "listing", "object a", "listed",
+               "reached", "watch kind 5", NULL);
 }
 
-TEST_F(site, reads_may_be_old_where_the_owner_says_so)
+TEST_F(fixture, reads_may_be_old_where_the_owner_says_so)
 {
-    site->watcher.read = STORE_READ_ANY;
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 30, NULL, false);
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, -ESTALE, 0, NULL, false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "list kind - any", "listing", "listed",
+    fixture->watcher.read = STORE_READ_STALE;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 30, NULL, false);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "list kind - any", "listing", "listed",
                "reached", "watch kind 30 any", "lost", "list kind -", NULL);
-    store_rig_answer(&site->rig, 0, 50, NULL, false);
+    store_fixture_reply(&fixture->store, 0, 50, NULL, false);
 }
 
 /* The store came back from a copy that is some seconds old: what was read of
  * it is void, also where a watch from there would succeed. */
 static void
-follow_in_era(struct site *site, uint32_t era)
+watch_in_epoch(struct fixture *fixture, uint32_t epoch)
 {
-    site->rig.era = era;
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 30, "a", false);
-    wait_for_call(site);
-    g_string_truncate(site->rig.record, 0);
+    fixture->store.epoch = epoch;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 30, "a", false);
+    wait_for_call(fixture);
+    g_string_truncate(fixture->store.record, 0);
 }
 
-TEST_F(site, a_watch_of_a_later_era_is_followed_by_a_list)
+TEST_F(fixture, a_watch_of_a_later_epoch_causes_a_relist)
 {
-    follow_in_era(site, 1);
-    site->rig.era = 2;
-    store_rig_answer(&site->rig, 0, 31, "b", false);
-    g_assert_cmpuint(wait_for_call(site), <=, 300);
-    rig_expect(site->rig.record, "list kind -", NULL);
+    watch_in_epoch(fixture, 1);
+    fixture->store.epoch = 2;
+    store_fixture_reply(&fixture->store, 0, 31, "b", false);
+    g_assert_cmpuint(wait_for_call(fixture), <=, 300);
+    rig_expect(fixture->store.record, "list kind -", NULL);
     /* Lower than what was known, and the only thing that stands. */
-    store_rig_answer(&site->rig, 0, 25, "c", false);
-    rig_expect(site->rig.record, "listing", "object c", "listed", NULL);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "watch kind 25", NULL);
+    store_fixture_reply(&fixture->store, 0, 25, "c", false);
+    rig_expect(fixture->store.record, "listing", "object c", "listed", NULL);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "watch kind 25", NULL);
 }
 
-TEST_F(site, a_lost_history_of_a_later_era_costs_one_list)
+TEST_F(fixture, a_lost_history_of_a_later_epoch_costs_one_list)
 {
-    follow_in_era(site, 1);
-    site->rig.era = 2;
-    store_rig_answer(&site->rig, -ESTALE, 0, NULL, false);
-    g_assert_cmpuint(wait_for_call(site), <=, 300);
-    store_rig_answer(&site->rig, 0, 25, NULL, false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "lost", "list kind -", "listing", "listed",
-               "reached", "watch kind 25", NULL);
+    watch_in_epoch(fixture, 1);
+    fixture->store.epoch = 2;
+    store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
+    g_assert_cmpuint(wait_for_call(fixture), <=, 300);
+    store_fixture_reply(&fixture->store, 0, 25, NULL, false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "lost", "list kind -", "listing",
+               "listed", "reached", "watch kind 25", NULL);
 }
 
 /* They may show for seconds what the store has lost. */
-TEST_F(site, cheap_lists_wait_after_the_store_came_back_older)
+TEST_F(fixture, stale_lists_wait_after_a_rollback)
 {
-    site->watcher.read = STORE_READ_ANY;
-    follow_in_era(site, 1);
-    site->rig.era = 2;
-    store_rig_answer(&site->rig, 0, 31, NULL, false);
-    site->now_us += 9 * USEC_PER_SEC;
-    watcher_tick(&site->watcher, site->now_us - 9 * USEC_PER_SEC);
-    watcher_tick(&site->watcher, site->now_us);
-    g_assert_null(site->rig.call);
-    site->now_us += 2 * USEC_PER_SEC;
-    watcher_tick(&site->watcher, site->now_us);
-    rig_expect(site->rig.record, "list kind - any", NULL);
+    fixture->watcher.read = STORE_READ_STALE;
+    watch_in_epoch(fixture, 1);
+    fixture->store.epoch = 2;
+    store_fixture_reply(&fixture->store, 0, 31, NULL, false);
+    fixture->now_us += 9 * USEC_PER_SEC;
+    watcher_tick(&fixture->watcher, fixture->now_us - 9 * USEC_PER_SEC);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    g_assert_null(fixture->store.call);
+    fixture->now_us += 2 * USEC_PER_SEC;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    rig_expect(fixture->store.record, "list kind - any", NULL);
 }
 
-TEST_F(site, who_becomes_a_reader_does_not_wait_for_that)
+TEST_F(fixture, a_new_reader_relists_at_once)
 {
-    site->watcher.read = STORE_READ_ANY;
-    follow_in_era(site, 1);
-    site->rig.era = 2;
-    store_rig_answer(&site->rig, 0, 31, NULL, false);
-    watcher_tick(&site->watcher, site->now_us);
-    watcher_set_read(&site->watcher, STORE_READ_LATEST);
-    g_assert_cmpuint(wait_for_call(site), <=, 300);
-    rig_expect(site->rig.record, "list kind -", NULL);
+    fixture->watcher.read = STORE_READ_STALE;
+    watch_in_epoch(fixture, 1);
+    fixture->store.epoch = 2;
+    store_fixture_reply(&fixture->store, 0, 31, NULL, false);
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
+    g_assert_cmpuint(wait_for_call(fixture), <=, 300);
+    rig_expect(fixture->store.record, "list kind -", NULL);
 }
 
-TEST_F(site, who_is_told_of_a_later_era_lists_anew)
+TEST_F(fixture, a_reported_later_epoch_causes_a_relist)
 {
-    follow_in_era(site, 1);
-    watcher_era(&site->watcher, 2);
-    g_assert_cmpuint(wait_for_call(site), <=, 300);
-    rig_expect(site->rig.record, "cancel", "list kind -", NULL);
-    site->rig.era = 2;
-    store_rig_answer(&site->rig, 0, 25, "a", false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "listing", "object a", "listed",
+    watch_in_epoch(fixture, 1);
+    watcher_set_epoch(&fixture->watcher, 2);
+    g_assert_cmpuint(wait_for_call(fixture), <=, 300);
+    rig_expect(fixture->store.record, "cancel", "list kind -", NULL);
+    fixture->store.epoch = 2;
+    store_fixture_reply(&fixture->store, 0, 25, "a", false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "listing", "object a", "listed",
                "watch kind 25", NULL);
 }
 
-/* A frame can tell of any era; the store's own answer is believed, and what is
- * told again costs nothing. */
-TEST_F(site, an_era_that_the_store_is_not_in_costs_one_list)
+/* A frame can tell of any epoch; the store's own answer is believed, and what
+ * is told again costs nothing. */
+TEST_F(fixture, a_false_epoch_costs_one_list)
 {
-    follow_in_era(site, 1);
-    watcher_era(&site->watcher, 900);
-    wait_for_call(site);
-    store_rig_answer(&site->rig, 0, 34, "a", false);
-    g_string_truncate(site->rig.record, 0);
-    wait_for_call(site);
-    watcher_era(&site->watcher, 900);
-    store_rig_answer(&site->rig, 0, 36, "b", false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "watch kind 34", "object b", "watch kind 36",
-               NULL);
+    watch_in_epoch(fixture, 1);
+    watcher_set_epoch(&fixture->watcher, 900);
+    wait_for_call(fixture);
+    store_fixture_reply(&fixture->store, 0, 34, "a", false);
+    g_string_truncate(fixture->store.record, 0);
+    wait_for_call(fixture);
+    watcher_set_epoch(&fixture->watcher, 900);
+    store_fixture_reply(&fixture->store, 0, 36, "b", false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "watch kind 34", "object b",
+               "watch kind 36", NULL);
 }
 
-TEST_F(site, an_answer_of_an_earlier_era_says_nothing)
+TEST_F(fixture, a_reply_of_an_earlier_epoch_is_ignored)
 {
-    follow_in_era(site, 2);
-    site->rig.era = 1;
-    store_rig_answer(&site->rig, 0, 34, "b", false);
-    wait_for_call(site);
-    rig_expect(site->rig.record, "watch kind 30", NULL);
+    watch_in_epoch(fixture, 2);
+    fixture->store.epoch = 1;
+    store_fixture_reply(&fixture->store, 0, 34, "b", false);
+    wait_for_call(fixture);
+    rig_expect(fixture->store.record, "watch kind 30", NULL);
 }
 
-TEST_F(site, an_era_is_taken_over_at_first)
+TEST_F(fixture, the_first_epoch_is_adopted)
 {
-    follow_in_era(site, 7);
-    watcher_era(&site->watcher, 7);
-    g_assert_nonnull(site->rig.call);
-    g_assert_cmpint(site->watcher.state, ==, WATCHER_WATCH);
+    watch_in_epoch(fixture, 7);
+    watcher_set_epoch(&fixture->watcher, 7);
+    g_assert_nonnull(fixture->store.call);
+    g_assert_cmpint(fixture->watcher.state, ==, WATCHER_WATCH);
 }
 
 /* Others tell of a change, and of one that a dropped watch has missed. */
-TEST_F(site, a_cheap_watch_is_not_brief_where_others_tell_too)
+TEST_F(fixture, a_stale_watch_is_long_when_peers_notify)
 {
-    site->watcher.read = STORE_READ_ANY;
-    site->watcher.told_by_others = true;
-    watcher_tick(&site->watcher, site->now_us);
-    store_rig_answer(&site->rig, 0, 7, NULL, false);
-    wait_for_call(site);
-    g_assert_cmpuint(site->rig.wait_ms, ==, 15000);
-    store_rig_answer(&site->rig, 0, 8, "a", false);
-    watcher_set_read(&site->watcher, STORE_READ_LATEST);
-    wait_for_call(site);
-    g_assert_cmpuint(site->rig.wait_ms, <=, 3000);
+    fixture->watcher.read = STORE_READ_STALE;
+    fixture->watcher.notified_by_peers = true;
+    watcher_tick(&fixture->watcher, fixture->now_us);
+    store_fixture_reply(&fixture->store, 0, 7, NULL, false);
+    wait_for_call(fixture);
+    g_assert_cmpuint(fixture->store.wait_ms, ==, 15000);
+    store_fixture_reply(&fixture->store, 0, 8, "a", false);
+    watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
+    wait_for_call(fixture);
+    g_assert_cmpuint(fixture->store.wait_ms, <=, 3000);
 }
 
-TEST_F(site, pages_of_two_eras_are_no_list)
+TEST_F(fixture, pages_of_two_epochs_are_no_list)
 {
-    follow_in_era(site, 1);
-    watcher_era(&site->watcher, 2);
-    wait_for_call(site);
-    site->rig.era = 2;
-    store_rig_answer(&site->rig, 0, 25, "a", true);
-    wait_for_call(site);
-    site->rig.era = 3;
-    g_string_truncate(site->rig.record, 0);
-    store_rig_answer(&site->rig, 0, 24, "b", false);
-    g_assert_cmpuint(wait_for_call(site), <=, 300);
-    rig_expect(site->rig.record, "list kind -", NULL);
+    watch_in_epoch(fixture, 1);
+    watcher_set_epoch(&fixture->watcher, 2);
+    wait_for_call(fixture);
+    fixture->store.epoch = 2;
+    store_fixture_reply(&fixture->store, 0, 25, "a", true);
+    wait_for_call(fixture);
+    fixture->store.epoch = 3;
+    g_string_truncate(fixture->store.record, 0);
+    store_fixture_reply(&fixture->store, 0, 24, "b", false);
+    g_assert_cmpuint(wait_for_call(fixture), <=, 300);
+    rig_expect(fixture->store.record, "list kind -", NULL);
 }
--- a/tests/relay/world.c
+++ b/tests/relay/world.c
@@ -154,7 +154,7 @@
     if (message->target != TO_BALANCER_FRAME && message->target != TO_AGENT) {
         return;
     }
-    frame_evacuations(message->bytes, &told);
+    frame_evacuations_decode(message->bytes, &told);
     if (message->target == TO_AGENT) {
         admission_handle_evacuations(&world->hosts[message->number].admission,
                                      &told, world->now_us);
@@ -168,14 +168,14 @@
 static void
 deliver(struct world *world, const struct message *message)
 {
-    struct frame_carry frame;
+    struct frame_forward frame;
     struct frame_status status;
     struct frame_ping ping;
     struct relay_packet packet;
     struct host *host = &world->hosts[message->number % WORLD_AGENTS];
 
-    struct frame_ask ask;
-    struct frame_absent absent;
+    struct frame_query ask;
+    struct frame_query_reply absent;
 
     hear_evacuations(world, message);
     switch (message->target) {
@@ -185,9 +185,10 @@
                          world->now_us);
         return;
     case TO_BALANCER_FRAME:
-        if (frame_type(message->bytes, message->size - 1) == FRAME_ABSENT) {
-            g_assert_cmpint(frame_absent_decode(message->bytes,
-                                                message->size - 1, &absent),
+        if (frame_type(message->bytes, message->size - 1) ==
+            FRAME_QUERY_REPLY) {
+            g_assert_cmpint(frame_query_reply_decode(
+                                message->bytes, message->size - 1, &absent),
                             ==, 0);
             forwarder_query_reply(
                 &world->fronts[message->number].forwarder,
@@ -213,10 +214,10 @@
                 world->now_us);
             return;
         }
-        if (frame_type(message->bytes, message->size) == FRAME_ASK) {
+        if (frame_type(message->bytes, message->size) == FRAME_QUERY) {
             g_assert_cmpint(
-                frame_ask_decode(message->bytes, message->size - 1, &ask), ==,
-                0);
+                frame_query_decode(message->bytes, message->size - 1, &ask),
+                ==, 0);
             admission_handle_query(
                 &host->admission,
                 world_front_addr(message->bytes[message->size - 1]), &ask,
@@ -224,7 +225,8 @@
             return;
         }
         g_assert_cmpint(
-            frame_carry_decode(message->bytes, message->size, &frame), ==, 0);
+            frame_forward_decode(message->bytes, message->size, &frame), ==,
+            0);
         packet = world_packet_of(frame.bytes);
         admission_handle_forward(&host->admission, &frame, &packet,
                                  world->now_us);
@@ -409,7 +411,7 @@
     world->rand = g_rand_new_with_seed(seed);
     world->lost_rand = g_rand_new_with_seed(seed + 1);
     world->evacuations_rand = g_rand_new_with_seed(seed + 2);
-    world->evacuations = (struct evacuations){.era = 1, .revision = 1};
+    world->evacuations = (struct evacuations){.epoch = 1, .revision = 1};
     world_store_copy(world);
     world->plan = plan;
     world->result = result;
--- a/tests/relay/world_callers.c
+++ b/tests/relay/world_callers.c
@@ -84,9 +84,9 @@
     if (caller->host >= 0) {
         note_dead(world, caller);
     }
-    if (relay_packet_opens(&packet)) {
+    if (relay_packet_is_syn(&packet)) {
         packet.age_ms = (uint16_t)(ack * 200);
-        packet.patience_ms = (uint16_t)(1400 - packet.age_ms);
+        packet.caller_timeout_ms = (uint16_t)(1400 - packet.age_ms);
     }
     world_post_packet(world, TO_BALANCER, front_of(world, caller), number,
                       packet, false);
@@ -224,7 +224,7 @@
         world_check_reset(world, caller->flow, "an endpoint");
         return;
     }
-    if (caller->state == CALLER_OPENING && relay_packet_accepts(&packet)) {
+    if (caller->state == CALLER_OPENING && relay_packet_is_syn_ack(&packet)) {
         caller_opened(world, caller, number, &packet);
     }
     else if (caller->state == CALLER_ASKING && packet.len > 0) {
--- a/tests/relay/world_evacuations.c
+++ b/tests/relay/world_evacuations.c
@@ -79,7 +79,7 @@
     struct evacuations *wanted = &world->wanted;
     uint32_t key = key_of(world, number);
 
-    if (evacuations_has(wanted, key)) {
+    if (evacuations_contains(wanted, key)) {
         take_back(wanted, key);
         take_back(&world->evacuations, key);
     }
@@ -112,10 +112,10 @@
 void
 world_store_older(struct world *world)
 {
-    uint32_t era = world->evacuations.era + 1;
+    uint32_t epoch = world->evacuations.epoch + 1;
 
     world->evacuations = world->copy;
-    world->evacuations.era = era;
+    world->evacuations.epoch = epoch;
     if (world->rewrite_us == 0 &&
         world->now_us >= world->rewritten_us + EVACUATED_US) {
         world->lost_us = world->now_us;
@@ -140,12 +140,12 @@
 {
     if (world->rewrite_us != 0 && world->now_us >= world->rewrite_us) {
         uint64_t revision = world->evacuations.revision;
-        uint32_t era = world->evacuations.era;
+        uint32_t epoch = world->evacuations.epoch;
 
         world->rewrite_us = 0;
         world->rewritten_us = world->now_us;
         world->evacuations = world->wanted;
-        world->evacuations.era = era;
+        world->evacuations.epoch = epoch;
         world->evacuations.revision = revision;
         note_written(world);
     }
@@ -197,8 +197,8 @@
 static bool
 is_evacuated(const struct host *host)
 {
-    return evacuations_has(&host->world->wanted,
-                           key_of(host->world, number_of(host)));
+    return evacuations_contains(&host->world->wanted,
+                                key_of(host->world, number_of(host)));
 }
 
 void
--- a/tests/relay/world_fronts.c
+++ b/tests/relay/world_fronts.c
@@ -31,7 +31,7 @@
 
 /* A SYN goes where the configuration in force says. */
 static void
-check_service(const struct front *front, const struct frame_carry *frame,
+check_service(const struct front *front, const struct frame_forward *frame,
               const struct relay_packet *packet)
 {
     int served = world_served_at(front->world, front->version, packet);
@@ -48,15 +48,15 @@
 
 static void
 forwarder_forwards(struct forwarder_out *out, struct addr agent,
-                   const struct frame_carry *frame)
+                   const struct frame_forward *frame)
 {
     struct front *front = container_of(out, struct front, out);
     struct relay_packet packet = world_packet_of(frame->bytes);
     uint8_t bytes[FRAME_MAX];
-    size_t size =
-        frame_carry_encode(frame, &front->forwarder.agents.store.told, bytes);
+    size_t size = frame_forward_encode(
+        frame, &front->forwarder.agents.store.latest, bytes);
 
-    if (relay_packet_opens(&packet)) {
+    if (relay_packet_is_syn(&packet)) {
         check_service(front, frame, &packet);
     }
     if (is_cut(front, agent)) {
@@ -74,9 +74,9 @@
         .view = {.version = front->version},
         .unlisted = unlisted,
     };
-    uint8_t bytes[FRAME_HEAD_MAX + 1];
+    uint8_t bytes[FRAME_HEADER_MAX + 1];
     size_t size =
-        frame_ping_encode(&ping, &front->forwarder.agents.store.told, bytes);
+        frame_ping_encode(&ping, &front->forwarder.agents.store.latest, bytes);
 
     if (is_cut(front, agent)) {
         return;
@@ -88,12 +88,13 @@
 }
 
 static void
-ask(struct forwarder_out *out, struct addr agent, const struct frame_ask *ask)
+ask(struct forwarder_out *out, struct addr agent,
+    const struct frame_query *ask)
 {
     struct front *front = container_of(out, struct front, out);
     uint8_t bytes[FRAME_MAX];
     size_t size =
-        frame_ask_encode(ask, &front->forwarder.agents.store.told, bytes);
+        frame_query_encode(ask, &front->forwarder.agents.store.latest, bytes);
 
     if (is_cut(front, agent)) {
         return;
@@ -113,7 +114,7 @@
 }
 
 static void
-behind(struct forwarder_out *out, const struct frame_version *newer)
+behind(struct forwarder_out *out, const struct frame_config_version *newer)
 {
 }
 
@@ -184,13 +185,13 @@
     }
 }
 
-/* All that the store says names its era. */
+/* All that the store says names its epoch. */
 static void
 see_era(struct front *front)
 {
-    struct evacuations told = {.era = front->world->evacuations.era};
+    struct evacuations latest = {.epoch = front->world->evacuations.epoch};
 
-    forwarder_evacuations(&front->forwarder, &told, false,
+    forwarder_evacuations(&front->forwarder, &latest, false,
                           front->world->now_us);
 }
 
@@ -238,7 +239,7 @@
 {
     const struct store_state *store = &front->forwarder.agents.store;
 
-    if (store->told.era != front->world->evacuations.era) {
+    if (store->latest.epoch != front->world->evacuations.epoch) {
         return false;
     }
     for (unsigned i = 0; i < WORLD_AGENTS; i++) {
--- a/tests/relay/world_hosts.c
+++ b/tests/relay/world_hosts.c
@@ -15,12 +15,12 @@
     struct relay_packet packet = world_packet_of(bytes);
 
     /* Another copy for a flow that the endpoint holds opens nothing. */
-    if (relay_packet_opens(&packet) && host->told_draining &&
+    if (relay_packet_is_syn(&packet) && host->told_draining &&
         !host->flows[world_caller_of(bytes)].held) {
         world_breach(host->world, "DRAIN: a SYN goes to endpoint %u",
                      host->number);
     }
-    if (relay_packet_opens(&packet) &&
+    if (relay_packet_is_syn(&packet) &&
         !host->flows[world_caller_of(bytes)].held) {
         world_check_offer(host);
     }
@@ -47,12 +47,12 @@
 
 static void
 admission_forwards(struct admission_out *out, struct addr agent,
-                   const struct frame_carry *frame)
+                   const struct frame_forward *frame)
 {
     struct host *host = container_of(out, struct host, out);
     uint8_t bytes[FRAME_MAX];
     size_t size =
-        frame_carry_encode(frame, &host->admission.store.told, bytes);
+        frame_forward_encode(frame, &host->admission.store.latest, bytes);
 
     world_post(host->world, TO_AGENT, agent.ip - world_host_addr(0).ip, bytes,
                size, false);
@@ -65,7 +65,7 @@
     struct host *host = container_of(out, struct host, out);
     uint8_t bytes[FRAME_MAX + 1];
     size_t size =
-        frame_status_encode(status, &host->admission.store.told, bytes);
+        frame_status_encode(status, &host->admission.store.latest, bytes);
 
     if (world_is_cut(host, false)) {
         return;
@@ -84,12 +84,12 @@
 
 static void
 absent(struct admission_out *out, struct addr balancer,
-       const struct frame_absent *answer)
+       const struct frame_query_reply *answer)
 {
     struct host *host = container_of(out, struct host, out);
     uint8_t bytes[FRAME_MAX + 1];
     size_t size =
-        frame_absent_encode(answer, &host->admission.store.told, bytes);
+        frame_query_reply_encode(answer, &host->admission.store.latest, bytes);
 
     if (world_is_cut(host, false)) {
         return;
@@ -115,7 +115,7 @@
 static void
 admission_decided(struct admission_out *out, enum admission_decision did,
                   struct relay_flow flow, enum frame_reason why,
-                  const struct frame_carry *frame)
+                  const struct frame_forward *frame)
 {
     if (why == FRAME_REASON_EVACUATED) {
         world_check_evacuated(container_of(out, struct host, out));
@@ -261,7 +261,7 @@
     if (!host->up) {
         return;
     }
-    if (relay_packet_opens(&packet)) {
+    if (relay_packet_is_syn(&packet)) {
         if (!flow->held && held_count(host) >= ENDPOINT_ROOM) {
             bounce(host, bytes);
             return;
@@ -362,7 +362,7 @@
 void
 world_agent_start(struct host *host)
 {
-    struct evacuations told = {.era = host->world->evacuations.era};
+    struct evacuations latest = {.epoch = host->world->evacuations.epoch};
 
     g_assert_cmpint(admission_init(&host->admission, &host->out, host->addr,
                                    world_data_centre(host->world, host),
@@ -372,7 +372,8 @@
     host->told_draining = false;
     host->beat_us = 0;
     /* It looks at its own object first, and writes it if it isn't there. */
-    admission_handle_evacuations(&host->admission, &told, host->world->now_us);
+    admission_handle_evacuations(&host->admission, &latest,
+                                 host->world->now_us);
     if (host->lost_until_us != 0) {
         host->lost_until_us = host->world->now_us + LOOK_US;
     }
--- a/tests/relay/world_private.h
+++ b/tests/relay/world_private.h
@@ -53,7 +53,7 @@
 #define HEARD_US (300 * USEC_PER_MSEC)
 #define SETTLED_US (300 * USEC_PER_MSEC)
 
-/* What an era of the store that has ended said is kept for that long. */
+/* What an epoch of the store that has ended said is kept for that long. */
 #define EARLIER_US (10 * USEC_PER_SEC)
 
 /* How soon agents whose objects the store has lost have written them again. */
