--- a/bench/relay/bench_relay.c
+++ b/bench/relay/bench_relay.c
@@ -25,8 +25,8 @@
 #define OTHER_SERVICES 1000
 
 static uint8_t bytes[PACKET_SIZE];
-static uint64_t carried;
-static const struct evacuations nowhere = {.revision = 1};
+static uint64_t forwarded_bytes;
+static const struct evacuations no_evacuations = {.revision = 1};
 
 static void
 forwarder_forward(struct forwarder_out *out, struct addr agent,
@@ -34,7 +34,8 @@
 {
     static uint8_t frame_bytes[FRAME_MAX];
 
-    carried += frame_forward_encode(frame, &nowhere, frame_bytes);
+    forwarded_bytes +=
+        frame_forward_encode(frame, &no_evacuations, frame_bytes);
 }
 
 static void
@@ -100,14 +101,14 @@
 admission_to_endpoint(struct admission_out *out, const uint8_t *packet,
                       size_t size)
 {
-    carried += size;
+    forwarded_bytes += size;
 }
 
 static void
 admission_to_caller(struct admission_out *out, struct addr caller,
                     const uint8_t *packet, size_t size)
 {
-    carried += size;
+    forwarded_bytes += size;
 }
 
 static void
@@ -129,7 +130,8 @@
 {
     static uint8_t frame_bytes[FRAME_HEADER_MAX];
 
-    carried += frame_status_encode(status, &nowhere, frame_bytes);
+    forwarded_bytes +=
+        frame_status_encode(status, &no_evacuations, frame_bytes);
 }
 
 static void
@@ -237,7 +239,7 @@
 }
 
 static void
-best(double *value, double sample)
+keep_min(double *value, double sample)
 {
     if (*value == 0 || sample < *value) {
         *value = sample;
@@ -256,7 +258,7 @@
 
         forwarder_packet(forwarder, &ack, now_us);
     }
-    best(search, per_flow(since));
+    keep_min(search, per_flow(since));
     since = now_ns();
     for (unsigned i = 0; i < FLOWS; i++) {
         struct relay_packet syn =
@@ -271,14 +273,14 @@
         forwarder_packet(forwarder, &syn, now_us);
         forwarder_status(forwarder, agent_addr(i % 7), &status, now_us);
     }
-    best(open, per_flow(since));
+    keep_min(open, per_flow(since));
     since = now_ns();
     for (unsigned i = 0; i < FLOWS; i++) {
         struct relay_packet ack = packet_of(i, RELAY_ACK, 2, 9, 40);
 
         forwarder_packet(forwarder, &ack, now_us);
     }
-    best(known, per_flow(since));
+    keep_min(known, per_flow(since));
     /* All flows are forgotten before the next pass. */
     forwarder_tick(forwarder, now_us + 100 * USEC_PER_SEC);
 }
@@ -349,14 +351,14 @@
             admission_handle_endpoint_packet(&admission, &accept, 1000 + i);
             admission_handle_endpoint_packet(&admission, &answer, 1000 + i);
         }
-        best(&open, per_flow(since));
+        keep_min(&open, per_flow(since));
         since = now_ns();
         for (unsigned i = 0; i < FLOWS; i++) {
             struct relay_packet ack = packet_of(i, RELAY_ACK, 2, 9, 0);
 
             admission_handle_forward(&admission, &frame, &ack, 20000 + i);
         }
-        best(&known, per_flow(since));
+        keep_min(&known, per_flow(since));
         admission_finish(&admission);
     }
     printf("agent     %8s %8s %8.0f %8.0f\n", "-", "-", open, known);
@@ -377,6 +379,6 @@
         bench_forwarder(sizes[i].agents, sizes[i].of_service);
     }
     bench_admission();
-    printf("%" G_GUINT64_FORMAT " bytes were carried\n", carried);
+    printf("%" G_GUINT64_FORMAT " bytes were carried\n", forwarded_bytes);
     return 0;
 }
--- a/bench/relay/bench_store.c
+++ b/bench/relay/bench_store.c
@@ -18,15 +18,15 @@
 #include "relay/store/watcher.h"
 
 #define STEP_US (5 * USEC_PER_MSEC)
-#define LAST_S 600
+#define DURATION_S 600
 #define KINDS 2
 
 /* 20,000 changes of the configuration a day. */
-#define CONFIG_GAP_US (4320 * USEC_PER_MSEC)
-#define AGENT_LIFE_US (1000 * 3600 * USEC_PER_SEC)
+#define CONFIG_INTERVAL_US (4320 * USEC_PER_MSEC)
+#define AGENT_LIFETIME_US (1000 * 3600 * USEC_PER_SEC)
 
 /* As balancers have them. */
-static const struct watcher_backoff paces[KINDS] = {
+static const struct watcher_backoff watch_delays[KINDS] = {
     {25 * USEC_PER_MSEC, 300 * USEC_PER_MSEC},
     {100 * USEC_PER_MSEC, 1 * USEC_PER_SEC},
 };
@@ -93,7 +93,7 @@
 
 /* Ends the watch, with a change or empty. */
 static void
-answer(struct client *client, bool change)
+end_watch(struct client *client, bool change)
 {
     struct store_object object = {.name = "a", .revision = revision};
     struct store_reply reply = {
@@ -115,7 +115,7 @@
         struct client *client = &clients[i * KINDS + kind];
 
         if (client->call != NULL) {
-            answer(client, true);
+            end_watch(client, true);
         }
     }
 }
@@ -128,7 +128,7 @@
         struct client *client = &clients[i];
 
         if (client->call != NULL && now_us >= client->until_us) {
-            answer(client, false);
+            end_watch(client, false);
         }
         watcher_tick(&client->watcher, now_us);
     }
@@ -136,37 +136,37 @@
 
 /* Calls a second, after a minute in which all settle. */
 static double
-play(size_t members, bool busy)
+simulate(size_t members, bool busy)
 {
     size_t balancers = members / 2;
-    uint64_t agent_gap_us = AGENT_LIFE_US / (members - balancers);
+    uint64_t agent_interval_us = AGENT_LIFETIME_US / (members - balancers);
     struct client *clients = g_new0(struct client, balancers * KINDS);
-    uint64_t config_us = CONFIG_GAP_US;
-    uint64_t agent_us = agent_gap_us;
+    uint64_t config_us = CONFIG_INTERVAL_US;
+    uint64_t agent_us = agent_interval_us;
     double rate;
 
     now_us = 1;
     for (size_t i = 0; i < balancers * KINDS; i++) {
         clients[i].store.ops = &store_ops;
         watcher_init(&clients[i].watcher, &watcher_ops, &clients[i].store,
-                     "kind", paces[i % KINDS], i, now_us);
+                     "kind", watch_delays[i % KINDS], i, now_us);
     }
     while (now_us < 60 * USEC_PER_SEC) {
         step(clients, balancers);
     }
     calls = 0;
-    while (now_us < (60 + LAST_S) * USEC_PER_SEC) {
+    while (now_us < (60 + DURATION_S) * USEC_PER_SEC) {
         if (busy && now_us >= config_us) {
-            config_us = now_us + CONFIG_GAP_US;
+            config_us = now_us + CONFIG_INTERVAL_US;
             change(clients, balancers, 0);
         }
         if (busy && now_us >= agent_us) {
-            agent_us = now_us + agent_gap_us;
+            agent_us = now_us + agent_interval_us;
             change(clients, balancers, 1);
         }
         step(clients, balancers);
     }
-    rate = (double)calls / LAST_S;
+    rate = (double)calls / DURATION_S;
     for (size_t i = 0; i < balancers * KINDS; i++) {
         watcher_finish(&clients[i].watcher);
     }
@@ -183,8 +183,8 @@
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         size_t count = sizes[i] / 2;
         double balancers = (double)count;
-        double quiet = play(sizes[i], false);
-        double busy = play(sizes[i], true);
+        double quiet = simulate(sizes[i], false);
+        double busy = simulate(sizes[i], true);
 
         printf("%7zu %10.0f %20.2f %7.3f %5.2f %7.3f\n", sizes[i], balancers,
                quiet, quiet / balancers, busy, busy / balancers);
--- a/src/cli/relay_explain.c
+++ b/src/cli/relay_explain.c
@@ -13,7 +13,7 @@
 #include <glib.h>
 
 #include "cli/cli.h"
-#include "cli/relay_ask.h"
+#include "cli/relay_query.h"
 
 #define ADDRESSES_MAX 1024
 
@@ -37,31 +37,31 @@
 static void
 print_balancer(const char *address, struct json_object *json)
 {
-    bool routed = strcmp(relay_ask_text(json, "route"), "-") != 0;
+    bool routed = strcmp(relay_query_text(json, "route"), "-") != 0;
 
     if (!routed) {
         printf("%s balancer: no route in version %" PRId64 "\n", address,
-               relay_ask_number(json, "version"));
+               relay_query_number(json, "version"));
     }
     else {
         printf("%s balancer: route %s of version %" PRId64 ", service %s\n",
-               address, relay_ask_text(json, "route"),
-               relay_ask_number(json, "version"),
-               relay_ask_text(json, "service"));
+               address, relay_query_text(json, "route"),
+               relay_query_number(json, "version"),
+               relay_query_text(json, "service"));
     }
-    if (relay_ask_bool(json, "known")) {
+    if (relay_query_bool(json, "known")) {
         printf("  known for %" PRId64 " ms, %s, %" PRId64 " tries, %" PRId64
                " searches, last at %s%s\n",
-               relay_ask_number(json, "age_ms"),
-               relay_ask_bool(json, "opened") ? "open" : "opening",
-               relay_ask_number(json, "tries"),
-               relay_ask_number(json, "searches"),
-               relay_ask_text(json, "holder"),
-               relay_ask_bool(json, "held") ? ", which holds its SYN" : "");
+               relay_query_number(json, "age_ms"),
+               relay_query_bool(json, "opened") ? "open" : "opening",
+               relay_query_number(json, "tries"),
+               relay_query_number(json, "searches"),
+               relay_query_text(json, "holder"),
+               relay_query_bool(json, "held") ? ", which holds its SYN" : "");
         print_list("endpoints that answered are beside", json, "places");
     }
     if (routed) {
-        if (relay_ask_bool(json, "evacuated")) {
+        if (relay_query_bool(json, "evacuated")) {
             printf("  a new flow would be refused: all agents of the service "
                    "are in evacuated data centres\n");
         }
@@ -72,29 +72,29 @@
 static void
 print_agent(const char *address, struct json_object *json)
 {
-    if (!relay_ask_bool(json, "known")) {
+    if (!relay_query_bool(json, "known")) {
         printf("%s agent: not known\n", address);
         return;
     }
-    printf("%s agent: %s%s%s%s, through balancer %s, sent on to %s\n", address,
-           relay_ask_text(json, "state"),
-           relay_ask_bool(json, "confirmed") ? ", confirmed by its caller"
-                                             : "",
-           relay_ask_bool(json, "proven") ? ", answered by its endpoint" : "",
-           relay_ask_bool(json, "in_progress") ? ", request in progress" : "",
-           relay_ask_text(json, "balancer"), relay_ask_text(json, "sent_to"));
+    printf(
+        "%s agent: %s%s%s%s, through balancer %s, sent on to %s\n", address,
+        relay_query_text(json, "state"),
+        relay_query_bool(json, "confirmed") ? ", confirmed by its caller" : "",
+        relay_query_bool(json, "proven") ? ", answered by its endpoint" : "",
+        relay_query_bool(json, "in_progress") ? ", request in progress" : "",
+        relay_query_text(json, "balancer"), relay_query_text(json, "sent_to"));
 }
 
 static int
 explain_one(struct event_base *base, const char *address, const char *target)
 {
     struct json_object *json = NULL;
-    int code = relay_ask(base, address, target, &json);
+    int code = relay_query(base, address, target, &json);
 
     if (code != CLI_OK) {
         return code;
     }
-    if (strcmp(relay_ask_text(json, "role"), "balancer") == 0) {
+    if (strcmp(relay_query_text(json, "role"), "balancer") == 0) {
         print_balancer(address, json);
     }
     else {
--- a/src/cli/relay_ask.c
+++ b/src/cli/relay_query.c
@@ -1,4 +1,4 @@
-#include "cli/relay_ask.h"
+#include "cli/relay_query.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -10,13 +10,13 @@
 #define BODY_MAX (64u << 20)
 
 /**
- * struct question - one process is asked
+ * struct query - one process is asked
  * @call: the call
  * @base: events, left once the answer is there
  * @json: what it answered, or NULL
  * @status: HTTP status or a negative errno
  */
-struct question {
+struct query {
     struct httpc_call call;
     struct event_base *base;
     struct json_object *json;
@@ -26,23 +26,23 @@
 static void
 on_done(struct httpc_call *call, const struct httpc_reply *reply)
 {
-    struct question *question = container_of(call, struct question, call);
+    struct query *query = container_of(call, struct query, call);
     struct json_tokener *tokener = json_tokener_new();
 
-    question->status = reply->status;
+    query->status = reply->status;
     if (reply->status == HTTPC_OK) {
-        question->json =
+        query->json =
             json_tokener_parse_ex(tokener, reply->body, (int)reply->len);
     }
     json_tokener_free(tokener);
-    event_base_loopbreak(question->base);
+    event_base_loopbreak(query->base);
 }
 
 int
-relay_ask(struct event_base *base, const char *address, const char *target,
-          struct json_object **json)
+relay_query(struct event_base *base, const char *address, const char *target,
+            struct json_object **json)
 {
-    struct question question = {.call.done = on_done, .base = base};
+    struct query query = {.call.done = on_done, .base = base};
     struct httpc_request request = {
         .method = HTTPC_GET,
         .target = target,
@@ -56,23 +56,23 @@
         return CLI_USAGE;
     }
     httpc = httpc_new_addr(base, addr, BODY_MAX);
-    if (httpc != NULL && httpc_start(httpc, &request, &question.call) == 0) {
+    if (httpc != NULL && httpc_start(httpc, &request, &query.call) == 0) {
         event_base_dispatch(base);
     }
     httpc_free(httpc);
-    if (json_object_is_type(question.json, json_type_object)) {
-        *json = question.json;
+    if (json_object_is_type(query.json, json_type_object)) {
+        *json = query.json;
         return CLI_OK;
     }
-    json_object_put(question.json);
+    json_object_put(query.json);
     fprintf(stderr, "%s: no answer: %s\n", address,
-            question.status < 0 ? strerror(-question.status)
-                                : "not a process of relay mode");
+            query.status < 0 ? strerror(-query.status)
+                             : "not a process of relay mode");
     return CLI_NO_ANSWER;
 }
 
 const char *
-relay_ask_text(struct json_object *json, const char *key)
+relay_query_text(struct json_object *json, const char *key)
 {
     struct json_object *value = NULL;
 
@@ -83,7 +83,7 @@
 }
 
 int64_t
-relay_ask_number(struct json_object *json, const char *key)
+relay_query_number(struct json_object *json, const char *key)
 {
     struct json_object *value = NULL;
 
@@ -92,7 +92,7 @@
 }
 
 bool
-relay_ask_bool(struct json_object *json, const char *key)
+relay_query_bool(struct json_object *json, const char *key)
 {
     struct json_object *value = NULL;
 
--- a/src/cli/relay_show.c
+++ b/src/cli/relay_show.c
@@ -12,7 +12,7 @@
 #include <json-c/json.h>
 
 #include "cli/cli.h"
-#include "cli/relay_ask.h"
+#include "cli/relay_query.h"
 #include "relay/program/relay_state.h"
 
 #define ADDRESSES_MAX 1024
@@ -29,45 +29,48 @@
     for (size_t i = 0; i < count; i++) {
         struct json_object *item = json_object_array_get_idx(list, i);
 
-        printf(
-            "  agent %-21s service %s in %-12s endpoint %-8s %-7s "
-            "busy %" PRId64 " of %" PRId64 "%s\n",
-            relay_ask_text(item, "address"), relay_ask_text(item, "service"),
-            relay_ask_text(item, "data_centre"),
-            relay_ask_text(item, "endpoint"), relay_ask_text(item, "health"),
-            relay_ask_number(item, "busy"), relay_ask_number(item, "slots"),
-            relay_ask_bool(item, "evacuated") ? ", evacuated" : "");
+        printf("  agent %-21s service %s in %-12s endpoint %-8s %-7s "
+               "busy %" PRId64 " of %" PRId64 "%s\n",
+               relay_query_text(item, "address"),
+               relay_query_text(item, "service"),
+               relay_query_text(item, "data_centre"),
+               relay_query_text(item, "endpoint"),
+               relay_query_text(item, "health"),
+               relay_query_number(item, "busy"),
+               relay_query_number(item, "slots"),
+               relay_query_bool(item, "evacuated") ? ", evacuated" : "");
     }
 }
 
 static void
 print_state(const char *address, struct json_object *json)
 {
-    if (strcmp(relay_ask_text(json, "role"), "balancer") == 0) {
+    if (strcmp(relay_query_text(json, "role"), "balancer") == 0) {
         printf("%s balancer %s in %s: version %" PRId64 ", %" PRId64
                " routes, %" PRId64 " learned, %" PRId64 " flows, %" PRId64
                " data centres evacuated as of revision %" PRId64 "\n",
-               address, relay_ask_text(json, "name"),
-               relay_ask_text(json, "data_centre"),
-               relay_ask_number(json, "version"),
-               relay_ask_number(json, "routes"),
-               relay_ask_number(json, "learned"),
-               relay_ask_number(json, "flows"),
-               relay_ask_number(json, "evacuations"),
-               relay_ask_number(json, "evacuations_revision"));
+               address, relay_query_text(json, "name"),
+               relay_query_text(json, "data_centre"),
+               relay_query_number(json, "version"),
+               relay_query_number(json, "routes"),
+               relay_query_number(json, "learned"),
+               relay_query_number(json, "flows"),
+               relay_query_number(json, "evacuations"),
+               relay_query_number(json, "evacuations_revision"));
         print_agents(json);
         return;
     }
-    printf("%s agent %s in %s: service %s, endpoint %s (%s), busy %" PRId64
-           " of %" PRId64 ", %" PRId64 " held, %" PRId64
-           " flows, newest version heard %" PRId64 "%s\n",
-           address, relay_ask_text(json, "name"),
-           relay_ask_text(json, "data_centre"),
-           relay_ask_text(json, "service"), relay_ask_text(json, "endpoint"),
-           relay_ask_text(json, "start"), relay_ask_number(json, "busy"),
-           relay_ask_number(json, "slots"), relay_ask_number(json, "held"),
-           relay_ask_number(json, "flows"), relay_ask_number(json, "version"),
-           relay_ask_bool(json, "evacuated") ? ", data centre evacuated" : "");
+    printf(
+        "%s agent %s in %s: service %s, endpoint %s (%s), busy %" PRId64
+        " of %" PRId64 ", %" PRId64 " held, %" PRId64
+        " flows, newest version heard %" PRId64 "%s\n",
+        address, relay_query_text(json, "name"),
+        relay_query_text(json, "data_centre"),
+        relay_query_text(json, "service"), relay_query_text(json, "endpoint"),
+        relay_query_text(json, "start"), relay_query_number(json, "busy"),
+        relay_query_number(json, "slots"), relay_query_number(json, "held"),
+        relay_query_number(json, "flows"), relay_query_number(json, "version"),
+        relay_query_bool(json, "evacuated") ? ", data centre evacuated" : "");
 }
 
 /* Asks one process and prints its answer. */
@@ -75,7 +78,7 @@
 show_one(struct event_base *base, const char *address)
 {
     struct json_object *json = NULL;
-    int code = relay_ask(base, address, RELAY_STATE_PATH, &json);
+    int code = relay_query(base, address, RELAY_STATE_PATH, &json);
 
     if (code == CLI_OK) {
         print_state(address, json);
--- a/src/relay/program/share.c
+++ b/src/relay/program/config_peer.c
@@ -1,4 +1,4 @@
-#include "relay/program/share.h"
+#include "relay/program/config_peer.h"
 
 #include <errno.h>
 #include <string.h>
@@ -11,7 +11,7 @@
 
 /* Pause between two questions, so that peers aren't flooded after a total
  * loss, when none of them knows anything. */
-#define PAUSE_US (150 * USEC_PER_MSEC)
+#define QUERY_INTERVAL_US (150 * USEC_PER_MSEC)
 
 #define BODY_MAX (4u << 20)
 
@@ -27,7 +27,7 @@
 }
 
 static void
-tell_agents(struct share *share, struct json_object *list)
+report_agents(struct config_peer *config_peer, struct json_object *list)
 {
     size_t count = 0;
 
@@ -37,20 +37,21 @@
     for (size_t i = 0; i < count; i++) {
         struct json_object *item = json_object_array_get_idx(list, i);
         const char *text = json_object_get_string(member(item, "address"));
-        const char *place =
+        const char *data_centre =
             json_object_get_string(member(item, "data_centre"));
         uint32_t service =
             (uint32_t)json_object_get_int64(member(item, "service"));
         struct addr addr;
 
-        if (text != NULL && place != NULL && addr_parse(text, &addr) == 0) {
-            share->ops->agent(share, addr, service, place);
+        if (text != NULL && data_centre != NULL &&
+            addr_parse(text, &addr) == 0) {
+            config_peer->ops->agent(config_peer, addr, service, data_centre);
         }
     }
 }
 
 static int
-read_answer(struct share *share, const struct httpc_reply *reply)
+read_reply(struct config_peer *config_peer, const struct httpc_reply *reply)
 {
     struct json_tokener *tokener = json_tokener_new();
     struct json_object *json =
@@ -61,8 +62,8 @@
         json_object_put(json);
         return -EPROTO;
     }
-    tell_agents(share, member(json, "agents"));
-    share->ops->config(share, member(json, "config"));
+    report_agents(config_peer, member(json, "agents"));
+    config_peer->ops->config(config_peer, member(json, "config"));
     json_object_put(json);
     return 0;
 }
@@ -70,47 +71,50 @@
 static void
 on_done(struct httpc_call *call, const struct httpc_reply *reply)
 {
-    struct share *share = container_of(call, struct share, call);
+    struct config_peer *config_peer =
+        container_of(call, struct config_peer, call);
     int status = reply->status < 0 ? reply->status : -EPROTO;
 
     if (reply->status == 200 && reply->len > 0) {
-        status = read_answer(share, reply);
+        status = read_reply(config_peer, reply);
     }
-    share->ops->answered(share, share->peer, status);
+    config_peer->ops->replied(config_peer, config_peer->peer, status);
 }
 
 void
-share_init(struct share *share, const struct share_ops *ops,
-           struct event_base *base, uint64_t seed)
+config_peer_init(struct config_peer *config_peer,
+                 const struct config_peer_ops *ops, struct event_base *base,
+                 uint64_t seed)
 {
-    memset(share, 0, sizeof(*share));
-    share->ops = ops;
-    share->call.done = on_done;
-    share->base = base;
-    share->turn = (size_t)seed;
+    memset(config_peer, 0, sizeof(*config_peer));
+    config_peer->ops = ops;
+    config_peer->call.done = on_done;
+    config_peer->base = base;
+    config_peer->next_peer = (size_t)seed;
 }
 
 void
-share_peers(struct share *share, const struct addr *peers, size_t count,
-            struct addr self)
+config_peer_set_peers(struct config_peer *config_peer,
+                      const struct addr *peers, size_t count, struct addr self)
 {
-    share->peer_count = 0;
+    config_peer->peer_count = 0;
     for (size_t i = 0; i < count; i++) {
         if (!addr_equal(peers[i], self)) {
-            share->peers[share->peer_count++] = peers[i];
+            config_peer->peers[config_peer->peer_count++] = peers[i];
         }
     }
 }
 
 void
-share_finish(struct share *share)
+config_peer_finish(struct config_peer *config_peer)
 {
-    httpc_free(share->httpc);
-    share->httpc = NULL;
+    httpc_free(config_peer->httpc);
+    config_peer->httpc = NULL;
 }
 
 static void
-ask(struct share *share, struct addr peer, const char *target, uint64_t now_us)
+query(struct config_peer *config_peer, struct addr peer, const char *target,
+      uint64_t now_us)
 {
     struct httpc_request request = {
         .method = HTTPC_GET,
@@ -118,39 +122,43 @@
         .timeout_ms = TIMEOUT_MS,
     };
 
-    if (now_us < share->next_us ||
-        (share->httpc != NULL && httpc_busy(share->httpc))) {
+    if (now_us < config_peer->next_us ||
+        (config_peer->httpc != NULL && httpc_busy(config_peer->httpc))) {
         return;
     }
-    if (share->httpc == NULL || !addr_equal(share->peer, peer)) {
-        httpc_free(share->httpc);
-        share->httpc = httpc_new_addr(share->base, peer, BODY_MAX);
-        share->peer = peer;
+    if (config_peer->httpc == NULL || !addr_equal(config_peer->peer, peer)) {
+        httpc_free(config_peer->httpc);
+        config_peer->httpc = httpc_new_addr(config_peer->base, peer, BODY_MAX);
+        config_peer->peer = peer;
     }
-    share->next_us = now_us + PAUSE_US;
-    if (share->httpc == NULL ||
-        httpc_start(share->httpc, &request, &share->call) < 0) {
-        share->ops->answered(share, peer, -ENOMEM);
+    config_peer->next_us = now_us + QUERY_INTERVAL_US;
+    if (config_peer->httpc == NULL ||
+        httpc_start(config_peer->httpc, &request, &config_peer->call) < 0) {
+        config_peer->ops->replied(config_peer, peer, -ENOMEM);
     }
 }
 
 void
-share_ask_config(struct share *share, struct addr peer, uint64_t now_us)
+config_peer_query_config(struct config_peer *config_peer, struct addr peer,
+                         uint64_t now_us)
 {
-    ask(share, peer, SHARE_PATH "?" SHARE_CONFIG_ONLY "=1", now_us);
+    query(config_peer, peer, CONFIG_PEER_PATH "?" CONFIG_PEER_CONFIG_ONLY "=1",
+          now_us);
 }
 
 void
-share_ask_next(struct share *share, uint64_t now_us)
+config_peer_query_next(struct config_peer *config_peer, uint64_t now_us)
 {
-    if (share->peer_count > 0 && now_us >= share->next_us) {
-        ask(share, share->peers[share->turn++ % share->peer_count], SHARE_PATH,
-            now_us);
+    if (config_peer->peer_count > 0 && now_us >= config_peer->next_us) {
+        query(config_peer,
+              config_peer
+                  ->peers[config_peer->next_peer++ % config_peer->peer_count],
+              CONFIG_PEER_PATH, now_us);
     }
 }
 
 struct json_object *
-share_encode(struct json_object *config, const struct agents *agents)
+config_peer_encode(struct json_object *config, const struct agents *agents)
 {
     struct json_object *json = json_object_new_object();
     struct json_object *list = json_object_new_array();
--- a/src/relay/program/dgram.c
+++ b/src/relay/program/dgram.c
@@ -16,32 +16,32 @@
  * @out: datagrams to be sent
  */
 struct dgram_buffers {
-    struct mmsghdr in_heads[DGRAM_BATCH];
-    struct iovec in_parts[DGRAM_BATCH];
+    struct mmsghdr in_headers[DGRAM_BATCH];
+    struct iovec in_iovecs[DGRAM_BATCH];
     struct sockaddr_in in_addrs[DGRAM_BATCH];
     uint8_t in[DGRAM_BATCH][FRAME_MAX];
-    struct mmsghdr out_heads[DGRAM_BATCH];
-    struct iovec out_parts[DGRAM_BATCH];
+    struct mmsghdr out_headers[DGRAM_BATCH];
+    struct iovec out_iovecs[DGRAM_BATCH];
     struct sockaddr_in out_addrs[DGRAM_BATCH];
     uint8_t out[DGRAM_BATCH][FRAME_MAX];
 };
 
 static void
-link_buffers(struct dgram_buffers *buffers)
+init_buffers(struct dgram_buffers *buffers)
 {
     for (unsigned i = 0; i < DGRAM_BATCH; i++) {
-        buffers->in_parts[i] = (struct iovec){buffers->in[i], FRAME_MAX};
-        buffers->in_heads[i].msg_hdr = (struct msghdr){
+        buffers->in_iovecs[i] = (struct iovec){buffers->in[i], FRAME_MAX};
+        buffers->in_headers[i].msg_hdr = (struct msghdr){
             .msg_name = &buffers->in_addrs[i],
             .msg_namelen = sizeof(buffers->in_addrs[i]),
-            .msg_iov = &buffers->in_parts[i],
+            .msg_iov = &buffers->in_iovecs[i],
             .msg_iovlen = 1,
         };
-        buffers->out_parts[i].iov_base = buffers->out[i];
-        buffers->out_heads[i].msg_hdr = (struct msghdr){
+        buffers->out_iovecs[i].iov_base = buffers->out[i];
+        buffers->out_headers[i].msg_hdr = (struct msghdr){
             .msg_name = &buffers->out_addrs[i],
             .msg_namelen = sizeof(buffers->out_addrs[i]),
-            .msg_iov = &buffers->out_parts[i],
+            .msg_iov = &buffers->out_iovecs[i],
             .msg_iovlen = 1,
         };
     }
@@ -55,14 +55,14 @@
     int count;
 
     for (unsigned i = 0; i < DGRAM_BATCH; i++) {
-        buffers->in_heads[i].msg_hdr.msg_namelen =
+        buffers->in_headers[i].msg_hdr.msg_namelen =
             sizeof(buffers->in_addrs[i]);
     }
-    count = recvmmsg(dgram->fd, buffers->in_heads, DGRAM_BATCH, MSG_DONTWAIT,
+    count = recvmmsg(dgram->fd, buffers->in_headers, DGRAM_BATCH, MSG_DONTWAIT,
                      NULL);
     for (int i = 0; i < count; i++) {
         dgram->ops->datagram(dgram, addr_from_sockaddr(&buffers->in_addrs[i]),
-                             buffers->in[i], buffers->in_heads[i].msg_len);
+                             buffers->in[i], buffers->in_headers[i].msg_len);
     }
     return count;
 }
@@ -74,7 +74,7 @@
 
     /* One batch a turn: the other sockets get theirs in between. */
     read_batch(dgram);
-    dgram->ops->drained(dgram);
+    dgram->ops->batch_done(dgram);
 }
 
 static int
@@ -111,7 +111,7 @@
     if (ret < 0) {
         goto err;
     }
-    link_buffers(dgram->buffers);
+    init_buffers(dgram->buffers);
     dgram->event =
         event_new(base, dgram->fd, EV_READ | EV_PERSIST, on_readable, dgram);
     if (dgram->event == NULL || event_add(dgram->event, NULL) < 0) {
@@ -164,7 +164,7 @@
 dgram_queue(struct dgram *dgram, struct addr to, size_t size)
 {
     dgram->buffers->out_addrs[dgram->queued] = addr_to_sockaddr(to);
-    dgram->buffers->out_parts[dgram->queued].iov_len = size;
+    dgram->buffers->out_iovecs[dgram->queued].iov_len = size;
     dgram->queued++;
 }
 
@@ -174,13 +174,13 @@
     unsigned sent = 0;
 
     while (sent < dgram->queued) {
-        int count = sendmmsg(dgram->fd, &dgram->buffers->out_heads[sent],
+        int count = sendmmsg(dgram->fd, &dgram->buffers->out_headers[sent],
                              dgram->queued - sent, MSG_DONTWAIT);
 
         if (count <= 0) {
             /* The first can't be sent: a full buffer, or a host that is
              * unreachable; its sender's timeouts cover it. */
-            dgram->lost++;
+            dgram->send_failures++;
             count = 1;
         }
         sent += (unsigned)count;
--- a/src/relay/program/dgram.h
+++ b/src/relay/program/dgram.h
@@ -24,8 +24,8 @@
     /** @datagram: one came */
     void (*datagram)(struct dgram *dgram, struct addr from,
                      const uint8_t *bytes, size_t size);
-    /** @drained: all of a batch were told */
-    void (*drained)(struct dgram *dgram);
+    /** @batch_done: all of a batch were told */
+    void (*batch_done)(struct dgram *dgram);
 };
 
 struct dgram_buffers;
@@ -39,7 +39,7 @@
  * @addr: address it is bound to
  * @buffers: room for two batches
  * @queued: datagrams to be sent
- * @lost: datagrams that the kernel didn't take
+ * @send_failures: datagrams that the kernel didn't take
  */
 struct dgram {
     const struct dgram_ops *ops;
@@ -49,7 +49,7 @@
     struct addr addr;
     struct dgram_buffers *buffers;
     unsigned queued;
-    uint64_t lost;
+    uint64_t send_failures;
 };
 
 /** dgram_init() - bind to @addr and read on @base */
--- a/src/relay/program/loop.c
+++ b/src/relay/program/loop.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* A timer that is this close to due fires now: it isn't worth a sleep. */
-#define TICK_SLACK_US 200
+#define TICK_TOLERANCE_US 200
 
 static void
 arm(struct loop *loop, uint64_t due_us)
@@ -30,7 +30,7 @@
     struct loop *loop = data;
 
     loop->armed_us = UINT64_MAX;
-    arm(loop, loop->ops->tick(loop, loop_now_us(loop) + TICK_SLACK_US));
+    arm(loop, loop->ops->tick(loop, loop_now_us(loop) + TICK_TOLERANCE_US));
 }
 
 static void
@@ -44,7 +44,7 @@
     else {
         loop->ops->stop(loop, loop_now_us(loop));
     }
-    loop_due(loop, loop_now_us(loop));
+    loop_schedule(loop, loop_now_us(loop));
 }
 
 static int
@@ -105,7 +105,7 @@
 }
 
 void
-loop_due(struct loop *loop, uint64_t due_us)
+loop_schedule(struct loop *loop, uint64_t due_us)
 {
     if (due_us < loop->armed_us) {
         arm(loop, due_us);
@@ -120,7 +120,7 @@
 }
 
 void
-loop_end(struct loop *loop)
+loop_stop(struct loop *loop)
 {
     event_base_loopbreak(loop->base);
 }
--- a/src/relay/program/loop.h
+++ b/src/relay/program/loop.h
@@ -53,16 +53,17 @@
 uint64_t
 loop_now_us(struct loop *loop);
 
-/** loop_due() - something is due at @due_us, maybe sooner than the timer */
+/** loop_schedule() - something is due at @due_us, maybe sooner than the timer
+ */
 void
-loop_due(struct loop *loop, uint64_t due_us);
+loop_schedule(struct loop *loop, uint64_t due_us);
 
-/** loop_run() - until loop_end() */
+/** loop_run() - until loop_stop() */
 void
 loop_run(struct loop *loop);
 
-/** loop_end() - leave loop_run() */
+/** loop_stop() - leave loop_run() */
 void
-loop_end(struct loop *loop);
+loop_stop(struct loop *loop);
 
 #endif
--- a/src/relay/program/relay_agent.c
+++ b/src/relay/program/relay_agent.c
@@ -20,7 +20,7 @@
 enum { EXIT_STOPPED = 0, EXIT_ERROR = 1, EXIT_SETTINGS = 2 };
 
 static bool
-stop_is_over(const struct relay_agent *agent, uint64_t now_us)
+stop_is_complete(const struct relay_agent *agent, uint64_t now_us)
 {
     uint64_t since_us = now_us - agent->stop_us;
 
@@ -36,7 +36,7 @@
 }
 
 static void
-take_peers(struct relay_agent *agent)
+apply_peers(struct relay_agent *agent)
 {
     agent->admission.announce_target_count = 0;
     for (size_t i = 0; i < agent->settings.peer_count; i++) {
@@ -53,7 +53,7 @@
                                    sizeof(report));
 
     agent->log.per_s = agent->settings.log_per_s;
-    take_peers(agent);
+    apply_peers(agent);
     event_log_line(&agent->log, EVENT_RARE, "reload",
                    "result=%s peers=%zu log_per_s=%u stop_ms=%u "
                    "reason=\"%s\"",
@@ -63,7 +63,7 @@
 
 /* What the agent's own calls tell of the store goes on with its frames. */
 static void
-note_era(struct relay_agent *agent, uint64_t now_us)
+notify_epoch(struct relay_agent *agent, uint64_t now_us)
 {
     struct evacuations told = {.epoch = agent->registration.epoch};
 
@@ -72,7 +72,7 @@
 
 /* Somebody took the agent's object away while its endpoint lives. */
 static void
-write_anew(struct relay_agent *agent, uint64_t now_us)
+register_again(struct relay_agent *agent, uint64_t now_us)
 {
     if (agent->admission.unlisted &&
         agent->admission.endpoint.state != ENDPOINT_GONE) {
@@ -95,9 +95,9 @@
     admission_tick(&agent->admission, now_us);
     dgram_flush(&agent->outbound);
     dgram_flush(&agent->frames);
-    write_anew(agent, now_us);
+    register_again(agent, now_us);
     registration_writer_tick(&agent->registration, now_us);
-    note_era(agent, now_us);
+    notify_epoch(agent, now_us);
     if (settings_file_changed(&agent->file, now_us)) {
         reload(agent);
     }
@@ -105,8 +105,8 @@
         event_log_flush(&agent->log);
         agent->flush_us = now_us + FLUSH_US;
     }
-    if (stop_is_over(agent, now_us)) {
-        loop_end(loop);
+    if (stop_is_complete(agent, now_us)) {
+        loop_stop(loop);
     }
     next_us = MIN(admission_next_us(&agent->admission), agent->flush_us);
     return MIN(next_us, registration_writer_next_us(&agent->registration));
@@ -118,7 +118,7 @@
     struct relay_agent *agent = container_of(loop, struct relay_agent, loop);
 
     if (agent->stop_us != 0) {
-        loop_end(loop);
+        loop_stop(loop);
         return;
     }
     agent->stop_us = now_us;
@@ -201,7 +201,7 @@
     agent->out.ops = &relay_agent_out_ops;
     agent->frames.fd = agent->outbound.fd = -1;
     agent->probe.fd = -1;
-    agent->refused_last = HEARTBEAT_TAKEN;
+    agent->last_refusal = HEARTBEAT_ACCEPTED;
     if (loop_init(&agent->loop, &loop_ops) < 0) {
         return error_set(err, -ENOMEM, "start", NULL, "no event loop");
     }
@@ -221,7 +221,7 @@
     }
     probe_init(&agent->probe, &relay_agent_probe_ops, agent->loop.base,
                agent->settings.upstream);
-    take_peers(agent);
+    apply_peers(agent);
     event_log_line(&agent->log, EVENT_RARE, "started",
                    "role=agent data_centre=%s service=%s",
                    agent->settings.data_centre, agent->settings.service);
@@ -264,7 +264,7 @@
     else {
         loop_run(&agent->loop);
         event_log_line(&agent->log, EVENT_RARE, "stopped", "flows=%" PRIu64,
-                       agent->counts.placed);
+                       agent->counts.established);
         event_log_flush(&agent->log);
     }
     finish(agent);
--- a/src/relay/program/relay_agent_http.c
+++ b/src/relay/program/relay_agent_http.c
@@ -24,42 +24,42 @@
 
 /* In words, by enum heartbeat_refusal. */
 static const char *const refusal_names[] = {
-    [HEARTBEAT_NO_JSON] = "no_json",
-    [HEARTBEAT_SERVICE] = "no_service",
-    [HEARTBEAT_STATE] = "no_state",
-    [HEARTBEAT_FIELD] = "wrong_field",
-    [HEARTBEAT_OTHER_SERVICE] = "other_service",
-    [HEARTBEAT_EARLIER] = "earlier_start",
+    [HEARTBEAT_REFUSED_NO_JSON] = "no_json",
+    [HEARTBEAT_REFUSED_NO_SERVICE] = "no_service",
+    [HEARTBEAT_REFUSED_NO_STATE] = "no_state",
+    [HEARTBEAT_REFUSED_WRONG_FIELD] = "wrong_field",
+    [HEARTBEAT_REFUSED_OTHER_SERVICE] = "other_service",
+    [HEARTBEAT_REFUSED_STALE] = "earlier_start",
 };
 
-static const enum heartbeat_refusal refusal_of[] = {
-    [HEARTBEAT_FORMAT_NOT_JSON] = HEARTBEAT_NO_JSON,
-    [HEARTBEAT_FORMAT_SERVICE] = HEARTBEAT_SERVICE,
-    [HEARTBEAT_FORMAT_STATE] = HEARTBEAT_STATE,
-    [HEARTBEAT_FORMAT_FIELD] = HEARTBEAT_FIELD,
+static const enum heartbeat_refusal refusal_by_fault[] = {
+    [HEARTBEAT_FORMAT_NOT_JSON] = HEARTBEAT_REFUSED_NO_JSON,
+    [HEARTBEAT_FORMAT_SERVICE] = HEARTBEAT_REFUSED_NO_SERVICE,
+    [HEARTBEAT_FORMAT_STATE] = HEARTBEAT_REFUSED_NO_STATE,
+    [HEARTBEAT_FORMAT_FIELD] = HEARTBEAT_REFUSED_WRONG_FIELD,
 };
 
 /* Counts a heartbeat that isn't believed; a line when the reason is another
  * than the last one's. */
 static void
-note_refused(struct relay_agent *agent, enum heartbeat_refusal why,
-             const struct error *err)
+record_refusal(struct relay_agent *agent, enum heartbeat_refusal why,
+               const struct error *err)
 {
     char line[512];
 
     agent->counts.refused_heartbeats[why]++;
-    if (agent->refused_last == why) {
+    if (agent->last_refusal == why) {
         return;
     }
-    agent->refused_last = why;
+    agent->last_refusal = why;
     event_log_line(&agent->log, EVENT_RARE, "heartbeat_refused",
                    "cause=%s reason=\"%s\"", refusal_names[why],
                    error_format(err, line, sizeof(line)));
 }
 
 static int
-take_heartbeat(struct relay_agent *agent, const char *id,
-               struct httpd_request *request)
+handle_heartbeat(struct relay_agent *agent, const char *id,
+                 struct httpd_request *request)
 {
     enum endpoint_state before = agent->admission.endpoint.state;
     enum heartbeat_format_fault fault;
@@ -69,24 +69,24 @@
     const char *body = httpd_request_body(request, &len);
 
     if (heartbeat_format_decode(id, body, len, &heartbeat, &fault, &err) < 0) {
-        note_refused(agent, refusal_of[fault], &err);
+        record_refusal(agent, refusal_by_fault[fault], &err);
         return 400;
     }
     if (heartbeat.service != hash_service(agent->settings.service)) {
         error_set(&err, -EINVAL, "take a heartbeat", id,
                   "the endpoint here is of %s", agent->settings.service);
-        note_refused(agent, HEARTBEAT_OTHER_SERVICE, &err);
+        record_refusal(agent, HEARTBEAT_REFUSED_OTHER_SERVICE, &err);
         return 400;
     }
     if (!admission_handle_heartbeat(&agent->admission, &heartbeat,
                                     loop_now_us(&agent->loop))) {
         error_set(&err, -EINVAL, "take a heartbeat", id,
                   "it is of a start before the current one");
-        note_refused(agent, HEARTBEAT_EARLIER, &err);
+        record_refusal(agent, HEARTBEAT_REFUSED_STALE, &err);
         return 503;
     }
     agent->counts.heartbeats++;
-    agent->refused_last = HEARTBEAT_TAKEN;
+    agent->last_refusal = HEARTBEAT_ACCEPTED;
     if (agent->admission.endpoint.state != before) {
         log_endpoint(agent, id, "heartbeat");
     }
@@ -94,8 +94,8 @@
 }
 
 static int
-take_goodbye(struct relay_agent *agent, const char *id,
-             struct httpd_request *request)
+handle_goodbye(struct relay_agent *agent, const char *id,
+               struct httpd_request *request)
 {
     enum endpoint_state before = agent->admission.endpoint.state;
     size_t len;
@@ -124,10 +124,10 @@
         status = 404;
     }
     else if (strcmp(method, "PUT") == 0) {
-        status = take_heartbeat(agent, id, request);
+        status = handle_heartbeat(agent, id, request);
     }
     else if (strcmp(method, "DELETE") == 0) {
-        status = take_goodbye(agent, id, request);
+        status = handle_goodbye(agent, id, request);
     }
     httpd_respond(request, status, "application/json", HEARTBEAT_FORMAT_ACK,
                   strlen(HEARTBEAT_FORMAT_ACK));
@@ -157,13 +157,13 @@
         "swiftarch_endpoint_state %d\n"
         "swiftarch_log_lines_left_out_total %" PRIu64 "\n",
         agent->counts.to_endpoint, agent->counts.to_caller,
-        agent->counts.frames_in, agent->counts.frames_on,
-        agent->counts.heartbeats, agent->counts.placed, agent->counts.held,
-        agent->admission.queue_count, agent->counts.resets,
-        agent->counts.asked, agent->admission.busy_count,
-        agent->admission.table.used, (int)agent->admission.endpoint.state,
-        agent->log.left_out_total);
-    for (size_t i = 0; i < HEARTBEAT_TAKEN; i++) {
+        agent->counts.frames_in, agent->counts.frames_forwarded,
+        agent->counts.heartbeats, agent->counts.established,
+        agent->counts.queued, agent->admission.queue_count,
+        agent->counts.resets, agent->counts.orphan_queries,
+        agent->admission.busy_count, agent->admission.table.used,
+        (int)agent->admission.endpoint.state, agent->log.left_out_total);
+    for (size_t i = 0; i < HEARTBEAT_ACCEPTED; i++) {
         g_string_append_printf(
             text,
             "swiftarch_heartbeats_refused_total{reason=\"%s\"} %" PRIu64 "\n",
@@ -172,7 +172,7 @@
     for (size_t i = 1; i <= FRAME_REASON_MAX; i++) {
         g_string_append_printf(
             text, "swiftarch_flows_passed_total{reason=\"%s\"} %" PRIu64 "\n",
-            relay_agent_reason_names[i], agent->counts.passed[i]);
+            relay_agent_reason_names[i], agent->counts.redirected[i]);
     }
     for (size_t i = 0; i < ADMISSION_DROP_COUNT; i++) {
         g_string_append_printf(
--- a/src/relay/program/relay_agent_out.c
+++ b/src/relay/program/relay_agent_out.c
@@ -32,7 +32,7 @@
     [ADMISSION_DROP_EXPIRED] = "caller_gave_up",
 };
 
-static const char *const did_names[] = {
+static const char *const decision_names[] = {
     [ADMISSION_DECISION_ESTABLISH] = "placed",
     [ADMISSION_DECISION_REDIRECT] = "passed",
     [ADMISSION_DECISION_ABANDON] = "let_go",
@@ -45,7 +45,7 @@
 /* Outputs of admission. */
 
 static struct relay_agent *
-of_out(struct admission_out *out)
+agent_of_out(struct admission_out *out)
 {
     return container_of(out, struct relay_agent, out);
 }
@@ -53,7 +53,7 @@
 static void
 out_to_endpoint(struct admission_out *out, const uint8_t *bytes, size_t size)
 {
-    struct relay_agent *agent = of_out(out);
+    struct relay_agent *agent = agent_of_out(out);
 
     agent->counts.to_endpoint++;
     dgram_send(&agent->outbound, agent->settings.upstream, bytes, size);
@@ -63,7 +63,7 @@
 out_to_caller(struct admission_out *out, struct addr caller,
               const uint8_t *bytes, size_t size)
 {
-    struct relay_agent *agent = of_out(out);
+    struct relay_agent *agent = agent_of_out(out);
     struct addr to = {caller.ip, (uint16_t)agent->settings.callers_port};
 
     agent->counts.to_caller++;
@@ -73,7 +73,7 @@
 static void
 out_reset(struct admission_out *out, struct relay_flow flow, uint32_t seq)
 {
-    struct relay_agent *agent = of_out(out);
+    struct relay_agent *agent = agent_of_out(out);
     struct addr to = {flow.caller.ip, (uint16_t)agent->settings.callers_port};
 
     packet_format_reset(flow, seq, dgram_buffer(&agent->frames));
@@ -82,22 +82,22 @@
 }
 
 static void
-out_carry(struct admission_out *out, struct addr peer,
-          const struct frame_forward *frame)
+out_forward(struct admission_out *out, struct addr peer,
+            const struct frame_forward *frame)
 {
-    struct relay_agent *agent = of_out(out);
+    struct relay_agent *agent = agent_of_out(out);
     size_t size = frame_forward_encode(frame, &agent->admission.store.latest,
                                        dgram_buffer(&agent->frames));
 
-    agent->counts.frames_on++;
+    agent->counts.frames_forwarded++;
     dgram_queue(&agent->frames, peer, size);
 }
 
 static void
-out_tell(struct admission_out *out, struct addr balancer,
-         const struct frame_status *status)
+out_notify(struct admission_out *out, struct addr balancer,
+           const struct frame_status *status)
 {
-    struct relay_agent *agent = of_out(out);
+    struct relay_agent *agent = agent_of_out(out);
     size_t size = frame_status_encode(status, &agent->admission.store.latest,
                                       dgram_buffer(&agent->frames));
 
@@ -105,10 +105,10 @@
 }
 
 static void
-out_serves(struct admission_out *out, struct addr balancer,
+out_served(struct admission_out *out, struct addr balancer,
            const struct frame_served *served)
 {
-    struct relay_agent *agent = of_out(out);
+    struct relay_agent *agent = agent_of_out(out);
     size_t size = frame_served_encode(served, &agent->admission.store.latest,
                                       dgram_buffer(&agent->frames));
 
@@ -118,26 +118,26 @@
 }
 
 static void
-out_absent(struct admission_out *out, struct addr balancer,
-           const struct frame_query_reply *query_reply)
+out_query_reply(struct admission_out *out, struct addr balancer,
+                const struct frame_query_reply *query_reply)
 {
-    struct relay_agent *agent = of_out(out);
+    struct relay_agent *agent = agent_of_out(out);
     size_t size =
         frame_query_reply_encode(query_reply, &agent->admission.store.latest,
                                  dgram_buffer(&agent->frames));
 
-    agent->counts.asked++;
+    agent->counts.orphan_queries++;
     dgram_queue(&agent->frames, balancer, size);
 }
 
 static void
 out_probe(struct admission_out *out)
 {
-    probe_start(&of_out(out)->probe);
+    probe_start(&agent_of_out(out)->probe);
 }
 
 static void
-on_probed(struct probe *probe, bool refused)
+on_probe_ended(struct probe *probe, bool refused)
 {
     struct relay_agent *agent = container_of(probe, struct relay_agent, probe);
 
@@ -150,12 +150,12 @@
     }
 }
 
-const struct probe_ops relay_agent_probe_ops = {on_probed};
+const struct probe_ops relay_agent_probe_ops = {on_probe_ended};
 
 static void
 out_dropped(struct admission_out *out, enum admission_drop why)
 {
-    of_out(out)->counts.dropped[why]++;
+    agent_of_out(out)->counts.dropped[why]++;
 }
 
 static void
@@ -164,14 +164,14 @@
 {
     switch (did) {
     case ADMISSION_DECISION_ESTABLISH:
-        agent->counts.placed++;
+        agent->counts.established++;
         break;
     case ADMISSION_DECISION_QUEUE:
-        agent->counts.held++;
+        agent->counts.queued++;
         break;
     case ADMISSION_DECISION_REDIRECT:
     case ADMISSION_DECISION_ABANDON:
-        agent->counts.passed[why]++;
+        agent->counts.redirected[why]++;
         break;
     default:
         break;
@@ -183,7 +183,7 @@
             struct relay_flow flow, enum frame_reason why,
             const struct frame_forward *frame)
 {
-    struct relay_agent *agent = of_out(out);
+    struct relay_agent *agent = agent_of_out(out);
     char caller[ADDR_TEXT_MAX];
     char service[ADDR_TEXT_MAX];
 
@@ -192,7 +192,7 @@
         return;
     }
     event_log_line(
-        &agent->log, EVENT_ROUTINE, did_names[did],
+        &agent->log, EVENT_ROUTINE, decision_names[did],
         "caller=%s service=%s reason=%s endpoint=%s busy=%u "
         "slots=%u held=%u target_ms=%u forced=%d hops=%u",
         addr_format(flow.caller, caller), addr_format(flow.service, service),
@@ -207,10 +207,10 @@
     .to_endpoint = out_to_endpoint,
     .to_caller = out_to_caller,
     .reset = out_reset,
-    .forward = out_carry,
-    .notify = out_tell,
-    .served = out_serves,
-    .query_reply = out_absent,
+    .forward = out_forward,
+    .notify = out_notify,
+    .served = out_served,
+    .query_reply = out_query_reply,
     .probe = out_probe,
     .dropped = out_dropped,
     .decided = out_decided,
@@ -219,8 +219,8 @@
 /* Datagrams. */
 
 static void
-on_carry(struct relay_agent *agent, const uint8_t *bytes, size_t size,
-         uint64_t now_us)
+on_forward(struct relay_agent *agent, const uint8_t *bytes, size_t size,
+           uint64_t now_us)
 {
     struct frame_forward frame;
     struct relay_packet packet;
@@ -236,8 +236,8 @@
 }
 
 static void
-take_evacuations(struct relay_agent *agent, struct addr from,
-                 const uint8_t *bytes, uint64_t now_us)
+handle_evacuations(struct relay_agent *agent, struct addr from,
+                   const uint8_t *bytes, uint64_t now_us)
 {
     struct evacuations latest;
     char text[ADDR_TEXT_MAX];
@@ -271,11 +271,11 @@
 
     agent->counts.frames_in++;
     if (type > 0) {
-        take_evacuations(agent, from, bytes, now_us);
+        handle_evacuations(agent, from, bytes, now_us);
     }
     switch (type) {
     case FRAME_FORWARD:
-        on_carry(agent, bytes, size, now_us);
+        on_forward(agent, bytes, size, now_us);
         return;
     case FRAME_PING:
         if (frame_ping_decode(bytes, size, &ping) == 0) {
@@ -316,14 +316,14 @@
 {
     dgram_flush(&agent->outbound);
     dgram_flush(&agent->frames);
-    loop_due(&agent->loop, admission_next_us(&agent->admission));
+    loop_schedule(&agent->loop, admission_next_us(&agent->admission));
 }
 
 static void
-on_drained(struct dgram *dgram)
+on_batch_done(struct dgram *dgram)
 {
     relay_agent_flush(dgram->owner);
 }
 
-const struct dgram_ops relay_agent_frames_ops = {on_frame, on_drained};
-const struct dgram_ops relay_agent_outbound_ops = {on_outbound, on_drained};
+const struct dgram_ops relay_agent_frames_ops = {on_frame, on_batch_done};
+const struct dgram_ops relay_agent_outbound_ops = {on_outbound, on_batch_done};
--- a/src/relay/program/relay_agent_private.h
+++ b/src/relay/program/relay_agent_private.h
@@ -19,13 +19,14 @@
 
 /** enum heartbeat_refusal - why a heartbeat wasn't believed */
 enum heartbeat_refusal {
-    HEARTBEAT_NO_JSON,
-    HEARTBEAT_SERVICE,
-    HEARTBEAT_STATE,
-    HEARTBEAT_FIELD,
-    HEARTBEAT_OTHER_SERVICE, /* of a service that isn't the endpoint's here */
-    HEARTBEAT_EARLIER,       /* of a start before the current one */
-    HEARTBEAT_TAKEN,         /* it was believed */
+    HEARTBEAT_REFUSED_NO_JSON,
+    HEARTBEAT_REFUSED_NO_SERVICE,
+    HEARTBEAT_REFUSED_NO_STATE,
+    HEARTBEAT_REFUSED_WRONG_FIELD,
+    HEARTBEAT_REFUSED_OTHER_SERVICE, /* of a service that isn't the endpoint's
+                                        here */
+    HEARTBEAT_REFUSED_STALE,         /* of a start before the current one */
+    HEARTBEAT_ACCEPTED,              /* it was believed */
 };
 
 /**
@@ -50,7 +51,7 @@
  * @stop_us: when the planned stop began, 0 for none
  * @packet_us: when the last packet came
  * @flush_us: when the log is written next
- * @refused_last: why the last heartbeat wasn't believed
+ * @last_refusal: why the last heartbeat wasn't believed
  * @counts: packets and frames
  */
 struct relay_agent {
@@ -74,19 +75,19 @@
     uint64_t stop_us;
     uint64_t packet_us;
     uint64_t flush_us;
-    enum heartbeat_refusal refused_last;
+    enum heartbeat_refusal last_refusal;
     struct {
         uint64_t to_endpoint;
         uint64_t to_caller;
         uint64_t frames_in;
-        uint64_t frames_on;
+        uint64_t frames_forwarded;
         uint64_t heartbeats;
-        uint64_t refused_heartbeats[HEARTBEAT_TAKEN];
-        uint64_t placed;
-        uint64_t held;
+        uint64_t refused_heartbeats[HEARTBEAT_ACCEPTED];
+        uint64_t established;
+        uint64_t queued;
         uint64_t resets;
-        uint64_t asked;
-        uint64_t passed[FRAME_REASON_MAX + 1];
+        uint64_t orphan_queries;
+        uint64_t redirected[FRAME_REASON_MAX + 1];
         uint64_t dropped[ADMISSION_DROP_COUNT];
     } counts;
 };
--- a/src/relay/program/relay_balancer.c
+++ b/src/relay/program/relay_balancer.c
@@ -19,14 +19,14 @@
 /* Agents come in bursts (a data centre that starts) and series (a release, one
  * a second): a watch then brings several. New ones aren't missed for that
  * long, and those that have gone say so themselves. */
-static const struct watcher_backoff agents_pace = {
+static const struct watcher_backoff agents_watch_delay = {
     .min_us = 100 * USEC_PER_MSEC,
     .max_us = 2 * USEC_PER_SEC,
 };
 
 /* Operators may change the configuration many times a second. The longest is
  * a tenth of the shortest bound that they set. */
-static const struct watcher_backoff config_pace = {
+static const struct watcher_backoff config_watch_delay = {
     .min_us = 25 * USEC_PER_MSEC,
     .max_us = 300 * USEC_PER_MSEC,
 };
@@ -34,15 +34,15 @@
 /* When the store takes longer than this, peers are asked too: its answers
  * take 4 ms. While it says that there is no configuration yet, they are left
  * alone: the few that all hosts name would be asked by the whole fleet. */
-#define PEERS_AFTER_US (60 * USEC_PER_MSEC)
+#define PEER_QUERY_DELAY_US (60 * USEC_PER_MSEC)
 
 /* On a planned stop the fabric needs two missed probes, half a second apart,
  * to send packets elsewhere; then what comes has ended. */
 #define STOP_QUIET_US (400 * USEC_PER_MSEC)
-#define STOP_LEAST_US (1200 * USEC_PER_MSEC)
+#define STOP_MIN_US (1200 * USEC_PER_MSEC)
 
 /* Evacuations come one at a time, by hand. */
-static const struct watcher_backoff evacuations_pace = {
+static const struct watcher_backoff evacuations_watch_delay = {
     .min_us = 25 * USEC_PER_MSEC,
     .max_us = 300 * USEC_PER_MSEC,
 };
@@ -50,7 +50,7 @@
 enum { EXIT_STOPPED = 0, EXIT_ERROR = 1, EXIT_SETTINGS = 2 };
 
 static bool
-stop_is_over(const struct relay_balancer *balancer, uint64_t now_us)
+stop_is_complete(const struct relay_balancer *balancer, uint64_t now_us)
 {
     uint64_t since_us = now_us - balancer->stop_us;
 
@@ -58,30 +58,31 @@
         return false;
     }
     return since_us >= balancer->settings.stop_ms * USEC_PER_MSEC ||
-           (since_us >= STOP_LEAST_US &&
+           (since_us >= STOP_MIN_US &&
             now_us - balancer->packet_us >= STOP_QUIET_US);
 }
 
 static void
-ask_peers(struct relay_balancer *balancer, uint64_t now_us)
+query_peers(struct relay_balancer *balancer, uint64_t now_us)
 {
     if (balancer->forwarder.routes.version == 0 &&
-        watcher_is_away(&balancer->config_watcher, now_us, PEERS_AFTER_US)) {
-        share_ask_next(&balancer->share, now_us);
+        watcher_is_away(&balancer->config_watcher, now_us,
+                        PEER_QUERY_DELAY_US)) {
+        config_peer_query_next(&balancer->config_peer, now_us);
     }
 }
 
 /* The configuration's calls find out whether the store is back; the agents'
  * wait for that, so that an outage costs half the calls. */
 static bool
-agents_may_call(const struct relay_balancer *balancer)
+agents_watch_allowed(const struct relay_balancer *balancer)
 {
     return balancer->agents_watcher.failures == 0 ||
            balancer->config_watcher.failures == 0;
 }
 
 static void
-log_reader(struct relay_balancer *balancer, bool was_reading)
+log_reader_change(struct relay_balancer *balancer, bool was_reading)
 {
     const struct store_reader *reader = &balancer->reader;
 
@@ -96,14 +97,14 @@
 
 /* What part this balancer takes in reading the latest, and tells agents. */
 static void
-tick_part(struct relay_balancer *balancer, uint64_t now_us)
+update_reader_role(struct relay_balancer *balancer, uint64_t now_us)
 {
     struct store_reader *reader = &balancer->reader;
     unsigned failures = balancer->config_watcher.failures;
     bool was_reading = reader->reading;
     bool pings = store_reader_tick(reader, failures, now_us);
 
-    log_reader(balancer, was_reading);
+    log_reader_change(balancer, was_reading);
     balancer->forwarder.reader = store_reader_state(reader, failures);
     balancer->forwarder.current =
         store_reader_is_current(reader, failures, now_us);
@@ -114,7 +115,7 @@
 
 /* How new what is read must be, and how soon a failed read is repeated. */
 static void
-set_reads(struct relay_balancer *balancer, uint64_t now_us)
+set_read_modes(struct relay_balancer *balancer, uint64_t now_us)
 {
     const struct store_reader *reader = &balancer->reader;
     struct watcher *config = &balancer->config_watcher;
@@ -137,37 +138,38 @@
 
 /* Asks whoever is known to have a newer configuration. */
 static void
-ask_holder(struct relay_balancer *balancer, uint64_t now_us)
+query_config_holder(struct relay_balancer *balancer, uint64_t now_us)
 {
     const struct store_reader *reader = &balancer->reader;
-    struct addr self = balancer->settings.share;
+    struct addr self = balancer->settings.config_peer;
     struct addr holder = {reader->newer.holder.ip, self.port};
 
     if (store_reader_needs_peer(reader, balancer->config_watcher.failures,
                                 now_us) &&
         !addr_equal(holder, self)) {
-        share_ask_config(&balancer->share, holder, now_us);
+        config_peer_query_config(&balancer->config_peer, holder, now_us);
     }
 }
 
 static void
 tick_watchers(struct relay_balancer *balancer, uint64_t now_us)
 {
-    tick_part(balancer, now_us);
-    set_reads(balancer, now_us);
-    ask_holder(balancer, now_us);
+    update_reader_role(balancer, now_us);
+    set_read_modes(balancer, now_us);
+    query_config_holder(balancer, now_us);
     watcher_tick(&balancer->config_watcher, now_us);
-    if (agents_may_call(balancer)) {
+    if (agents_watch_allowed(balancer)) {
         watcher_tick(&balancer->agents_watcher, now_us);
     }
     relay_balancer_evacuations_tick(balancer, now_us);
 }
 
 static void
-take_peers(struct relay_balancer *balancer)
+apply_peers(struct relay_balancer *balancer)
 {
-    share_peers(&balancer->share, balancer->settings.peers,
-                balancer->settings.peer_count, balancer->settings.share);
+    config_peer_set_peers(&balancer->config_peer, balancer->settings.peers,
+                          balancer->settings.peer_count,
+                          balancer->settings.config_peer);
 }
 
 static void
@@ -181,7 +183,7 @@
     balancer->forwarder.slow_start = balancer->settings.slow_start;
     agents_set_regions(&balancer->forwarder.agents,
                        &balancer->settings.regions);
-    take_peers(balancer);
+    apply_peers(balancer);
     event_log_line(&balancer->log, EVENT_RARE, "reload",
                    "result=%s peers=%zu log_per_s=%u stop_ms=%u "
                    "reason=\"%s\"",
@@ -201,24 +203,24 @@
     dgram_poll(&balancer->frames);
     forwarder_tick(&balancer->forwarder, now_us);
     tick_watchers(balancer, now_us);
-    ask_peers(balancer, now_us);
+    query_peers(balancer, now_us);
     /* Who asks the witnesses waits for their answers. */
     dgram_flush(&balancer->frames);
     if (settings_file_changed(&balancer->file, now_us)) {
         reload(balancer);
     }
     if (now_us >= balancer->flush_us) {
-        relay_balancer_look(balancer);
+        relay_balancer_log_readiness(balancer);
         event_log_flush(&balancer->log);
         balancer->flush_us = now_us + FLUSH_US;
     }
-    if (stop_is_over(balancer, now_us)) {
-        loop_end(loop);
+    if (stop_is_complete(balancer, now_us)) {
+        loop_stop(loop);
     }
     next_us = MIN(forwarder_next_us(&balancer->forwarder), balancer->flush_us);
     next_us = MIN(next_us, watcher_next_us(&balancer->config_watcher));
     next_us = MIN(next_us, store_reader_next_us(&balancer->reader, now_us));
-    if (agents_may_call(balancer)) {
+    if (agents_watch_allowed(balancer)) {
         next_us = MIN(next_us, watcher_next_us(&balancer->agents_watcher));
     }
     return MIN(next_us, relay_balancer_evacuations_next_us(balancer, now_us));
@@ -231,7 +233,7 @@
         container_of(loop, struct relay_balancer, loop);
 
     if (balancer->stop_us != 0) {
-        loop_end(loop);
+        loop_stop(loop);
         return;
     }
     balancer->stop_us = now_us;
@@ -265,23 +267,23 @@
         }
     }
     watcher_init(&balancer->config_watcher, &relay_balancer_config_ops,
-                 balancer->stores[0], CONFIG_FORMAT_KIND, config_pace, seed,
-                 now_us);
+                 balancer->stores[0], CONFIG_FORMAT_KIND, config_watch_delay,
+                 seed, now_us);
     watcher_init(&balancer->agents_watcher, &relay_balancer_agents_ops,
-                 balancer->stores[1], REGISTRATION_KIND, agents_pace, seed + 1,
-                 now_us);
+                 balancer->stores[1], REGISTRATION_KIND, agents_watch_delay,
+                 seed + 1, now_us);
     balancer->agents_watcher.read = STORE_READ_STALE;
     watcher_init(&balancer->evacuations_watcher,
                  &relay_balancer_evacuations_ops, balancer->stores[3],
-                 CONFIG_FORMAT_EVACUATIONS_KIND, evacuations_pace, seed + 2,
-                 now_us);
+                 CONFIG_FORMAT_EVACUATIONS_KIND, evacuations_watch_delay,
+                 seed + 2, now_us);
     balancer->evacuations_watcher.read = STORE_READ_STALE;
     store_reader_init(&balancer->reader, seed, now_us);
     confirm_init(&balancer->confirm, &relay_balancer_confirm_ops,
                  balancer->stores[2], &balancer->agents_watcher);
-    share_init(&balancer->share, &relay_balancer_share_ops,
-               balancer->loop.base, seed);
-    take_peers(balancer);
+    config_peer_init(&balancer->config_peer, &relay_balancer_config_peer_ops,
+                     balancer->loop.base, seed);
+    apply_peers(balancer);
     return 0;
 }
 
@@ -303,10 +305,10 @@
     balancer->ready_handler.ops = &relay_balancer_ready_ops;
     balancer->ready =
         httpd_new(base, settings->ready, &balancer->ready_handler, err);
-    balancer->share_handler.ops = &relay_balancer_share_httpd_ops;
-    balancer->share_httpd =
-        httpd_new(base, settings->share, &balancer->share_handler, err);
-    if (balancer->ready == NULL || balancer->share_httpd == NULL) {
+    balancer->config_peer_handler.ops = &relay_balancer_config_peer_httpd_ops;
+    balancer->config_peer_httpd = httpd_new(
+        base, settings->config_peer, &balancer->config_peer_handler, err);
+    if (balancer->ready == NULL || balancer->config_peer_httpd == NULL) {
         return err->code;
     }
     if (settings->metrics.ip != 0) {
@@ -325,7 +327,7 @@
 
     balancer->out.ops = &relay_balancer_out_ops;
     balancer->data.fd = balancer->frames.fd = -1;
-    balancer->garbled =
+    balancer->malformed_objects =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     balancer->evacuated =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -362,7 +364,7 @@
 static void
 finish(struct relay_balancer *balancer)
 {
-    share_finish(&balancer->share);
+    config_peer_finish(&balancer->config_peer);
     watcher_finish(&balancer->config_watcher);
     watcher_finish(&balancer->agents_watcher);
     watcher_finish(&balancer->evacuations_watcher);
@@ -373,12 +375,12 @@
     }
     httpd_free(balancer->ready);
     httpd_free(balancer->metrics);
-    httpd_free(balancer->share_httpd);
+    httpd_free(balancer->config_peer_httpd);
     dgram_finish(&balancer->data);
     dgram_finish(&balancer->frames);
     forwarder_finish(&balancer->forwarder);
     json_object_put(balancer->config);
-    g_hash_table_destroy(balancer->garbled);
+    g_hash_table_destroy(balancer->malformed_objects);
     g_hash_table_destroy(balancer->evacuated);
     loop_finish(&balancer->loop);
 }
--- a/src/relay/program/relay_balancer_evacuations.c
+++ b/src/relay/program/relay_balancer_evacuations.c
@@ -10,10 +10,10 @@
  * it reads the list itself: answers of agents take milliseconds, and the
  * store's answer costs processor time that a host that has just started lacks.
  */
-#define FIRST_LIST_US (200 * USEC_PER_MSEC)
+#define INITIAL_LIST_DELAY_US (200 * USEC_PER_MSEC)
 
 /* The same after the store came back older, when its readers list at once. */
-#define OLDER_LIST_US (2 * USEC_PER_SEC)
+#define NEW_EPOCH_LIST_DELAY_US (2 * USEC_PER_SEC)
 
 /* A line for all evacuated data centres. */
 #define NAMES_MAX 512
@@ -22,31 +22,32 @@
  * latest to others: no agent has latest of it, as after a loss of all hosts,
  * or while the store came back older and no reader has read it since. */
 static bool
-wants_first(const struct relay_balancer *balancer, uint64_t now_us)
+needs_initial_list(const struct relay_balancer *balancer, uint64_t now_us)
 {
     const struct store_state *store = &balancer->forwarder.agents.store;
 
     return store->latest.revision == 0 && balancer->was_ready &&
-           now_us - balancer->ready_us >= FIRST_LIST_US &&
+           now_us - balancer->ready_us >= INITIAL_LIST_DELAY_US &&
            (store->rollback_us == 0 ||
-            now_us - store->rollback_us >= OLDER_LIST_US);
+            now_us - store->rollback_us >= NEW_EPOCH_LIST_DELAY_US);
 }
 
 /* Readers follow the list; the others are latest by agents. As for the agents'
  * list, the configuration's calls find out whether the store is back. */
 static bool
-may_call(const struct relay_balancer *balancer, uint64_t now_us)
+evacuations_watch_allowed(const struct relay_balancer *balancer,
+                          uint64_t now_us)
 {
     bool reaches = balancer->evacuations_watcher.failures == 0 ||
                    balancer->config_watcher.failures == 0;
 
     return balancer->settings.evacuations && reaches &&
-           (balancer->reader.reading || wants_first(balancer, now_us));
+           (balancer->reader.reading || needs_initial_list(balancer, now_us));
 }
 
 /* Names of the evacuated data centres in which agents are known. */
 static void
-names_of(const struct agents *agents, char *names, size_t size)
+list_evacuated_names(const struct agents *agents, char *names, size_t size)
 {
     GString *text = g_string_new(NULL);
     uint32_t named[EVACUATIONS_MAX];
@@ -71,7 +72,8 @@
 
 /* The store has come back older: nothing that was read of it stands. */
 static void
-take_era(struct relay_balancer *balancer, uint32_t epoch, const char *source)
+adopt_epoch(struct relay_balancer *balancer, uint32_t epoch,
+            const char *source)
 {
     const struct store_state *store = &balancer->forwarder.agents.store;
 
@@ -85,9 +87,9 @@
 }
 
 void
-relay_balancer_evacuations(struct relay_balancer *balancer,
-                           const struct evacuations *latest,
-                           const char *source)
+relay_balancer_apply_evacuations(struct relay_balancer *balancer,
+                                 const struct evacuations *latest,
+                                 const char *source)
 {
     uint32_t epoch = balancer->forwarder.agents.store.latest.epoch;
     char names[NAMES_MAX];
@@ -96,12 +98,12 @@
                                          loop_now_us(&balancer->loop));
 
     if (latest->epoch > epoch) {
-        take_era(balancer, latest->epoch, source);
+        adopt_epoch(balancer, latest->epoch, source);
     }
     if (!changed) {
         return;
     }
-    names_of(&balancer->forwarder.agents, names, sizeof(names));
+    list_evacuated_names(&balancer->forwarder.agents, names, sizeof(names));
     event_log_line(&balancer->log, EVENT_RARE, "evacuations",
                    "data_centres=%u with_agents=%s era=%u revision=%" PRIu64
                    " source=%s",
@@ -140,7 +142,8 @@
 
 /* Takes over the names that the store has latest. */
 static void
-take_names(struct relay_balancer *balancer, uint32_t epoch, uint64_t revision)
+apply_evacuated_names(struct relay_balancer *balancer, uint32_t epoch,
+                      uint64_t revision)
 {
     struct evacuations latest = {.epoch = epoch, .revision = revision};
     GHashTableIter names;
@@ -154,7 +157,7 @@
                            (const char *)name, EVACUATIONS_MAX);
         }
     }
-    relay_balancer_evacuations(balancer, &latest, "store");
+    relay_balancer_apply_evacuations(balancer, &latest, "store");
 }
 
 static void
@@ -164,7 +167,7 @@
         container_of(watcher, struct relay_balancer, evacuations_watcher);
 
     if (status == 0 && watcher->state == WATCHER_WATCH) {
-        take_names(balancer, watcher->epoch, watcher->revision);
+        apply_evacuated_names(balancer, watcher->epoch, watcher->revision);
     }
     relay_balancer_store_ended(balancer, watcher, status, changed);
 }
@@ -187,7 +190,7 @@
     watcher_set_read(watcher, reader->reading && watcher->failures == 0
                                   ? STORE_READ_LATEST
                                   : STORE_READ_STALE);
-    if (may_call(balancer, now_us)) {
+    if (evacuations_watch_allowed(balancer, now_us)) {
         watcher_tick(watcher, now_us);
     }
 }
@@ -196,7 +199,7 @@
 relay_balancer_evacuations_next_us(const struct relay_balancer *balancer,
                                    uint64_t now_us)
 {
-    if (!may_call(balancer, now_us)) {
+    if (!evacuations_watch_allowed(balancer, now_us)) {
         return UINT64_MAX;
     }
     return watcher_next_us(&balancer->evacuations_watcher);
--- a/src/relay/program/relay_balancer_http.c
+++ b/src/relay/program/relay_balancer_http.c
@@ -49,8 +49,8 @@
         "swiftarch_agent_objects_refused_total %" PRIu64 "\n"
         "swiftarch_log_lines_left_out_total %" PRIu64 "\n",
         balancer->counts.packets, balancer->counts.frames_out,
-        balancer->counts.opened, balancer->counts.tried_again,
-        balancer->counts.placed, balancer->counts.searched,
+        balancer->counts.opened, balancer->counts.flows_retried,
+        balancer->counts.established, balancer->counts.lookups_started,
         balancer->counts.pings, balancer->counts.resets,
         balancer->counts.queried, forwarder->flows.used,
         agents_count(&forwarder->agents), forwarder->routes.version,
@@ -101,22 +101,24 @@
 }
 
 static int
-on_share_request(struct httpd_handler *handler, struct httpd_request *request)
+on_config_peer_request(struct httpd_handler *handler,
+                       struct httpd_request *request)
 {
     struct relay_balancer *balancer =
-        container_of(handler, struct relay_balancer, share_handler);
+        container_of(handler, struct relay_balancer, config_peer_handler);
     struct json_object *json;
     const char *text;
     bool config_only;
     size_t len;
 
-    if (strcmp(httpd_request_path(request), SHARE_PATH) != 0) {
+    if (strcmp(httpd_request_path(request), CONFIG_PEER_PATH) != 0) {
         httpd_respond(request, 404, "application/json", "{}", 2);
         return 0;
     }
-    config_only = httpd_request_query(request, SHARE_CONFIG_ONLY) != NULL;
-    json = share_encode(balancer->config,
-                        config_only ? NULL : &balancer->forwarder.agents);
+    config_only =
+        httpd_request_query(request, CONFIG_PEER_CONFIG_ONLY) != NULL;
+    json = config_peer_encode(
+        balancer->config, config_only ? NULL : &balancer->forwarder.agents);
     text =
         json_object_to_json_string_length(json, JSON_C_TO_STRING_PLAIN, &len);
     httpd_respond(request, 200, "application/json", text, len);
@@ -125,4 +127,5 @@
 }
 
 const struct httpd_ops relay_balancer_ready_ops = {on_ready_request};
-const struct httpd_ops relay_balancer_share_httpd_ops = {on_share_request};
+const struct httpd_ops relay_balancer_config_peer_httpd_ops = {
+    on_config_peer_request};
--- a/src/relay/program/relay_balancer_out.c
+++ b/src/relay/program/relay_balancer_out.c
@@ -16,7 +16,7 @@
     [FORWARDER_DROP_FOREIGN] = "foreign",
 };
 
-static const char *const did_names[] = {
+static const char *const decision_names[] = {
     [FORWARDER_DECISION_SEND] = "sent",
     [FORWARDER_DECISION_ESTABLISH] = "placed",
     [FORWARDER_DECISION_RESET] = "reset",
@@ -26,16 +26,16 @@
 /* Outputs of forwarder. */
 
 static struct relay_balancer *
-of_out(struct forwarder_out *out)
+balancer_of_out(struct forwarder_out *out)
 {
     return container_of(out, struct relay_balancer, out);
 }
 
 static void
-out_carry(struct forwarder_out *out, struct addr agent,
-          const struct frame_forward *frame)
+out_forward(struct forwarder_out *out, struct addr agent,
+            const struct frame_forward *frame)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
     size_t size =
         frame_forward_encode(frame, &balancer->forwarder.agents.store.latest,
                              dgram_buffer(&balancer->frames));
@@ -47,7 +47,7 @@
 static void
 out_reset(struct forwarder_out *out, struct relay_flow flow, uint32_t seq)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
     struct addr to = {flow.caller.ip, balancer->data.addr.port};
 
     packet_format_reset(flow, seq, dgram_buffer(&balancer->data));
@@ -59,7 +59,7 @@
 static void
 out_ping(struct forwarder_out *out, struct addr agent, bool unlisted)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
     struct frame_ping ping = {
         .view = forwarder_store_view(&balancer->forwarder),
         .unlisted = unlisted,
@@ -73,10 +73,10 @@
 }
 
 static void
-out_ask(struct forwarder_out *out, struct addr agent,
-        const struct frame_query *query)
+out_query(struct forwarder_out *out, struct addr agent,
+          const struct frame_query *query)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
     size_t size =
         frame_query_encode(query, &balancer->forwarder.agents.store.latest,
                            dgram_buffer(&balancer->frames));
@@ -88,15 +88,16 @@
 static void
 out_confirm(struct forwarder_out *out, uint64_t now_us)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
 
     confirm_start(&balancer->confirm, now_us);
 }
 
 static void
-out_behind(struct forwarder_out *out, const struct frame_config_version *newer)
+out_newer_config(struct forwarder_out *out,
+                 const struct frame_config_version *newer)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
 
     store_reader_notify_newer(&balancer->reader, newer,
                               loop_now_us(&balancer->loop));
@@ -106,7 +107,7 @@
 static void
 out_readers(struct forwarder_out *out, struct frame_readers others)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
     uint64_t now_us = loop_now_us(&balancer->loop);
 
     if (store_reader_report(&balancer->reader, others, now_us)) {
@@ -118,7 +119,7 @@
 out_dropped(struct forwarder_out *out, enum forwarder_drop why,
             const struct relay_packet *packet)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
     char caller[ADDR_TEXT_MAX] = "-";
     char service[ADDR_TEXT_MAX] = "-";
 
@@ -141,23 +142,23 @@
             struct relay_flow flow, struct addr agent, unsigned tries,
             uint64_t age_us)
 {
-    struct relay_balancer *balancer = of_out(out);
-    bool placed = did == FORWARDER_DECISION_ESTABLISH;
+    struct relay_balancer *balancer = balancer_of_out(out);
+    bool established = did == FORWARDER_DECISION_ESTABLISH;
     bool sent = did == FORWARDER_DECISION_SEND;
     char caller[ADDR_TEXT_MAX];
     char service[ADDR_TEXT_MAX];
     char peer[ADDR_TEXT_MAX];
 
-    balancer->counts.placed += placed;
-    balancer->counts.searched += did == FORWARDER_DECISION_LOOKUP;
+    balancer->counts.established += established;
+    balancer->counts.lookups_started += did == FORWARDER_DECISION_LOOKUP;
     balancer->counts.opened += sent && tries == 1;
-    balancer->counts.tried_again += sent && tries > 1;
+    balancer->counts.flows_retried += sent && tries > 1;
     /* A flow's first try is latest by the line that says where it ended. */
     if ((sent && tries == 1) ||
         !event_log_wants(&balancer->log, EVENT_ROUTINE)) {
         return;
     }
-    event_log_line(&balancer->log, EVENT_ROUTINE, did_names[did],
+    event_log_line(&balancer->log, EVENT_ROUTINE, decision_names[did],
                    "caller=%s service=%s agent=%s tries=%u age_us=%" PRIu64
                    " config=%" PRIu64,
                    addr_format(flow.caller, caller),
@@ -170,7 +171,7 @@
 out_concluded(struct forwarder_out *out, const struct orphan_query *query,
               unsigned over)
 {
-    struct relay_balancer *balancer = of_out(out);
+    struct relay_balancer *balancer = balancer_of_out(out);
 
     if (!event_log_wants(&balancer->log, EVENT_ROUTINE)) {
         return;
@@ -184,12 +185,12 @@
 }
 
 const struct forwarder_out_ops relay_balancer_out_ops = {
-    .forward = out_carry,
+    .forward = out_forward,
     .reset = out_reset,
     .ping = out_ping,
-    .query = out_ask,
+    .query = out_query,
     .confirm = out_confirm,
-    .newer_config = out_behind,
+    .newer_config = out_newer_config,
     .readers = out_readers,
     .dropped = out_dropped,
     .decided = out_decided,
@@ -243,7 +244,7 @@
 
     if (type > 0) {
         frame_evacuations_decode(bytes, &evacuations);
-        relay_balancer_evacuations(balancer, &evacuations, "agent");
+        relay_balancer_apply_evacuations(balancer, &evacuations, "agent");
     }
 
     if (type == FRAME_SERVED &&
@@ -267,13 +268,13 @@
 }
 
 static void
-on_drained(struct dgram *dgram)
+on_batch_done(struct dgram *dgram)
 {
     struct relay_balancer *balancer = dgram->owner;
 
     dgram_flush(&balancer->frames);
-    loop_due(&balancer->loop, forwarder_next_us(&balancer->forwarder));
+    loop_schedule(&balancer->loop, forwarder_next_us(&balancer->forwarder));
 }
 
-const struct dgram_ops relay_balancer_data_ops = {on_packet, on_drained};
-const struct dgram_ops relay_balancer_frames_ops = {on_frame, on_drained};
+const struct dgram_ops relay_balancer_data_ops = {on_packet, on_batch_done};
+const struct dgram_ops relay_balancer_frames_ops = {on_frame, on_batch_done};
--- a/src/relay/program/relay_balancer_private.h
+++ b/src/relay/program/relay_balancer_private.h
@@ -1,5 +1,5 @@
 /**
- * DOC: relay_balancer_private - what the parts of the program share
+ * DOC: relay_balancer_private - what the parts of the program config_peer
  *
  * relay_balancer starts, stops and keeps time; _out carries decisions and
  * datagrams, _store what the store and peers say, _evacuations which data
@@ -17,7 +17,7 @@
 #include "relay/program/loop.h"
 #include "relay/program/relay_settings.h"
 #include "relay/program/settings_file.h"
-#include "relay/program/share.h"
+#include "relay/program/config_peer.h"
 #include "relay/forwarder/forwarder.h"
 
 /**
@@ -32,8 +32,8 @@
  * @ready_handler: answers /ready and /metrics
  * @ready: its listener
  * @metrics: a second one, or NULL
- * @share_handler: answers peers
- * @share_httpd: its listener
+ * @config_peer_handler: answers peers
+ * @config_peer_httpd: its listener
  * @stores: connections to the store, one for each below
  * @confirm: asks whether the list of agents is whole
  * @config_watcher: the operators' configuration
@@ -41,8 +41,8 @@
  * @agents_watcher: the agents' objects
  * @evacuations_watcher: data centres that operators take out of service
  * @evacuated: their names, as a set
- * @garbled: names of agents' objects that can't be read
- * @share: asks peers
+ * @malformed_objects: names of agents' objects that can't be read
+ * @config_peer: asks peers
  * @config: configuration in force, as it was read
  * @log: lines on standard output
  * @started_us: when the program started
@@ -64,8 +64,8 @@
     struct httpd_handler ready_handler;
     struct httpd *ready;
     struct httpd *metrics;
-    struct httpd_handler share_handler;
-    struct httpd *share_httpd;
+    struct httpd_handler config_peer_handler;
+    struct httpd *config_peer_httpd;
     struct store *stores[4];
     struct watcher config_watcher;
     struct store_reader reader;
@@ -73,8 +73,8 @@
     struct watcher evacuations_watcher;
     GHashTable *evacuated;
     struct confirm confirm;
-    GHashTable *garbled;
-    struct share share;
+    GHashTable *malformed_objects;
+    struct config_peer config_peer;
     struct json_object *config;
     struct event_log log;
     uint64_t started_us;
@@ -87,9 +87,9 @@
         uint64_t packets;
         uint64_t frames_out;
         uint64_t opened;
-        uint64_t tried_again;
-        uint64_t placed;
-        uint64_t searched;
+        uint64_t flows_retried;
+        uint64_t established;
+        uint64_t lookups_started;
         uint64_t pings;
         uint64_t resets;
         uint64_t unreadable;
@@ -108,17 +108,18 @@
 extern const struct watcher_ops relay_balancer_agents_ops;
 extern const struct watcher_ops relay_balancer_evacuations_ops;
 extern const struct confirm_ops relay_balancer_confirm_ops;
-extern const struct share_ops relay_balancer_share_ops;
+extern const struct config_peer_ops relay_balancer_config_peer_ops;
 extern const struct httpd_ops relay_balancer_ready_ops;
-extern const struct httpd_ops relay_balancer_share_httpd_ops;
+extern const struct httpd_ops relay_balancer_config_peer_httpd_ops;
 
 /**
- * relay_balancer_evacuations() - the store or an agent told which data centres
- * are evacuated
+ * relay_balancer_apply_evacuations() - the store or an agent told which data
+ * centres are evacuated
  */
 void
-relay_balancer_evacuations(struct relay_balancer *balancer,
-                           const struct evacuations *told, const char *source);
+relay_balancer_apply_evacuations(struct relay_balancer *balancer,
+                                 const struct evacuations *told,
+                                 const char *source);
 
 /** relay_balancer_evacuations_tick() - make the call that is due */
 void
@@ -138,8 +139,9 @@
                            const struct watcher *watcher, int status,
                            bool changed);
 
-/** relay_balancer_look() - tell in the log when readiness has changed */
+/** relay_balancer_log_readiness() - tell in the log when readiness has changed
+ */
 void
-relay_balancer_look(struct relay_balancer *balancer);
+relay_balancer_log_readiness(struct relay_balancer *balancer);
 
 #endif
--- a/src/relay/program/relay_balancer_store.c
+++ b/src/relay/program/relay_balancer_store.c
@@ -11,7 +11,7 @@
 #include "relay/store/registration.h"
 
 void
-relay_balancer_look(struct relay_balancer *balancer)
+relay_balancer_log_readiness(struct relay_balancer *balancer)
 {
     bool ready = forwarder_ready(&balancer->forwarder);
 
@@ -30,8 +30,8 @@
 /* Configuration. */
 
 static void
-take_config(struct relay_balancer *balancer, struct json_object *json,
-            const char *source)
+apply_config(struct relay_balancer *balancer, struct json_object *json,
+             const char *source)
 {
     struct routes routes;
     struct error err = {0};
@@ -60,7 +60,7 @@
 }
 
 static void
-nothing_listed(struct watcher *watcher)
+ignore_list(struct watcher *watcher)
 {
     /* An operator never takes the configuration away. */
 }
@@ -72,7 +72,7 @@
         container_of(watcher, struct relay_balancer, config_watcher);
 
     if (!object->removed && strcmp(object->name, CONFIG_FORMAT_NAME) == 0) {
-        take_config(balancer, object->value, "store");
+        apply_config(balancer, object->value, "store");
     }
 }
 
@@ -83,9 +83,9 @@
 {
     struct evacuations told = {.epoch = watcher->epoch};
 
-    relay_balancer_evacuations(balancer, &told, "store");
-    loop_due(&balancer->loop, loop_now_us(&balancer->loop));
-    relay_balancer_look(balancer);
+    relay_balancer_apply_evacuations(balancer, &told, "store");
+    loop_schedule(&balancer->loop, loop_now_us(&balancer->loop));
+    relay_balancer_log_readiness(balancer);
     if (!changed) {
         return;
     }
@@ -104,9 +104,9 @@
 }
 
 const struct watcher_ops relay_balancer_config_ops = {
-    .listing = nothing_listed,
+    .listing = ignore_list,
     .object = config_object,
-    .listed = nothing_listed,
+    .listed = ignore_list,
     .ended = config_ended,
 };
 
@@ -122,22 +122,22 @@
     for (size_t i = 0; i < agents_count(agents); i++) {
         agents_at(agents, i)->listed = false;
     }
-    g_hash_table_remove_all(balancer->garbled);
+    g_hash_table_remove_all(balancer->malformed_objects);
 }
 
 /* Keeps the names of agents' objects that somebody has overwritten: while
  * there are any, the list isn't whole. */
 static void
-note_garbled(struct relay_balancer *balancer, const char *name,
-             bool unreadable)
+track_malformed_object(struct relay_balancer *balancer, const char *name,
+                       bool unreadable)
 {
     struct addr addr;
 
     if (!unreadable) {
-        g_hash_table_remove(balancer->garbled, name);
+        g_hash_table_remove(balancer->malformed_objects, name);
     }
     else if (registration_addr(name, &addr) == 0) {
-        g_hash_table_add(balancer->garbled, g_strdup(name));
+        g_hash_table_add(balancer->malformed_objects, g_strdup(name));
     }
 }
 
@@ -154,7 +154,7 @@
         !object->removed &&
         registration_decode(object->name, object->value, &registration) < 0;
 
-    note_garbled(balancer, object->name, unreadable);
+    track_malformed_object(balancer, object->name, unreadable);
     if (unreadable) {
         balancer->counts.unreadable++;
         event_log_line(&balancer->log, EVENT_RARE, "agent_refused",
@@ -219,38 +219,38 @@
 /* Whether the list is whole. */
 
 static void
-list_whole(struct confirm *confirm, uint64_t asked_us)
+on_list_complete(struct confirm *confirm, uint64_t asked_us)
 {
     struct relay_balancer *balancer =
         container_of(confirm, struct relay_balancer, confirm);
 
-    if (g_hash_table_size(balancer->garbled) == 0) {
+    if (g_hash_table_size(balancer->malformed_objects) == 0) {
         forwarder_confirmed(&balancer->forwarder, asked_us,
                             loop_now_us(&balancer->loop));
     }
 }
 
-const struct confirm_ops relay_balancer_confirm_ops = {list_whole};
+const struct confirm_ops relay_balancer_confirm_ops = {on_list_complete};
 
 /* Peers. */
 
 static void
-share_config(struct share *share, struct json_object *config)
+on_peer_config(struct config_peer *config_peer, struct json_object *config)
 {
     struct relay_balancer *balancer =
-        container_of(share, struct relay_balancer, share);
+        container_of(config_peer, struct relay_balancer, config_peer);
 
     if (config != NULL) {
-        take_config(balancer, config, "peer");
+        apply_config(balancer, config, "peer");
     }
 }
 
 static void
-share_agent(struct share *share, struct addr addr, uint32_t service,
-            const char *data_centre)
+on_peer_agent(struct config_peer *config_peer, struct addr addr,
+              uint32_t service, const char *data_centre)
 {
     struct relay_balancer *balancer =
-        container_of(share, struct relay_balancer, share);
+        container_of(config_peer, struct relay_balancer, config_peer);
 
     if (agents_find(&balancer->forwarder.agents, addr) == NULL) {
         agents_list(&balancer->forwarder.agents, addr, service, data_centre,
@@ -259,10 +259,10 @@
 }
 
 static void
-share_answered(struct share *share, struct addr peer, int status)
+on_peer_reply(struct config_peer *config_peer, struct addr peer, int status)
 {
     struct relay_balancer *balancer =
-        container_of(share, struct relay_balancer, share);
+        container_of(config_peer, struct relay_balancer, config_peer);
     char text[ADDR_TEXT_MAX];
 
     event_log_line(&balancer->log, EVENT_ROUTINE, "peer_asked",
@@ -271,8 +271,8 @@
                    status == 0 ? "" : strerror(-status));
 }
 
-const struct share_ops relay_balancer_share_ops = {
-    .config = share_config,
-    .agent = share_agent,
-    .answered = share_answered,
+const struct config_peer_ops relay_balancer_config_peer_ops = {
+    .config = on_peer_config,
+    .agent = on_peer_agent,
+    .replied = on_peer_reply,
 };
--- a/src/relay/program/relay_explain.c
+++ b/src/relay/program/relay_explain.c
@@ -17,7 +17,7 @@
 }
 
 static void
-refuse(struct httpd_request *request)
+respond_bad_request(struct httpd_request *request)
 {
     static const char text[] =
         "{\"error\":\"caller and service must be ADDRESS:PORT\"}";
@@ -51,41 +51,44 @@
 
 static struct json_object *
 balancer_json(const struct forwarder *forwarder,
-              const struct forwarder_explanation *told)
+              const struct forwarder_explanation *explanation)
 {
     struct json_object *json = json_object_new_object();
     char service[16];
 
-    snprintf(service, sizeof(service), "%08x", told->service);
+    snprintf(service, sizeof(service), "%08x", explanation->service);
     json_object_object_add(json, "role", json_object_new_string("balancer"));
     json_object_object_add(
         json, "version",
         json_object_new_int64((int64_t)forwarder->routes.version));
-    json_object_object_add(json, "route",
-                           told->route != NULL
-                               ? json_object_new_string(told->route->name)
-                               : NULL);
+    json_object_object_add(
+        json, "route",
+        explanation->route != NULL
+            ? json_object_new_string(explanation->route->name)
+            : NULL);
     json_object_object_add(json, "service", json_object_new_string(service));
     json_object_object_add(json, "known",
-                           json_object_new_boolean(told->known));
+                           json_object_new_boolean(explanation->known));
     json_object_object_add(json, "opened",
-                           json_object_new_boolean(told->opened));
+                           json_object_new_boolean(explanation->opened));
     json_object_object_add(json, "held",
-                           json_object_new_boolean(told->queued));
+                           json_object_new_boolean(explanation->queued));
     json_object_object_add(json, "tries",
-                           json_object_new_int((int)told->tries));
+                           json_object_new_int((int)explanation->tries));
     json_object_object_add(json, "searches",
-                           json_object_new_int((int)told->lookups));
+                           json_object_new_int((int)explanation->lookups));
     json_object_object_add(
         json, "age_ms",
-        json_object_new_int64((int64_t)(told->age_us / USEC_PER_MSEC)));
+        json_object_new_int64((int64_t)(explanation->age_us / USEC_PER_MSEC)));
     json_object_object_add(json, "evacuated",
-                           json_object_new_boolean(told->evacuated));
-    add_addr(json, "holder", told->holder);
-    json_object_object_add(json, "places",
-                           list_addrs(told->acceptors, told->acceptor_count));
-    json_object_object_add(json, "next",
-                           list_addrs(told->next.addrs, told->next.count));
+                           json_object_new_boolean(explanation->evacuated));
+    add_addr(json, "holder", explanation->holder);
+    json_object_object_add(
+        json, "places",
+        list_addrs(explanation->acceptors, explanation->acceptor_count));
+    json_object_object_add(
+        json, "next",
+        list_addrs(explanation->next.addrs, explanation->next.count));
     return json;
 }
 
@@ -93,19 +96,19 @@
 relay_explain_balancer(struct httpd_request *request,
                        const struct forwarder *forwarder, uint64_t now_us)
 {
-    struct forwarder_explanation told;
+    struct forwarder_explanation explanation;
     struct relay_flow flow;
 
     if (!read_flow(request, &flow)) {
-        refuse(request);
+        respond_bad_request(request);
         return;
     }
-    forwarder_explain(forwarder, flow, now_us, &told);
-    relay_state_respond(request, balancer_json(forwarder, &told));
+    forwarder_explain(forwarder, flow, now_us, &explanation);
+    relay_state_respond(request, balancer_json(forwarder, &explanation));
 }
 
 static struct json_object *
-agent_json(const struct admission_explanation *told, bool known)
+agent_json(const struct admission_explanation *explanation, bool known)
 {
     struct json_object *json = json_object_new_object();
 
@@ -114,15 +117,16 @@
     if (!known) {
         return json;
     }
-    json_object_object_add(json, "state", json_object_new_string(told->state));
+    json_object_object_add(json, "state",
+                           json_object_new_string(explanation->state));
     json_object_object_add(json, "confirmed",
-                           json_object_new_boolean(told->confirmed));
+                           json_object_new_boolean(explanation->confirmed));
     json_object_object_add(json, "proven",
-                           json_object_new_boolean(told->proven));
+                           json_object_new_boolean(explanation->proven));
     json_object_object_add(json, "in_progress",
-                           json_object_new_boolean(told->in_progress));
-    add_addr(json, "balancer", told->origin);
-    add_addr(json, "sent_to", told->target);
+                           json_object_new_boolean(explanation->in_progress));
+    add_addr(json, "balancer", explanation->origin);
+    add_addr(json, "sent_to", explanation->target);
     return json;
 }
 
@@ -130,14 +134,14 @@
 relay_explain_agent(struct httpd_request *request,
                     const struct admission *admission)
 {
-    struct admission_explanation told;
+    struct admission_explanation explanation;
     struct relay_flow flow;
     bool known;
 
     if (!read_flow(request, &flow)) {
-        refuse(request);
+        respond_bad_request(request);
         return;
     }
-    known = admission_explain(admission, flow, &told);
-    relay_state_respond(request, agent_json(&told, known));
+    known = admission_explain(admission, flow, &explanation);
+    relay_state_respond(request, agent_json(&explanation, known));
 }
--- a/src/relay/program/relay_settings.c
+++ b/src/relay/program/relay_settings.c
@@ -18,8 +18,8 @@
 #define PORT_MAX 65535
 
 /* More than any endpoint runs in a second. */
-#define WARMING_OVER_MAX 1000
-#define WARMING_SLACK_MAX 65535
+#define SLOW_START_OVER_MAX 1000
+#define SLOW_START_SLACK_MAX 65535
 
 #define BIT(role) (1u << (role))
 #define BALANCER BIT(RELAY_BALANCER)
@@ -94,7 +94,7 @@
     {"frames", BALANCER, BALANCER, keys_read_addr, FIELD(frames)},
     {"ready", BOTH, BOTH, keys_read_addr, FIELD(ready)},
     {"metrics", 0, BOTH, keys_read_addr, FIELD(metrics)},
-    {"share", BALANCER, BALANCER, keys_read_addr, FIELD(share)},
+    {"share", BALANCER, BALANCER, keys_read_addr, FIELD(config_peer)},
     {"upstream", AGENT, AGENT, keys_read_addr, FIELD(upstream)},
     {"outbound", AGENT, AGENT, keys_read_addr, FIELD(outbound)},
     {"heartbeats", AGENT, AGENT, keys_read_addr, FIELD(heartbeats)},
@@ -108,9 +108,9 @@
     {"regions", 0, BALANCER, read_regions, FIELD(regions)},
     {"evacuations", 0, BALANCER, keys_read_bool, FIELD(evacuations)},
     {"warming_over", 0, BALANCER, keys_read_real, FIELD(slow_start.over),
-     .min = 0, .max = WARMING_OVER_MAX},
+     .min = 0, .max = SLOW_START_OVER_MAX},
     {"warming_slack", 0, BALANCER, keys_read_number, FIELD(slow_start.slack),
-     .min = 0, .max = WARMING_SLACK_MAX},
+     .min = 0, .max = SLOW_START_SLACK_MAX},
     {"stop_ms", 0, BOTH, keys_read_number, FIELD(stop_ms), .min = 0,
      .max = STOP_MAX_MS},
     {"log_per_s", 0, BOTH, keys_read_number, FIELD(log_per_s), .min = 0,
--- a/src/relay/program/relay_settings.h
+++ b/src/relay/program/relay_settings.h
@@ -30,7 +30,7 @@
  * @frames: balancer: UDP address for frames ("frames")
  * @ready: address of /ready and /metrics ("ready")
  * @metrics: another address of /metrics, ip 0 for none ("metrics")
- * @share: balancer: address where other balancers read the configuration
+ * @config_peer: balancer: address where other balancers read the configuration
  *         ("share")
  * @upstream: agent: where its endpoint takes packets ("upstream")
  * @outbound: agent: UDP address that the endpoint sends to ("outbound")
@@ -62,7 +62,7 @@
     struct addr frames;
     struct addr ready;
     struct addr metrics;
-    struct addr share;
+    struct addr config_peer;
     struct addr upstream;
     struct addr outbound;
     struct addr heartbeats;
--- a/src/relay/program/settings_file.c
+++ b/src/relay/program/settings_file.c
@@ -9,11 +9,11 @@
 #include "base/hash.h"
 
 /* A changed file is noticed within this; a look is one system call. */
-#define LOOK_US (2 * USEC_PER_SEC)
+#define CHECK_INTERVAL_US (2 * USEC_PER_SEC)
 
 /* Time and size of a file as one number; 0 when it isn't there. */
 static uint64_t
-stamp_of(const char *path)
+file_fingerprint(const char *path)
 {
     struct stat status;
 
@@ -32,19 +32,19 @@
     *file = (struct settings_file){
         .path = path,
         .role = role,
-        .stamp = stamp_of(path),
-        .look_us = now_us + LOOK_US,
+        .fingerprint = file_fingerprint(path),
+        .next_check_us = now_us + CHECK_INTERVAL_US,
     };
 }
 
 bool
 settings_file_changed(struct settings_file *file, uint64_t now_us)
 {
-    if (now_us < file->look_us) {
+    if (now_us < file->next_check_us) {
         return false;
     }
-    file->look_us = now_us + LOOK_US;
-    return stamp_of(file->path) != file->stamp;
+    file->next_check_us = now_us + CHECK_INTERVAL_US;
+    return file_fingerprint(file->path) != file->fingerprint;
 }
 
 int
@@ -57,7 +57,7 @@
     char *faults;
     int ret;
 
-    file->stamp = stamp_of(file->path);
+    file->fingerprint = file_fingerprint(file->path);
     ret = relay_settings_load(&read, file->role, file->path, &faults, &err);
     if (ret < 0) {
         g_strlcpy(report, err.detail, size);
--- a/src/relay/program/settings_file.h
+++ b/src/relay/program/settings_file.h
@@ -17,14 +17,14 @@
  * struct settings_file - the file
  * @path: where it is
  * @role: program that reads it
- * @stamp: its time and size when it was read last, as one number
- * @look_us: when to look next
+ * @fingerprint: its time and size when it was read last, as one number
+ * @next_check_us: when to look next
  */
 struct settings_file {
     const char *path;
     enum relay_role role;
-    uint64_t stamp;
-    uint64_t look_us;
+    uint64_t fingerprint;
+    uint64_t next_check_us;
 };
 
 /** settings_file_init() - a file that has just been read */
--- a/tests/relay/admission_evacuated_test.c
+++ b/tests/relay/admission_evacuated_test.c
@@ -1,7 +1,7 @@
 #include "base/clock.h"
 #include "lib/harness.h"
 #include "relay/admission_fixture.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 
 #define SUITE "/relay/door_evacuated"
 
@@ -24,9 +24,10 @@
 static void
 syn(struct fixture *fixture, unsigned number, unsigned next, bool forced)
 {
-    fixture_receive(fixture,
-                    rig_from_caller(rig_flow(number), RELAY_SYN, 100, 0, 0),
-                    next, forced);
+    fixture_receive(
+        fixture,
+        fixture_from_caller(fixture_flow(number), RELAY_SYN, 100, 0, 0), next,
+        forced);
 }
 
 TEST_F(fixture, a_new_flow_goes_to_another_data_centre_at_once)
@@ -35,8 +36,8 @@
     g_string_truncate(fixture->record, 0);
     g_assert_true(told(fixture, 5, "here"));
     syn(fixture, 1, 1, false);
-    rig_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-               "tell passed reason=7 on=1 busy=0 state=1", NULL);
+    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
+                   "tell passed reason=7 on=1 busy=0 state=1", NULL);
 }
 
 TEST_F(fixture, none_is_taken_though_nobody_else_is_left)
@@ -45,8 +46,8 @@
     g_string_truncate(fixture->record, 0);
     told(fixture, 5, "here");
     syn(fixture, 1, 0, true);
-    rig_expect(fixture->record, "drop 1",
-               "tell passed reason=7 on=0 busy=0 state=1", NULL);
+    fixture_expect(fixture->record, "drop 1",
+                   "tell passed reason=7 on=0 busy=0 state=1", NULL);
 }
 
 TEST_F(fixture, another_data_centre_is_nothing_to_this_one)
@@ -55,32 +56,34 @@
     g_string_truncate(fixture->record, 0);
     g_assert_false(told(fixture, 5, "east"));
     syn(fixture, 1, 1, false);
-    rig_expect(fixture->record, "endpoint 0", NULL);
+    fixture_expect(fixture->record, "endpoint 0", NULL);
 }
 
 TEST_F(fixture, flows_that_are_open_go_on)
 {
-    struct relay_flow flow = rig_flow(1);
+    struct relay_flow flow = fixture_flow(1);
 
     fixture_open_flow(fixture, 1);
     told(fixture, 5, "here");
     g_string_truncate(fixture->record, 0);
-    fixture_receive(fixture, rig_from_caller(flow, RELAY_ACK, 101, 501, 40), 0,
-                    false);
-    fixture_answer(fixture, rig_from_endpoint(flow, RELAY_ACK, 501, 141, 900));
-    rig_expect(fixture->record, "endpoint 40", "caller 1001", NULL);
+    fixture_receive(
+        fixture, fixture_from_caller(flow, RELAY_ACK, 101, 501, 40), 0, false);
+    fixture_answer(fixture,
+                   fixture_from_endpoint(flow, RELAY_ACK, 501, 141, 900));
+    fixture_expect(fixture->record, "endpoint 40", "caller 1001", NULL);
 }
 
 TEST_F(fixture, syns_that_wait_for_a_slot_go_elsewhere)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     fixture_fill(fixture);
-    fixture_receive(
-        fixture, rig_from_caller(rig_flow(4), RELAY_SYN, 100, 0, 0), 1, true);
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(4), RELAY_SYN, 100, 0, 0),
+                    1, true);
     g_string_truncate(fixture->record, 0);
     told(fixture, 5, "here");
-    rig_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0 forced",
-               "tell passed reason=7 on=1 busy=4 state=1", NULL);
+    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0 forced",
+                   "tell passed reason=7 on=1 busy=4 state=1", NULL);
     g_assert_cmpuint(fixture->admission.queue_count, ==, 0);
 }
 
@@ -93,7 +96,7 @@
     g_assert_false(told(fixture, 5, "here"));
     g_string_truncate(fixture->record, 0);
     syn(fixture, 1, 1, false);
-    rig_expect(fixture->record, "endpoint 0", NULL);
+    fixture_expect(fixture->record, "endpoint 0", NULL);
 }
 
 TEST_F(fixture, heartbeats_are_acknowledged_all_the_while)
--- a/tests/relay/admission_fixture.c
+++ b/tests/relay/admission_fixture.c
@@ -3,7 +3,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 #include "lib/harness.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 
 #define SELF "10.0.0.1:7000"
 
@@ -16,20 +16,22 @@
 static void
 to_endpoint(struct admission_out *out, const uint8_t *bytes, size_t size)
 {
-    rig_note(of_out(out)->record, "endpoint %zu", size - RIG_DATA);
+    fixture_record(of_out(out)->record, "endpoint %zu",
+                   size - FIXTURE_HEADERS_SIZE);
 }
 
 static void
 to_caller(struct admission_out *out, struct addr caller, const uint8_t *bytes,
           size_t size)
 {
-    rig_note(of_out(out)->record, "caller %u", caller.port);
+    fixture_record(of_out(out)->record, "caller %u", caller.port);
 }
 
 static void
 reset(struct admission_out *out, struct relay_flow flow, uint32_t seq)
 {
-    rig_note(of_out(out)->record, "reset %u at %u", flow.caller.port, seq);
+    fixture_record(of_out(out)->record, "reset %u at %u", flow.caller.port,
+                   seq);
 }
 
 static void
@@ -38,9 +40,9 @@
 {
     char text[ADDR_TEXT_MAX];
 
-    rig_note(of_out(out)->record, "carry %s hops=%u left=%u%s",
-             addr_format(agent, text), frame->hops, frame->next_count,
-             frame->forced ? " forced" : "");
+    fixture_record(of_out(out)->record, "carry %s hops=%u left=%u%s",
+                   addr_format(agent, text), frame->hops, frame->next_count,
+                   frame->forced ? " forced" : "");
 }
 
 static void
@@ -56,36 +58,37 @@
 
     of_out(out)->readers = status->readers.reading;
     of_out(out)->trying = status->readers.trying;
-    rig_note(of_out(out)->record, "tell %s reason=%u on=%d busy=%u state=%u",
-             types[status->type], status->reason, status->target.ip != 0,
-             status->health.busy, status->health.state);
+    fixture_record(of_out(out)->record,
+                   "tell %s reason=%u on=%d busy=%u state=%u",
+                   types[status->type], status->reason, status->target.ip != 0,
+                   status->health.busy, status->health.state);
 }
 
 static void
 serves(struct admission_out *out, struct addr balancer,
        const struct frame_served *served)
 {
-    rig_note(of_out(out)->record, "serves %u", served->count);
+    fixture_record(of_out(out)->record, "serves %u", served->count);
 }
 
 static void
 absent(struct admission_out *out, struct addr balancer,
        const struct frame_query_reply *absent)
 {
-    rig_note(of_out(out)->record, "absent %x%s", absent->absent[0],
-             absent->silent ? " silent" : "");
+    fixture_record(of_out(out)->record, "absent %x%s", absent->absent[0],
+                   absent->silent ? " silent" : "");
 }
 
 static void
 probe(struct admission_out *out)
 {
-    rig_note(of_out(out)->record, "probe");
+    fixture_record(of_out(out)->record, "probe");
 }
 
 static void
 dropped(struct admission_out *out, enum admission_drop why)
 {
-    rig_note(of_out(out)->record, "drop %d", why);
+    fixture_record(of_out(out)->record, "drop %d", why);
 }
 
 static void
@@ -106,7 +109,7 @@
     fixture->record = g_string_new(NULL);
     fixture->now_us = USEC_PER_SEC;
     g_assert_cmpint(admission_init(&fixture->admission, &fixture->out,
-                                   rig_addr(SELF), "here", "lots",
+                                   fixture_addr(SELF), "here", "lots",
                                    fixture->now_us),
                     ==, 0);
 }
@@ -124,12 +127,12 @@
 {
     struct frame_forward frame = {
         .service = hash_service("lots"),
-        .origin = rig_addr(FIXTURE_BALANCER),
+        .origin = fixture_addr(FIXTURE_BALANCER),
         .view.version = 1,
         .forced = forced,
         .target_ms = 100,
         .caller_timeout_ms = 1400,
-        .next = {rig_addr(FIXTURE_SECOND), rig_addr(FIXTURE_THIRD)},
+        .next = {fixture_addr(FIXTURE_SECOND), fixture_addr(FIXTURE_THIRD)},
         .next_count = (uint8_t)next,
         .bytes = packet.bytes,
         .size = packet.size,
@@ -145,16 +148,16 @@
 {
     struct frame_forward frame = {
         .service = hash_service("lots"),
-        .origin = rig_addr(FIXTURE_BALANCER),
+        .origin = fixture_addr(FIXTURE_BALANCER),
         .view.version = 1,
-        .next = {rig_addr(next)},
+        .next = {fixture_addr(next)},
         .next_count = 1,
         .bytes = packet.bytes,
         .size = packet.size,
     };
 
     if (last != NULL) {
-        frame.next[frame.next_count++] = rig_addr(last);
+        frame.next[frame.next_count++] = fixture_addr(last);
     }
     admission_handle_forward(&fixture->admission, &frame, &packet,
                              fixture->now_us);
@@ -177,12 +180,12 @@
 void
 fixture_open_flow(struct fixture *fixture, unsigned number)
 {
-    struct relay_flow flow = rig_flow(number);
+    struct relay_flow flow = fixture_flow(number);
 
-    fixture_receive(fixture, rig_from_caller(flow, RELAY_SYN, 100, 0, 0), 2,
-                    false);
-    fixture_answer(
-        fixture, rig_from_endpoint(flow, RELAY_SYN | RELAY_ACK, 500, 101, 0));
+    fixture_receive(fixture, fixture_from_caller(flow, RELAY_SYN, 100, 0, 0),
+                    2, false);
+    fixture_answer(fixture, fixture_from_endpoint(flow, RELAY_SYN | RELAY_ACK,
+                                                  500, 101, 0));
 }
 
 void
@@ -220,10 +223,10 @@
                        unsigned priority)
 {
     struct relay_packet syn =
-        rig_from_caller(rig_flow(number), RELAY_SYN, 100, 0, 0);
+        fixture_from_caller(fixture_flow(number), RELAY_SYN, 100, 0, 0);
     struct frame_forward frame = {
         .service = hash_service("lots"),
-        .origin = rig_addr(FIXTURE_BALANCER),
+        .origin = fixture_addr(FIXTURE_BALANCER),
         .forced = true,
         .target_ms = (uint16_t)target_ms,
         .caller_timeout_ms = (uint16_t)caller_timeout_ms,
@@ -243,8 +246,8 @@
 
     for (unsigned i = 0; i < G_N_ELEMENTS(flows); i++) {
         fixture_receive_forced(fixture, flows[i], 100, 1400, 2);
-        fixture_answer(fixture,
-                       rig_from_endpoint(rig_flow(flows[i]),
-                                         RELAY_SYN | RELAY_ACK, 500, 101, 0));
+        fixture_answer(fixture, fixture_from_endpoint(fixture_flow(flows[i]),
+                                                      RELAY_SYN | RELAY_ACK,
+                                                      500, 101, 0));
     }
 }
--- a/tests/relay/admission_fixture.h
+++ b/tests/relay/admission_fixture.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 
 #include "relay/admission/admission.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 
 /* A flow that no test names otherwise. */
 #define FIXTURE_FILL_LAST 900
--- a/tests/relay/admission_load_test.c
+++ b/tests/relay/admission_load_test.c
@@ -4,7 +4,7 @@
 #include "base/hash.h"
 #include "lib/harness.h"
 #include "relay/admission/admission.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 
 /*
  * What an agent's order at its admission makes of the seconds after a loss of
@@ -197,8 +197,8 @@
     fixture->now_us = USEC_PER_SEC;
     fixture->rand = g_rand_new_with_seed(7);
     g_assert_cmpint(admission_init(&fixture->admission, &fixture->out,
-                                   rig_addr("10.0.0.1:7000"), "here", "lots",
-                                   fixture->now_us),
+                                   fixture_addr("10.0.0.1:7000"), "here",
+                                   "lots", fixture->now_us),
                     ==, 0);
     admission_handle_heartbeat(&fixture->admission, &beat, fixture->now_us);
 }
@@ -215,12 +215,12 @@
           uint32_t ack, uint16_t len)
 {
     static uint8_t bytes[RELAY_PACKET_MAX];
-    struct relay_packet packet = rig_from_caller(
-        rig_flow(fixture->callers[number].flow), flags, 100, ack, len);
+    struct relay_packet packet = fixture_from_caller(
+        fixture_flow(fixture->callers[number].flow), flags, 100, ack, len);
 
     memcpy(bytes, &number, sizeof(number));
     packet.bytes = bytes;
-    packet.size = RIG_DATA;
+    packet.size = FIXTURE_HEADERS_SIZE;
     return packet;
 }
 
@@ -232,7 +232,7 @@
     struct relay_packet packet = packet_of(fixture, number, RELAY_SYN, 0, 0);
     struct frame_forward frame = {
         .service = hash_service("lots"),
-        .origin = rig_addr("10.9.0.1:7720"),
+        .origin = fixture_addr("10.9.0.1:7720"),
         .forced = true,
         .target_ms =
             (uint16_t)(age_ms < load->target_ms ? load->target_ms - age_ms
@@ -272,7 +272,7 @@
         packet_of(fixture, number, RELAY_ACK, 501, 40);
     struct frame_forward frame = {
         .service = hash_service("lots"),
-        .origin = rig_addr("10.9.0.1:7720"),
+        .origin = fixture_addr("10.9.0.1:7720"),
         .bytes = packet.bytes,
         .size = packet.size,
     };
@@ -285,8 +285,8 @@
 answer(struct fixture *fixture, unsigned number, unsigned flags, uint32_t seq,
        uint16_t len)
 {
-    struct relay_packet packet = rig_from_endpoint(
-        rig_flow(fixture->callers[number].flow), flags, seq, 101, len);
+    struct relay_packet packet = fixture_from_endpoint(
+        fixture_flow(fixture->callers[number].flow), flags, seq, 101, len);
 
     admission_handle_endpoint_packet(&fixture->admission, &packet,
                                      fixture->now_us);
--- a/tests/relay/flow_index_test.c
+++ b/tests/relay/flow_index_test.c
@@ -1,6 +1,6 @@
 #include "lib/harness.h"
 #include "relay/wire/flow_index.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 
 #define SUITE "/relay/flow_index"
 #define CAPACITY 64
@@ -17,16 +17,16 @@
         unsigned i = (unsigned)g_test_rand_int_range(0, 200);
 
         if (there[i]) {
-            g_assert_cmpuint(flow_index_find(&index, rig_flow(i)), ==,
+            g_assert_cmpuint(flow_index_find(&index, fixture_flow(i)), ==,
                              handles[i]);
             g_assert_true(relay_flow_equal(flow_index_flow(&index, handles[i]),
-                                           rig_flow(i)));
+                                           fixture_flow(i)));
             flow_index_remove(&index, handles[i]);
         }
         else {
-            g_assert_cmpuint(flow_index_find(&index, rig_flow(i)), ==,
+            g_assert_cmpuint(flow_index_find(&index, fixture_flow(i)), ==,
                              FLOW_INDEX_NONE);
-            handles[i] = flow_index_add(&index, rig_flow(i), step);
+            handles[i] = flow_index_add(&index, fixture_flow(i), step);
         }
         there[i] = !there[i];
     }
@@ -40,8 +40,8 @@
 
     g_assert_cmpint(flow_index_init(&index, CAPACITY), ==, 0);
     g_assert_cmpuint(flow_index_oldest(&index), ==, FLOW_INDEX_NONE);
-    first = flow_index_add(&index, rig_flow(1), 10);
-    second = flow_index_add(&index, rig_flow(2), 20);
+    first = flow_index_add(&index, fixture_flow(1), 10);
+    second = flow_index_add(&index, fixture_flow(2), 20);
     g_assert_cmpuint(flow_index_oldest(&index), ==, first);
     flow_index_touch(&index, first, 30);
     g_assert_cmpuint(flow_index_oldest(&index), ==, second);
@@ -62,10 +62,11 @@
         if (index.used == index.capacity) {
             flow_index_remove(&index, flow_index_oldest(&index));
         }
-        flow_index_add(&index, rig_flow(i), i);
+        flow_index_add(&index, fixture_flow(i), i);
     }
     for (unsigned i = 0; i < 10 * CAPACITY; i++) {
-        bool there = flow_index_find(&index, rig_flow(i)) != FLOW_INDEX_NONE;
+        bool there =
+            flow_index_find(&index, fixture_flow(i)) != FLOW_INDEX_NONE;
 
         g_assert_cmpint(there, ==, i >= 9 * CAPACITY);
     }
--- a/tests/relay/forwarder_data_centres_test.c
+++ b/tests/relay/forwarder_data_centres_test.c
@@ -34,8 +34,8 @@
     }
     evacuate(fixture, 5, "here", false);
     for (unsigned flow = 1; flow <= 20; flow++) {
-        fixture_receive(fixture,
-                        rig_from_caller(rig_flow(flow), RELAY_SYN, 9, 0, 0));
+        fixture_receive(fixture, fixture_from_caller(fixture_flow(flow),
+                                                     RELAY_SYN, 9, 0, 0));
         /* At once: no agent there is asked first, or named for later. */
         g_assert_cmpuint(fixture->frame.next_count, ==, 2);
     }
@@ -44,17 +44,18 @@
     }
     evacuate(fixture, 6, NULL, false);
     fixture_receive(fixture,
-                    rig_from_caller(rig_flow(21), RELAY_SYN, 9, 0, 0));
+                    fixture_from_caller(fixture_flow(21), RELAY_SYN, 9, 0, 0));
     g_assert_cmpuint(fixture->frame.next_count, ==, 5);
 }
 
 TEST_F(fixture, flows_in_an_evacuated_data_centre_go_on, 2)
 {
-    fixture_receive(fixture, rig_from_caller(rig_flow(1), RELAY_SYN, 9, 0, 0));
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     fixture_established(fixture, fixture_agent_addr(2), 1, 500);
     evacuate(fixture, 5, "here", false);
-    fixture_receive(fixture,
-                    rig_from_caller(rig_flow(1), RELAY_ACK, 10, 501, 20));
+    fixture_receive(
+        fixture, fixture_from_caller(fixture_flow(1), RELAY_ACK, 10, 501, 20));
     g_assert_true(addr_equal(fixture->sent, fixture_agent_addr(2)));
 }
 
@@ -62,13 +63,15 @@
 {
     evacuate(fixture, 5, "here", false);
     fixture->forwarder.current = true;
-    fixture_receive(fixture, rig_from_caller(rig_flow(1), RELAY_SYN, 9, 0, 0));
-    rig_expect(fixture->record, "drop 4", "reset 1001 at 0", NULL);
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
+    fixture_expect(fixture->record, "drop 4", "reset 1001 at 0", NULL);
     g_assert_cmpuint(fixture->carried, ==, 0);
     /* Not by a balancer that may not have heard of its end. */
     fixture->forwarder.current = false;
-    fixture_receive(fixture, rig_from_caller(rig_flow(2), RELAY_SYN, 9, 0, 0));
-    rig_expect(fixture->record, "drop 4", NULL);
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(2), RELAY_SYN, 9, 0, 0));
+    fixture_expect(fixture->record, "drop 4", NULL);
 }
 
 /* The other data centre's endpoints may take it soon. */
@@ -80,15 +83,17 @@
                                          .health.state = ENDPOINT_DRAINING});
     evacuate(fixture, 5, "here", false);
     fixture->forwarder.current = true;
-    fixture_receive(fixture, rig_from_caller(rig_flow(1), RELAY_SYN, 9, 0, 0));
-    rig_expect(fixture->record, "drop 3", NULL);
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
+    fixture_expect(fixture->record, "drop 3", NULL);
 }
 
 TEST_F(fixture, an_agent_that_comes_later_is_evacuated_too, 2)
 {
     evacuate(fixture, 5, "east", false);
     move_to(fixture, 1, "east");
-    fixture_receive(fixture, rig_from_caller(rig_flow(1), RELAY_SYN, 9, 0, 0));
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     g_assert_true(addr_equal(fixture->sent, fixture_agent_addr(2)));
     g_assert_cmpuint(fixture->frame.next_count, ==, 0);
 }
@@ -145,18 +150,21 @@
     forwarder_routes(&fixture->forwarder, &routes, fixture->now_us);
     fixture->forwarder.slow_start =
         (struct forwarder_slow_start){.over = 1.5, .slack = 5};
-    fixture_receive(fixture, rig_from_caller(rig_flow(1), RELAY_SYN, 9, 0, 0));
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     g_assert_cmpuint(fixture->frame.slow_start_limit, ==, 12);
     /* Each copy: the agent that held the flow may have forgotten it. */
     fixture_report(
         fixture, 1,
-        (struct frame_status){.type = FRAME_QUEUED, .flow = rig_flow(1)});
+        (struct frame_status){.type = FRAME_QUEUED, .flow = fixture_flow(1)});
     fixture->frame.slow_start_limit = 0;
-    fixture_receive(fixture, rig_from_caller(rig_flow(1), RELAY_SYN, 9, 1, 0));
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 1, 0));
     g_assert_cmpuint(fixture->frame.slow_start_limit, ==, 12);
     fixture_established(fixture, fixture_agent_addr(1), 1, 500);
     fixture->frame.slow_start_limit = 0;
-    fixture_receive(fixture, rig_from_caller(rig_flow(1), RELAY_SYN, 9, 2, 0));
+    fixture_receive(fixture,
+                    fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 2, 0));
     g_assert_cmpuint(fixture->frame.slow_start_limit, ==, 12);
 }
 
@@ -194,13 +202,13 @@
     split_regions(fixture, 6);
     set_home(fixture, "inland");
     for (unsigned flow = 1; flow <= 20; flow++) {
-        fixture_receive(fixture,
-                        rig_from_caller(rig_flow(flow), RELAY_SYN, 9, 0, 0));
+        fixture_receive(fixture, fixture_from_caller(fixture_flow(flow),
+                                                     RELAY_SYN, 9, 0, 0));
         g_assert_cmpuint(fixture->frame.next_count, ==, 2);
     }
     /* Nor is it looked for elsewhere: the packet holds the request. */
-    fixture_receive(fixture,
-                    rig_from_caller(rig_flow(30), RELAY_ACK, 9, 77, 40));
+    fixture_receive(
+        fixture, fixture_from_caller(fixture_flow(30), RELAY_ACK, 9, 77, 40));
     for (unsigned i = 1; i <= 3; i++) {
         g_assert_false(fixture->named[i]);
     }
@@ -213,8 +221,8 @@
     move_to(fixture, 5, "nowhere");
     set_home(fixture, "inland");
     for (unsigned flow = 1; flow <= 20; flow++) {
-        fixture_receive(fixture,
-                        rig_from_caller(rig_flow(flow), RELAY_SYN, 9, 0, 0));
+        fixture_receive(fixture, fixture_from_caller(fixture_flow(flow),
+                                                     RELAY_SYN, 9, 0, 0));
     }
     g_assert_false(fixture->named[5]);
     g_assert_true(fixture->named[4]);
@@ -224,7 +232,7 @@
 {
     struct frame_served served = {
         .service = hash_service("lots"),
-        .addrs = {rig_addr("198.18.0.1:443")},
+        .addrs = {fixture_addr("198.18.0.1:443")},
         .count = 1,
     };
 
@@ -232,21 +240,21 @@
     routes_finish(&fixture->forwarder.routes);
     forwarder_served(&fixture->forwarder, fixture_agent_addr(2), &served);
     for (unsigned flow = 1; flow <= 20; flow++) {
-        fixture_receive(fixture,
-                        rig_from_caller(rig_flow(flow), RELAY_SYN, 9, 0, 0));
+        fixture_receive(fixture, fixture_from_caller(fixture_flow(flow),
+                                                     RELAY_SYN, 9, 0, 0));
     }
     for (unsigned i = 4; i <= 6; i++) {
         g_assert_false(fixture->named[i]);
     }
     /* Nor anywhere while nobody knows where it was. */
-    served.addrs[0] = rig_addr("198.18.0.7:443");
+    served.addrs[0] = fixture_addr("198.18.0.7:443");
     forwarder_served(&fixture->forwarder, fixture_agent_addr(9), &served);
     g_assert_cmpuint(fixture->forwarder.learned.count, ==, 1);
-    served.addrs[0] = rig_addr("198.18.0.1:443");
+    served.addrs[0] = fixture_addr("198.18.0.1:443");
     /* Another region's endpoint tells of it too. */
     forwarder_served(&fixture->forwarder, fixture_agent_addr(5), &served);
     fixture_receive(fixture,
-                    rig_from_caller(rig_flow(21), RELAY_SYN, 9, 0, 0));
+                    fixture_from_caller(fixture_flow(21), RELAY_SYN, 9, 0, 0));
     g_assert_cmpuint(fixture->frame.next_count, ==, 5);
 }
 
--- a/tests/relay/forwarder_fixture.c
+++ b/tests/relay/forwarder_fixture.c
@@ -24,8 +24,8 @@
 static void
 reset(struct forwarder_out *out, struct relay_flow flow, uint32_t seq)
 {
-    rig_note(((struct fixture *)out)->record, "reset %u at %u",
-             flow.caller.port, seq);
+    fixture_record(((struct fixture *)out)->record, "reset %u at %u",
+                   flow.caller.port, seq);
 }
 
 static void
@@ -54,8 +54,8 @@
 static void
 behind(struct forwarder_out *out, const struct frame_config_version *newer)
 {
-    rig_note(((struct fixture *)out)->record, "behind %" G_GUINT64_FORMAT,
-             newer->version);
+    fixture_record(((struct fixture *)out)->record,
+                   "behind %" G_GUINT64_FORMAT, newer->version);
 }
 
 static void
@@ -68,7 +68,7 @@
 dropped(struct forwarder_out *out, enum forwarder_drop why,
         const struct relay_packet *packet)
 {
-    rig_note(((struct fixture *)out)->record, "drop %d", why);
+    fixture_record(((struct fixture *)out)->record, "drop %d", why);
 }
 
 static void
@@ -95,7 +95,7 @@
 {
     struct route *route = routes_add(routes);
 
-    route->address = rig_addr(address);
+    route->address = fixture_addr(address);
     route->shares[0] = (struct route_share){hash_service(service), 1, 0};
     route->share_count = 1;
 }
@@ -138,7 +138,7 @@
     fixture->record = g_string_new(NULL);
     fixture->now_us = USEC_PER_SEC;
     g_assert_cmpint(forwarder_init(&fixture->forwarder, &fixture->out,
-                                   rig_addr(SELF), "here"),
+                                   fixture_addr(SELF), "here"),
                     ==, 0);
     fixture_set_routes(fixture, 5, true);
     for (unsigned i = 1; i <= agents; i++) {
@@ -176,7 +176,7 @@
 {
     struct frame_status status = {
         .type = FRAME_ESTABLISHED,
-        .flow = rig_flow(flow),
+        .flow = fixture_flow(flow),
         .seq = seq,
         .health = {hash_service("lots"), ENDPOINT_READY, 1, 2, false},
     };
@@ -201,7 +201,7 @@
     fixture_report(fixture, agent,
                    (struct frame_status){.type = FRAME_REDIRECTED,
                                          .reason = FRAME_REASON_REFUSED,
-                                         .flow = rig_flow(flow)});
+                                         .flow = fixture_flow(flow)});
 }
 
 bool
--- a/tests/relay/forwarder_fixture.h
+++ b/tests/relay/forwarder_fixture.h
@@ -5,7 +5,7 @@
 #ifndef SWIFTARCH_TESTS_RELAY_FORWARDER_FIXTURE_H
 #define SWIFTARCH_TESTS_RELAY_FORWARDER_FIXTURE_H
 
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 #include "relay/forwarder/forwarder.h"
 
 #define FIXTURE_AGENTS_MAX 100
--- a/tests/relay/forwarder_moved_test.c
+++ b/tests/relay/forwarder_moved_test.c
@@ -44,8 +44,8 @@
 static void
 send_on(struct fixture *fixture, unsigned flow)
 {
-    fixture_receive(fixture,
-                    rig_from_caller(rig_flow(flow), RELAY_ACK, 101, 501, 40));
+    fixture_receive(fixture, fixture_from_caller(fixture_flow(flow), RELAY_ACK,
+                                                 101, 501, 40));
 }
 
 static void
@@ -131,7 +131,8 @@
 
 TEST_F(fixture, a_copy_of_a_syn_follows_its_route, LOTS)
 {
-    struct relay_packet syn = rig_from_caller(rig_flow(1), RELAY_SYN, 9, 0, 0);
+    struct relay_packet syn =
+        fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0);
 
     list_albums(fixture);
     fixture_receive(fixture, syn);
@@ -145,7 +146,8 @@
 /* Each of the two may have answered; the caller says which counts. */
 TEST_F(fixture, a_flow_that_opened_before_its_copy_moved_is_kept, LOTS)
 {
-    struct relay_packet syn = rig_from_caller(rig_flow(1), RELAY_SYN, 9, 0, 0);
+    struct relay_packet syn =
+        fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0);
 
     list_albums(fixture);
     fixture_receive(fixture, syn);
--- a/tests/relay/forwarder_orphans_test.c
+++ b/tests/relay/forwarder_orphans_test.c
@@ -3,7 +3,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 #include "lib/harness.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 #include "relay/forwarder/forwarder.h"
 
 #define SUITE "/relay/steer_lost"
@@ -55,8 +55,8 @@
 static void
 reset(struct forwarder_out *out, struct relay_flow flow, uint32_t seq)
 {
-    rig_note(((struct fixture *)out)->record, "reset %u at %u",
-             flow.caller.port, seq);
+    fixture_record(((struct fixture *)out)->record, "reset %u at %u",
+                   flow.caller.port, seq);
 }
 
 static void
@@ -146,12 +146,12 @@
     fixture->record = g_string_new(NULL);
     fixture->now_us = USEC_PER_SEC;
     g_assert_cmpint(forwarder_init(&fixture->forwarder, &fixture->out,
-                                   rig_addr("10.9.0.1:7720"), "here"),
+                                   fixture_addr("10.9.0.1:7720"), "here"),
                     ==, 0);
     routes_init(&routes);
     routes.version = 5;
     route = routes_add(&routes);
-    route->address = rig_flow(1).service;
+    route->address = fixture_flow(1).service;
     route->shares[0] = (struct route_share){hash_service("lots"), 1, 0};
     route->share_count = 1;
     route->idempotent = idempotent;
@@ -184,7 +184,7 @@
 send_on(struct fixture *fixture, unsigned flow)
 {
     struct relay_packet packet =
-        rig_from_caller(rig_flow(flow), RELAY_ACK, 101, 501, 40);
+        fixture_from_caller(fixture_flow(flow), RELAY_ACK, 101, 501, 40);
 
     forwarder_packet(&fixture->forwarder, &packet, fixture->now_us);
 }
@@ -228,12 +228,12 @@
 {
     open_question(fixture);
     answer_all_but(fixture, 0);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
     confirmed(fixture);
-    rig_expect(fixture->record, "reset 1001 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1001 at 501", NULL);
     /* What was on its way is told the same. */
     send_on(fixture, 1);
-    rig_expect(fixture->record, "reset 1001 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
 TEST_F(fixture, the_order_of_the_answers_does_not_matter, false)
@@ -245,7 +245,7 @@
     g_assert_cmpuint(fixture->confirm_us, ==, 0);
     answer(fixture, 1, ALL, false);
     confirmed(fixture);
-    rig_expect(fixture->record, "reset 1001 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
 TEST_F(fixture, without_the_list_nobody_is_told, true)
@@ -253,7 +253,7 @@
     open_question(fixture);
     answer_all_but(fixture, 0);
     pass_ms(fixture, ROUND_MS);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 /* The store answers what it was asked before the flow's packet came. */
@@ -266,7 +266,7 @@
     answer_all_but(fixture, 0);
     forwarder_confirmed(&fixture->forwarder, before_us, fixture->now_us);
     pass_ms(fixture, ROUND_MS);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 TEST_F(fixture, one_agent_that_is_not_sure_is_enough_for_silence, true)
@@ -277,7 +277,7 @@
     /* The store needn't be asked either. */
     g_assert_cmpuint(fixture->confirm_us, ==, 0);
     confirmed(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 TEST_F(fixture, an_answer_to_an_earlier_question_does_not_count, true)
@@ -294,14 +294,14 @@
     forwarder_query_reply(&fixture->forwarder, agent_addr(1), &late,
                           fixture->now_us);
     confirmed(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 TEST_F(fixture, a_flow_that_was_found_is_not_asked_for, false)
 {
     struct frame_status placed = {
         .type = FRAME_ESTABLISHED,
-        .flow = rig_flow(1),
+        .flow = fixture_flow(1),
         .seq = 500,
         .health = {.service = hash_service("lots"),
                    .slots = 2,
@@ -357,7 +357,7 @@
 {
     open_question(fixture);
     pass_ms(fixture, 600);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
     one_is_silent(fixture);
     g_assert_nonnull(strstr(fixture->record->str, "reset 1001"));
 }
@@ -367,7 +367,7 @@
     open_question(fixture);
     pass_ms(fixture, 600);
     one_is_silent(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 /* It may be in a planned restart. */
@@ -377,7 +377,7 @@
     open_question(fixture);
     pass_ms(fixture, 600);
     one_is_silent(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 /* The balancer is cut off, or most hosts are: it can't tell which. */
@@ -395,7 +395,7 @@
     }
     pass_ms(fixture, 1100);
     run(fixture, 3);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 TEST_F(fixture, an_endpoint_that_is_silent_is_like_a_silent_agent, false)
@@ -404,7 +404,7 @@
     answer_all_but(fixture, 1);
     answer(fixture, 1, ALL, true);
     confirmed(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 TEST_F(fixture, who_has_gone_is_not_asked, false)
@@ -416,13 +416,13 @@
     g_assert_false(fixture->asked[1]);
     answer_all_but(fixture, 1);
     confirmed(fixture);
-    rig_expect(fixture->record, "reset 1001 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
 TEST_F(fixture, a_port_that_is_used_again_is_a_new_flow, false)
 {
     struct relay_packet syn =
-        rig_from_caller(rig_flow(1), RELAY_SYN, 900, 0, 0);
+        fixture_from_caller(fixture_flow(1), RELAY_SYN, 900, 0, 0);
 
     open_question(fixture);
     answer_all_but(fixture, 0);
@@ -430,7 +430,7 @@
     g_string_truncate(fixture->record, 0);
     forwarder_packet(&fixture->forwarder, &syn, fixture->now_us);
     send_on(fixture, 1);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 TEST_F(fixture, a_proof_is_not_believed_for_long, false)
@@ -441,7 +441,7 @@
     g_string_truncate(fixture->record, 0);
     pass_ms(fixture, 1100);
     send_on(fixture, 1);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 /* What a loss of all hosts costs: the questions of a second are bounded by
@@ -473,7 +473,7 @@
 open_flow(struct fixture *fixture, unsigned flow)
 {
     struct relay_packet syn =
-        rig_from_caller(rig_flow(flow), RELAY_SYN, 100, 0, 0);
+        fixture_from_caller(fixture_flow(flow), RELAY_SYN, 100, 0, 0);
 
     forwarder_packet(&fixture->forwarder, &syn, fixture->now_us);
 }
@@ -515,7 +515,7 @@
     agents_list(&fixture->forwarder.agents, agent_addr(8),
                 hash_service("lots"), "here", fixture->now_us);
     confirmed(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 /* One that resets requests is chosen when the others have four more on each
@@ -557,13 +557,13 @@
                           fixture->now_us);
     answer_all_but(fixture, 1);
     confirmed(fixture);
-    rig_expect(fixture->record, "reset 1001 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1001 at 501", NULL);
     send_on(fixture, 2);
     pass_ms(fixture, 30);
     answer_all_but(fixture, 1);
     pass_ms(fixture, 16);
     confirmed(fixture);
-    rig_expect(fixture->record, "reset 1002 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1002 at 501", NULL);
 }
 
 TEST_F(fixture, unsafe_callers_wait_for_it_all_the_same, false)
@@ -582,7 +582,7 @@
     answer_all_but(fixture, 1);
     pass_ms(fixture, 16);
     confirmed(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 /* A balancer that was slow for a second takes all agents for silent; they
@@ -601,7 +601,7 @@
     answer(fixture, 1, 0, false);
     pass_ms(fixture, 16);
     confirmed(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 /* The end of its question comes late: answers may lie unread, and it waits for
@@ -617,10 +617,10 @@
     answer_all_but(fixture, 1);
     pass_ms(fixture, 40);
     confirmed(fixture);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
     pass_ms(fixture, 15);
     confirmed(fixture);
-    rig_expect(fixture->record, "reset 1001 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
 /* It is the balancer that reads late when many agents seem to be. */
@@ -653,7 +653,7 @@
     answer_all_but(fixture, 0);
     confirmed(fixture);
     pass_ms(fixture, ROUND_MS);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
     for (unsigned ms = 0; ms < 30000; ms += 100) {
         pass_ms(fixture, 100);
     }
@@ -661,7 +661,7 @@
     open_question(fixture);
     answer_all_but(fixture, 0);
     confirmed(fixture);
-    rig_expect(fixture->record, "reset 1001 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
 /* Its own first word of the store is of that epoch already. */
@@ -674,7 +674,7 @@
     answer_all_but(fixture, 0);
     confirmed(fixture);
     pass_ms(fixture, ROUND_MS);
-    rig_expect(fixture->record, NULL);
+    fixture_expect(fixture->record, NULL);
 }
 
 /* An agent that has started beside its endpoint doesn't know all flows there:
@@ -728,7 +728,7 @@
     pass_ms(fixture, ROUND_MS);
     answer_all_but(fixture, 0);
     confirmed(fixture);
-    rig_expect(fixture->record, "reset 1001 at 501", NULL);
+    fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
 TEST_F(fixture, a_search_begins_at_those_that_cannot_answer, true)
--- a/tests/relay/frame_test.c
+++ b/tests/relay/frame_test.c
@@ -3,7 +3,7 @@
 
 #include "lib/harness.h"
 #include "relay/wire/frame.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 
 #define SUITE "/relay/frame"
 #define MUTATIONS 50000
@@ -18,7 +18,7 @@
 {
     struct frame_forward forward = {
         .service = 0x11223344,
-        .origin = rig_addr("10.9.0.1:7720"),
+        .origin = fixture_addr("10.9.0.1:7720"),
         .view = {1ull << 40, FRAME_READER_TRYING},
         .forced = true,
         .target_ms = 100,
@@ -26,7 +26,7 @@
         .caller_timeout_ms = 1400,
         .slow_start_limit = 35,
         .hops = 2,
-        .best = rig_addr("10.0.0.7:7000"),
+        .best = fixture_addr("10.0.0.7:7000"),
         .best_load = 48,
         .next_count = FRAME_NEXT_MAX,
         .bytes = packet,
@@ -81,11 +81,11 @@
     struct frame_status status = {
         .type = FRAME_REDIRECTED,
         .reason = FRAME_REASON_BUSY,
-        .target = rig_addr("10.0.0.3:7000"),
-        .flow = rig_flow(5),
+        .target = fixture_addr("10.0.0.3:7000"),
+        .flow = fixture_flow(5),
         .seq = 77,
         .health = {9, ENDPOINT_READY, 3, 2, true},
-        .heard = {12, rig_addr("10.9.0.3:7720")},
+        .heard = {12, fixture_addr("10.9.0.3:7720")},
         .readers = {2, 3},
     };
     struct frame_status read;
@@ -110,7 +110,7 @@
     struct frame_ping ping = {{4, FRAME_READER_TRYING}, true};
     struct frame_ping read = {0};
     struct frame_served served = {
-        .service = 3, .addrs = {rig_addr("198.18.0.1:80")}, .count = 1};
+        .service = 3, .addrs = {fixture_addr("198.18.0.1:80")}, .count = 1};
     struct frame_served told;
     uint8_t bytes[FRAME_HEADER_MAX];
     size_t size = frame_ping_encode(&ping, &no_evacuations, bytes);
@@ -267,7 +267,7 @@
                                 .count = FRAME_QUERY_MAX};
 
     for (unsigned i = 0; i < FRAME_QUERY_MAX; i++) {
-        query.flows[i] = rig_flow(i);
+        query.flows[i] = fixture_flow(i);
     }
     return query;
 }
--- a/tests/relay/readers_world_test.c
+++ b/tests/relay/readers_world_test.c
@@ -9,7 +9,7 @@
 #include "base/container.h"
 #include "lib/harness.h"
 #include "relay/admission/admission.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 #include "relay/store/store_reader.h"
 
 #define SUITE "/relay/readers_world"
--- a/tests/relay/registration_test.c
+++ b/tests/relay/registration_test.c
@@ -2,7 +2,7 @@
 
 #include "base/clock.h"
 #include "lib/harness.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 #include "relay/store/registration.h"
 #include "relay/store_fixture.h"
 
@@ -20,7 +20,7 @@
 fixture_init(struct fixture *fixture)
 {
     struct registration registration = {
-        .addr = rig_addr("10.1.0.13:8172"),
+        .addr = fixture_addr("10.1.0.13:8172"),
         .service = "lots",
         .data_centre = "here",
     };
@@ -68,14 +68,14 @@
     writer_tick(fixture, 1);
     reply_to_read(fixture, "lots");
     g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_DONE);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
     /* The look may have been seconds old. */
     writer_tick(fixture, 9000);
-    rig_expect(fixture->store.record, NULL);
+    fixture_expect(fixture->store.record, NULL);
     writer_tick(fixture, 2000);
     reply_to_read(fixture, "lots");
     writer_tick(fixture, 60000);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
 }
 
 TEST_F(fixture, a_host_whose_object_was_removed_after_the_look_writes_it)
@@ -87,8 +87,8 @@
     writer_tick(fixture, 2);
     store_fixture_reply(&fixture->store, 0, 12, NULL, false);
     writer_tick(fixture, 60000);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
-               "get 10-1-0-13-8172 any", "create 10-1-0-13-8172", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+                   "get 10-1-0-13-8172 any", "create 10-1-0-13-8172", NULL);
 }
 
 TEST_F(fixture, an_object_of_the_address_before_is_replaced)
@@ -98,8 +98,8 @@
     writer_tick(fixture, 2);
     store_fixture_reply(&fixture->store, 0, 9, NULL, false);
     writer_tick(fixture, 60000);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
-               "put 10-1-0-13-8172", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+                   "put 10-1-0-13-8172", NULL);
 }
 
 /* The endpoint may end while its object is still being written. */
@@ -114,8 +114,8 @@
     writer_tick(fixture, 2);
     store_fixture_reply(&fixture->store, 0, 12, NULL, false);
     g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_REMOVED);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
-               "create 10-1-0-13-8172", "remove 10-1-0-13-8172", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+                   "create 10-1-0-13-8172", "remove 10-1-0-13-8172", NULL);
 }
 
 TEST_F(fixture, a_new_host_creates_its_object)
@@ -129,9 +129,9 @@
     store_fixture_reply(&fixture->store, -EEXIST, 0, NULL, false);
     writer_tick(fixture, 200);
     store_fixture_reply(&fixture->store, 0, 9, NULL, false);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
-               "create 10-1-0-13-8172", "create 10-1-0-13-8172",
-               "put 10-1-0-13-8172", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+                   "create 10-1-0-13-8172", "create 10-1-0-13-8172",
+                   "put 10-1-0-13-8172", NULL);
 }
 
 TEST_F(fixture, an_object_that_was_taken_away_is_written_anew)
@@ -142,8 +142,8 @@
     writer_tick(fixture, 2);
     store_fixture_reply(&fixture->store, 0, 12, NULL, false);
     g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_DONE);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
-               "create 10-1-0-13-8172", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+                   "create 10-1-0-13-8172", NULL);
 }
 
 TEST_F(fixture, a_removal_is_repeated_until_it_is_done)
@@ -163,7 +163,7 @@
 TEST(names_and_values_come_back)
 {
     struct registration registration = {
-        .addr = rig_addr("10.1.0.13:8172"),
+        .addr = fixture_addr("10.1.0.13:8172"),
         .service = "lots",
         .data_centre = "kariakoo",
     };
@@ -239,16 +239,16 @@
     g_assert_false(
         registration_writer_set_epoch(&fixture->writer, 1, fixture->now_us));
     writer_tick(fixture, 20000);
-    rig_expect(fixture->store.record, NULL);
+    fixture_expect(fixture->store.record, NULL);
     g_assert_true(
         registration_writer_set_epoch(&fixture->writer, 2, fixture->now_us));
     fixture->store.epoch = 2;
     writer_tick(fixture, 3000);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
     /* Only what is missing is written. */
     store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
     writer_tick(fixture, 10);
-    rig_expect(fixture->store.record, "create 10-1-0-13-8172", NULL);
+    fixture_expect(fixture->store.record, "create 10-1-0-13-8172", NULL);
 }
 
 TEST_F(fixture, a_stale_read_after_a_rollback_is_repeated)
@@ -262,8 +262,8 @@
     writer_tick(fixture, 3000);
     reply_to_read(fixture, "lots");
     writer_tick(fixture, 12000);
-    rig_expect(fixture->store.record, "get 10-1-0-13-8172 any",
-               "get 10-1-0-13-8172 any", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+                   "get 10-1-0-13-8172 any", NULL);
 }
 
 TEST_F(fixture, what_was_removed_is_removed_again)
@@ -277,7 +277,7 @@
     g_string_truncate(fixture->store.record, 0);
     registration_writer_set_epoch(&fixture->writer, 2, fixture->now_us);
     writer_tick(fixture, 3000);
-    rig_expect(fixture->store.record, "remove 10-1-0-13-8172", NULL);
+    fixture_expect(fixture->store.record, "remove 10-1-0-13-8172", NULL);
 }
 
 /* A frame can tell of any epoch. */
@@ -296,5 +296,5 @@
         registration_writer_set_epoch(&fixture->writer, 900, fixture->now_us));
     g_string_truncate(fixture->store.record, 0);
     writer_tick(fixture, 20000);
-    rig_expect(fixture->store.record, NULL);
+    fixture_expect(fixture->store.record, NULL);
 }
--- a/tests/relay/relay_rig.c
+++ b/tests/relay/relay_fixture.c
@@ -1,4 +1,4 @@
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 
 #include <stdarg.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 static uint8_t bytes[RELAY_PACKET_MAX];
 
 struct addr
-rig_addr(const char *text)
+fixture_addr(const char *text)
 {
     struct addr addr;
 
@@ -17,12 +17,12 @@
 }
 
 struct relay_flow
-rig_flow(unsigned number)
+fixture_flow(unsigned number)
 {
     return (struct relay_flow){
         .caller = {0x64400000 + number / 1000,
                    (uint16_t)(1000 + number % 1000)},
-        .service = rig_addr(SERVICE_ADDR),
+        .service = fixture_addr(SERVICE_ADDR),
     };
 }
 
@@ -39,33 +39,33 @@
         .len = len,
         .flags = (uint8_t)flags,
         .bytes = bytes,
-        .size = (size_t)RIG_DATA + len,
+        .size = (size_t)FIXTURE_HEADERS_SIZE + len,
     };
 }
 
 struct relay_packet
-rig_from_caller(struct relay_flow flow, unsigned flags, uint32_t seq,
-                uint32_t ack, uint16_t len)
+fixture_from_caller(struct relay_flow flow, unsigned flags, uint32_t seq,
+                    uint32_t ack, uint16_t len)
 {
     return make(flow.caller, flow.service, flags, seq, ack, len);
 }
 
 struct relay_packet
-rig_from_endpoint(struct relay_flow flow, unsigned flags, uint32_t seq,
-                  uint32_t ack, uint16_t len)
+fixture_from_endpoint(struct relay_flow flow, unsigned flags, uint32_t seq,
+                      uint32_t ack, uint16_t len)
 {
     return make(flow.service, flow.caller, flags, seq, ack, len);
 }
 
 struct relay_packet
-rig_bounced(struct relay_packet packet)
+fixture_bounced(struct relay_packet packet)
 {
     packet.flags |= RELAY_BOUNCED;
     return packet;
 }
 
 void
-rig_note(GString *record, const char *fmt, ...)
+fixture_record(GString *record, const char *fmt, ...)
 {
     va_list args;
 
@@ -76,7 +76,7 @@
 }
 
 void
-rig_expect(GString *record, ...)
+fixture_expect(GString *record, ...)
 {
     GString *expected = g_string_new(NULL);
     const char *line;
--- a/tests/relay/settings_test.c
+++ b/tests/relay/settings_test.c
@@ -18,8 +18,8 @@
 
 /* Loads @text; its faults, or "" (g_free() it). */
 static char *
-faults_of(const char *text, enum relay_role role,
-          struct relay_settings *settings)
+load_faults(const char *text, enum relay_role role,
+            struct relay_settings *settings)
 {
     char *path = NULL;
     int fd = g_file_open_tmp("settings-XXXXXX", &path, NULL);
@@ -41,7 +41,7 @@
 expect_fault(const char *text, enum relay_role role, const char *key)
 {
     struct relay_settings settings;
-    char *faults = faults_of(text, role, &settings);
+    char *faults = load_faults(text, role, &settings);
 
     g_assert_nonnull(strstr(faults, key));
     g_free(faults);
@@ -50,10 +50,10 @@
 TEST(an_agents_settings_are_read)
 {
     struct relay_settings settings;
-    char *faults =
-        faults_of("{" AGENT_KEYS ",\"peers\":[\"10.0.0.9:1\",\"10.0.0.8:2\"],"
-                  "\"frames_port\":7720}",
-                  RELAY_AGENT, &settings);
+    char *faults = load_faults("{" AGENT_KEYS
+                               ",\"peers\":[\"10.0.0.9:1\",\"10.0.0.8:2\"],"
+                               "\"frames_port\":7720}",
+                               RELAY_AGENT, &settings);
 
     g_assert_cmpstr(faults, ==, "");
     g_free(faults);
@@ -116,13 +116,13 @@
     "\"ready\":\"10.0.0.1:7001\",\"frames\":\"10.0.0.1:7002\","               \
     "\"share\":\"10.0.0.1:7003\",\"store\":\"10.0.9.1:8000\""
 
-TEST(what_operators_know_from_their_sheet_is_read)
+TEST(operator_settings_are_read)
 {
     struct relay_settings settings;
-    char *faults = faults_of("{" BALANCER_KEYS ",\"warming_over\":1.5,"
-                             "\"warming_slack\":5,\"evacuations\":false,"
-                             "\"regions\":{\"here\":\"coast\"}}",
-                             RELAY_BALANCER, &settings);
+    char *faults = load_faults("{" BALANCER_KEYS ",\"warming_over\":1.5,"
+                               "\"warming_slack\":5,\"evacuations\":false,"
+                               "\"regions\":{\"here\":\"coast\"}}",
+                               RELAY_BALANCER, &settings);
 
     g_assert_cmpstr(faults, ==, "");
     g_free(faults);
@@ -131,14 +131,14 @@
     g_assert_false(settings.evacuations);
     g_assert_cmpuint(regions_find(&settings.regions, evacuations_key("here")),
                      ==, region_key("coast"));
-    faults = faults_of("{" BALANCER_KEYS "}", RELAY_BALANCER, &settings);
+    faults = load_faults("{" BALANCER_KEYS "}", RELAY_BALANCER, &settings);
     g_assert_cmpstr(faults, ==, "");
     g_free(faults);
     g_assert_true(settings.evacuations);
     g_assert_cmpfloat(settings.slow_start.over, ==, 1);
 }
 
-TEST(faults_of_what_operators_know_are_named)
+TEST(faults_of_operator_settings_are_named)
 {
     expect_fault("{" BALANCER_KEYS ",\"evacuations\":1}", RELAY_BALANCER,
                  "evacuations");
--- a/tests/relay/slow_start_test.c
+++ b/tests/relay/slow_start_test.c
@@ -145,16 +145,16 @@
 arrive(struct fixture *fixture, unsigned number, unsigned next, bool forced)
 {
     struct relay_packet syn =
-        rig_from_caller(rig_flow(number), RELAY_SYN, 100, 0, 0);
+        fixture_from_caller(fixture_flow(number), RELAY_SYN, 100, 0, 0);
     struct frame_forward frame = {
         .service = fixture->admission.endpoint.service,
-        .origin = rig_addr(FIXTURE_BALANCER),
+        .origin = fixture_addr(FIXTURE_BALANCER),
         .view.version = 1,
         .forced = forced,
         .target_ms = 1000,
         .caller_timeout_ms = 1400,
         .slow_start_limit = 1,
-        .next = {rig_addr(FIXTURE_SECOND)},
+        .next = {fixture_addr(FIXTURE_SECOND)},
         .next_count = (uint8_t)next,
         .bytes = syn.bytes,
         .size = syn.size,
@@ -178,22 +178,22 @@
     admission_handle_heartbeat(&fixture->admission, &beat, fixture->now_us);
     g_string_truncate(fixture->record, 0);
     arrive(fixture, 1, 1, false);
-    rig_expect(fixture->record, "endpoint 0", NULL);
-    fixture_answer(
-        fixture,
-        rig_from_endpoint(rig_flow(1), RELAY_SYN | RELAY_ACK, 500, 101, 0));
+    fixture_expect(fixture->record, "endpoint 0", NULL);
+    fixture_answer(fixture,
+                   fixture_from_endpoint(fixture_flow(1),
+                                         RELAY_SYN | RELAY_ACK, 500, 101, 0));
     g_string_truncate(fixture->record, 0);
     /* One slot is free, but balancers are told that none is. */
     arrive(fixture, 2, 1, false);
-    rig_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-               "tell passed reason=1 on=1 busy=2 state=1", NULL);
+    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
+                   "tell passed reason=1 on=1 busy=2 state=1", NULL);
     arrive(fixture, 3, 0, true);
-    rig_expect(fixture->record, "tell held reason=0 on=0 busy=2 state=1",
-               NULL);
+    fixture_expect(fixture->record, "tell held reason=0 on=0 busy=2 state=1",
+                   NULL);
     g_assert_cmpuint(admission_next_us(&fixture->admission), <=,
                      fixture->now_us + 1050 * USEC_PER_MSEC);
     fixture_advance_ms(fixture, 1050);
-    rig_expect(fixture->record, "endpoint 0", NULL);
+    fixture_expect(fixture->record, "endpoint 0", NULL);
 }
 
 /* After a loss of all hosts some balancers serve before they have read the
@@ -201,13 +201,13 @@
 TEST_F(fixture, a_balancer_without_a_configuration_lifts_no_limit)
 {
     struct relay_packet syn =
-        rig_from_caller(rig_flow(2), RELAY_SYN, 100, 0, 0);
+        fixture_from_caller(fixture_flow(2), RELAY_SYN, 100, 0, 0);
     struct frame_forward frame = {
         .service = fixture->admission.endpoint.service,
-        .origin = rig_addr(FIXTURE_BALANCER),
+        .origin = fixture_addr(FIXTURE_BALANCER),
         .target_ms = 1000,
         .caller_timeout_ms = 1400,
-        .next = {rig_addr(FIXTURE_SECOND)},
+        .next = {fixture_addr(FIXTURE_SECOND)},
         .next_count = 1,
         .bytes = syn.bytes,
         .size = syn.size,
@@ -218,6 +218,6 @@
     g_string_truncate(fixture->record, 0);
     admission_handle_forward(&fixture->admission, &frame, &syn,
                              fixture->now_us);
-    rig_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-               "tell passed reason=1 on=1 busy=2 state=0", NULL);
+    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
+                   "tell passed reason=1 on=1 busy=2 state=0", NULL);
 }
--- a/tests/relay/store_fixture.c
+++ b/tests/relay/store_fixture.c
@@ -1,7 +1,7 @@
 #include "relay/store_fixture.h"
 
 #include "base/container.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 
 static struct store_fixture *
 fixture_of(struct store *store)
@@ -21,9 +21,9 @@
 store_list(struct store *store, const char *kind, const char *after,
            enum store_read_mode read, struct store_call *call)
 {
-    rig_note(fixture_of(store)->record, "list %s %s%s", kind,
-             after != NULL ? after : "-",
-             read == STORE_READ_STALE ? " any" : "");
+    fixture_record(fixture_of(store)->record, "list %s %s%s", kind,
+                   after != NULL ? after : "-",
+                   read == STORE_READ_STALE ? " any" : "");
     return start_call(store, call);
 }
 
@@ -32,8 +32,8 @@
             unsigned wait_ms, enum store_read_mode read,
             struct store_call *call)
 {
-    rig_note(fixture_of(store)->record, "watch %s %u%s", kind,
-             (unsigned)revision, read == STORE_READ_STALE ? " any" : "");
+    fixture_record(fixture_of(store)->record, "watch %s %u%s", kind,
+                   (unsigned)revision, read == STORE_READ_STALE ? " any" : "");
     fixture_of(store)->wait_ms = wait_ms;
     return start_call(store, call);
 }
@@ -42,7 +42,7 @@
 store_put(struct store *store, const char *kind, const char *name,
           struct json_object *value, struct store_call *call)
 {
-    rig_note(fixture_of(store)->record, "put %s", name);
+    fixture_record(fixture_of(store)->record, "put %s", name);
     return start_call(store, call);
 }
 
@@ -50,7 +50,7 @@
 store_create(struct store *store, const char *kind, const char *name,
              struct json_object *value, struct store_call *call)
 {
-    rig_note(fixture_of(store)->record, "create %s", name);
+    fixture_record(fixture_of(store)->record, "create %s", name);
     return start_call(store, call);
 }
 
@@ -58,14 +58,14 @@
 store_remove(struct store *store, const char *kind, const char *name,
              uint64_t revision, struct store_call *call)
 {
-    rig_note(fixture_of(store)->record, "remove %s", name);
+    fixture_record(fixture_of(store)->record, "remove %s", name);
     return start_call(store, call);
 }
 
 static void
 store_cancel(struct store *store)
 {
-    rig_note(fixture_of(store)->record, "cancel");
+    fixture_record(fixture_of(store)->record, "cancel");
     fixture_of(store)->call = NULL;
 }
 
@@ -73,8 +73,8 @@
 store_get(struct store *store, const char *kind, const char *name,
           enum store_read_mode read, struct store_call *call)
 {
-    rig_note(fixture_of(store)->record, "get %s%s", name,
-             read == STORE_READ_STALE ? " any" : "");
+    fixture_record(fixture_of(store)->record, "get %s%s", name,
+                   read == STORE_READ_STALE ? " any" : "");
     return start_call(store, call);
 }
 
--- a/tests/relay/store_reader_test.c
+++ b/tests/relay/store_reader_test.c
@@ -1,6 +1,6 @@
 #include "base/clock.h"
 #include "lib/harness.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 #include "relay/store/store_reader.h"
 
 #define SUITE "/relay/store_reader"
@@ -121,7 +121,7 @@
 
 TEST_F(fixture, a_balancer_that_stays_behind_reads_and_then_asks)
 {
-    struct frame_config_version newer = {9, rig_addr("10.9.0.3:7720")};
+    struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
 
     store_reader_notify_newer(&fixture->reader, &newer, fixture->now_us);
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_STALE);
@@ -147,7 +147,7 @@
 
 TEST_F(fixture, reports_of_a_reader_keep_a_balancer_current)
 {
-    struct frame_config_version newer = {9, rig_addr("10.9.0.3:7720")};
+    struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
 
     g_assert_false(
         store_reader_is_current(&fixture->reader, 0, fixture->now_us));
@@ -216,7 +216,7 @@
 
 TEST_F(fixture, without_the_store_a_peer_is_asked_at_once)
 {
-    struct frame_config_version newer = {9, rig_addr("10.9.0.3:7720")};
+    struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
 
     g_assert_false(
         store_reader_needs_peer(&fixture->reader, 3, fixture->now_us));
@@ -228,9 +228,9 @@
 /* The first that was named may be frozen. */
 TEST_F(fixture, the_holder_that_was_named_last_is_asked)
 {
-    struct frame_config_version first = {9, rig_addr("10.9.0.3:7720")};
-    struct frame_config_version second = {9, rig_addr("10.9.0.4:7720")};
-    struct frame_config_version older = {8, rig_addr("10.9.0.5:7720")};
+    struct frame_config_version first = {9, fixture_addr("10.9.0.3:7720")};
+    struct frame_config_version second = {9, fixture_addr("10.9.0.4:7720")};
+    struct frame_config_version older = {8, fixture_addr("10.9.0.5:7720")};
 
     store_reader_notify_newer(&fixture->reader, &first, fixture->now_us);
     store_reader_notify_newer(&fixture->reader, &second, fixture->now_us + MS);
@@ -243,7 +243,7 @@
 /* While versions follow each other the wait isn't begun anew with each. */
 TEST_F(fixture, newer_versions_in_a_row_do_not_put_the_read_off)
 {
-    struct frame_config_version newer = {9, rig_addr("10.9.0.3:7720")};
+    struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
 
     for (unsigned i = 0; i < 10; i++) {
         newer.version++;
@@ -294,7 +294,7 @@
 /* All hear of a new configuration at once, and few have it. */
 TEST(balancers_that_are_behind_do_not_ask_all_at_once)
 {
-    struct frame_config_version newer = {9, rig_addr("10.9.0.3:7720")};
+    struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
     unsigned early = 0;
 
     for (uint64_t seed = 1; seed <= 300; seed++) {
--- a/tests/relay/syn_queue_test.c
+++ b/tests/relay/syn_queue_test.c
@@ -2,7 +2,7 @@
  * balancers that have yet to read the configuration. */
 #include "base/clock.h"
 #include "lib/harness.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 #include "relay/forwarder/syn_queue.h"
 
 #define SUITE "/relay/syn_queue"
@@ -15,7 +15,7 @@
 syn_of(unsigned caller, uint16_t age_ms)
 {
     struct relay_packet packet =
-        rig_from_caller(rig_flow(caller), RELAY_SYN, 100, 0, 0);
+        fixture_from_caller(fixture_flow(caller), RELAY_SYN, 100, 0, 0);
 
     packet.age_ms = age_ms;
     packet.caller_timeout_ms = (uint16_t)(1400 - age_ms);
@@ -47,16 +47,16 @@
     g_assert_true(put(3, 200, START_US + 20 * MS));
     g_assert_true(put(4, 0, START_US + 90 * MS));
     g_assert_cmpuint(take(START_US + 100 * MS, &packet), ==,
-                     rig_flow(4).caller.port);
+                     fixture_flow(4).caller.port);
     g_assert_cmpuint(take(START_US + 100 * MS, &packet), ==,
-                     rig_flow(2).caller.port);
+                     fixture_flow(2).caller.port);
     g_assert_cmpuint(packet.age_ms, ==, 90);
     g_assert_cmpuint(packet.caller_timeout_ms, ==, 1310);
-    g_assert_cmpuint(packet.size, ==, RIG_DATA);
+    g_assert_cmpuint(packet.size, ==, FIXTURE_HEADERS_SIZE);
     g_assert_cmpuint(take(START_US + 100 * MS, &packet), ==,
-                     rig_flow(3).caller.port);
+                     fixture_flow(3).caller.port);
     g_assert_cmpuint(take(START_US + 100 * MS, &packet), ==,
-                     rig_flow(1).caller.port);
+                     fixture_flow(1).caller.port);
     g_assert_cmpuint(take(START_US + 100 * MS, &packet), ==, 0);
 }
 
@@ -68,7 +68,7 @@
     g_assert_true(put(1, 0, START_US));
     g_assert_true(put(1, 200, START_US + 200 * MS));
     g_assert_cmpuint(take(START_US + 250 * MS, &packet), ==,
-                     rig_flow(1).caller.port);
+                     fixture_flow(1).caller.port);
     g_assert_cmpuint(packet.age_ms, ==, 250);
     g_assert_cmpuint(take(START_US + 250 * MS, &packet), ==, 0);
 }
@@ -84,7 +84,7 @@
         syn_queue_take_expired(&queue, START_US + 99 * MS, &packet));
     g_assert_true(
         syn_queue_take_expired(&queue, START_US + 100 * MS, &packet));
-    g_assert_cmpuint(packet.from.port, ==, rig_flow(2).caller.port);
+    g_assert_cmpuint(packet.from.port, ==, fixture_flow(2).caller.port);
     g_assert_false(
         syn_queue_take_expired(&queue, START_US + 399 * MS, &packet));
     g_assert_true(
--- a/tests/relay/watcher_test.c
+++ b/tests/relay/watcher_test.c
@@ -3,7 +3,7 @@
 #include "base/clock.h"
 #include "base/container.h"
 #include "lib/harness.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 #include "relay/store/watcher.h"
 #include "relay/store_fixture.h"
 
@@ -20,30 +20,34 @@
 static void
 listing(struct watcher *watcher)
 {
-    rig_note(container_of(watcher, struct fixture, watcher)->store.record,
-             "listing");
+    fixture_record(
+        container_of(watcher, struct fixture, watcher)->store.record,
+        "listing");
 }
 
 static void
 object(struct watcher *watcher, const struct store_object *told)
 {
-    rig_note(container_of(watcher, struct fixture, watcher)->store.record,
-             "object %s%s", told->name, told->removed ? " removed" : "");
+    fixture_record(
+        container_of(watcher, struct fixture, watcher)->store.record,
+        "object %s%s", told->name, told->removed ? " removed" : "");
 }
 
 static void
 listed(struct watcher *watcher)
 {
-    rig_note(container_of(watcher, struct fixture, watcher)->store.record,
-             "listed");
+    fixture_record(
+        container_of(watcher, struct fixture, watcher)->store.record,
+        "listed");
 }
 
 static void
 ended(struct watcher *watcher, int status, bool changed)
 {
     if (changed) {
-        rig_note(container_of(watcher, struct fixture, watcher)->store.record,
-                 status == 0 ? "reached" : "lost");
+        fixture_record(
+            container_of(watcher, struct fixture, watcher)->store.record,
+            status == 0 ? "reached" : "lost");
     }
 }
 
@@ -87,12 +91,12 @@
     watcher_tick(&fixture->watcher, fixture->now_us);
     store_fixture_reply(&fixture->store, 0, 34, "b", false);
     watcher_tick(&fixture->watcher, fixture->now_us);
-    rig_expect(fixture->store.record, "list kind -", "listing", "object a",
-               "reached", "list kind a", "object b", "listed", "watch kind 30",
-               NULL);
+    fixture_expect(fixture->store.record, "list kind -", "listing", "object a",
+                   "reached", "list kind a", "object b", "listed",
+                   "watch kind 30", NULL);
     store_fixture_reply(&fixture->store, 0, 36, "c", false);
     watcher_tick(&fixture->watcher, fixture->now_us);
-    rig_expect(fixture->store.record, "object c", "watch kind 36", NULL);
+    fixture_expect(fixture->store.record, "object c", "watch kind 36", NULL);
 }
 
 TEST_F(fixture, a_cut_watch_goes_on_and_a_lost_history_is_listed)
@@ -103,13 +107,14 @@
     store_fixture_reply(&fixture->store, -ECONNRESET, 0, NULL, false);
     g_string_truncate(fixture->store.record, 0);
     g_assert_cmpuint(wait_for_call(fixture), >=, 50);
-    rig_expect(fixture->store.record, "watch kind 30", NULL);
+    fixture_expect(fixture->store.record, "watch kind 30", NULL);
     store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
     g_string_truncate(fixture->store.record, 0);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "list kind -", NULL);
+    fixture_expect(fixture->store.record, "list kind -", NULL);
     store_fixture_reply(&fixture->store, 0, 50, NULL, false);
-    rig_expect(fixture->store.record, "listing", "listed", "reached", NULL);
+    fixture_expect(fixture->store.record, "listing", "listed", "reached",
+                   NULL);
 }
 
 /* A store that has fallen silent never answers a call that reached it then,
@@ -223,21 +228,22 @@
     watcher_tick(&fixture->watcher, fixture->now_us);
     watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
     watcher_tick(&fixture->watcher, fixture->now_us);
-    rig_expect(fixture->store.record, "list kind - any", "listing", "listed",
-               "reached", "watch kind 30 any", "cancel", "watch kind 30",
-               NULL);
+    fixture_expect(fixture->store.record, "list kind - any", "listing",
+                   "listed", "reached", "watch kind 30 any", "cancel",
+                   "watch kind 30", NULL);
     /* The better one may go on to its end. */
     watcher_set_read(&fixture->watcher, STORE_READ_STALE);
     watcher_tick(&fixture->watcher, fixture->now_us);
-    rig_expect(fixture->store.record, NULL);
+    fixture_expect(fixture->store.record, NULL);
     store_fixture_reply(&fixture->store, 0, 31, "a", false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "object a", "watch kind 31 any", NULL);
+    fixture_expect(fixture->store.record, "object a", "watch kind 31 any",
+                   NULL);
     /* A list goes on to its end. */
     store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
     wait_for_call(fixture);
     watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
-    rig_expect(fixture->store.record, "lost", "list kind -", NULL);
+    fixture_expect(fixture->store.record, "lost", "list kind -", NULL);
     store_fixture_reply(&fixture->store, 0, 40, NULL, false);
 }
 
@@ -260,9 +266,9 @@
     wait_for_call(fixture);
     store_fixture_reply(&fixture->store, 0, 31, "b", false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "list kind -", "list kind -", "listing",
-               "object a", "reached", "list kind a", "object b", "listed",
-               "watch kind 31 any", NULL);
+    fixture_expect(fixture->store.record, "list kind -", "list kind -",
+                   "listing", "object a", "reached", "list kind a", "object b",
+                   "listed", "watch kind 31 any", NULL);
 }
 
 TEST_F(fixture, a_list_that_is_older_than_what_is_known_is_read_anew)
@@ -273,11 +279,11 @@
     g_string_truncate(fixture->store.record, 0);
     store_fixture_reply(&fixture->store, 0, 28, "a", false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "reached", "list kind -", NULL);
+    fixture_expect(fixture->store.record, "reached", "list kind -", NULL);
     store_fixture_reply(&fixture->store, 0, 31, "b", false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "listing", "object b", "listed",
-               "watch kind 31 any", NULL);
+    fixture_expect(fixture->store.record, "listing", "object b", "listed",
+                   "watch kind 31 any", NULL);
 }
 
 /* Then the store itself has lost what it knew. */
@@ -291,8 +297,8 @@
     g_string_truncate(fixture->store.record, 0);
     store_fixture_reply(&fixture->store, 0, 5, "a", false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "listing", "object a", "listed",
-               "reached", "watch kind 5", NULL);
+    fixture_expect(fixture->store.record, "listing", "object a", "listed",
+                   "reached", "watch kind 5", NULL);
 }
 
 TEST_F(fixture, reads_may_be_old_where_the_owner_says_so)
@@ -303,8 +309,9 @@
     watcher_tick(&fixture->watcher, fixture->now_us);
     store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "list kind - any", "listing", "listed",
-               "reached", "watch kind 30 any", "lost", "list kind -", NULL);
+    fixture_expect(fixture->store.record, "list kind - any", "listing",
+                   "listed", "reached", "watch kind 30 any", "lost",
+                   "list kind -", NULL);
     store_fixture_reply(&fixture->store, 0, 50, NULL, false);
 }
 
@@ -326,12 +333,13 @@
     fixture->store.epoch = 2;
     store_fixture_reply(&fixture->store, 0, 31, "b", false);
     g_assert_cmpuint(wait_for_call(fixture), <=, 300);
-    rig_expect(fixture->store.record, "list kind -", NULL);
+    fixture_expect(fixture->store.record, "list kind -", NULL);
     /* Lower than what was known, and the only thing that stands. */
     store_fixture_reply(&fixture->store, 0, 25, "c", false);
-    rig_expect(fixture->store.record, "listing", "object c", "listed", NULL);
+    fixture_expect(fixture->store.record, "listing", "object c", "listed",
+                   NULL);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "watch kind 25", NULL);
+    fixture_expect(fixture->store.record, "watch kind 25", NULL);
 }
 
 TEST_F(fixture, a_lost_history_of_a_later_epoch_costs_one_list)
@@ -342,8 +350,8 @@
     g_assert_cmpuint(wait_for_call(fixture), <=, 300);
     store_fixture_reply(&fixture->store, 0, 25, NULL, false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "lost", "list kind -", "listing",
-               "listed", "reached", "watch kind 25", NULL);
+    fixture_expect(fixture->store.record, "lost", "list kind -", "listing",
+                   "listed", "reached", "watch kind 25", NULL);
 }
 
 /* They may show for seconds what the store has lost. */
@@ -359,7 +367,7 @@
     g_assert_null(fixture->store.call);
     fixture->now_us += 2 * USEC_PER_SEC;
     watcher_tick(&fixture->watcher, fixture->now_us);
-    rig_expect(fixture->store.record, "list kind - any", NULL);
+    fixture_expect(fixture->store.record, "list kind - any", NULL);
 }
 
 TEST_F(fixture, a_new_reader_relists_at_once)
@@ -371,7 +379,7 @@
     watcher_tick(&fixture->watcher, fixture->now_us);
     watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
     g_assert_cmpuint(wait_for_call(fixture), <=, 300);
-    rig_expect(fixture->store.record, "list kind -", NULL);
+    fixture_expect(fixture->store.record, "list kind -", NULL);
 }
 
 TEST_F(fixture, a_reported_later_epoch_causes_a_relist)
@@ -379,12 +387,12 @@
     watch_in_epoch(fixture, 1);
     watcher_set_epoch(&fixture->watcher, 2);
     g_assert_cmpuint(wait_for_call(fixture), <=, 300);
-    rig_expect(fixture->store.record, "cancel", "list kind -", NULL);
+    fixture_expect(fixture->store.record, "cancel", "list kind -", NULL);
     fixture->store.epoch = 2;
     store_fixture_reply(&fixture->store, 0, 25, "a", false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "listing", "object a", "listed",
-               "watch kind 25", NULL);
+    fixture_expect(fixture->store.record, "listing", "object a", "listed",
+                   "watch kind 25", NULL);
 }
 
 /* A frame can tell of any epoch; the store's own answer is believed, and what
@@ -400,8 +408,8 @@
     watcher_set_epoch(&fixture->watcher, 900);
     store_fixture_reply(&fixture->store, 0, 36, "b", false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "watch kind 34", "object b",
-               "watch kind 36", NULL);
+    fixture_expect(fixture->store.record, "watch kind 34", "object b",
+                   "watch kind 36", NULL);
 }
 
 TEST_F(fixture, a_reply_of_an_earlier_epoch_is_ignored)
@@ -410,7 +418,7 @@
     fixture->store.epoch = 1;
     store_fixture_reply(&fixture->store, 0, 34, "b", false);
     wait_for_call(fixture);
-    rig_expect(fixture->store.record, "watch kind 30", NULL);
+    fixture_expect(fixture->store.record, "watch kind 30", NULL);
 }
 
 TEST_F(fixture, the_first_epoch_is_adopted)
@@ -448,5 +456,5 @@
     g_string_truncate(fixture->store.record, 0);
     store_fixture_reply(&fixture->store, 0, 24, "b", false);
     g_assert_cmpuint(wait_for_call(fixture), <=, 300);
-    rig_expect(fixture->store.record, "list kind -", NULL);
+    fixture_expect(fixture->store.record, "list kind -", NULL);
 }
--- a/tests/relay/world_callers.c
+++ b/tests/relay/world_callers.c
@@ -78,7 +78,7 @@
             uint32_t seq, uint32_t ack, uint16_t len)
 {
     struct relay_packet packet =
-        rig_from_caller(caller->flow, flags, seq, ack, len);
+        fixture_from_caller(caller->flow, flags, seq, ack, len);
     unsigned number = (unsigned)(caller - world->callers);
 
     if (caller->host >= 0) {
@@ -101,7 +101,7 @@
         return;
     }
     *caller = (struct caller){
-        .flow = rig_flow(world->caller_count),
+        .flow = fixture_flow(world->caller_count),
         .route = (unsigned)g_rand_int_range(world->rand, 0, ROUTES),
         .since_us = world->now_us,
         .host = -1,
--- a/tests/relay/world_fronts.c
+++ b/tests/relay/world_fronts.c
@@ -170,7 +170,7 @@
             continue;
         }
         route = routes_add(&routes);
-        route->address = rig_flow(0).service;
+        route->address = fixture_flow(0).service;
         route->address.port = (uint16_t)(8000 + i);
         route->shares[0] = (struct route_share){
             hash_service(world_services[world->served[version][i]]), 1};
--- a/tests/relay/world_hosts.c
+++ b/tests/relay/world_hosts.c
@@ -140,7 +140,7 @@
     struct relay_flow flow = host->world->callers[caller].flow;
 
     world_post_packet(host->world, TO_OUTBOUND, host->number, caller,
-                      rig_from_endpoint(flow, flags, seq, ack, len), true);
+                      fixture_from_endpoint(flow, flags, seq, ack, len), true);
 }
 
 static void
--- a/tests/relay/world_private.h
+++ b/tests/relay/world_private.h
@@ -9,7 +9,7 @@
 #define SWIFTARCH_TESTS_RELAY_WORLD_PRIVATE_H
 
 #include "relay/admission/admission.h"
-#include "relay/relay_rig.h"
+#include "relay/relay_fixture.h"
 #include "relay/forwarder/forwarder.h"
 #include "relay/world.h"
 
