--- a/tests/relay/readers_world_test.c
+++ b/tests/relay/readers_world_test.c
@@ -25,28 +25,28 @@
 /* The same where a data centre has many of both: an agent hears from few of
  * the balancers in a second. */
 #define SPARSE_TRAFFIC_US (200 * MS)
-#define WITNESSES 3
-#define LATEST_US (4 * MS)
-#define ANY_US (10 * USEC_PER_SEC)
+#define PINGED_AGENTS 3
+#define LATEST_READ_US (4 * MS)
+#define STALE_READ_US (10 * USEC_PER_SEC)
 #define PEER_US (10 * MS)
 
 /* A connection that has gone silent shows by its probes. */
-#define PROBED_US (3 * USEC_PER_SEC)
+#define KEEPALIVE_TIMEOUT_US (3 * USEC_PER_SEC)
 
 /* What operators are promised on the largest site, and on the smallest. */
 #define BOUND_US (6 * USEC_PER_SEC)
 #define BOUND_CALM_US (3 * USEC_PER_SEC)
 
-/** struct front - a balancer; until when what is wrong with it */
-struct front {
+/** struct balancer - a balancer; until when what is wrong with it */
+struct balancer {
     struct store_reader reader;
     uint64_t version;
     uint64_t known_us;
-    uint64_t away_until_us;
-    uint64_t cut_us;
-    uint64_t cut_until_us;
-    uint64_t asked_us;
-    uint64_t whole_us;
+    uint64_t frozen_until_us;
+    uint64_t partitioned_us;
+    uint64_t partitioned_until_us;
+    uint64_t peer_query_us;
+    uint64_t healthy_since_us;
     uint64_t traffic_us;
 };
 
@@ -67,9 +67,9 @@
 };
 
 static const struct size small = {18, 8, TRAFFIC_US};
-static const struct size fleet = {61, AGENTS_MAX, SPARSE_TRAFFIC_US};
-static const struct size four_fleets = {BALANCERS_MAX, AGENTS_MAX,
-                                        SPARSE_TRAFFIC_US};
+static const struct size large = {61, AGENTS_MAX, SPARSE_TRAFFIC_US};
+static const struct size very_large = {BALANCERS_MAX, AGENTS_MAX,
+                                       SPARSE_TRAFFIC_US};
 
 /**
  * struct world - all of it
@@ -82,7 +82,7 @@
     unsigned starts;
     GRand *rand;
     uint64_t now_us;
-    struct front fronts[BALANCERS_MAX];
+    struct balancer balancers[BALANCERS_MAX];
     struct host hosts[AGENTS_MAX];
     uint64_t committed_us[VERSIONS_MAX + 1];
     uint64_t version;
@@ -92,43 +92,43 @@
 };
 
 static struct addr
-front_addr(unsigned number)
+balancer_addr(unsigned number)
 {
     return (struct addr){0x0a090000 + number, 7720};
 }
 
 static bool
-is_away(const struct world *world, const struct front *front)
+is_frozen(const struct world *world, const struct balancer *balancer)
 {
-    return front->away_until_us > world->now_us;
+    return balancer->frozen_until_us > world->now_us;
 }
 
 static unsigned
-failures(const struct world *world, const struct front *front)
+failures(const struct world *world, const struct balancer *balancer)
 {
-    return front->cut_until_us > world->now_us &&
-           world->now_us - front->cut_us > PROBED_US;
+    return balancer->partitioned_until_us > world->now_us &&
+           world->now_us - balancer->partitioned_us > KEEPALIVE_TIMEOUT_US;
 }
 
 static void
-notify(struct admission_out *out, struct addr balancer,
+notify(struct admission_out *out, struct addr to,
        const struct frame_status *status)
 {
     struct world *world = container_of(out, struct host, out)->world;
-    struct front *front = &world->fronts[balancer.ip - front_addr(0).ip];
+    struct balancer *balancer = &world->balancers[to.ip - balancer_addr(0).ip];
 
-    if (is_away(world, front)) {
+    if (is_frozen(world, balancer)) {
         return;
     }
-    store_reader_report(&front->reader, status->readers, world->now_us);
-    if (status->heard.version > front->version) {
-        store_reader_notify_newer(&front->reader, &status->heard,
+    store_reader_report(&balancer->reader, status->readers, world->now_us);
+    if (status->heard.version > balancer->version) {
+        store_reader_notify_newer(&balancer->reader, &status->heard,
                                   world->now_us);
     }
 }
 
 static void
-served(struct admission_out *out, struct addr balancer,
+served(struct admission_out *out, struct addr to,
        const struct frame_served *served)
 {
 }
@@ -137,11 +137,11 @@
                                                        .served = served};
 
 static void
-front_start(struct world *world, struct front *front, unsigned number)
+balancer_start(struct world *world, struct balancer *balancer, unsigned number)
 {
-    front->version = world->version;
-    front->whole_us = world->now_us;
-    store_reader_init(&front->reader,
+    balancer->version = world->version;
+    balancer->healthy_since_us = world->now_us;
+    store_reader_init(&balancer->reader,
                       g_rand_int(world->rand) + (uint64_t)number,
                       world->now_us);
 }
@@ -164,7 +164,7 @@
                         ==, 0);
     }
     for (unsigned i = 0; i < world->size.balancers; i++) {
-        front_start(world, &world->fronts[i], i);
+        balancer_start(world, &world->balancers[i], i);
     }
 }
 
@@ -179,60 +179,64 @@
 
 /* What a read brings, if the store answers. */
 static void
-follow(struct world *world, struct front *front)
+read_store(struct world *world, struct balancer *balancer)
 {
-    bool silent = front->cut_until_us > world->now_us;
+    bool silent = balancer->partitioned_until_us > world->now_us;
     bool latest =
-        store_reader_next_mode(&front->reader, failures(world, front),
+        store_reader_next_mode(&balancer->reader, failures(world, balancer),
                                world->now_us) == STORE_READ_LATEST;
-    uint64_t age_us = latest ? LATEST_US : ANY_US;
-
-    world->reader_us += latest && !is_away(world, front) ? MS : 0;
-    while (!silent && front->version < world->version &&
-           world->committed_us[front->version + 1] + age_us <= world->now_us) {
-        front->version++;
-        store_reader_applied(&front->reader, front->version);
+    uint64_t age_us = latest ? LATEST_READ_US : STALE_READ_US;
+
+    world->reader_us += latest && !is_frozen(world, balancer) ? MS : 0;
+    while (!silent && balancer->version < world->version &&
+           world->committed_us[balancer->version + 1] + age_us <=
+               world->now_us) {
+        balancer->version++;
+        store_reader_applied(&balancer->reader, balancer->version);
     }
 }
 
 static void
-ask_peer(struct world *world, struct front *front)
+query_peer(struct world *world, struct balancer *balancer)
 {
-    unsigned holder = front->reader.newer.holder.ip - front_addr(0).ip;
-    const struct front *peer = &world->fronts[holder % world->size.balancers];
+    unsigned holder = balancer->reader.newer.holder.ip - balancer_addr(0).ip;
+    const struct balancer *peer =
+        &world->balancers[holder % world->size.balancers];
 
-    if (!store_reader_needs_peer(&front->reader, failures(world, front),
+    if (!store_reader_needs_peer(&balancer->reader, failures(world, balancer),
                                  world->now_us) ||
-        world->now_us - front->asked_us < 150 * MS || is_away(world, peer)) {
+        world->now_us - balancer->peer_query_us < 150 * MS ||
+        is_frozen(world, peer)) {
         return;
     }
-    front->asked_us = world->now_us;
-    front->version = MAX(front->version, peer->version);
-    store_reader_applied(&front->reader, front->version);
+    balancer->peer_query_us = world->now_us;
+    balancer->version = MAX(balancer->version, peer->version);
+    store_reader_applied(&balancer->reader, balancer->version);
 }
 
 static void
 ping_host(struct world *world, unsigned number, unsigned host)
 {
-    struct front *front = &world->fronts[number];
+    struct balancer *balancer = &world->balancers[number];
     struct frame_ping ping = {
-        .view = {front->version,
-                 store_reader_state(&front->reader, failures(world, front))},
+        .view = {balancer->version,
+                 store_reader_state(&balancer->reader,
+                                    failures(world, balancer))},
     };
 
-    admission_handle_ping(&world->hosts[host].admission, front_addr(number),
+    admission_handle_ping(&world->hosts[host].admission, balancer_addr(number),
                           &ping, world->now_us);
 }
 
 static void
-speak(struct world *world, unsigned number)
+send_traffic(struct world *world, unsigned number)
 {
-    struct front *front = &world->fronts[number];
+    struct balancer *balancer = &world->balancers[number];
 
-    if (world->idle || world->now_us < front->traffic_us) {
+    if (world->idle || world->now_us < balancer->traffic_us) {
         return;
     }
-    front->traffic_us = world->now_us + world->size.traffic_us;
+    balancer->traffic_us = world->now_us + world->size.traffic_us;
     ping_host(world, number,
               (unsigned)g_rand_int_range(world->rand, 0,
                                          (gint32)world->size.agents));
@@ -240,12 +244,13 @@
 
 /* How late the newest version is at a balancer that could have had it. */
 static void
-check(struct world *world, struct front *front, uint64_t bound_us)
+check_staleness(struct world *world, struct balancer *balancer,
+                uint64_t bound_us)
 {
-    uint64_t since_us =
-        MAX(world->committed_us[front->version + 1], front->whole_us);
+    uint64_t since_us = MAX(world->committed_us[balancer->version + 1],
+                            balancer->healthy_since_us);
 
-    if (front->version == world->version || is_away(world, front)) {
+    if (balancer->version == world->version || is_frozen(world, balancer)) {
         return;
     }
     world->worst_us = MAX(world->worst_us, world->now_us - since_us);
@@ -253,31 +258,31 @@
 }
 
 static void
-pass_ms(struct world *world, unsigned ms, uint64_t bound_us)
+advance_ms(struct world *world, unsigned ms, uint64_t bound_us)
 {
     for (unsigned t = 0; t < ms; t++) {
         world->now_us += MS;
         for (unsigned i = 0; i < world->size.balancers; i++) {
-            struct front *front = &world->fronts[i];
+            struct balancer *balancer = &world->balancers[i];
 
-            if (is_away(world, front)) {
-                front->whole_us = world->now_us;
+            if (is_frozen(world, balancer)) {
+                balancer->healthy_since_us = world->now_us;
                 continue;
             }
-            bool was_reading = front->reader.reading;
+            bool was_reading = balancer->reader.reading;
             bool pings = store_reader_tick(
-                &front->reader, failures(world, front), world->now_us);
+                &balancer->reader, failures(world, balancer), world->now_us);
 
-            world->starts += front->reader.reading && !was_reading;
+            world->starts += balancer->reader.reading && !was_reading;
             if (pings) {
-                for (unsigned w = 0; w < WITNESSES; w++) {
+                for (unsigned w = 0; w < PINGED_AGENTS; w++) {
                     ping_host(world, i, w);
                 }
             }
-            follow(world, front);
-            ask_peer(world, front);
-            speak(world, i);
-            check(world, front, bound_us);
+            read_store(world, balancer);
+            query_peer(world, balancer);
+            send_traffic(world, i);
+            check_staleness(world, balancer, bound_us);
         }
     }
 }
@@ -295,70 +300,71 @@
     unsigned count = 0;
 
     for (unsigned i = 0; i < world->size.balancers; i++) {
-        count += world->fronts[i].reader.reading;
+        count += world->balancers[i].reader.reading;
     }
     return count;
 }
 
 static void
-readers_fail(struct world *world, void (*fail)(struct world *, struct front *))
+fail_readers(struct world *world,
+             void (*fail)(struct world *, struct balancer *))
 {
     for (unsigned i = 0; i < world->size.balancers; i++) {
-        if (world->fronts[i].reader.reading) {
-            fail(world, &world->fronts[i]);
+        if (world->balancers[i].reader.reading) {
+            fail(world, &world->balancers[i]);
         }
     }
 }
 
 static void
-freeze(struct world *world, struct front *front)
+freeze(struct world *world, struct balancer *balancer)
 {
-    front->away_until_us = world->now_us + 4 * USEC_PER_SEC;
+    balancer->frozen_until_us = world->now_us + 4 * USEC_PER_SEC;
 }
 
 static void
-lose_store(struct world *world, struct front *front)
+lose_store(struct world *world, struct balancer *balancer)
 {
-    front->cut_us = world->now_us;
-    front->cut_until_us = world->now_us + 9 * USEC_PER_SEC;
+    balancer->partitioned_us = world->now_us;
+    balancer->partitioned_until_us = world->now_us + 9 * USEC_PER_SEC;
 }
 
 static void
-restart(struct world *world, struct front *front)
+restart(struct world *world, struct balancer *balancer)
 {
-    front_start(world, front, (unsigned)(front - world->fronts));
+    balancer_start(world, balancer, (unsigned)(balancer - world->balancers));
 }
 
 TEST_F(world, in_calm_two_or_three_read, 1, &small)
 {
-    pass_ms(world, 10000, BOUND_CALM_US);
+    advance_ms(world, 10000, BOUND_CALM_US);
     g_assert_cmpuint(count_readers(world), >=, 2);
     g_assert_cmpuint(count_readers(world), <=, 3);
     world->reader_us = 0;
-    pass_ms(world, 20000, BOUND_CALM_US);
+    advance_ms(world, 20000, BOUND_CALM_US);
     g_assert_cmpuint(world->reader_us, <=, 3 * 20 * USEC_PER_SEC);
 }
 
 TEST_F(world, without_callers_no_more_read, 5, &small)
 {
     world->idle = true;
-    pass_ms(world, 10000, BOUND_CALM_US);
+    advance_ms(world, 10000, BOUND_CALM_US);
     g_assert_cmpuint(count_readers(world), >=, 2);
     g_assert_cmpuint(count_readers(world), <=, 3);
-    readers_fail(world, freeze);
+    fail_readers(world, freeze);
     commit(world);
-    pass_ms(world, 4000, BOUND_CALM_US);
+    advance_ms(world, 4000, BOUND_CALM_US);
     world->idle = false;
-    pass_ms(world, 10000, BOUND_CALM_US);
+    advance_ms(world, 10000, BOUND_CALM_US);
     g_assert_cmpuint(count_readers(world), <=, 3);
 }
 
 TEST_F(world, a_change_is_in_force_soon_though_cheap_reads_are_old, 2, &small)
 {
-    pass_ms(world, 3000, BOUND_CALM_US);
+    advance_ms(world, 3000, BOUND_CALM_US);
     for (unsigned i = 0; i < 10; i++) {
         commit(world);
-        pass_ms(world, 700, 800 * MS);
+        advance_ms(world, 700, 800 * MS);
     }
 }
 
@@ -366,10 +372,10 @@
        &small)
 {
     for (unsigned i = 0; i < 8; i++) {
-        pass_ms(world, 3000, BOUND_CALM_US);
-        readers_fail(world, i % 2 == 0 ? freeze : restart);
+        advance_ms(world, 3000, BOUND_CALM_US);
+        fail_readers(world, i % 2 == 0 ? freeze : restart);
         commit(world);
-        pass_ms(world, 4000, BOUND_CALM_US);
+        advance_ms(world, 4000, BOUND_CALM_US);
         g_assert_cmpuint(count_readers(world), >=, 1);
     }
 }
@@ -379,66 +385,66 @@
 TEST_F(world, when_all_readers_lose_the_store_unnoticed_the_bound_holds, 7,
        &small)
 {
-    pass_ms(world, 3000, BOUND_CALM_US);
-    readers_fail(world, lose_store);
+    advance_ms(world, 3000, BOUND_CALM_US);
+    fail_readers(world, lose_store);
     commit(world);
-    pass_ms(world, 12000, BOUND_US);
+    advance_ms(world, 12000, BOUND_US);
     /* They weren't replaced before they knew themselves. */
     g_assert_cmpuint(world->worst_us, >, 1 * USEC_PER_SEC);
 }
 
 /* Each start costs a call of each kind, and the parts are to stay where they
- * are while nothing is wrong: @most starts in 20 s. */
+ * are while nothing is wrong: @max_starts starts in 20 s. */
 static void
-expect_calm(struct world *world, unsigned most)
+expect_stable_readers(struct world *world, unsigned max_starts)
 {
-    pass_ms(world, 10000, BOUND_US);
+    advance_ms(world, 10000, BOUND_US);
     world->starts = 0;
     for (unsigned s = 0; s < 20; s++) {
-        pass_ms(world, 1000, BOUND_US);
+        advance_ms(world, 1000, BOUND_US);
         g_assert_cmpuint(count_readers(world), >=, 1);
         g_assert_cmpuint(count_readers(world), <=, 4);
     }
     g_test_message("%u starts", world->starts);
-    g_assert_cmpuint(world->starts, <=, most);
+    g_assert_cmpuint(world->starts, <=, max_starts);
 }
 
-TEST_F(world, who_reads_stays_the_same_in_a_fleet, 11, &fleet)
+TEST_F(world, who_reads_stays_the_same_in_a_fleet, 11, &large)
 {
-    expect_calm(world, 3);
+    expect_stable_readers(world, 3);
 }
 
 /* More balancers than an agent remembers. */
-TEST_F(world, who_reads_stays_the_same_in_four_fleets, 12, &four_fleets)
+TEST_F(world, who_reads_stays_the_same_in_four_fleets, 12, &very_large)
 {
-    expect_calm(world, 3);
+    expect_stable_readers(world, 3);
 }
 
-TEST_F(world, a_change_is_in_force_soon_in_a_fleet, 13, &fleet)
+TEST_F(world, a_change_is_in_force_soon_in_a_fleet, 13, &large)
 {
-    pass_ms(world, 5000, BOUND_US);
+    advance_ms(world, 5000, BOUND_US);
     for (unsigned i = 0; i < 5; i++) {
-        readers_fail(world, i % 2 == 0 ? freeze : restart);
+        fail_readers(world, i % 2 == 0 ? freeze : restart);
         commit(world);
-        pass_ms(world, 4000, BOUND_US);
+        advance_ms(world, 4000, BOUND_US);
     }
 }
 
 static void
-draw_fault(struct world *world)
+inject_fault(struct world *world)
 {
-    struct front *front = &world->fronts[g_rand_int_range(
+    struct balancer *balancer = &world->balancers[g_rand_int_range(
         world->rand, 0, (gint32)world->size.balancers)];
 
     switch (g_rand_int_range(world->rand, 0, 4)) {
     case 0:
-        freeze(world, front);
+        freeze(world, balancer);
         break;
     case 1:
-        lose_store(world, front);
+        lose_store(world, balancer);
         break;
     case 2:
-        restart(world, front);
+        restart(world, balancer);
         break;
     default:
         if (world->version < VERSIONS_MAX) {
@@ -448,17 +454,17 @@
 }
 
 static void
-play_everything(uint32_t seed)
+run_all_faults(uint32_t seed)
 {
     struct world world = {0};
 
     world_init(&world, seed, &small);
     for (unsigned i = 0; i < 60; i++) {
-        pass_ms(&world, 200, BOUND_US);
-        draw_fault(&world);
+        advance_ms(&world, 200, BOUND_US);
+        inject_fault(&world);
         world.idle = i / 20 == 1;
     }
-    pass_ms(&world, 15000, BOUND_US);
+    advance_ms(&world, 15000, BOUND_US);
     g_assert_cmpuint(count_readers(&world), >=, 1);
     g_assert_cmpuint(count_readers(&world), <=, 4);
     world_finish(&world);
@@ -474,7 +480,7 @@
 
     for (uint32_t seed = 1; seed <= seeds; seed++) {
         g_test_message("seed %u", seed);
-        play_everything(seed);
+        run_all_faults(seed);
     }
 }
 
@@ -482,5 +488,5 @@
  * configuration again and again, and that one was frozen (552). */
 TEST(seeds_that_showed_a_fault)
 {
-    play_everything(552);
+    run_all_faults(552);
 }
--- a/tests/relay/world.c
+++ b/tests/relay/world.c
@@ -9,7 +9,7 @@
 /* Faults. */
 
 static struct host *
-any_host(struct world *world)
+random_host(struct world *world)
 {
     return &world->hosts[g_rand_int_range(world->rand, 0, WORLD_AGENTS)];
 }
@@ -17,7 +17,7 @@
 static void
 agent_restart(struct world *world)
 {
-    struct host *host = any_host(world);
+    struct host *host = random_host(world);
 
     admission_finish(&host->admission);
     world_agent_start(host);
@@ -28,13 +28,13 @@
 static void
 endpoint_stop(struct world *world, bool reuse)
 {
-    struct host *host = any_host(world);
+    struct host *host = random_host(world);
 
     if (!host->up) {
         return;
     }
     host->up = false;
-    host->back_us = world->now_us + RESTART_US;
+    host->restart_us = world->now_us + RESTART_US;
     host->fault_us = world->now_us;
     world->fault_us = world->now_us;
     if (reuse) {
@@ -42,56 +42,58 @@
         host->service = (host->service + 1) % WORLD_SERVICES;
         admission_finish(&host->admission);
         world_agent_start(host);
-        host->list_us = world->now_us +
-                        (uint64_t)g_rand_int_range(world->lost_rand, 1, 50) *
-                            USEC_PER_MSEC;
+        host->registration_us = world->now_us + (uint64_t)g_rand_int_range(
+                                                    world->query_rand, 1, 50) *
+                                                    USEC_PER_MSEC;
     }
 }
 
-static struct front *
-any_front(struct world *world)
+static struct balancer *
+random_balancer(struct world *world)
 {
-    return &world->fronts[g_rand_int_range(world->rand, 0, WORLD_BALANCERS)];
+    return &world
+                ->balancers[g_rand_int_range(world->rand, 0, WORLD_BALANCERS)];
 }
 
 static void
 balancer_restart(struct world *world)
 {
-    struct front *front = any_front(world);
+    struct balancer *balancer = random_balancer(world);
 
-    forwarder_finish(&front->forwarder);
-    world_front_start(front);
+    forwarder_finish(&balancer->forwarder);
+    world_balancer_start(balancer);
     world->fault_us = world->now_us;
 }
 
-/* Some agents that aren't cut off yet lose the balancers. */
+/* Some agents that aren't partition off yet lose the balancers. */
 static void
-cut_agents(struct world *world)
+partitioned_agents(struct world *world)
 {
-    unsigned ms =
-        (unsigned)g_rand_int_range(world->rand, CUT_LEAST_MS, CUT_MOST_MS);
+    unsigned ms = (unsigned)g_rand_int_range(world->rand, PARTITION_MIN_MS,
+                                             PARTITION_MAX_MS);
     unsigned how = (unsigned)g_rand_int_range(world->rand, 0, 3);
-    unsigned left = world->plan->cut_agents;
+    unsigned left = world->plan->partitioned_agents;
 
     for (unsigned i = 0; i < WORLD_AGENTS; i++) {
-        left -= left > 0 && world->hosts[i].cut_until_us > world->now_us;
+        left -=
+            left > 0 && world->hosts[i].partitioned_until_us > world->now_us;
     }
     while (left > 0) {
-        struct host *host = any_host(world);
+        struct host *host = random_host(world);
 
-        if (host->cut_until_us > world->now_us) {
+        if (host->partitioned_until_us > world->now_us) {
             continue;
         }
-        host->cut_until_us = world->now_us + ms * USEC_PER_MSEC;
-        host->cut_from = how != 1;
-        host->cut_to = how != 0;
-        world->fault_us = host->cut_until_us;
+        host->partitioned_until_us = world->now_us + ms * USEC_PER_MSEC;
+        host->drops_from = how != 1;
+        host->drops_to = how != 0;
+        world->fault_us = host->partitioned_until_us;
         left--;
     }
 }
 
 static void
-draw_faults(struct world *world)
+inject_faults(struct world *world)
 {
     const struct world_plan *plan = world->plan;
 
@@ -111,10 +113,10 @@
         endpoint_stop(world, true);
     }
     if (world_chance(world, plan->endpoint_drain)) {
-        any_host(world)->draining = true;
+        random_host(world)->draining = true;
     }
     if (world_chance(world, plan->freeze)) {
-        struct host *host = any_host(world);
+        struct host *host = random_host(world);
 
         host->frozen_until_us = world->now_us + FREEZE_US;
         host->fault_us = host->frozen_until_us;
@@ -123,23 +125,24 @@
     if (world_chance(world, plan->config)) {
         world_change_config(world);
     }
-    if (plan->moves > 0 && world_chance(world, plan->moves)) {
+    if (plan->route_moves > 0 && world_chance(world, plan->route_moves)) {
         world_move_route(world);
     }
-    if (plan->cut > 0 && world_chance(world, plan->cut)) {
-        cut_agents(world);
+    if (plan->partition > 0 && world_chance(world, plan->partition)) {
+        partitioned_agents(world);
     }
     if (plan->evacuate > 0 &&
         g_rand_int_range(world->evacuations_rand, 0, 1000) <
             (gint32)plan->evacuate) {
         world_evacuate(world);
     }
-    if (plan->older > 0 && g_rand_int_range(world->evacuations_rand, 0, 1000) <
-                               (gint32)plan->older) {
-        world_store_older(world);
+    if (plan->store_restore > 0 &&
+        g_rand_int_range(world->evacuations_rand, 0, 1000) <
+            (gint32)plan->store_restore) {
+        world_store_restore(world);
     }
     if (plan->stall > 0 && world_chance(world, plan->stall)) {
-        any_front(world)->stalled_until_us = world->now_us + STALL_US;
+        random_balancer(world)->stalled_until_us = world->now_us + STALL_US;
     }
 }
 
@@ -147,21 +150,21 @@
 
 /* What a frame says of evacuations comes before what else it says. */
 static void
-hear_evacuations(struct world *world, const struct message *message)
+receive_evacuations(struct world *world, const struct message *message)
 {
-    struct evacuations told;
+    struct evacuations reported;
 
     if (message->target != TO_BALANCER_FRAME && message->target != TO_AGENT) {
         return;
     }
-    frame_evacuations_decode(message->bytes, &told);
+    frame_evacuations_decode(message->bytes, &reported);
     if (message->target == TO_AGENT) {
         admission_handle_evacuations(&world->hosts[message->number].admission,
-                                     &told, world->now_us);
+                                     &reported, world->now_us);
     }
     else {
-        forwarder_evacuations(&world->fronts[message->number].forwarder, &told,
-                              false, world->now_us);
+        forwarder_evacuations(&world->balancers[message->number].forwarder,
+                              &reported, false, world->now_us);
     }
 }
 
@@ -174,32 +177,33 @@
     struct relay_packet packet;
     struct host *host = &world->hosts[message->number % WORLD_AGENTS];
 
-    struct frame_query ask;
-    struct frame_query_reply absent;
+    struct frame_query query;
+    struct frame_query_reply query_reply;
 
-    hear_evacuations(world, message);
+    receive_evacuations(world, message);
     switch (message->target) {
     case TO_BALANCER:
         packet = world_packet_of(message->bytes);
-        forwarder_packet(&world->fronts[message->number].forwarder, &packet,
+        forwarder_packet(&world->balancers[message->number].forwarder, &packet,
                          world->now_us);
         return;
     case TO_BALANCER_FRAME:
         if (frame_type(message->bytes, message->size - 1) ==
             FRAME_QUERY_REPLY) {
-            g_assert_cmpint(frame_query_reply_decode(
-                                message->bytes, message->size - 1, &absent),
+            g_assert_cmpint(frame_query_reply_decode(message->bytes,
+                                                     message->size - 1,
+                                                     &query_reply),
                             ==, 0);
             forwarder_query_reply(
-                &world->fronts[message->number].forwarder,
-                world_host_addr(message->bytes[message->size - 1]), &absent,
-                world->now_us);
+                &world->balancers[message->number].forwarder,
+                world_host_addr(message->bytes[message->size - 1]),
+                &query_reply, world->now_us);
             return;
         }
         g_assert_cmpint(
             frame_status_decode(message->bytes, message->size - 1, &status),
             ==, 0);
-        forwarder_status(&world->fronts[message->number].forwarder,
+        forwarder_status(&world->balancers[message->number].forwarder,
                          world_host_addr(message->bytes[message->size - 1]),
                          &status, world->now_us);
         return;
@@ -210,17 +214,17 @@
                 ==, 0);
             admission_handle_ping(
                 &host->admission,
-                world_front_addr(message->bytes[message->size - 1]), &ping,
+                world_balancer_addr(message->bytes[message->size - 1]), &ping,
                 world->now_us);
             return;
         }
         if (frame_type(message->bytes, message->size) == FRAME_QUERY) {
             g_assert_cmpint(
-                frame_query_decode(message->bytes, message->size - 1, &ask),
+                frame_query_decode(message->bytes, message->size - 1, &query),
                 ==, 0);
             admission_handle_query(
                 &host->admission,
-                world_front_addr(message->bytes[message->size - 1]), &ask,
+                world_balancer_addr(message->bytes[message->size - 1]), &query,
                 world->now_us);
             return;
         }
@@ -285,10 +289,10 @@
         if (host->frozen_until_us > world->now_us) {
             continue;
         }
-        if (!host->up && host->back_us <= world->now_us) {
+        if (!host->up && host->restart_us <= world->now_us) {
             world_endpoint_start(host);
         }
-        if (host->up && host->beat_us <= world->now_us) {
+        if (host->up && host->heartbeat_us <= world->now_us) {
             world_heartbeat(host);
         }
         if (host->probed && !host->up) {
@@ -301,17 +305,17 @@
 }
 
 static void
-tick_fronts(struct world *world)
+tick_balancers(struct world *world)
 {
-    world_list_tick(world);
+    world_registration_tick(world);
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        struct front *front = &world->fronts[i];
+        struct balancer *balancer = &world->balancers[i];
 
-        if (front->version + 1 < world->versions &&
-            front->follow_us <= world->now_us) {
-            world_follow_config(front, world->versions - 1);
+        if (balancer->version + 1 < world->versions &&
+            balancer->config_due_us <= world->now_us) {
+            world_apply_config(balancer, world->versions - 1);
         }
-        world_front_tick(front);
+        world_balancer_tick(balancer);
     }
 }
 
@@ -330,37 +334,38 @@
 
 /* All hosts lose power: nobody knows of any flow. */
 static void
-lose_all(struct world *world)
+restart_all_hosts(struct world *world)
 {
-    uint64_t back_us = world->now_us + RESTART_US;
+    uint64_t restart_us = world->now_us + RESTART_US;
 
     for (unsigned i = 0; i < WORLD_AGENTS; i++) {
         struct host *host = &world->hosts[i];
 
         host->up = false;
-        host->back_us = back_us;
-        host->frozen_until_us = back_us;
-        host->fault_us = back_us;
+        host->restart_us = restart_us;
+        host->frozen_until_us = restart_us;
+        host->fault_us = restart_us;
         admission_finish(&host->admission);
         world_agent_start(host);
     }
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        forwarder_finish(&world->fronts[i].forwarder);
-        world_front_start(&world->fronts[i]);
+        forwarder_finish(&world->balancers[i].forwarder);
+        world_balancer_start(&world->balancers[i]);
     }
-    world->fault_us = back_us;
+    world->fault_us = restart_us;
 }
 
-/* A flow that nobody holds is told of soon after its caller's packet. */
+/* A flow that nobody holds is reported of soon after its caller's packet. */
 static void
-check_told(struct world *world, unsigned number)
+check_orphan_reported(struct world *world, unsigned number)
 {
     const struct caller *caller = &world->callers[number];
 
-    if (world->plan->told && caller->dead_us != 0 &&
-        (caller->state == CALLER_ASKING || caller->state == CALLER_CLOSING) &&
-        world->now_us - caller->dead_us > TOLD_US) {
-        world_breach(world, "LOST: caller %u isn't told", number);
+    if (world->plan->reported && caller->orphaned_us != 0 &&
+        (caller->state == CALLER_REQUESTING ||
+         caller->state == CALLER_CLOSING) &&
+        world->now_us - caller->orphaned_us > ORPHAN_REPORT_US) {
+        world_violation(world, "LOST: caller %u isn't told", number);
     }
 }
 
@@ -371,12 +376,13 @@
         struct caller *caller = &world->callers[i];
 
         world_caller_tick(world, caller);
-        check_told(world, i);
-        if (caller->misplaced >= MISPLACED_MAX &&
-            world->now_us - caller->misplaced_us > MISPLACED_US &&
+        check_orphan_reported(world, i);
+        if (caller->misrouted >= MISROUTED_MAX &&
+            world->now_us - caller->misrouted_us > MISROUTED_US &&
             !route_was_dropped(world, caller)) {
-            world_breach(world, "FLOW: %u packets of flow %u reached others",
-                         caller->misplaced, i);
+            world_violation(world,
+                            "FLOW: %u packets of flow %u reached others",
+                            caller->misrouted, i);
         }
     }
 }
@@ -384,22 +390,22 @@
 static void
 run_until(struct world *world, uint64_t end_us, bool faulty)
 {
-    while (world->now_us < end_us && world->result->breach[0] == '\0') {
+    while (world->now_us < end_us && world->result->violation[0] == '\0') {
         world->now_us += STEP_US;
-        if (world->now_us % PACE_US == 0 && faulty) {
-            draw_faults(world);
+        if (world->now_us % FAULT_INTERVAL_US == 0 && faulty) {
+            inject_faults(world);
         }
-        if (world->now_us % PACE_US == 0 &&
+        if (world->now_us % FAULT_INTERVAL_US == 0 &&
             world_chance(world, world->plan->new_flows)) {
             world_caller_open(world);
         }
-        if (world->now_us % COPY_US == 0) {
-            world_store_copy(world);
+        if (world->now_us % SNAPSHOT_US == 0) {
+            world_store_snapshot(world);
         }
         world_store_tick(world);
         deliver_due(world);
         tick_hosts(world);
-        tick_fronts(world);
+        tick_balancers(world);
         check_callers(world);
     }
 }
@@ -409,10 +415,10 @@
            struct world_result *result)
 {
     world->rand = g_rand_new_with_seed(seed);
-    world->lost_rand = g_rand_new_with_seed(seed + 1);
+    world->query_rand = g_rand_new_with_seed(seed + 1);
     world->evacuations_rand = g_rand_new_with_seed(seed + 2);
     world->evacuations = (struct evacuations){.epoch = 1, .revision = 1};
-    world_store_copy(world);
+    world_store_snapshot(world);
     world->plan = plan;
     world->result = result;
     world->now_us = 10 * USEC_PER_SEC;
@@ -429,7 +435,7 @@
         host->number = i;
         host->addr = world_host_addr(i);
         host->service = i % 3 == 2 ? 1 : 0;
-        host->listed_service = host->service;
+        host->registered_service = host->service;
         host->next_seq = i * 77777777u;
         world_agent_start(host);
         world_endpoint_start(host);
@@ -437,10 +443,10 @@
         host->started_us = 0;
     }
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        world->fronts[i].out.ops = &world_forwarder_ops;
-        world->fronts[i].world = world;
-        world->fronts[i].number = i;
-        world_front_start(&world->fronts[i]);
+        world->balancers[i].out.ops = &world_forwarder_ops;
+        world->balancers[i].world = world;
+        world->balancers[i].number = i;
+        world_balancer_start(&world->balancers[i]);
     }
 }
 
@@ -451,25 +457,25 @@
         admission_finish(&world->hosts[i].admission);
     }
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        forwarder_finish(&world->fronts[i].forwarder);
+        forwarder_finish(&world->balancers[i].forwarder);
     }
     g_sequence_free(world->messages);
     g_rand_free(world->rand);
-    g_rand_free(world->lost_rand);
+    g_rand_free(world->query_rand);
     g_rand_free(world->evacuations_rand);
 }
 
 void
-world_play(uint32_t seed, const struct world_plan *plan, unsigned faulty_ms,
-           struct world_result *result)
+world_run(uint32_t seed, const struct world_plan *plan, unsigned faulty_ms,
+          struct world_result *result)
 {
     struct world *world = g_new0(struct world, 1);
 
     memset(result, 0, sizeof(*result));
     world_init(world, seed, plan, result);
-    if (plan->loss_of_all) {
+    if (plan->restart_all) {
         run_until(world, world->now_us + faulty_ms * USEC_PER_MSEC / 2, true);
-        lose_all(world);
+        restart_all_hosts(world);
         faulty_ms /= 2;
     }
     run_until(world, world->now_us + faulty_ms * USEC_PER_MSEC, true);
--- a/tests/relay/world.h
+++ b/tests/relay/world.h
@@ -2,8 +2,9 @@
  * DOC: world - callers, balancers, agents and endpoints in one test
  *
  * The real decisions (forwarder, admission) on a paused clock; the network
- * between them delays and loses, hosts fail, the fabric moves flows. The world
- * checks after each step what must always hold and keeps the first breach.
+ * between them delays and loses, hosts fail, the fabric route_moves flows. The
+ * world checks after each step what must always hold and keeps the first
+ * violation.
  */
 #ifndef SWIFTARCH_TESTS_RELAY_WORLD_H
 #define SWIFTARCH_TESTS_RELAY_WORLD_H
@@ -26,41 +27,42 @@
     unsigned balancer_restart;
     unsigned endpoint_crash; /* and starts again after a while */
     unsigned endpoint_drain;
-    unsigned reuse;  /* an endpoint's address goes to the other
-                        service */
-    unsigned freeze; /* one agent stands still for 300 ms */
-    unsigned config; /* a route is added or dropped */
-    unsigned moves;  /* a route goes to the other service */
-    unsigned stall;  /* what one balancer sends in 40 ms comes late */
-    unsigned cut;    /* some agents and the balancers lose each other, one way
-                        or both, for seconds */
-    unsigned cut_agents;     /* how many at a time */
-    unsigned evacuate;       /* a data centre is evacuated, or is back */
-    unsigned evacuated_most; /* how many are so at a time */
-    unsigned older;          /* the store comes back from an older copy */
-    unsigned requests;       /* on each flow, 0 for one */
-    unsigned pause_ms;       /* the longest between two of them */
-    unsigned work_ms;        /* what a request takes, 0 for 15 */
-    unsigned budget_ms;      /* what operators say that it may take */
-    bool closing;            /* callers say goodbye, which is answered */
-    bool loss_of_all; /* after half of the time every host starts anew */
-    bool told;        /* callers of flows that nobody holds must be told */
+    unsigned reuse;       /* an endpoint's address goes to the other
+                             service */
+    unsigned freeze;      /* one agent stands still for 300 ms */
+    unsigned config;      /* a route is added or dropped */
+    unsigned route_moves; /* a route goes to the other service */
+    unsigned stall;       /* what one balancer sends in 40 ms comes late */
+    unsigned partition;   /* some agents and the balancers lose each other, one
+                       way   or both, for seconds */
+    unsigned partitioned_agents; /* how many at a time */
+    unsigned evacuate;           /* a data centre is evacuated, or is back */
+    unsigned evacuated_max;      /* how many are so at a time */
+    unsigned
+        store_restore;   /* the store comes back from an store_restore copy */
+    unsigned requests;   /* on each flow, 0 for one */
+    unsigned pause_ms;   /* the longest between two of them */
+    unsigned work_ms;    /* what a request takes, 0 for 15 */
+    unsigned timeout_ms; /* what operators say that it may take */
+    bool closing;        /* callers say goodbye, which is answered */
+    bool restart_all;    /* after half of the time every host starts anew */
+    bool reported; /* callers of flows that nobody holds must be reported */
 };
 
 /** struct world_result - what came of it */
 struct world_result {
-    char breach[256];  /* the first, empty for none */
-    unsigned opened;   /* flows that callers opened */
-    unsigned answered; /* requests answered */
-    unsigned closed;   /* goodbyes answered */
-    unsigned failed;   /* callers that gave up */
-    unsigned resets;   /* flows that were reset, each packet of one */
+    char violation[256]; /* the first, empty for none */
+    unsigned opened;     /* flows that callers opened */
+    unsigned answered;   /* requests answered */
+    unsigned closed;     /* goodbyes answered */
+    unsigned failed;     /* callers that gave up */
+    unsigned resets;     /* flows that were reset, each packet of one */
 };
 
-/** world_play() - play @faulty_ms with faults, then a calm second and a half
+/** world_run() - play @faulty_ms with faults, then a calm second and a half
  */
 void
-world_play(uint32_t seed, const struct world_plan *plan, unsigned faulty_ms,
-           struct world_result *result);
+world_run(uint32_t seed, const struct world_plan *plan, unsigned faulty_ms,
+          struct world_result *result);
 
 #endif
--- a/tests/relay/world_callers.c
+++ b/tests/relay/world_callers.c
@@ -15,10 +15,11 @@
 
 /* Its links are cut, or were of late: a reset of its flows is allowed then. */
 static bool
-is_excused(const struct host *host)
+in_partition_grace(const struct host *host)
 {
-    return host->cut_until_us != 0 &&
-           host->world->now_us < host->cut_until_us + CUT_EXCUSED_US;
+    return host->partitioned_until_us != 0 &&
+           host->world->now_us <
+               host->partitioned_until_us + PARTITION_GRACE_US;
 }
 
 void
@@ -33,14 +34,14 @@
         for (unsigned h = 0; h < WORLD_AGENTS; h++) {
             const struct host *host = &world->hosts[h];
 
-            if (host->up && host->flows[i].held && !is_excused(host) &&
+            if (host->up && host->flows[i].open && !in_partition_grace(host) &&
                 host->flows[i].seq == caller->peer_seq) {
-                world_breach(world, "FLOW: %s resets flow %u, which lives",
-                             who, i);
+                world_violation(world, "FLOW: %s resets flow %u, which lives",
+                                who, i);
             }
         }
         world->result->resets++;
-        if (caller->state == CALLER_ASKING ||
+        if (caller->state == CALLER_REQUESTING ||
             caller->state == CALLER_PAUSING) {
             world_caller_fail(world, caller);
         }
@@ -53,7 +54,7 @@
 /* Callers. */
 
 static unsigned
-front_of(const struct world *world, const struct caller *caller)
+ecmp_balancer(const struct world *world, const struct caller *caller)
 {
     return (unsigned)((relay_flow_hash(caller->flow) + world->salt) %
                       WORLD_BALANCERS);
@@ -62,14 +63,14 @@
 /* Notes when a caller first sends a packet of a flow that nobody holds any
  * more, while nothing is wrong with any host. */
 static void
-note_dead(struct world *world, struct caller *caller)
+note_orphaned(struct world *world, struct caller *caller)
 {
     const struct host *host = &world->hosts[caller->host];
 
-    if (caller->dead_us == 0 && host->up &&
-        !host->flows[caller - world->callers].held &&
+    if (caller->orphaned_us == 0 && host->up &&
+        !host->flows[caller - world->callers].open &&
         world->now_us > world->fault_us + SETTLED_US) {
-        caller->dead_us = world->now_us;
+        caller->orphaned_us = world->now_us;
     }
 }
 
@@ -82,13 +83,13 @@
     unsigned number = (unsigned)(caller - world->callers);
 
     if (caller->host >= 0) {
-        note_dead(world, caller);
+        note_orphaned(world, caller);
     }
     if (relay_packet_is_syn(&packet)) {
         packet.age_ms = (uint16_t)(ack * 200);
         packet.caller_timeout_ms = (uint16_t)(1400 - packet.age_ms);
     }
-    world_post_packet(world, TO_BALANCER, front_of(world, caller), number,
+    world_post_packet(world, TO_BALANCER, ecmp_balancer(world, caller), number,
                       packet, false);
 }
 
@@ -112,7 +113,7 @@
     world->result->opened++;
     caller_send(world, caller, RELAY_SYN, 100, 0, 0);
     caller->next_us = world->now_us + 200 * USEC_PER_MSEC;
-    caller->copies = 1;
+    caller->attempts = 1;
 }
 
 /* Ends of what the caller has sent, and of what it has received. */
@@ -135,24 +136,24 @@
         return;
     }
     if (caller->state == CALLER_PAUSING) {
-        caller->state = CALLER_ASKING;
+        caller->state = CALLER_REQUESTING;
         caller->since_us = world->now_us;
-        caller->copies = 0;
+        caller->attempts = 0;
     }
-    if (world->now_us - caller->since_us > CALLER_GIVES_UP_US ||
-        caller->copies > RETRANSMITS_MAX) {
+    if (world->now_us - caller->since_us > CALLER_ABANDON_US ||
+        caller->attempts > RETRANSMITS_MAX) {
         world_caller_fail(world, caller);
         return;
     }
     if (caller->state == CALLER_OPENING) {
-        if (caller->copies == 3) {
+        if (caller->attempts == 3) {
             world_caller_fail(world, caller);
             return;
         }
-        caller_send(world, caller, RELAY_SYN, 100, caller->copies, 0);
-        caller->next_us =
-            world->now_us + (caller->copies == 1 ? 400 : 800) * USEC_PER_MSEC;
-        caller->copies++;
+        caller_send(world, caller, RELAY_SYN, 100, caller->attempts, 0);
+        caller->next_us = world->now_us +
+                          (caller->attempts == 1 ? 400 : 800) * USEC_PER_MSEC;
+        caller->attempts++;
         return;
     }
     if (caller->state == CALLER_CLOSING) {
@@ -164,8 +165,8 @@
                     received_end(caller), REQUEST_LEN);
     }
     caller->next_us =
-        world->now_us + (200 * USEC_PER_MSEC << MIN(caller->copies, 3));
-    caller->copies++;
+        world->now_us + (200 * USEC_PER_MSEC << MIN(caller->attempts, 3));
+    caller->attempts++;
 }
 
 /* The endpoint that a SYN+ACK's number is of. */
@@ -173,16 +174,16 @@
 caller_opened(struct world *world, struct caller *caller, unsigned number,
               const struct relay_packet *packet)
 {
-    caller->state = CALLER_ASKING;
+    caller->state = CALLER_REQUESTING;
     caller->peer_seq = packet->seq;
     caller->open_us = world->now_us;
-    caller->copies = 0;
+    caller->attempts = 0;
     caller->next_us = world->now_us;
     for (int i = 0; i < WORLD_AGENTS; i++) {
-        if (world->hosts[i].flows[number].held &&
+        if (world->hosts[i].flows[number].open &&
             world->hosts[i].flows[number].seq == packet->seq) {
             caller->host = i;
-            caller->boot = world->hosts[i].boot;
+            caller->incarnation = world->hosts[i].incarnation;
         }
     }
 }
@@ -208,7 +209,7 @@
         return;
     }
     caller->state = CALLER_CLOSING;
-    caller->copies = 0;
+    caller->attempts = 0;
     caller->next_us = world->now_us;
     caller_send(world, caller, RELAY_ACK, sent_end(caller),
                 received_end(caller), 0);
@@ -227,14 +228,14 @@
     if (caller->state == CALLER_OPENING && relay_packet_is_syn_ack(&packet)) {
         caller_opened(world, caller, number, &packet);
     }
-    else if (caller->state == CALLER_ASKING && packet.len > 0) {
+    else if (caller->state == CALLER_REQUESTING && packet.len > 0) {
         if (packet.seq + ANSWER_LEN == received_end(caller)) {
             /* Another copy of the answer before. */
             return;
         }
         if (packet.seq != received_end(caller)) {
-            world_breach(world, "MIXED: caller %u gets another flow's answer",
-                         number);
+            world_violation(
+                world, "MIXED: caller %u gets another flow's answer", number);
         }
         caller_answered(world, caller);
     }
--- a/tests/relay/world_evacuations.c
+++ b/tests/relay/world_evacuations.c
@@ -6,7 +6,7 @@
 #define READERS 2
 
 static unsigned
-number_of(const struct host *host)
+data_centre_number(const struct host *host)
 {
     return host->number / (WORLD_AGENTS / WORLD_DATA_CENTRES);
 }
@@ -18,7 +18,8 @@
 {
     static const char *const names[] = {"here", "east", "west"};
 
-    return world->plan->evacuate > 0 ? names[number_of(host)] : "here";
+    return world->plan->evacuate > 0 ? names[data_centre_number(host)]
+                                     : "here";
 }
 
 static uint32_t
@@ -31,7 +32,7 @@
 }
 
 static void
-take_back(struct evacuations *evacuations, uint32_t key)
+remove_evacuation(struct evacuations *evacuations, uint32_t key)
 {
     for (unsigned i = 0; i < evacuations->count; i++) {
         if (evacuations->data_centres[i] == key) {
@@ -43,22 +44,23 @@
 }
 
 void
-world_evacuations_soon(struct front *front)
-{
-    if (front->number < READERS) {
-        front->evacuations_us = front->world->now_us +
-                                (uint64_t)g_rand_int_range(
-                                    front->world->evacuations_rand, 0, 500) *
-                                    USEC_PER_MSEC;
+world_evacuations_schedule(struct balancer *balancer)
+{
+    if (balancer->number < READERS) {
+        balancer->evacuations_us =
+            balancer->world->now_us +
+            (uint64_t)g_rand_int_range(balancer->world->evacuations_rand, 0,
+                                       500) *
+                USEC_PER_MSEC;
     }
 }
 
 void
-world_evacuations_read(struct front *front)
+world_evacuations_read(struct balancer *balancer)
 {
-    front->evacuations_us = 0;
-    forwarder_evacuations(&front->forwarder, &front->world->evacuations, true,
-                          front->world->now_us);
+    balancer->evacuations_us = 0;
+    forwarder_evacuations(&balancer->forwarder, &balancer->world->evacuations,
+                          true, balancer->world->now_us);
 }
 
 /* Operators have written to the store. */
@@ -67,7 +69,7 @@
 {
     world->evacuations.revision += 2;
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        world_evacuations_soon(&world->fronts[i]);
+        world_evacuations_schedule(&world->balancers[i]);
     }
 }
 
@@ -76,15 +78,15 @@
 {
     unsigned number = (unsigned)g_rand_int_range(world->evacuations_rand, 0,
                                                  WORLD_DATA_CENTRES);
-    struct evacuations *wanted = &world->wanted;
+    struct evacuations *desired = &world->desired;
     uint32_t key = key_of(world, number);
 
-    if (evacuations_contains(wanted, key)) {
-        take_back(wanted, key);
-        take_back(&world->evacuations, key);
+    if (evacuations_contains(desired, key)) {
+        remove_evacuation(desired, key);
+        remove_evacuation(&world->evacuations, key);
     }
-    else if (wanted->count < world->plan->evacuated_most) {
-        evacuations_add(wanted, key);
+    else if (desired->count < world->plan->evacuated_max) {
+        evacuations_add(desired, key);
         evacuations_add(&world->evacuations, key);
     }
     else {
@@ -95,42 +97,42 @@
 }
 
 void
-world_store_copy(struct world *world)
+world_store_snapshot(struct world *world)
 {
-    world->copy = world->evacuations;
+    world->snapshot = world->evacuations;
 }
 
 static uint64_t
-soon_us(struct world *world)
+random_rewrite_us(struct world *world)
 {
     return world->now_us + (uint64_t)g_rand_int_range(world->evacuations_rand,
-                                                      REWRITE_LEAST_MS,
-                                                      REWRITE_MOST_MS) *
+                                                      REWRITE_MIN_MS,
+                                                      REWRITE_MAX_MS) *
                                USEC_PER_MSEC;
 }
 
 void
-world_store_older(struct world *world)
+world_store_restore(struct world *world)
 {
     uint32_t epoch = world->evacuations.epoch + 1;
 
-    world->evacuations = world->copy;
+    world->evacuations = world->snapshot;
     world->evacuations.epoch = epoch;
     if (world->rewrite_us == 0 &&
-        world->now_us >= world->rewritten_us + EVACUATED_US) {
-        world->lost_us = world->now_us;
+        world->now_us >= world->rewritten_us + EVACUATION_BOUND_US) {
+        world->store_lost_us = world->now_us;
     }
-    world->older_us = world->now_us;
-    world->rewrite_us = soon_us(world);
+    world->restored_us = world->now_us;
+    world->rewrite_us = random_rewrite_us(world);
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        world_evacuations_soon(&world->fronts[i]);
+        world_evacuations_schedule(&world->balancers[i]);
     }
     for (unsigned i = 0; i < WORLD_AGENTS; i++) {
         struct host *host = &world->hosts[i];
 
         if (g_rand_boolean(world->evacuations_rand)) {
-            host->lost_until_us = soon_us(world);
-            world_list_changed(host);
+            host->unregistered_until_us = random_rewrite_us(world);
+            world_registration_changed(host);
         }
     }
 }
@@ -144,7 +146,7 @@
 
         world->rewrite_us = 0;
         world->rewritten_us = world->now_us;
-        world->evacuations = world->wanted;
+        world->evacuations = world->desired;
         world->evacuations.epoch = epoch;
         world->evacuations.revision = revision;
         note_written(world);
@@ -152,9 +154,10 @@
     for (unsigned i = 0; i < WORLD_AGENTS; i++) {
         struct host *host = &world->hosts[i];
 
-        if (host->lost_until_us != 0 && world->now_us >= host->lost_until_us) {
-            host->lost_until_us = 0;
-            world_list_changed(host);
+        if (host->unregistered_until_us != 0 &&
+            world->now_us >= host->unregistered_until_us) {
+            host->unregistered_until_us = 0;
+            world_registration_changed(host);
         }
     }
 }
@@ -162,64 +165,67 @@
 /* Whether some host may not know of an evacuation that the store has lost: one
  * that has started since, or any, if it was written just before that. */
 static bool
-may_not_know(const struct host *host)
+may_miss_evacuation(const struct host *host)
 {
     const struct world *world = host->world;
-    uint64_t told_us = world->evacuated_us[number_of(host)] + EVACUATED_US;
-    bool rewritten = world->rewrite_us == 0 &&
-                     world->now_us >= world->rewritten_us + EVACUATED_US;
-    bool unheard =
-        host->fault_us >= world->lost_us || told_us >= world->lost_us;
+    uint64_t propagated_us =
+        world->evacuated_us[data_centre_number(host)] + EVACUATION_BOUND_US;
+    bool rewritten =
+        world->rewrite_us == 0 &&
+        world->now_us >= world->rewritten_us + EVACUATION_BOUND_US;
+    bool unheard = host->fault_us >= world->store_lost_us ||
+                   propagated_us >= world->store_lost_us;
 
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        unheard |= world->fronts[i].fault_us >= world->lost_us;
+        unheard |= world->balancers[i].fault_us >= world->store_lost_us;
     }
-    return world->lost_us != 0 && unheard && !rewritten;
+    return world->store_lost_us != 0 && unheard && !rewritten;
 }
 
 /* Whether all hosts should know by now what was done last to a host's data
  * centre. */
 static bool
-is_settled(const struct host *host)
+is_propagated(const struct host *host)
 {
     const struct world *world = host->world;
 
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        if (world->now_us < world->fronts[i].fault_us + HEARD_US) {
+        if (world->now_us < world->balancers[i].fault_us + STARTUP_SYNC_US) {
             return false;
         }
     }
-    return world->now_us >= host->fault_us + HEARD_US &&
-           world->now_us >=
-               world->evacuated_us[number_of(host)] + EVACUATED_US;
+    return world->now_us >= host->fault_us + STARTUP_SYNC_US &&
+           world->now_us >= world->evacuated_us[data_centre_number(host)] +
+                                EVACUATION_BOUND_US;
 }
 
 static bool
 is_evacuated(const struct host *host)
 {
-    return evacuations_contains(&host->world->wanted,
-                                key_of(host->world, number_of(host)));
+    return evacuations_contains(&host->world->desired,
+                                key_of(host->world, data_centre_number(host)));
 }
 
 void
-world_check_offer(struct host *host)
+world_check_syn(struct host *host)
 {
     if (host->world->plan->evacuate > 0 && is_evacuated(host) &&
-        is_settled(host) && !may_not_know(host)) {
-        world_breach(host->world, "EVACUATED: a SYN goes to endpoint %u",
-                     host->number);
+        is_propagated(host) && !may_miss_evacuation(host)) {
+        world_violation(host->world, "EVACUATED: a SYN goes to endpoint %u",
+                        host->number);
     }
 }
 
 void
-world_check_evacuated(struct host *host)
+world_check_refusal(struct host *host)
 {
     const struct world *world = host->world;
-    bool kept = world->older_us != 0 &&
-                world->now_us < world->older_us + EARLIER_US + HEARD_US;
+    bool old_epoch =
+        world->restored_us != 0 &&
+        world->now_us < world->restored_us + OLD_EPOCH_US + STARTUP_SYNC_US;
 
-    if (!is_evacuated(host) && is_settled(host) && !kept) {
-        world_breach(host->world, "RETURNED: agent %u still refuses SYNs",
-                     host->number);
+    if (!is_evacuated(host) && is_propagated(host) && !old_epoch) {
+        world_violation(host->world, "RETURNED: agent %u still refuses SYNs",
+                        host->number);
     }
 }
--- a/tests/relay/world_hosts.c
+++ b/tests/relay/world_hosts.c
@@ -15,14 +15,14 @@
     struct relay_packet packet = world_packet_of(bytes);
 
     /* Another copy for a flow that the endpoint holds opens nothing. */
-    if (relay_packet_is_syn(&packet) && host->told_draining &&
-        !host->flows[world_caller_of(bytes)].held) {
-        world_breach(host->world, "DRAIN: a SYN goes to endpoint %u",
-                     host->number);
+    if (relay_packet_is_syn(&packet) && host->draining_reported &&
+        !host->flows[world_caller_of(bytes)].open) {
+        world_violation(host->world, "DRAIN: a SYN goes to endpoint %u",
+                        host->number);
     }
     if (relay_packet_is_syn(&packet) &&
-        !host->flows[world_caller_of(bytes)].held) {
-        world_check_offer(host);
+        !host->flows[world_caller_of(bytes)].open) {
+        world_check_syn(host);
     }
     world_post(host->world, TO_ENDPOINT, host->number, bytes, size, true);
 }
@@ -59,21 +59,22 @@
 }
 
 static void
-tell(struct admission_out *out, struct addr balancer,
-     const struct frame_status *status)
+notify(struct admission_out *out, struct addr balancer,
+       const struct frame_status *status)
 {
     struct host *host = container_of(out, struct host, out);
     uint8_t bytes[FRAME_MAX + 1];
     size_t size =
         frame_status_encode(status, &host->admission.store.latest, bytes);
 
-    if (world_is_cut(host, false)) {
+    if (world_is_partitioned(host, false)) {
         return;
     }
     /* The sender's number stands in for its address. */
     bytes[size] = (uint8_t)host->number;
     world_post(host->world, TO_BALANCER_FRAME,
-               balancer.ip - world_front_addr(0).ip, bytes, size + 1, false);
+               balancer.ip - world_balancer_addr(0).ip, bytes, size + 1,
+               false);
 }
 
 static void
@@ -83,20 +84,21 @@
 }
 
 static void
-absent(struct admission_out *out, struct addr balancer,
-       const struct frame_query_reply *answer)
+query_reply(struct admission_out *out, struct addr balancer,
+            const struct frame_query_reply *answer)
 {
     struct host *host = container_of(out, struct host, out);
     uint8_t bytes[FRAME_MAX + 1];
     size_t size =
         frame_query_reply_encode(answer, &host->admission.store.latest, bytes);
 
-    if (world_is_cut(host, false)) {
+    if (world_is_partitioned(host, false)) {
         return;
     }
     bytes[size] = (uint8_t)host->number;
-    world_post_lost(host->world, TO_BALANCER_FRAME,
-                    balancer.ip - world_front_addr(0).ip, bytes, size + 1, 0);
+    world_post_query(host->world, TO_BALANCER_FRAME,
+                     balancer.ip - world_balancer_addr(0).ip, bytes, size + 1,
+                     0);
 }
 
 static void
@@ -118,20 +120,15 @@
                   const struct frame_forward *frame)
 {
     if (why == FRAME_REASON_EVACUATED) {
-        world_check_evacuated(container_of(out, struct host, out));
+        world_check_refusal(container_of(out, struct host, out));
     }
 }
 
-const struct admission_out_ops world_admission_ops = {to_endpoint,
-                                                      to_caller,
-                                                      admission_resets,
-                                                      admission_forwards,
-                                                      tell,
-                                                      serves,
-                                                      absent,
-                                                      probe,
-                                                      admission_dropped,
-                                                      admission_decided};
+const struct admission_out_ops world_admission_ops = {
+    to_endpoint,        to_caller, admission_resets,
+    admission_forwards, notify,    serves,
+    query_reply,        probe,     admission_dropped,
+    admission_decided};
 
 static void
 send_from_endpoint(struct host *host, unsigned caller, unsigned flags,
@@ -153,17 +150,18 @@
             return;
         }
     }
-    world_breach(world, "ROUTE: endpoint %u of %s takes a flow to port %u",
-                 host->number, world_services[host->service], packet->to.port);
+    world_violation(world, "ROUTE: endpoint %u of %s takes a flow to port %u",
+                    host->number, world_services[host->service],
+                    packet->to.port);
 }
 
 static unsigned
-held_count(const struct host *host)
+running_count(const struct host *host)
 {
     unsigned count = 0;
 
     for (unsigned i = 0; i < host->world->caller_count; i++) {
-        count += host->flows[i].held && host->flows[i].answer_us != 0;
+        count += host->flows[i].open && host->flows[i].answer_us != 0;
     }
     return count;
 }
@@ -185,7 +183,8 @@
 {
     struct relay_packet packet = world_packet_of(bytes);
 
-    if (packet.len > 0 && host->world->now_us < host->started_us + FRESH_US) {
+    if (packet.len > 0 &&
+        host->world->now_us < host->started_us + STARTUP_RESET_US) {
         send_from_endpoint(host, world_caller_of(bytes), RELAY_RST | RELAY_ACK,
                            packet.ack, packet.seq, 0);
         return;
@@ -202,24 +201,25 @@
 
 /* Notes that a packet of an open flow came to the wrong endpoint. */
 static void
-note_misplaced(struct host *host, unsigned number)
+note_misrouted(struct host *host, unsigned number)
 {
     struct world *world = host->world;
     struct caller *caller = &world->callers[number];
     struct host *own;
 
-    if ((caller->state != CALLER_ASKING && caller->state != CALLER_CLOSING) ||
+    if ((caller->state != CALLER_REQUESTING &&
+         caller->state != CALLER_CLOSING) ||
         caller->host < 0) {
         return;
     }
     own = &world->hosts[caller->host];
-    if (!own->up || own->boot != caller->boot ||
+    if (!own->up || own->incarnation != caller->incarnation ||
         is_recent(world, own->fault_us) || is_recent(world, world->fault_us)) {
-        caller->misplaced = 0;
+        caller->misrouted = 0;
         return;
     }
-    if (caller->misplaced++ == 0) {
-        caller->misplaced_us = world->now_us;
+    if (caller->misrouted++ == 0) {
+        caller->misrouted_us = world->now_us;
     }
 }
 
@@ -232,7 +232,7 @@
 
 /* Whether a packet holds the request after those that have begun. */
 static bool
-is_next_request(const struct held_flow *flow,
+is_next_request(const struct endpoint_flow *flow,
                 const struct relay_packet *packet)
 {
     return flow->answer_us == 0 &&
@@ -243,7 +243,7 @@
 static void
 answer(struct host *host, unsigned caller)
 {
-    const struct held_flow *flow = &host->flows[caller];
+    const struct endpoint_flow *flow = &host->flows[caller];
 
     send_from_endpoint(host, caller, RELAY_ACK,
                        flow->seq + 1 + (flow->runs - 1) * ANSWER_LEN,
@@ -255,38 +255,38 @@
 {
     struct relay_packet packet = world_packet_of(bytes);
     unsigned number = world_caller_of(bytes);
-    struct held_flow *flow = &host->flows[number];
+    struct endpoint_flow *flow = &host->flows[number];
     struct caller *caller = &host->world->callers[number];
 
     if (!host->up) {
         return;
     }
     if (relay_packet_is_syn(&packet)) {
-        if (!flow->held && held_count(host) >= ENDPOINT_ROOM) {
+        if (!flow->open && running_count(host) >= ENDPOINT_CAPACITY) {
             bounce(host, bytes);
             return;
         }
-        if (!flow->held) {
+        if (!flow->open) {
             check_route(host, &packet);
-            *flow = (struct held_flow){.held = true,
-                                       .seq = host->next_seq += 1000003};
+            *flow = (struct endpoint_flow){.open = true,
+                                           .seq = host->next_seq += 1000003};
         }
         send_from_endpoint(host, number, RELAY_SYN | RELAY_ACK, flow->seq,
                            packet.seq + 1, 0);
         return;
     }
-    if (!flow->held) {
-        note_misplaced(host, number);
+    if (!flow->open) {
+        note_misrouted(host, number);
         refuse(host, bytes);
         return;
     }
     if (packet.ack - flow->seq > 100000) {
         /* Its own handshake with the caller isn't over, and this is of
          * another's: endpoints say nothing then. */
-        note_misplaced(host, number);
+        note_misrouted(host, number);
         return;
     }
-    caller->misplaced = 0;
+    caller->misrouted = 0;
     if ((packet.flags & RELAY_FIN) != 0) {
         send_from_endpoint(host, number, RELAY_ACK,
                            flow->seq + 1 + flow->runs * ANSWER_LEN,
@@ -298,8 +298,8 @@
         flow->answer_us = host->world->now_us + work_us(host->world);
         caller->ran++;
         if (caller->ran > caller->answers + 1) {
-            world_breach(host->world, "UNASKED: request %u runs twice",
-                         number);
+            world_violation(host->world, "UNASKED: request %u runs twice",
+                            number);
         }
     }
     else if (flow->runs > 0 && flow->answer_us == 0) {
@@ -311,9 +311,9 @@
 world_endpoint_work(struct host *host)
 {
     for (unsigned i = 0; i < host->world->caller_count; i++) {
-        struct held_flow *flow = &host->flows[i];
+        struct endpoint_flow *flow = &host->flows[i];
 
-        if (flow->held && flow->answer_us != 0 &&
+        if (flow->open && flow->answer_us != 0 &&
             flow->answer_us <= host->world->now_us) {
             flow->answer_us = 0;
             answer(host, i);
@@ -334,23 +334,23 @@
     if (host->number % 2 == 0) {
         /* Each start has an id of its own. */
         g_snprintf(beat.id, sizeof(beat.id), "i-%u-%u", host->number,
-                   host->boot);
+                   host->incarnation);
     }
     else {
         /* The same id starts again, and counts anew. */
         g_snprintf(beat.id, sizeof(beat.id), "i-%u", host->number);
-        beat.started_ms = 1000 + host->boot;
+        beat.started_ms = 1000 + host->incarnation;
     }
     admission_handle_heartbeat(&host->admission, &beat, host->world->now_us);
-    host->told_draining = host->draining;
-    host->beat_us = host->world->now_us + HEARTBEAT_US;
+    host->draining_reported = host->draining;
+    host->heartbeat_us = host->world->now_us + HEARTBEAT_US;
 }
 
 void
 world_endpoint_start(struct host *host)
 {
     memset(host->flows, 0, sizeof(host->flows));
-    host->boot++;
+    host->incarnation++;
     host->sequence = 0;
     host->up = true;
     host->draining = false;
@@ -369,12 +369,13 @@
                                    world_services[host->service],
                                    host->world->now_us),
                     ==, 0);
-    host->told_draining = false;
-    host->beat_us = 0;
+    host->draining_reported = false;
+    host->heartbeat_us = 0;
     /* It looks at its own object first, and writes it if it isn't there. */
     admission_handle_evacuations(&host->admission, &latest,
                                  host->world->now_us);
-    if (host->lost_until_us != 0) {
-        host->lost_until_us = host->world->now_us + LOOK_US;
+    if (host->unregistered_until_us != 0) {
+        host->unregistered_until_us =
+            host->world->now_us + REGISTRATION_CHECK_US;
     }
 }
--- a/tests/relay/world_net.c
+++ b/tests/relay/world_net.c
@@ -15,46 +15,46 @@
 }
 
 void
-world_breach(struct world *world, const char *fmt, ...)
+world_violation(struct world *world, const char *fmt, ...)
 {
     char text[200];
     va_list args;
 
-    if (world->result->breach[0] != '\0') {
+    if (world->result->violation[0] != '\0') {
         return;
     }
     va_start(args, fmt);
     g_vsnprintf(text, sizeof(text), fmt, args);
     va_end(args);
-    g_snprintf(world->result->breach, sizeof(world->result->breach),
+    g_snprintf(world->result->violation, sizeof(world->result->violation),
                "at %" G_GUINT64_FORMAT " us: %s", world->now_us, text);
 }
 
 bool
-world_is_cut(const struct host *host, bool to_host)
+world_is_partitioned(const struct host *host, bool to_host)
 {
-    return host->cut_until_us > host->world->now_us &&
-           (to_host ? host->cut_to : host->cut_from);
+    return host->partitioned_until_us > host->world->now_us &&
+           (to_host ? host->drops_to : host->drops_from);
 }
 
 struct relay_packet
 world_packet_of(const uint8_t *bytes)
 {
-    struct plain plain;
+    struct sim_packet sim_packet;
 
-    memcpy(&plain, bytes, sizeof(plain));
-    plain.head.bytes = bytes;
-    plain.head.size = sizeof(plain);
-    return plain.head;
+    memcpy(&sim_packet, bytes, sizeof(sim_packet));
+    sim_packet.head.bytes = bytes;
+    sim_packet.head.size = sizeof(sim_packet);
+    return sim_packet.head;
 }
 
 unsigned
 world_caller_of(const uint8_t *bytes)
 {
-    struct plain plain;
+    struct sim_packet sim_packet;
 
-    memcpy(&plain, bytes, sizeof(plain));
-    return plain.caller;
+    memcpy(&sim_packet, bytes, sizeof(sim_packet));
+    return sim_packet.caller;
 }
 
 static gint
@@ -107,8 +107,8 @@
 }
 
 void
-world_post_late(struct world *world, enum target target, unsigned number,
-                const void *bytes, size_t size, uint64_t earliest_us)
+world_post_delayed(struct world *world, enum target target, unsigned number,
+                   const void *bytes, size_t size, uint64_t earliest_us)
 {
     uint64_t due_us = arrival(world, world->rand);
 
@@ -118,10 +118,10 @@
 }
 
 void
-world_post_lost(struct world *world, enum target target, unsigned number,
-                const void *bytes, size_t size, uint64_t earliest_us)
+world_post_query(struct world *world, enum target target, unsigned number,
+                 const void *bytes, size_t size, uint64_t earliest_us)
 {
-    uint64_t due_us = arrival(world, world->lost_rand);
+    uint64_t due_us = arrival(world, world->query_rand);
 
     if (due_us != 0) {
         post(world, target, number, bytes, size, MAX(due_us, earliest_us));
@@ -132,13 +132,13 @@
 world_post_packet(struct world *world, enum target target, unsigned number,
                   unsigned caller, struct relay_packet head, bool local)
 {
-    struct plain plain;
+    struct sim_packet sim_packet;
 
-    memset(&plain, 0, sizeof(plain));
-    plain.head = head;
-    plain.head.bytes = NULL;
-    plain.caller = caller;
-    world_post(world, target, number, &plain, sizeof(plain), local);
+    memset(&sim_packet, 0, sizeof(sim_packet));
+    sim_packet.head = head;
+    sim_packet.head.bytes = NULL;
+    sim_packet.caller = caller;
+    world_post(world, target, number, &sim_packet, sizeof(sim_packet), local);
 }
 
 struct addr
@@ -148,7 +148,7 @@
 }
 
 struct addr
-world_front_addr(unsigned number)
+world_balancer_addr(unsigned number)
 {
     return (struct addr){0x0a090001 + number, 7720};
 }
--- a/tests/relay/world_private.h
+++ b/tests/relay/world_private.h
@@ -14,53 +14,53 @@
 #include "relay/world.h"
 
 #define STEP_US (500)
-#define PACE_US (10 * USEC_PER_MSEC)
+#define FAULT_INTERVAL_US (10 * USEC_PER_MSEC)
 #define CALM_US (1500 * USEC_PER_MSEC)
 #define FLOWS_MAX 4096
 #define ROUTES 4
 #define VERSIONS_MAX 256
-#define CALLER_GIVES_UP_US (4000 * USEC_PER_MSEC)
-#define ENDPOINT_ROOM 10
+#define CALLER_ABANDON_US (4000 * USEC_PER_MSEC)
+#define ENDPOINT_CAPACITY 10
 #define WORK_US (15 * USEC_PER_MSEC)
 #define RESTART_US (200 * USEC_PER_MSEC)
 #define FREEZE_US (300 * USEC_PER_MSEC)
-#define CUT_LEAST_MS 1500
-#define CUT_MOST_MS 4000
+#define PARTITION_MIN_MS 1500
+#define PARTITION_MAX_MS 4000
 
 /* The rule on resets holds again this long after a host's links were cut: the
  * shortest of the users' sites. */
-#define CUT_EXCUSED_US (4000 * USEC_PER_MSEC)
+#define PARTITION_GRACE_US (4000 * USEC_PER_MSEC)
 #define LOCAL_US 50
 #define CONFIRM_US (4 * USEC_PER_MSEC)
-#define FRESH_US (100 * USEC_PER_MSEC)
+#define STARTUP_RESET_US (100 * USEC_PER_MSEC)
 #define STALL_US (40 * USEC_PER_MSEC)
 #define HEARTBEAT_US (100 * USEC_PER_MSEC)
 
 /* Packets of a flow that reach others only, and for how long: half of what
  * the rule allows. */
-#define MISPLACED_MAX 3
-#define MISPLACED_US (1000 * USEC_PER_MSEC)
+#define MISROUTED_MAX 3
+#define MISROUTED_US (1000 * USEC_PER_MSEC)
 #define RETRANSMITS_MAX 8
 
 /* How soon a caller of a flow that nobody holds is told, once all hosts are
  * up and have heard of each other: two questions and the store's answer. */
-#define TOLD_US (100 * USEC_PER_MSEC)
+#define ORPHAN_REPORT_US (100 * USEC_PER_MSEC)
 
 /* How soon an evacuation and its end are in force on all hosts that have run
  * for a while: a third of the shortest bound that operators set. A host that
  * has just started hears of them with the first answers of others. */
-#define EVACUATED_US (1000 * USEC_PER_MSEC)
-#define HEARD_US (300 * USEC_PER_MSEC)
+#define EVACUATION_BOUND_US (1000 * USEC_PER_MSEC)
+#define STARTUP_SYNC_US (300 * USEC_PER_MSEC)
 #define SETTLED_US (300 * USEC_PER_MSEC)
 
 /* What an epoch of the store that has ended said is kept for that long. */
-#define EARLIER_US (10 * USEC_PER_SEC)
+#define OLD_EPOCH_US (10 * USEC_PER_SEC)
 
 /* How soon agents whose objects the store has lost have written them again. */
-#define REWRITE_LEAST_MS 100
-#define REWRITE_MOST_MS 4000
-#define LOOK_US (20 * USEC_PER_MSEC)
-#define COPY_US (700 * USEC_PER_MSEC)
+#define REWRITE_MIN_MS 100
+#define REWRITE_MAX_MS 4000
+#define REGISTRATION_CHECK_US (20 * USEC_PER_MSEC)
+#define SNAPSHOT_US (700 * USEC_PER_MSEC)
 
 /** enum target - who gets a message */
 enum target {
@@ -86,11 +86,11 @@
 #define REQUEST_LEN 40
 #define ANSWER_LEN 900
 
-/** struct held_flow - a flow as one endpoint holds it
+/** struct endpoint_flow - a flow as one endpoint holds it
  * @runs: requests of it that have begun
  */
-struct held_flow {
-    bool held;
+struct endpoint_flow {
+    bool open;
     unsigned runs;
     uint32_t seq;
     uint64_t answer_us;
@@ -106,48 +106,48 @@
     struct admission admission;
     struct addr addr;
     unsigned service;
-    unsigned boot;
+    unsigned incarnation;
     bool up;
     bool draining;
-    bool told_draining;
-    uint64_t back_us;
+    bool draining_reported;
+    uint64_t restart_us;
     uint64_t frozen_until_us;
-    uint64_t cut_until_us;
-    bool cut_from;
-    bool cut_to;
-    uint64_t beat_us;
+    uint64_t partitioned_until_us;
+    bool drops_from;
+    bool drops_to;
+    uint64_t heartbeat_us;
     uint64_t sequence;
     uint64_t fault_us;
     uint64_t started_us;
-    unsigned listed_service;
-    unsigned listing;
-    uint64_t list_us;
-    uint64_t lost_until_us;
+    unsigned registered_service;
+    unsigned registration_version;
+    uint64_t registration_us;
+    uint64_t unregistered_until_us;
     bool probed;
     uint32_t next_seq;
-    struct held_flow flows[FLOWS_MAX];
+    struct endpoint_flow flows[FLOWS_MAX];
 };
 
-/** struct front - a balancer */
-struct front {
+/** struct balancer - a balancer */
+struct balancer {
     struct forwarder_out out;
     struct world *world;
     unsigned number;
     struct forwarder forwarder;
     unsigned version;
-    uint64_t follow_us;
+    uint64_t config_due_us;
     uint64_t fault_us;
     uint64_t stalled_until_us;
     uint64_t confirm_us;
     uint64_t evacuations_us;
-    unsigned listings[WORLD_AGENTS];
-    uint64_t list_us[WORLD_AGENTS];
+    unsigned registration_versions[WORLD_AGENTS];
+    uint64_t registration_us[WORLD_AGENTS];
 };
 
 /** enum caller_state - what a caller does */
 enum caller_state {
     CALLER_OPENING,
-    CALLER_ASKING,
+    CALLER_REQUESTING,
     CALLER_PAUSING,
     CALLER_CLOSING,
     CALLER_DONE
@@ -163,43 +163,43 @@
     unsigned route;
     uint64_t since_us;
     uint64_t next_us;
-    unsigned copies;
+    unsigned attempts;
     uint32_t peer_seq;
     int host;
-    unsigned boot;
+    unsigned incarnation;
     uint64_t open_us;
     unsigned version;
-    unsigned misplaced;
-    uint64_t misplaced_us;
+    unsigned misrouted;
+    uint64_t misrouted_us;
     unsigned answers;
     unsigned ran;
-    uint64_t dead_us;
+    uint64_t orphaned_us;
 };
 
 /**
  * struct world - all of it
- * @lost_rand: for what only questions about lost flows and the store need
+ * @query_rand: for what only questions about lost flows and the store need
  * @served: services that each version has at each route, -1 for none
  * @evacuations_rand: for what only evacuations need
  * @evacuations: data centres that the store says operators have evacuated
- * @wanted: those that they have, also while the store has lost it
- * @copy: what the store comes back with
- * @older_us: when it did so last, 0 for never
- * @lost_us: when it began to lack what operators wrote, 0 for never
+ * @desired: those that they have, also while the store has lost it
+ * @snapshot: what the store comes back with
+ * @restored_us: when it did so last, 0 for never
+ * @store_lost_us: when it began to lack what operators wrote, 0 for never
  * @rewrite_us: when operators write again what it has lost, 0 once they have
  * @rewritten_us: when they did so last
  * @evacuated_us: when that of each changed last, 0 for never
  */
 struct world {
     GRand *rand;
-    GRand *lost_rand;
+    GRand *query_rand;
     const struct world_plan *plan;
     struct world_result *result;
     uint64_t now_us;
     uint64_t order;
     GSequence *messages;
     struct host hosts[WORLD_AGENTS];
-    struct front fronts[WORLD_BALANCERS];
+    struct balancer balancers[WORLD_BALANCERS];
     struct caller callers[FLOWS_MAX];
     unsigned caller_count;
     unsigned salt;
@@ -208,10 +208,10 @@
     uint64_t fault_us;
     GRand *evacuations_rand;
     struct evacuations evacuations;
-    struct evacuations wanted;
-    struct evacuations copy;
-    uint64_t older_us;
-    uint64_t lost_us;
+    struct evacuations desired;
+    struct evacuations snapshot;
+    uint64_t restored_us;
+    uint64_t store_lost_us;
     uint64_t rewrite_us;
     uint64_t rewritten_us;
     uint64_t evacuated_us[WORLD_DATA_CENTRES];
@@ -221,7 +221,7 @@
 
 /* Packets here are a struct of our own: what they say is what the decoder
  * would read. */
-struct plain {
+struct sim_packet {
     struct relay_packet head;
     unsigned caller;
 };
@@ -230,7 +230,7 @@
 world_chance(struct world *world, unsigned in_1000);
 
 void
-world_breach(struct world *world, const char *fmt, ...);
+world_violation(struct world *world, const char *fmt, ...);
 
 struct relay_packet
 world_packet_of(const uint8_t *bytes);
@@ -242,21 +242,22 @@
 world_post(struct world *world, enum target target, unsigned number,
            const void *bytes, size_t size, bool local);
 
-/** world_is_cut() - whether frames of an agent to balancers are lost, or
- * theirs to it */
+/** world_is_partitioned() - whether frames of an agent to balancers are lost,
+ * or theirs to it */
 bool
-world_is_cut(const struct host *host, bool to_host);
+world_is_partitioned(const struct host *host, bool to_host);
 
-/** world_post_late() - the same, but it doesn't arrive before @earliest_us */
+/** world_post_delayed() - the same, but it doesn't arrive before @earliest_us
+ */
 void
-world_post_late(struct world *world, enum target target, unsigned number,
-                const void *bytes, size_t size, uint64_t earliest_us);
+world_post_delayed(struct world *world, enum target target, unsigned number,
+                   const void *bytes, size_t size, uint64_t earliest_us);
 
-/** world_post_lost() - the same for questions about lost flows, which leave
+/** world_post_query() - the same for questions about lost flows, which leave
  * the fate of other datagrams as it is without them */
 void
-world_post_lost(struct world *world, enum target target, unsigned number,
-                const void *bytes, size_t size, uint64_t earliest_us);
+world_post_query(struct world *world, enum target target, unsigned number,
+                 const void *bytes, size_t size, uint64_t earliest_us);
 
 void
 world_post_packet(struct world *world, enum target target, unsigned number,
@@ -266,7 +267,7 @@
 world_host_addr(unsigned number);
 
 struct addr
-world_front_addr(unsigned number);
+world_balancer_addr(unsigned number);
 
 void
 world_caller_fail(struct world *world, struct caller *caller);
@@ -305,13 +306,13 @@
 extern const struct forwarder_out_ops world_forwarder_ops;
 
 void
-world_follow_config(struct front *front, unsigned version);
+world_apply_config(struct balancer *balancer, unsigned version);
 
 void
-world_front_tick(struct front *front);
+world_balancer_tick(struct balancer *balancer);
 
 void
-world_front_start(struct front *front);
+world_balancer_start(struct balancer *balancer);
 
 /** world_data_centre() - name of a host's */
 const char *
@@ -321,14 +322,15 @@
 void
 world_evacuate(struct world *world);
 
-/** world_store_copy() - what the store has now is what it may come back with
+/** world_store_snapshot() - what the store has now is what it may come back
+ * with
  */
 void
-world_store_copy(struct world *world);
+world_store_snapshot(struct world *world);
 
-/** world_store_older() - the store comes back from that copy */
+/** world_store_restore() - the store comes back from that snapshot */
 void
-world_store_older(struct world *world);
+world_store_restore(struct world *world);
 
 /** world_store_tick() - operators and agents write again what it has lost */
 void
@@ -336,28 +338,29 @@
 
 /** world_evacuations_read() - those balancers that read the store see it */
 void
-world_evacuations_read(struct front *front);
+world_evacuations_read(struct balancer *balancer);
 
-/** world_evacuations_soon() - a balancer reads them a little later */
+/** world_evacuations_schedule() - a balancer reads them a little later */
 void
-world_evacuations_soon(struct front *front);
+world_evacuations_schedule(struct balancer *balancer);
 
-/** world_check_offer() - an endpoint is given a SYN of a flow of its own */
+/** world_check_syn() - an endpoint is given a SYN of a flow of its own */
 void
-world_check_offer(struct host *host);
+world_check_syn(struct host *host);
 
-/** world_check_evacuated() - an agent refused a SYN for an evacuation */
+/** world_check_refusal() - an agent refused a SYN for an evacuation */
 void
-world_check_evacuated(struct host *host);
+world_check_refusal(struct host *host);
 
-/** world_list_changed() - the store says something else of an agent: balancers
- * see it a little later */
+/** world_registration_changed() - the store says something else of an agent:
+ * balancers see it a little later */
 void
-world_list_changed(struct host *host);
+world_registration_changed(struct host *host);
 
-/** world_list_tick() - agents' objects are written, and fronts see it */
+/** world_registration_tick() - agents' objects are written, and balancers see
+ * it */
 void
-world_list_tick(struct world *world);
+world_registration_tick(struct world *world);
 
 void
 world_change_config(struct world *world);
--- a/tests/relay/world_test.c
+++ b/tests/relay/world_test.c
@@ -10,10 +10,10 @@
 #define FAULTY_MS 1500
 
 /* Long enough for an agent to be taken as silent, asked for and back. */
-#define CUT_FAULTY_MS 5000
+#define PARTITION_FAULTY_MS 5000
 
 static unsigned
-number_from(const char *name, unsigned otherwise)
+env_number(const char *name, unsigned otherwise)
 {
     const char *text = g_getenv(name);
 
@@ -22,10 +22,10 @@
 
 /* Plays seeds of a plan; how many requests in 1000 were answered. */
 static unsigned
-play_for(const struct world_plan *plan, unsigned faulty_ms)
+run_plan_for(const struct world_plan *plan, unsigned faulty_ms)
 {
-    unsigned seeds = number_from("WORLD_SEEDS", SEEDS);
-    unsigned first = number_from("WORLD_FIRST", 1);
+    unsigned seeds = env_number("WORLD_SEEDS", SEEDS);
+    unsigned first = env_number("WORLD_FIRST", 1);
     unsigned opened = 0;
     unsigned answered = 0;
     unsigned resets = 0;
@@ -33,9 +33,9 @@
     for (unsigned seed = first; seed < first + seeds; seed++) {
         struct world_result result;
 
-        world_play(seed, plan, faulty_ms, &result);
-        if (result.breach[0] != '\0') {
-            g_test_message("seed %u: %s", seed, result.breach);
+        world_run(seed, plan, faulty_ms, &result);
+        if (result.violation[0] != '\0') {
+            g_test_message("seed %u: %s", seed, result.violation);
             g_test_fail();
         }
         opened += result.opened;
@@ -49,19 +49,20 @@
 }
 
 static unsigned
-play(const struct world_plan *plan)
+run_plan(const struct world_plan *plan)
 {
-    return play_for(plan, FAULTY_MS);
+    return run_plan_for(plan, FAULTY_MS);
 }
 
 static void
-play_kept(const struct world_plan *plan, const uint32_t *seeds, size_t count)
+run_plan_seeds(const struct world_plan *plan, const uint32_t *seeds,
+               size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         struct world_result result;
 
-        world_play(seeds[i], plan, FAULTY_MS, &result);
-        g_assert_cmpstr(result.breach, ==, "");
+        world_run(seeds[i], plan, FAULTY_MS, &result);
+        g_assert_cmpstr(result.violation, ==, "");
     }
 }
 
@@ -70,14 +71,14 @@
     static const struct world_plan plan = {.new_flows = 600};
 
     /* Flows opened in the last moments aren't over yet. */
-    g_assert_cmpuint(play(&plan), >=, 960);
+    g_assert_cmpuint(run_plan(&plan), >=, 960);
 }
 
 TEST(a_moving_fabric_loses_no_flow)
 {
     static const struct world_plan plan = {.new_flows = 600, .rehash = 200};
 
-    g_assert_cmpuint(play(&plan), >=, 960);
+    g_assert_cmpuint(run_plan(&plan), >=, 960);
 }
 
 TEST(lost_datagrams)
@@ -85,7 +86,7 @@
     static const struct world_plan plan = {
         .new_flows = 600, .rehash = 50, .loss = 30};
 
-    g_assert_cmpuint(play(&plan), >=, 900);
+    g_assert_cmpuint(run_plan(&plan), >=, 900);
 }
 
 TEST(agents_start_again)
@@ -93,7 +94,7 @@
     static const struct world_plan plan = {
         .new_flows = 600, .rehash = 50, .agent_restart = 50, .loss = 5};
 
-    g_assert_cmpuint(play(&plan), >=, 900);
+    g_assert_cmpuint(run_plan(&plan), >=, 900);
 }
 
 TEST(balancers_start_again)
@@ -101,16 +102,16 @@
     static const struct world_plan plan = {
         .new_flows = 600, .rehash = 50, .balancer_restart = 50};
 
-    g_assert_cmpuint(play(&plan), >=, 900);
+    g_assert_cmpuint(run_plan(&plan), >=, 900);
 }
 
 /* SYNs that are late reach several endpoints, and each answers. */
-static const struct world_plan late_syns = {
+static const struct world_plan delayed_syns = {
     .new_flows = 600, .rehash = 50, .stall = 100, .closing = true};
 
 TEST(a_late_syn_misleads_no_packet)
 {
-    g_assert_cmpuint(play(&late_syns), >=, 900);
+    g_assert_cmpuint(run_plan(&delayed_syns), >=, 900);
 }
 
 TEST(endpoints_leave_and_crash)
@@ -120,7 +121,7 @@
                                            .endpoint_drain = 20,
                                            .rehash = 50};
 
-    g_assert_cmpuint(play(&plan), >=, 500);
+    g_assert_cmpuint(run_plan(&plan), >=, 500);
 }
 
 static const struct world_plan addresses_move = {
@@ -128,7 +129,7 @@
 
 TEST(addresses_go_to_another_service)
 {
-    g_assert_cmpuint(play(&addresses_move), >=, 500);
+    g_assert_cmpuint(run_plan(&addresses_move), >=, 500);
 }
 
 /* Routes go to the other service and back while flows stay open for many
@@ -136,14 +137,14 @@
 static const struct world_plan routes_move = {
     .new_flows = 300,
     .rehash = 50,
-    .moves = 10,
+    .route_moves = 10,
     .requests = 8,
     .pause_ms = 900,
 };
 
 TEST(flows_outlive_the_service_of_their_route)
 {
-    g_assert_cmpuint(play_for(&routes_move, CUT_FAULTY_MS), >=, 300);
+    g_assert_cmpuint(run_plan_for(&routes_move, PARTITION_FAULTY_MS), >=, 300);
 }
 
 TEST(flows_outlive_the_service_of_their_route_among_faults)
@@ -159,7 +160,7 @@
     plan.freeze = 5;
     plan.config = 3;
     plan.stall = 20;
-    g_assert_cmpuint(play_for(&plan, CUT_FAULTY_MS), >=, 100);
+    g_assert_cmpuint(run_plan_for(&plan, PARTITION_FAULTY_MS), >=, 100);
 }
 
 /* A reset of an endpoint that had just started. */
@@ -167,21 +168,21 @@
 {
     static const uint32_t seeds[] = {280};
 
-    play_kept(&addresses_move, seeds, G_N_ELEMENTS(seeds));
+    run_plan_seeds(&addresses_move, seeds, G_N_ELEMENTS(seeds));
 }
 
-/* Nobody knows of the flows from before: their callers are told. */
-static const struct world_plan loss_of_all = {
-    .new_flows = 600, .loss_of_all = true, .told = true};
+/* Nobody knows of the flows from before: their callers are reported. */
+static const struct world_plan restart_all = {
+    .new_flows = 600, .restart_all = true, .reported = true};
 
 TEST(after_a_loss_of_all_hosts_callers_are_told)
 {
-    g_assert_cmpuint(play(&loss_of_all), >=, 800);
+    g_assert_cmpuint(run_plan(&restart_all), >=, 800);
 }
 
-static const struct world_plan loss_among_faults = {
+static const struct world_plan restart_all_among_faults = {
     .new_flows = 600,
-    .loss_of_all = true,
+    .restart_all = true,
     .loss = 10,
     .rehash = 50,
     .agent_restart = 15,
@@ -194,7 +195,7 @@
 
 TEST(a_loss_of_all_hosts_among_other_faults)
 {
-    g_assert_cmpuint(play(&loss_among_faults), >=, 400);
+    g_assert_cmpuint(run_plan(&restart_all_among_faults), >=, 400);
 }
 
 /* An agent came into the list while a question was open (2647); a SYN waited
@@ -204,10 +205,10 @@
 {
     static const uint32_t seeds[] = {2647, 5025, 20249, 26803, 29642};
 
-    play_kept(&loss_among_faults, seeds, G_N_ELEMENTS(seeds));
+    run_plan_seeds(&restart_all_among_faults, seeds, G_N_ELEMENTS(seeds));
 }
 
-static const struct world_plan everything = {
+static const struct world_plan all_faults = {
     .new_flows = 600,
     .loss = 10,
     .rehash = 50,
@@ -222,28 +223,28 @@
 
 TEST(everything_at_once)
 {
-    g_assert_cmpuint(play(&everything), >=, 400);
+    g_assert_cmpuint(run_plan(&all_faults), >=, 400);
 }
 
 /* The same, with balancers that stall and callers that say goodbye. */
 TEST(everything_with_stalls)
 {
-    struct world_plan plan = everything;
+    struct world_plan plan = all_faults;
 
     plan.stall = 50;
     plan.closing = true;
-    g_assert_cmpuint(play(&plan), >=, 400);
+    g_assert_cmpuint(run_plan(&plan), >=, 400);
 }
 
 /* An agent came into the list while a question about lost flows was open. */
 TEST(seeds_with_stalls_that_showed_a_fault)
 {
     static const uint32_t seeds[] = {1539, 2195};
-    struct world_plan plan = everything;
+    struct world_plan plan = all_faults;
 
     plan.stall = 50;
     plan.closing = true;
-    play_kept(&plan, seeds, G_N_ELEMENTS(seeds));
+    run_plan_seeds(&plan, seeds, G_N_ELEMENTS(seeds));
 }
 
 /* Each showed a fault once: a route dropped between two tries (26), resets of
@@ -255,7 +256,7 @@
     static const uint32_t seeds[] = {
         26, 4, 36, 201574, 103154, 106433, 205734, 105668, 35, 142, 192, 257};
 
-    play_kept(&everything, seeds, G_N_ELEMENTS(seeds));
+    run_plan_seeds(&all_faults, seeds, G_N_ELEMENTS(seeds));
 }
 
 /* The other data centres have room for all callers. */
@@ -265,10 +266,10 @@
         .new_flows = 600,
         .rehash = 50,
         .evacuate = 10,
-        .evacuated_most = 1,
+        .evacuated_max = 1,
     };
 
-    g_assert_cmpuint(play_for(&plan, CUT_FAULTY_MS), >=, 960);
+    g_assert_cmpuint(run_plan_for(&plan, PARTITION_FAULTY_MS), >=, 960);
 }
 
 /* Also all data centres at once: then callers are refused, and nobody is sent
@@ -285,13 +286,13 @@
     .config = 10,
     .stall = 20,
     .evacuate = 20,
-    .evacuated_most = WORLD_DATA_CENTRES,
+    .evacuated_max = WORLD_DATA_CENTRES,
 };
 
 TEST(evacuations_among_other_faults)
 {
-    g_assert_cmpuint(play_for(&evacuations_among_faults, CUT_FAULTY_MS), >=,
-                     200);
+    g_assert_cmpuint(
+        run_plan_for(&evacuations_among_faults, PARTITION_FAULTY_MS), >=, 200);
 }
 
 /* A reader that had not seen a state in between left the agents there in it.
@@ -300,8 +301,8 @@
 {
     struct world_result result;
 
-    world_play(1115, &evacuations_among_faults, CUT_FAULTY_MS, &result);
-    g_assert_cmpstr(result.breach, ==, "");
+    world_run(1115, &evacuations_among_faults, PARTITION_FAULTY_MS, &result);
+    g_assert_cmpstr(result.violation, ==, "");
 }
 
 /* The store comes back from a copy that is some seconds old, again and again:
@@ -310,37 +311,37 @@
 {
     struct world_plan plan = evacuations_among_faults;
 
-    plan.older = 5;
-    plan.evacuated_most = 1;
+    plan.store_restore = 5;
+    plan.evacuated_max = 1;
     plan.requests = 4;
     plan.pause_ms = 600;
-    plan.loss_of_all = true;
-    g_assert_cmpuint(play_for(&plan, CUT_FAULTY_MS), >=, 100);
+    plan.restart_all = true;
+    g_assert_cmpuint(run_plan_for(&plan, PARTITION_FAULTY_MS), >=, 100);
 }
 
 /* More requests than slots: they wait on open flows. 100 a second of 200 ms
  * for 18 slots. */
-static const struct world_plan too_many = {
+static const struct world_plan overload = {
     .new_flows = 1000,
     .work_ms = 200,
-    .budget_ms = 3000,
+    .timeout_ms = 3000,
 };
 
 TEST(requests_wait_where_slots_are_short)
 {
-    g_assert_cmpuint(play(&too_many), >=, 700);
+    g_assert_cmpuint(run_plan(&overload), >=, 700);
 }
 
 TEST(requests_wait_among_faults)
 {
-    struct world_plan plan = everything;
+    struct world_plan plan = all_faults;
 
     plan.new_flows = 1000;
     plan.work_ms = 200;
-    plan.budget_ms = 3000;
+    plan.timeout_ms = 3000;
     plan.stall = 50;
     plan.closing = true;
-    g_assert_cmpuint(play(&plan), >=, 200);
+    g_assert_cmpuint(run_plan(&plan), >=, 200);
 }
 
 TEST(requests_wait_while_addresses_move_and_agents_start_again)
@@ -348,17 +349,17 @@
     static const struct world_plan plan = {
         .new_flows = 1000,
         .work_ms = 200,
-        .budget_ms = 3000,
+        .timeout_ms = 3000,
         .reuse = 20,
         .rehash = 50,
         .loss = 10,
         .agent_restart = 20,
         .balancer_restart = 10,
         .evacuate = 10,
-        .evacuated_most = 1,
+        .evacuated_max = 1,
     };
 
-    g_assert_cmpuint(play_for(&plan, CUT_FAULTY_MS), >=, 200);
+    g_assert_cmpuint(run_plan_for(&plan, PARTITION_FAULTY_MS), >=, 200);
 }
 
 /* A closing caller's packets ended at an endpoint that waited for the end of
@@ -367,14 +368,15 @@
 {
     static const uint32_t seeds[] = {7, 11, 12, 43, 63, 74, 77};
 
-    play_kept(&late_syns, seeds, G_N_ELEMENTS(seeds));
+    run_plan_seeds(&delayed_syns, seeds, G_N_ELEMENTS(seeds));
 }
 
-/* Callers whose requests may run twice are told though an agent that is silent
- * may hold their flow: no flow of an agent that isn't cut off may end so. A
- * tenth, a third and half of the agents are cut off at a time. */
+/* Callers whose requests may run twice are reported though an agent that is
+ * silent may hold their flow: no flow of an agent that isn't partition off may
+ * end so. A tenth, a third and half of the agents are partition off at a time.
+ */
 static unsigned
-play_cut(unsigned agents)
+run_partitioned(unsigned agents)
 {
     const struct world_plan plan = {
         .new_flows = 400,
@@ -383,24 +385,24 @@
         .balancer_restart = 10,
         .agent_restart = 5,
         .endpoint_crash = 10,
-        .cut = 20,
-        .cut_agents = agents,
+        .partition = 20,
+        .partitioned_agents = agents,
     };
 
-    return play_for(&plan, CUT_FAULTY_MS);
+    return run_plan_for(&plan, PARTITION_FAULTY_MS);
 }
 
 TEST(a_tenth_of_the_agents_cut_off)
 {
-    g_assert_cmpuint(play_cut(1), >=, 500);
+    g_assert_cmpuint(run_partitioned(1), >=, 500);
 }
 
 TEST(a_third_of_the_agents_cut_off)
 {
-    g_assert_cmpuint(play_cut(3), >=, 300);
+    g_assert_cmpuint(run_partitioned(3), >=, 300);
 }
 
 TEST(half_of_the_agents_cut_off)
 {
-    g_assert_cmpuint(play_cut(5), >=, 200);
+    g_assert_cmpuint(run_partitioned(5), >=, 200);
 }
