--- a/src/relay/admission/admission.c
+++ b/src/relay/admission/admission.c
@@ -9,28 +9,29 @@
 #include "base/clock.h"
 #include "relay/admission/admission_private.h"
 
-/* A request is taken as over after this long without a sign of it: callers
- * that never sent one after the handshake, or whose answer was lost. */
+/* A request counts as ended after this time without an answer, in case its
+ * caller never sent it or the answer was lost. */
 #define REQUEST_MAX_US (2 * USEC_PER_SEC)
 
-/* A flow whose caller doesn't go on after the handshake for this long, some
- * ten round trips, was opened elsewhere: its SYN had two answers. */
+/* Limit of the time between SYN and the caller's acknowledgement, some ten
+ * round trips. After it, the caller is taken to have accepted another
+ * endpoint's SYN+ACK. */
 #define UNCONFIRMED_MAX_US (60 * USEC_PER_MSEC)
 
 #define SWEEP_US (50 * USEC_PER_MSEC)
 
-/* A flow that was quiet for this long is forgotten; the endpoint itself
- * still holds it, and a packet of it is offered there first. */
+/* Flows without packets for this time are removed. If the endpoint still holds
+ * one, its next packet is offered there. */
 #define IDLE_US (60 * USEC_PER_SEC)
 
 static void
 syn_timer_expired(struct admission *admission,
-                  const struct admission_syn_timer *wait, uint64_t now_us)
+                  const struct admission_syn_timer *timer, uint64_t now_us)
 {
-    struct admission_flow *flow = &admission->flows[wait->handle];
+    struct admission_flow *flow = &admission->flows[timer->handle];
 
     if (flow->state != ADMISSION_FLOW_OPENING ||
-        flow->tried_us != wait->tried_us) {
+        flow->syn_sent_us != timer->syn_sent_us) {
         return;
     }
     if (endpoint_silent(&admission->endpoint)) {
@@ -38,7 +39,7 @@
         admission_notify_state(admission, now_us);
     }
     flow->frame.best.ip = 0;
-    admission_redirect(admission, wait->handle, FRAME_REASON_SILENT, now_us);
+    admission_redirect(admission, timer->handle, FRAME_REASON_SILENT, now_us);
 }
 
 static void
@@ -50,11 +51,11 @@
     while (at < admission->busy_count) {
         uint32_t handle = admission->busy[at];
 
-        uint64_t most_us = admission->flows[handle].confirmed
-                               ? REQUEST_MAX_US
-                               : UNCONFIRMED_MAX_US;
+        uint64_t max_us = admission->flows[handle].confirmed
+                              ? REQUEST_MAX_US
+                              : UNCONFIRMED_MAX_US;
 
-        if (now_us - admission->flows[handle].busy_us > most_us) {
+        if (now_us - admission->flows[handle].busy_us > max_us) {
             admission_flow_set_idle(admission, handle);
         }
         else {
@@ -153,11 +154,12 @@
 
 bool
 admission_handle_evacuations(struct admission *admission,
-                             const struct evacuations *told, uint64_t now_us)
+                             const struct evacuations *evacuations,
+                             uint64_t now_us)
 {
     bool was_evacuated = admission_is_evacuated(admission);
 
-    if (!store_state_update(&admission->store, told, now_us) ||
+    if (!store_state_update(&admission->store, evacuations, now_us) ||
         admission_is_evacuated(admission) == was_evacuated) {
         return false;
     }
@@ -199,10 +201,9 @@
     admission_queue_admit(admission, now_us);
 }
 
-/* What the endpoint did before its incarnation is over. Callers learn it with
- * their next packet, which it bounces: those that were opened between its
- * incarnation and its first heartbeat live, and nothing here tells which those
- * are. */
+/* Clears the state of the endpoint's last incarnation. Flows stay in the
+ * table, as some may have been opened between the new incarnation's start and
+ * its first heartbeat. Packets of the others bounce, which ends them. */
 static void
 reset_incarnation(struct admission *admission)
 {
@@ -268,13 +269,13 @@
     while (admission->syn_timer_count > 0 &&
            admission->syn_timers[admission->syn_timer_first].due_us <=
                now_us) {
-        struct admission_syn_timer wait =
+        struct admission_syn_timer timer =
             admission->syn_timers[admission->syn_timer_first];
 
         admission->syn_timer_first =
             (admission->syn_timer_first + 1) % ADMISSION_SYN_TIMERS_MAX;
         admission->syn_timer_count--;
-        syn_timer_expired(admission, &wait, now_us);
+        syn_timer_expired(admission, &timer, now_us);
     }
     if (now_us >= admission->sweep_us) {
         sweep(admission, now_us);
--- a/src/relay/admission/admission.h
+++ b/src/relay/admission/admission.h
@@ -1,14 +1,16 @@
 /**
- * DOC: admission - what an agent does at its endpoint's admission (decisions
- * only)
+ * DOC: admission - an agent's decisions on SYNs and flows of its endpoint
  *
- * Every packet to an endpoint passes its agent, so what the agent alone can
- * notify needs no agreement: requests in progress, an answer that doesn't
- * come, an endpoint that leaves or has gone, how much a cold one was given.
- * A SYN that can't be taken well here goes on to the next agent that its
- * balancer named; where all are full, the least busy opens the flow, and its
- * request syn_timers there until a slot is free. A packet of a flow
- * that the endpoint doesn't hold goes the same way.
+ * Every packet to an endpoint passes its agent, so the agent decides from
+ * local state: requests in progress, unanswered SYNs, the endpoint's lifecycle
+ * and, while it is cold, the requests it was given. A SYN that the endpoint
+ * can't take soon is forwarded to the next agent that its frame names. When
+ * all of them are busy, the least busy one opens the flow and queues its
+ * request until a slot is free. Packets of flows that the endpoint doesn't
+ * hold are forwarded the same way.
+ *
+ * The functions only decide; packets and frames leave through struct
+ * admission_out.
  */
 #ifndef SWIFTARCH_RELAY_ADMISSION_ADMISSION_H
 #define SWIFTARCH_RELAY_ADMISSION_ADMISSION_H
@@ -27,94 +29,104 @@
 #include "relay/wire/packet.h"
 #include "relay/wire/store_state.h"
 
-/* Flows that one agent remembers: an endpoint holds some 2,000, the rest is
- * for those that went on. */
+/* Flows in an agent's table: those of its endpoint, some 2,000, and those that
+ * were redirected. */
 #define ADMISSION_FLOWS_MAX (1u << 14)
 
-/** enum admission_drop - why a packet ended here */
+/** enum admission_drop - why a packet was dropped */
 enum admission_drop {
-    ADMISSION_DROP_MALFORMED, /* no packet or frame, or one nobody may send */
-    ADMISSION_DROP_NO_AGENT,  /* no agent is left that might take it */
-    ADMISSION_DROP_STALE,     /* an answer to a SYN that has gone on since */
-    ADMISSION_DROP_EXPIRED, /* its caller gave up while it waited for a slot */
+    ADMISSION_DROP_MALFORMED, /* not a packet or frame, or one of a forbidden
+                                 kind */
+    ADMISSION_DROP_NO_AGENT,  /* no agent is left to forward it to */
+    ADMISSION_DROP_STALE,     /* a SYN+ACK of a redirected flow */
+    ADMISSION_DROP_EXPIRED,   /* abandoned by its caller in the queue */
     ADMISSION_DROP_COUNT,
 };
 
-/** enum admission_decision - what became of a SYN, or of a flow's packet */
+/** enum admission_decision - the result for a SYN or a packet of a flow */
 enum admission_decision {
-    ADMISSION_DECISION_ESTABLISH, /* the endpoint holds the flow */
-    ADMISSION_DECISION_REDIRECT,  /* another agent has it now */
-    ADMISSION_DECISION_ABANDON,   /* nobody was left that might take it */
-    ADMISSION_DECISION_QUEUE,     /* it syn_timers for a free slot */
-    ADMISSION_DECISION_ADMIT,  /* it has waited, and the endpoint was given it
-                                */
-    ADMISSION_DECISION_EXPIRE, /* its caller gave up while it waited */
-    ADMISSION_DECISION_RESET,  /* its endpoint is no more, and the caller is
-                                  told */
+    ADMISSION_DECISION_ESTABLISH, /* the endpoint answered the SYN */
+    ADMISSION_DECISION_REDIRECT,  /* forwarded to another agent */
+    ADMISSION_DECISION_ABANDON,   /* no agent was left to forward it to */
+    ADMISSION_DECISION_QUEUE,     /* queued for a free slot */
+    ADMISSION_DECISION_ADMIT,     /* given to the endpoint from the queue */
+    ADMISSION_DECISION_EXPIRE,    /* abandoned by its caller in the queue */
+    ADMISSION_DECISION_RESET, /* its endpoint has ended, the caller is reset */
 };
 
 struct admission_out;
 
-/** struct admission_out_ops - what a decision leads to */
+/** struct admission_out_ops - outputs of the decisions */
 struct admission_out_ops {
-    /** @to_endpoint: hand a packet to the endpoint */
+    /** @to_endpoint: send a packet to the endpoint */
     void (*to_endpoint)(struct admission_out *out, const uint8_t *bytes,
                         size_t size);
     /** @to_caller: send the endpoint's packet to its caller */
     void (*to_caller)(struct admission_out *out, struct addr caller,
                       const uint8_t *bytes, size_t size);
-    /** @reset: notify a caller that its flow is over; @seq: what it last
-     * acknowledged */
+    /** @reset: reset a flow at its caller; @seq: sequence number of the reset
+     */
     void (*reset)(struct admission_out *out, struct relay_flow flow,
                   uint32_t seq);
-    /** @forward: send a packet on to another agent */
+    /** @forward: send a caller's packet to another agent */
     void (*forward)(struct admission_out *out, struct addr agent,
                     const struct frame_forward *frame);
-    /** @notify: send a balancer a word */
+    /** @notify: send a balancer a status frame */
     void (*notify)(struct admission_out *out, struct addr balancer,
                    const struct frame_status *status);
-    /** @served: notify a balancer without configuration what is served */
+    /** @served: send a balancer without configuration the addresses of the
+     * endpoint's service */
     void (*served)(struct admission_out *out, struct addr balancer,
                    const struct frame_served *served);
-    /** @query_reply: answer a balancer that asks for flows */
+    /** @query_reply: answer a balancer's orphan query */
     void (*query_reply)(struct admission_out *out, struct addr balancer,
                         const struct frame_query_reply *query_reply);
-    /** @probe: ask the host whether the endpoint's process is there; when it
-     * isn't, admission_endpoint_down() tells */
+    /** @probe: check whether the endpoint's process is running; if it isn't,
+     * admission_endpoint_down() must be called */
     void (*probe)(struct admission_out *out);
     /** @dropped: a packet was dropped */
     void (*dropped)(struct admission_out *out, enum admission_drop why);
-    /** @decided: what became of a SYN or of a flow */
+    /** @decided: a decision on a SYN or a flow, for metrics and logs */
     void (*decided)(struct admission_out *out,
                     enum admission_decision decision, struct relay_flow flow,
                     enum frame_reason why, const struct frame_forward *frame);
 };
 
-/** struct admission_out - where outputs go; the vtable comes first */
+/** struct admission_out - receiver of the outputs, embedded at the start of
+ * the caller's own struct */
 struct admission_out {
     const struct admission_out_ops *ops;
 };
 
 struct admission_flow;
 
-/** struct admission_syn_timer - look at a flow when the endpoint should have
- * answered */
+/**
+ * struct admission_syn_timer - timeout of a SYN that was given to the endpoint
+ * @due_us: when it expires
+ * @handle: the flow
+ * @syn_sent_us: when the SYN was sent; if the flow's differs, the timer is
+ * stale
+ */
 struct admission_syn_timer {
     uint64_t due_us;
     uint32_t handle;
-    uint64_t tried_us;
+    uint64_t syn_sent_us;
 };
 
 #define ADMISSION_SYN_TIMERS_MAX 1024u
 #define ADMISSION_BALANCERS_MAX 64
 #define ADMISSION_ANNOUNCE_TARGETS_MAX 8
 
-/* SYNs and requests that wait at an agent: what an endpoint of two slots works
- * off in 2 s, at 33 ms each. */
+/* Capacity of an agent's queue of SYNs and requests. Two slots at 33 ms a
+ * request work it off in 2 s. */
 #define ADMISSION_QUEUE_MAX 128
 
-/** struct admission_balancer - a balancer that was heard from, and how it
- * packet_pool up with the store then */
+/**
+ * struct admission_balancer - a balancer that this agent has heard from
+ * @addr: its address
+ * @heard_us: when its last frame came
+ * @view: its configuration version and store reader state in that frame
+ */
 struct admission_balancer {
     struct addr addr;
     uint64_t heard_us;
@@ -122,44 +134,45 @@
 };
 
 /**
- * struct admission - state of an agent
- * @out: where outputs go
+ * struct admission - an agent's decision state
+ * @out: receiver of the outputs
  * @self: address that other agents send to
- * @data_centre: evacuations_key() of where it stands
- * @store: what is known of the store, and which data centres are evacuated
- * @endpoint: what is known of the endpoint
- * @incarnation: counts the starts of the endpoint that were seen
+ * @data_centre: evacuations_key() of this agent's data centre
+ * @store: state of the store, with the evacuated data centres
+ * @endpoint: state of the endpoint
+ * @incarnation: number of endpoint incarnations seen so far
  * @table: keys of the flows
- * @flows: one for each handle
- * @syn_timers: SYNs that the endpoint hasn't answered, in order
- * @syn_timer_first: first of them
- * @syn_timer_count: how many
- * @busy: flows with a request in progress, as handles
- * @busy_count: how many
- * @queue: SYNs and requests that wait for a free slot, as handles, in the
- * order they came
- * @queue_count: how many
- * @packet_pool: packets of requests that wait
- * @latency: how fast the endpoint and its callers are
- * @slow_start: how much the endpoint may be given while it is cold
- * @slow_start_due_us: when it may be given more, if something syn_timers for
- * that; UINT64_MAX if nothing does
- * @outcome: how much of what it is asked the endpoint resets
- * @sweep_us: when to look for requests that are in progress for too long
- * @heard: newest configuration that any balancer spoke of
- * @balancers: balancers heard from, to notify them of a change
- * @balancer_count: how many
- * @unanswered_us: first packet since the endpoint's last sign of life that it
- *                 owes an answer to, 0 for none
- * @probed_us: when the host was last asked whether the endpoint is there
- * @evicted_flows: flows were forgotten for want of room: the table isn't all
- * that the endpoint holds
- * @closed: a planned stop has begun
- * @unlisted: the store doesn't name this agent any more: to be written anew
- * @served: addresses seen in flows from before the incarnation
- * @announce_targets: hosts to notify that this agent is here, until one speaks
- * @announce_target_count: how many
- * @announce_us: when to notify them next
+ * @flows: flow data, indexed by handle
+ * @syn_timers: ring of timers of unanswered SYNs, in order of expiry
+ * @syn_timer_first: index of the first timer
+ * @syn_timer_count: number of timers
+ * @busy: handles of flows with a request in progress
+ * @busy_count: number of them
+ * @queue: handles of flows whose SYN or request is queued, in order of arrival
+ * @queue_count: number of them
+ * @packet_pool: packets of queued requests
+ * @latency: averages of service and round-trip times
+ * @slow_start: rate limit while the endpoint is cold
+ * @slow_start_due_us: when the rate limit allows the next queued request;
+ * UINT64_MAX if none waits for that
+ * @outcome: rate of requests that the endpoint resets
+ * @sweep_us: when timeouts of requests and flows are checked next
+ * @heard: newest configuration version that a balancer reported, and the
+ * balancer
+ * @balancers: balancers that are notified of changes
+ * @balancer_count: number of them
+ * @unanswered_us: time of the first packet since the endpoint's last sign of
+ * life that it must answer, 0 for none
+ * @probed_us: when the endpoint's process was last probed, 0 for never
+ * @evicted_flows: flows were evicted from the full table, so it doesn't list
+ * all flows of the endpoint
+ * @closed: the agent drains for a planned stop
+ * @unlisted: the store has no entry for this agent, so it must register again
+ * @served: service addresses seen in flows from before this agent's start
+ * @announce_targets: hosts to announce this agent to, until a balancer is
+ * heard
+ * @announce_target_count: number of them
+ * @announce_us: when to announce next
  */
 struct admission {
     struct admission_out *out;
@@ -198,9 +211,9 @@
 };
 
 /**
- * admission_init() - an endpoint of @service of which nothing is known
+ * admission_init() - set up the state for an endpoint of @service
  * @self: address that other agents send to
- * @data_centre: where it stands
+ * @data_centre: name of this agent's data centre
  *
  * Return: 0 or -ENOMEM.
  */
@@ -209,8 +222,9 @@
                struct addr self, const char *data_centre, const char *service,
                uint64_t now_us);
 
-/** admission_add_announce_target() - a balancer may be at @balancer: it is
- * told that this agent is here, until some balancer speaks */
+/** admission_add_announce_target() - announce this agent to @balancer
+ * regularly until a balancer is heard; ignored when
+ * ADMISSION_ANNOUNCE_TARGETS_MAX are set */
 void
 admission_add_announce_target(struct admission *admission,
                               struct addr balancer);
@@ -219,88 +233,92 @@
 void
 admission_finish(struct admission *admission);
 
-/** admission_handle_forward() - a frame with a packet came */
+/** admission_handle_forward() - handle a caller's packet from a balancer or
+ * another agent */
 void
 admission_handle_forward(struct admission *admission,
                          const struct frame_forward *frame,
                          const struct relay_packet *packet, uint64_t now_us);
 
 /**
- * admission_handle_evacuations() - another host told which data centres are
- * evacuated
+ * admission_handle_evacuations() - handle a list of evacuated data centres
+ * from another host
  *
- * In an evacuated data centre the endpoint gets no new flow, whatever a
- * balancer believes; flows that are open go on.
+ * In an evacuated data centre the endpoint gets no new flow, even from a
+ * balancer with an older list. Open flows continue.
  *
- * Return: whether this agent's data centre has been evacuated by that, or is
- * back in service.
+ * Return: whether the evacuation of this agent's data centre began or ended.
  */
 bool
 admission_handle_evacuations(struct admission *admission,
-                             const struct evacuations *told, uint64_t now_us);
+                             const struct evacuations *evacuations,
+                             uint64_t now_us);
 
-/** admission_is_evacuated() - whether this agent's data centre is */
+/** admission_is_evacuated() - whether this agent's data centre is evacuated */
 bool
 admission_is_evacuated(const struct admission *admission);
 
-/** admission_handle_ping() - a balancer asks; @unlisted: and says that the
- * store doesn't name this agent any more */
+/** admission_handle_ping() - answer a balancer's ping with the endpoint's
+ * state; the ping also reports whether the store lists this agent */
 void
 admission_handle_ping(struct admission *admission, struct addr balancer,
                       const struct frame_ping *ping, uint64_t now_us);
 
-/** admission_handle_query() - a balancer asks which flows the endpoint holds
- */
+/** admission_handle_query() - answer a balancer's query which orphaned flows
+ * the endpoint doesn't hold */
 void
 admission_handle_query(struct admission *admission, struct addr balancer,
-                       const struct frame_query *ask, uint64_t now_us);
+                       const struct frame_query *query, uint64_t now_us);
 
-/** admission_handle_endpoint_packet() - the endpoint sent a packet */
+/** admission_handle_endpoint_packet() - handle a packet from the endpoint, or
+ * a caller's packet that bounced there */
 void
 admission_handle_endpoint_packet(struct admission *admission,
                                  const struct relay_packet *packet,
                                  uint64_t now_us);
 
-/** admission_handle_heartbeat() - the endpoint's heartbeat came; whether it is
- * believed, and so acknowledged */
+/**
+ * admission_handle_heartbeat() - handle the endpoint's heartbeat
+ *
+ * Return: whether to acknowledge it; false if it is of an earlier incarnation.
+ */
 bool
 admission_handle_heartbeat(struct admission *admission,
                            const struct heartbeat *heartbeat, uint64_t now_us);
 
-/** admission_endpoint_left() - the endpoint said that it ends; @id and
+/** admission_endpoint_left() - handle the endpoint's goodbye; @id and
  * @started_ms as for endpoint_left() */
 void
 admission_endpoint_left(struct admission *admission, const char *id,
                         uint64_t started_ms, uint64_t now_us);
 
-/** admission_endpoint_down() - the host says that the endpoint's process isn't
- * there */
+/** admission_endpoint_down() - the endpoint's process isn't running, as a
+ * probe found */
 void
 admission_endpoint_down(struct admission *admission, uint64_t now_us);
 
-/** admission_drain() - a planned stop: no new flow from now on, and balancers
- * are told so; flows that are here go on */
+/** admission_drain() - begin a planned stop: notify balancers and take no new
+ * flows, but serve the open ones */
 void
 admission_drain(struct admission *admission, uint64_t now_us);
 
-/** admission_tick() - do what is due; call it at admission_next_us() or later
+/** admission_tick() - handle timeouts; call it at admission_next_us() or later
  */
 void
 admission_tick(struct admission *admission, uint64_t now_us);
 
-/** admission_next_us() - when admission_tick() is due next; UINT64_MAX for
- * never */
+/** admission_next_us() - when admission_tick() is due */
 uint64_t
 admission_next_us(const struct admission *admission);
 
 /**
- * struct admission_explanation - what is known of one flow
- * @state: where it is, as a word
- * @confirmed: its caller acknowledged this endpoint's answer
+ * struct admission_explanation - the state of one flow, for operators
+ * @state: its state's name
+ * @confirmed: the caller acknowledged this endpoint's SYN+ACK
  * @proven: the endpoint has sent packets of it since
- * @in_progress: its request counts as being worked on
- * @origin: balancer that its packets came through last
- * @target: agent that it was sent on to; address 0 for none
+ * @in_progress: its request is in progress
+ * @origin: balancer that its packets last came through
+ * @target: agent that it was redirected to; address 0 for none
  */
 struct admission_explanation {
     const char *state;
@@ -311,9 +329,10 @@
     struct addr target;
 };
 
-/** admission_explain() - notify what is known of a flow; false for nothing */
+/** admission_explain() - fill @explanation with the state of a flow; false if
+ * it is unknown */
 bool
 admission_explain(const struct admission *admission, struct relay_flow flow,
-                  struct admission_explanation *told);
+                  struct admission_explanation *explanation);
 
 #endif
--- a/src/relay/admission/admission_endpoint.c
+++ b/src/relay/admission/admission_endpoint.c
@@ -4,10 +4,9 @@
 
 #include "base/clock.h"
 
-/* An earlier packet of the flow went on while the endpoint had this one: it
- * goes the same way. It may overtake the other, so it names the same agents;
- * without them, searches ended at the third agent when the acknowledgement
- * and the goodbye of a caller came together. */
+/* Forwards a bounced packet the way of an earlier one of its flow. It may
+ * overtake that one, so its frame names the same agents: without them the
+ * lookup could end too early. */
 static void
 redirect_again(struct admission *admission, const struct admission_flow *flow,
                const struct relay_packet *packet)
@@ -22,7 +21,6 @@
     admission_forward_next(admission, &frame, flow->target);
 }
 
-/* The endpoint doesn't take a packet of the flow. */
 void
 admission_handle_bounce(struct admission *admission,
                         const struct relay_packet *packet, uint64_t now_us)
@@ -39,8 +37,8 @@
     if (flow->state == ADMISSION_FLOW_QUEUED ||
         (flow->state == ADMISSION_FLOW_OPENING &&
          !relay_packet_is_syn(packet))) {
-        /* It belongs to another endpoint's answer; the handshake here goes
-         * on, and the caller sends it again. */
+        /* The caller answers another endpoint's SYN+ACK. The handshake here
+         * continues, and the caller sends the packet again. */
         admission_drop(admission, ADMISSION_DROP_NO_AGENT);
         return;
     }
@@ -53,17 +51,17 @@
         return;
     }
     if (flow->state == ADMISSION_FLOW_ESTABLISHED && flow->proven) {
-        /* An endpoint answers packets of flows that have ended there; one
-         * that bounces them has started anew since. */
+        /* An endpoint also answers packets of ended flows. If it bounces them,
+         * it has restarted. */
         admission_reset_flow(admission, handle, packet->ack);
         return;
     }
     if (flow->state == ADMISSION_FLOW_ESTABLISHED) {
-        /* It was opened elsewhere: the balancer looks for it. */
+        /* It was opened elsewhere: the balancer looks it up. */
         flow->frame.next_count = 0;
         flow->frame.best.ip = 0;
     }
-    flow->denied = !relay_packet_is_syn(packet);
+    flow->rejected = !relay_packet_is_syn(packet);
     if (relay_packet_is_syn(packet)) {
         if (endpoint_refused(&admission->endpoint, admission->busy_count)) {
             slow_start_restart(&admission->slow_start);
@@ -78,8 +76,8 @@
 }
 
 static void
-on_accepted(struct admission *admission, uint32_t handle,
-            const struct relay_packet *packet, uint64_t now_us)
+syn_answered(struct admission *admission, uint32_t handle,
+             const struct relay_packet *packet, uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
 
@@ -91,38 +89,37 @@
                       FRAME_REASON_NONE);
 }
 
-/* The endpoint has answered the flow's request, or reset it. */
 static void
-note_outcome(struct admission *admission, bool reset, uint64_t now_us)
+record_outcome(struct admission *admission, bool reset, uint64_t now_us)
 {
-    bool was = outcome_is_failing(&admission->outcome, now_us);
+    bool was_failing = outcome_is_failing(&admission->outcome, now_us);
 
     outcome_record(&admission->outcome, reset, now_us);
-    if (outcome_is_failing(&admission->outcome, now_us) != was) {
+    if (outcome_is_failing(&admission->outcome, now_us) != was_failing) {
         admission_notify_state(admission, now_us);
     }
 }
 
-/* The endpoint answers the flow's request, or ends it. */
+/* Ends the request in progress, as the endpoint answered or reset it. */
 static void
 request_ended(struct admission *admission, uint32_t handle, bool reset,
               uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
 
-    if (flow->asked_us != 0) {
-        note_outcome(admission, reset, now_us);
+    if (flow->request_us != 0) {
+        record_outcome(admission, reset, now_us);
     }
-    if (flow->asked_us != 0 && !reset) {
-        latency_add_service(&admission->latency, now_us - flow->asked_us,
+    if (flow->request_us != 0 && !reset) {
+        latency_add_service(&admission->latency, now_us - flow->request_us,
                             flow->depth, admission->endpoint.slots);
     }
-    flow->asked_us = 0;
+    flow->request_us = 0;
     admission_flow_set_idle(admission, handle);
 }
 
-/* A flow from before this agent's start. The answer to a SYN doesn't prove
- * that the flow is open here: its caller may have taken another one. */
+/* Adds a flow from before this agent's start. A SYN+ACK doesn't prove that the
+ * flow is open here: the caller may have accepted another one. */
 static void
 add_unseen_flow(struct admission *admission, struct relay_flow key,
                 const struct relay_packet *packet, uint64_t now_us)
@@ -138,7 +135,7 @@
     admission_note_served(admission, key.service);
 }
 
-/* Whether the endpoint's reset ends a flow that was open there. */
+/* Whether the endpoint resets a flow that it held. */
 static bool
 is_own_reset(const struct admission_flow *flow)
 {
@@ -146,10 +143,10 @@
            (flow->confirmed || flow->proven);
 }
 
-/* The endpoint resets a flow that was never open there, as one does that has
- * just started: the flow lives elsewhere, and its caller is told nothing. */
+/* Drops a reset of a flow that the endpoint never held, as sent by one that
+ * has just started: the flow is open elsewhere. */
 static void
-reject_reset(struct admission *admission, uint32_t handle, uint64_t now_us)
+drop_reset(struct admission *admission, uint32_t handle, uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
 
@@ -157,7 +154,7 @@
     if (flow->state != ADMISSION_FLOW_OFFERED) {
         return;
     }
-    flow->denied = true;
+    flow->rejected = true;
     admission_flow_set_remote(admission, handle);
     admission_decided(admission, ADMISSION_DECISION_ABANDON, handle,
                       FRAME_REASON_REFUSED);
@@ -166,17 +163,16 @@
         FRAME_REASON_REFUSED, flow->target, now_us);
 }
 
-/* Whether the endpoint answers a SYN with another number than before: it has
- * started anew since, and the earlier answer was late. */
+/* Whether a SYN+ACK has another sequence number than the last one, as the
+ * endpoint has restarted in between. */
 static bool
-is_new_answer(const struct admission_flow *flow,
-              const struct relay_packet *packet)
+is_new_syn_ack(const struct admission_flow *flow,
+               const struct relay_packet *packet)
 {
     return flow->state == ADMISSION_FLOW_ESTABLISHED && !flow->confirmed &&
            flow->seq != packet->seq;
 }
 
-/* Whether the packet may go to its caller. */
 bool
 admission_handle_endpoint_reply(struct admission *admission,
                                 const struct relay_packet *packet,
@@ -198,7 +194,7 @@
     flow = &admission->flows[handle];
     flow_index_touch(&admission->table, handle, now_us);
     if (resets && !is_own_reset(flow)) {
-        reject_reset(admission, handle, now_us);
+        drop_reset(admission, handle, now_us);
         return false;
     }
     if (relay_packet_is_syn_ack(packet)) {
@@ -207,8 +203,8 @@
             return false;
         }
         if (flow->state == ADMISSION_FLOW_OPENING ||
-            is_new_answer(flow, packet)) {
-            on_accepted(admission, handle, packet, now_us);
+            is_new_syn_ack(flow, packet)) {
+            syn_answered(admission, handle, packet, now_us);
         }
         return true;
     }
@@ -218,7 +214,7 @@
             admission_note_served(admission, key.service);
         }
         else if (flow->state == ADMISSION_FLOW_QUEUED) {
-            /* The endpoint has held it since before this agent's start. */
+            /* The endpoint has it from before this agent's start. */
             admission_queue_remove(admission, handle);
         }
         flow->state = ADMISSION_FLOW_ESTABLISHED;
--- a/src/relay/admission/admission_established.c
+++ b/src/relay/admission/admission_established.c
@@ -2,35 +2,36 @@
 
 #include "base/clock.h"
 
+/* An acknowledgement this many bytes or more beyond the SYN+ACK belongs to
+ * another endpoint's SYN+ACK. */
 #define SEQ_WINDOW 76802u
 
-/* Sends a packet of a flow along the agents that its frame names. */
 void
 admission_forward_next(struct admission *admission,
                        const struct frame_forward *frame, struct addr agent)
 {
-    struct frame_forward on = *frame;
-    unsigned kept = 0;
+    struct frame_forward forwarded = *frame;
+    unsigned count = 0;
 
-    for (unsigned i = 0; i < on.next_count; i++) {
-        if (!addr_equal(on.next[i], agent)) {
-            on.next[kept++] = on.next[i];
+    for (unsigned i = 0; i < forwarded.next_count; i++) {
+        if (!addr_equal(forwarded.next[i], agent)) {
+            forwarded.next[count++] = forwarded.next[i];
         }
     }
-    on.next_count = (uint8_t)kept;
-    on.hops++;
-    admission->out->ops->forward(admission->out, agent, &on);
+    forwarded.next_count = (uint8_t)count;
+    forwarded.hops++;
+    admission->out->ops->forward(admission->out, agent, &forwarded);
 }
 
-/* A packet of a search whose flow isn't here goes on. Nothing is kept of it,
- * and only its end is told: after a loss of all hosts every packet of a flow
- * from before passes many agents, each with a word to its balancer. */
+/* Forwards a packet of a lookup whose flow isn't here. No flow is added, and
+ * only the end of the lookup is reported, to save a status frame at each agent
+ * that the packet passes. */
 static void
 continue_lookup(struct admission *admission, const struct frame_forward *frame,
                 const struct relay_packet *packet, uint64_t now_us)
 {
     struct relay_flow flow = relay_flow_from_caller(packet);
-    struct addr nobody = {0};
+    struct addr no_agent = {0};
     bool last = frame->next_count == 0 || frame->hops >= ADMISSION_HOPS_MAX;
 
     admission->out->ops->decided(admission->out,
@@ -43,20 +44,20 @@
     }
     admission_drop(admission, ADMISSION_DROP_NO_AGENT);
     admission_notify_redirected(admission, flow, frame->origin,
-                                FRAME_REASON_REFUSED, nobody, now_us);
+                                FRAME_REASON_REFUSED, no_agent, now_us);
 }
 
-/* Offers a packet of a search to the endpoint, which hands it back if it
- * doesn't hold the flow. */
+/* Offers a packet of a lookup to the endpoint, which bounces it if it doesn't
+ * hold the flow. */
 static void
-offer(struct admission *admission, uint32_t handle,
-      const struct frame_forward *frame, const struct relay_packet *packet,
-      uint64_t now_us)
+offer_packet(struct admission *admission, uint32_t handle,
+             const struct frame_forward *frame,
+             const struct relay_packet *packet, uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
 
     flow->state = ADMISSION_FLOW_OFFERED;
-    flow->asked = true;
+    flow->from_lookup = true;
     flow->frame = *frame;
     flow->frame.bytes = NULL;
     flow->origin = frame->origin;
@@ -68,8 +69,6 @@
                                      packet->size);
 }
 
-/* A packet of an unknown flow: the endpoint may hold it from before this
- * agent's start. */
 void
 admission_offer_unknown(struct admission *admission,
                         const struct frame_forward *frame,
@@ -84,27 +83,27 @@
     }
     handle = admission_flow_add(admission, relay_flow_from_caller(packet),
                                 ADMISSION_FLOW_OFFERED, now_us);
-    offer(admission, handle, frame, packet, now_us);
+    offer_packet(admission, handle, frame, packet, now_us);
 }
 
 static bool
-acks_other_endpoint(const struct admission_flow *flow,
-                    const struct relay_packet *packet)
+acks_other_syn_ack(const struct admission_flow *flow,
+                   const struct relay_packet *packet)
 {
     return !flow->confirmed && flow->seq != 0 &&
            (packet->flags & RELAY_ACK) != 0 &&
            packet->ack - flow->seq >= SEQ_WINDOW;
 }
 
-/* Another endpoint's answer to the SYN came first: the flow is there. */
+/* Redirects a flow whose caller accepted another endpoint's SYN+ACK. */
 static void
-yield_flow(struct admission *admission, uint32_t handle,
-           const struct frame_forward *frame,
-           const struct relay_packet *packet, uint64_t now_us)
+redirect_to_acceptor(struct admission *admission, uint32_t handle,
+                     const struct frame_forward *frame,
+                     const struct relay_packet *packet, uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
 
-    flow->refuted = true;
+    flow->accepted_elsewhere = true;
     flow->frame = *frame;
     flow->frame.bytes = packet->bytes;
     flow->frame.size = packet->size;
@@ -113,8 +112,6 @@
     admission_redirect(admission, handle, FRAME_REASON_REFUSED, now_us);
 }
 
-/* The flow was open at this endpoint, and the endpoint is another one now or
- * has ended: its caller learns it at once instead of by its timeout. */
 void
 admission_reset_flow(struct admission *admission, uint32_t handle,
                      uint32_t seq)
@@ -134,18 +131,18 @@
     struct admission_flow *flow = &admission->flows[handle];
 
     admission_flow_set_busy(admission, handle, now_us);
-    flow->asked_us = now_us;
+    flow->request_us = now_us;
     flow->depth = admission->busy_count;
 }
 
 static void
-deliver(struct admission *admission, uint32_t handle,
-        const struct frame_forward *frame, const struct relay_packet *packet,
-        uint64_t now_us)
+deliver_packet(struct admission *admission, uint32_t handle,
+               const struct frame_forward *frame,
+               const struct relay_packet *packet, uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
     uint32_t end = packet->seq + packet->len;
-    bool search = frame->next_count > 0;
+    bool is_lookup = frame->next_count > 0;
 
     if (flow->proven && admission->endpoint.state == ENDPOINT_GONE) {
         admission_reset_flow(admission, handle, packet->ack);
@@ -166,20 +163,20 @@
         admission->out->ops->to_endpoint(admission->out, packet->bytes,
                                          packet->size);
     }
-    if (search || !addr_equal(flow->origin, frame->origin)) {
+    if (is_lookup || !addr_equal(flow->origin, frame->origin)) {
         flow->origin = frame->origin;
         admission_notify_established(admission, handle, now_us);
     }
 }
 
-/* Where a packet of a flow that went on goes: to the agent its SYN went to,
- * unless the packet is on a search that doesn't name that agent any more. A
- * search says itself where it goes. */
+/* Agent to forward a redirected flow's packet to: the one that got its SYN,
+ * unless the packet's lookup path no longer names it. A flow from a lookup
+ * follows the path in each packet's frame. */
 static struct addr
 next_agent(const struct admission_flow *flow,
            const struct frame_forward *frame)
 {
-    if (flow->asked && frame->next_count > 0) {
+    if (flow->from_lookup && frame->next_count > 0) {
         return frame->next[0];
     }
     for (unsigned i = 0; i < frame->next_count; i++) {
@@ -190,7 +187,6 @@
     return frame->next_count > 0 ? frame->next[0] : flow->target;
 }
 
-/* A packet of a flow that went on goes after it. */
 static void
 forward_remote(struct admission *admission, uint32_t handle,
                const struct frame_forward *frame, uint64_t now_us)
@@ -222,30 +218,29 @@
     flow_index_touch(&admission->table, handle, now_us);
     switch (flow->state) {
     case ADMISSION_FLOW_REMOTE:
-        if (flow->maybe_local && !flow->denied &&
+        if (flow->maybe_local && !flow->rejected &&
             admission->endpoint.state != ENDPOINT_GONE) {
-            offer(admission, handle, frame, packet, now_us);
+            offer_packet(admission, handle, frame, packet, now_us);
             return;
         }
         forward_remote(admission, handle, frame, now_us);
         return;
     case ADMISSION_FLOW_QUEUED:
-        /* Its caller had another answer to its SYN: that waits no more. */
+        /* The caller accepted another SYN+ACK: the queued SYN is dropped. */
         admission_flow_remove(admission, handle);
         admission_offer_unknown(admission, frame, packet, now_us);
         return;
     case ADMISSION_FLOW_OFFERED:
     case ADMISSION_FLOW_OPENING:
-        /* Nothing says so far that the endpoint holds the flow; it may have
-         * answered before this agent's start. */
+        /* The endpoint may have answered before this agent's start. */
         admission->out->ops->to_endpoint(admission->out, packet->bytes,
                                          packet->size);
         return;
     default:
-        if (acks_other_endpoint(flow, packet)) {
-            yield_flow(admission, handle, frame, packet, now_us);
+        if (acks_other_syn_ack(flow, packet)) {
+            redirect_to_acceptor(admission, handle, frame, packet, now_us);
             return;
         }
-        deliver(admission, handle, frame, packet, now_us);
+        deliver_packet(admission, handle, frame, packet, now_us);
     }
 }
--- a/src/relay/admission/admission_explain.c
+++ b/src/relay/admission/admission_explain.c
@@ -4,7 +4,7 @@
 
 bool
 admission_explain(const struct admission *admission, struct relay_flow flow,
-                  struct admission_explanation *told)
+                  struct admission_explanation *explanation)
 {
     static const char *const names[] = {
         [ADMISSION_FLOW_OPENING] = "opening",
@@ -16,16 +16,16 @@
     uint32_t handle = flow_index_find(&admission->table, flow);
     const struct admission_flow *known;
 
-    memset(told, 0, sizeof(*told));
+    memset(explanation, 0, sizeof(*explanation));
     if (handle == FLOW_INDEX_NONE) {
         return false;
     }
     known = &admission->flows[handle];
-    told->state = known->queued ? "queued" : names[known->state];
-    told->confirmed = known->confirmed;
-    told->proven = known->proven;
-    told->in_progress = known->busy_at >= 0;
-    told->origin = known->origin;
-    told->target = known->target;
+    explanation->state = known->queued ? "queued" : names[known->state];
+    explanation->confirmed = known->confirmed;
+    explanation->proven = known->proven;
+    explanation->in_progress = known->busy_index >= 0;
+    explanation->origin = known->origin;
+    explanation->target = known->target;
     return true;
 }
--- a/src/relay/admission/admission_flow.c
+++ b/src/relay/admission/admission_flow.c
@@ -4,9 +4,8 @@
 
 #include "base/clock.h"
 
-/* How long an endpoint may take to answer a SYN. It does so in 0.3 ms, five
- * times as long on a slowed host, and the agent shares a small processor
- * with it. */
+/* Timeout of an endpoint's answer to a SYN. Allows for a slow host whose
+ * processor the agent shares. */
 #define ANSWER_TIMEOUT_US (5 * USEC_PER_MSEC)
 
 void
@@ -40,10 +39,10 @@
     struct admission_flow *flow = &admission->flows[handle];
 
     flow->busy_us = now_us;
-    if (flow->busy_at >= 0) {
+    if (flow->busy_index >= 0) {
         return;
     }
-    flow->busy_at = (int)admission->busy_count;
+    flow->busy_index = (int)admission->busy_count;
     admission->busy[admission->busy_count++] = handle;
 }
 
@@ -53,13 +52,13 @@
     struct admission_flow *flow = &admission->flows[handle];
     uint32_t last;
 
-    if (flow->busy_at < 0) {
+    if (flow->busy_index < 0) {
         return;
     }
     last = admission->busy[--admission->busy_count];
-    admission->busy[flow->busy_at] = last;
-    admission->flows[last].busy_at = flow->busy_at;
-    flow->busy_at = -1;
+    admission->busy[flow->busy_index] = last;
+    admission->flows[last].busy_index = flow->busy_index;
+    flow->busy_index = -1;
 }
 
 void
@@ -84,7 +83,7 @@
     if (flow->state == ADMISSION_FLOW_QUEUED || flow->queued) {
         admission_queue_remove(admission, handle);
     }
-    packet_pool_release(&admission->packet_pool, &flow->packet_pool);
+    packet_pool_release(&admission->packet_pool, &flow->packets);
     flow->queued = false;
 }
 
@@ -94,14 +93,11 @@
     admission_flow_set_idle(admission, handle);
     admission_flow_dequeue(admission, handle);
     flow_index_remove(&admission->table, handle);
-    /* A wait for its answer that is still queued finds nothing to do. */
+    /* A pending SYN timer of the handle finds the state changed and does
+     * nothing. */
     admission->flows[handle].state = ADMISSION_FLOW_REMOTE;
 }
 
-/* The flow is open at another endpoint, nobody knows which. It isn't
- * forgotten: this one still syn_timers for the end of its own handshake and
- * takes packets of the other's without a word, for as long as the caller sends
- * them. */
 void
 admission_flow_set_remote(struct admission *admission, uint32_t handle)
 {
@@ -126,8 +122,8 @@
     admission->flows[handle] = (struct admission_flow){
         .state = state,
         .incarnation = admission->incarnation,
-        .busy_at = -1,
-        .packet_pool = PACKET_POOL_NONE,
+        .busy_index = -1,
+        .packets = PACKET_POOL_NONE,
     };
     return handle;
 }
@@ -136,16 +132,16 @@
 admission_syn_timer_add(struct admission *admission, uint32_t handle,
                         uint64_t now_us)
 {
-    struct admission_syn_timer *wait;
+    struct admission_syn_timer *timer;
 
     if (admission->syn_timer_count == ADMISSION_SYN_TIMERS_MAX) {
-        /* The balancer's own timeout takes its place. */
+        /* The balancer's own timeout covers this SYN. */
         return;
     }
-    wait = &admission->syn_timers[(admission->syn_timer_first +
-                                   admission->syn_timer_count) %
-                                  ADMISSION_SYN_TIMERS_MAX];
-    *wait = (struct admission_syn_timer){now_us + ANSWER_TIMEOUT_US, handle,
-                                         now_us};
+    timer = &admission->syn_timers[(admission->syn_timer_first +
+                                    admission->syn_timer_count) %
+                                   ADMISSION_SYN_TIMERS_MAX];
+    *timer = (struct admission_syn_timer){now_us + ANSWER_TIMEOUT_US, handle,
+                                          now_us};
     admission->syn_timer_count++;
 }
--- a/src/relay/admission/admission_notify.c
+++ b/src/relay/admission/admission_notify.c
@@ -4,22 +4,20 @@
 
 #include "base/clock.h"
 
-/* How often an agent that no balancer has spoken to says that it is here.
- * After a loss of all hosts this is how balancers find agents when the store
- * is away; three datagrams each time. */
+/* Interval of announcements until a balancer is heard. After a loss of all
+ * hosts balancers find agents by these while the store is down. */
 #define ANNOUNCE_INTERVAL_US (100 * USEC_PER_MSEC)
 
-/* Balancers that were silent for longer aren't told of changes. */
+/* Balancers without a frame for longer aren't notified of changes. */
 #define BALANCER_IDLE_US (60 * USEC_PER_SEC)
 
-/* A balancer that was silent for longer isn't counted as one that reads the
- * store: it may be frozen or cut off. Those with callers are heard with each
- * packet. */
+/* Balancers without a frame for longer aren't counted as store readers: they
+ * may be frozen or cut off. */
 #define READER_FRESH_US (1 * USEC_PER_SEC)
 
-/* Balancers but for @but that read the latest of the store, or try to. */
+/* Counts the balancers except @but that read the store, or try to. */
 static struct frame_readers
-count_readers(const struct admission *admission, struct addr but,
+count_readers(const struct admission *admission, struct addr except,
               uint64_t now_us)
 {
     struct frame_readers count = {0};
@@ -28,7 +26,7 @@
         const struct admission_balancer *balancer = &admission->balancers[i];
 
         if (now_us - balancer->heard_us < READER_FRESH_US &&
-            !addr_equal(balancer->addr, but)) {
+            !addr_equal(balancer->addr, except)) {
             count.reading += balancer->view.reader == FRAME_READER_READING;
             count.trying += balancer->view.reader == FRAME_READER_TRYING;
         }
@@ -48,7 +46,7 @@
         status->health.state = ENDPOINT_DRAINING;
     }
     if (!slow_start_allows(&admission->slow_start, now_us)) {
-        /* As good as full, for whoever chooses among agents. */
+        /* Report full, so that balancers choose another agent. */
         status->health.busy = MAX(status->health.busy, status->health.slots);
     }
     status->health.failing = outcome_is_failing(&admission->outcome, now_us);
@@ -90,7 +88,6 @@
     }
 }
 
-/* Tells all balancers of late that the endpoint's state has changed. */
 void
 admission_notify_state(struct admission *admission, uint64_t now_us)
 {
@@ -104,8 +101,8 @@
     }
 }
 
-/* Whether @a is to be forgotten before @b: readers last, as others ask who
- * they are, then whoever spoke last. */
+/* Whether @a is evicted before @b: store readers last, otherwise the one not
+ * heard for longest. */
 static bool
 evict_before(const struct admission_balancer *a,
              const struct admission_balancer *b, uint64_t now_us)
@@ -122,9 +119,9 @@
 admission_note_balancer(struct admission *admission, struct addr balancer,
                         const struct frame_store_view *view, uint64_t now_us)
 {
-    unsigned least = 0;
+    unsigned slot = 0;
 
-    /* Of those that have it, whoever spoke last is the likeliest to answer. */
+    /* The balancer heard last is the most likely one to be up. */
     if (view->version >= admission->heard.version) {
         admission->heard =
             (struct frame_config_version){view->version, balancer};
@@ -135,15 +132,15 @@
             admission->balancers[i].view = *view;
             return;
         }
-        if (evict_before(&admission->balancers[i],
-                         &admission->balancers[least], now_us)) {
-            least = i;
+        if (evict_before(&admission->balancers[i], &admission->balancers[slot],
+                         now_us)) {
+            slot = i;
         }
     }
     if (admission->balancer_count < ADMISSION_BALANCERS_MAX) {
-        least = admission->balancer_count++;
+        slot = admission->balancer_count++;
     }
-    admission->balancers[least] =
+    admission->balancers[slot] =
         (struct admission_balancer){balancer, now_us, *view};
 }
 
@@ -157,9 +154,9 @@
     }
 }
 
-/* The endpoint holds a flow from before this agent's start, so its service
- * was reached under that address. Flows that came through here prove
- * nothing: a balancer without configuration would believe itself. */
+/* Only flows from before this agent's start prove that the service uses the
+ * address. Later ones came through a balancer, which may lack a configuration.
+ */
 void
 admission_note_served(struct admission *admission, struct addr service)
 {
--- a/src/relay/admission/admission_open.c
+++ b/src/relay/admission/admission_open.c
@@ -8,11 +8,9 @@
 
 #define LOAD_UNIT 16
 
-/* Requests beyond its slots that an endpoint is given at a time: one waits for
- * each of two slots that may become free at once. Two instead of one: 0.7687
- * -> 0.7727 and 0.7762 -> 0.7792 in the mean of nine and ten days with a loss
- * of power; none instead of one: 0.7693 -> 0.7549. */
-#define AHEAD 2
+/* Requests that an endpoint is given beyond its slots: one for each of two
+ * slots that may become free at once. */
+#define EXTRA_REQUESTS 2
 
 void
 admission_deliver_syn(struct admission *admission, uint32_t handle,
@@ -22,7 +20,7 @@
 
     flow->state = ADMISSION_FLOW_OPENING;
     flow->incarnation = admission->incarnation;
-    flow->tried_us = now_us;
+    flow->syn_sent_us = now_us;
     admission_syn_timer_add(admission, handle, now_us);
     admission_expect_reply(admission, now_us);
     slow_start_record(&admission->slow_start, now_us);
@@ -38,9 +36,8 @@
     admission_deliver_syn(admission, handle, now_us);
 }
 
-/* Flows beyond the slots that may be open because their callers are on the
- * way: with callers 15 ms away and requests of 15 ms, slots stood idle half
- * of the time without it, and 0.9 of all requests were late. */
+/* Limit of open flows with a request: the slots, and more while the callers'
+ * requests are on their way, so that slots don't idle for a round trip. */
 static unsigned
 flow_limit(const struct admission *admission)
 {
@@ -48,21 +45,19 @@
            latency_overcommit(&admission->latency, admission->endpoint.slots);
 }
 
-/* Whether the endpoint takes another request soon. Some more than its slots
- * may be opened if they can still be in time: an idle slot helps nobody. With
- * the same room for late ones the fresh found it taken: 0.02 to 0.04 less of
- * what was owed on the days of a total loss. */
+/* Requests that can still be in time get extra room. Late ones don't, as they
+ * would take it from new requests. */
 bool
 admission_has_capacity(const struct admission *admission, bool in_time,
                        uint64_t now_us)
 {
     return admission->busy_count <
-               flow_limit(admission) + (in_time ? AHEAD : 0) &&
+               flow_limit(admission) + (in_time ? EXTRA_REQUESTS : 0) &&
            slow_start_allows(&admission->slow_start, now_us);
 }
 
 static void
-send_on(struct admission *admission, uint32_t handle, struct addr agent)
+forward_flow(struct admission *admission, uint32_t handle, struct addr agent)
 {
     struct admission_flow *flow = &admission->flows[handle];
 
@@ -71,12 +66,12 @@
     flow->frame.hops++;
     admission_flow_set_idle(admission, handle);
     admission->out->ops->forward(admission->out, agent, &flow->frame);
-    /* Its bytes may be a packet's that is gone by now. */
+    /* The bytes may belong to a packet that isn't valid after this call. */
     flow->frame.bytes = NULL;
 }
 
 static struct addr
-next_pop(struct frame_forward *frame)
+pop_next_agent(struct frame_forward *frame)
 {
     struct addr next = frame->next[0];
 
@@ -86,14 +81,11 @@
     return next;
 }
 
-/* Requests over slots, by which the least busy of several agents is found.
- * Those that wait count if they can still be in time; the late ones go after
- * what comes now. Without them new requests queued at one agent while others
- * had only late ones left: 0.7790 -> 0.7834 in the mean of nine days with a
- * loss of power or a burst. One that may be given nothing before it is warmer
- * comes after all others. */
+/* Requests per slot in units of 1/LOAD_UNIT, to find the least busy of several
+ * agents. Queued ones count if they can still be in time, as late ones are
+ * served after new ones. An endpoint at its slow-start limit ranks last. */
 static unsigned
-load_of(const struct admission *admission, uint64_t now_us)
+relative_load(const struct admission *admission, uint64_t now_us)
 {
     if (!slow_start_allows(&admission->slow_start, now_us)) {
         return UINT16_MAX;
@@ -103,7 +95,7 @@
            LOAD_UNIT / admission->endpoint.slots;
 }
 
-/* All were busy: the least busy of them takes the flow all the same. */
+/* Gives a flow to the least busy agent when all are busy. */
 static bool
 redirect_to_best(struct admission *admission, uint32_t handle, uint64_t now_us)
 {
@@ -114,7 +106,7 @@
     }
     flow->frame.forced = true;
     if (!addr_equal(flow->frame.best, admission->self)) {
-        send_on(admission, handle, flow->frame.best);
+        forward_flow(admission, handle, flow->frame.best);
         return true;
     }
     if (admission_has_capacity(admission, flow->frame.target_ms > 0, now_us)) {
@@ -124,7 +116,6 @@
     return admission_queue_flow(admission, handle, now_us);
 }
 
-/* Sends a flow's packet on, or leaves it where nobody is left. */
 void
 admission_redirect(struct admission *admission, uint32_t handle,
                    enum frame_reason why, uint64_t now_us)
@@ -134,19 +125,19 @@
     struct addr origin = flow->origin;
     struct frame_forward frame = flow->frame;
     struct addr target = {0};
-    bool search = flow->asked;
+    bool is_lookup = flow->from_lookup;
 
     admission_flow_set_idle(admission, handle);
     admission_flow_dequeue(admission, handle);
     if (flow->frame.next_count > 0 && frame.hops < ADMISSION_HOPS_MAX) {
-        target = next_pop(&flow->frame);
-        send_on(admission, handle, target);
+        target = pop_next_agent(&flow->frame);
+        forward_flow(admission, handle, target);
     }
     else if (redirect_to_best(admission, handle, now_us)) {
         target = flow->frame.best;
     }
     else {
-        if (flow->refuted || flow->denied || flow->maybe_local) {
+        if (flow->accepted_elsewhere || flow->rejected || flow->maybe_local) {
             admission_flow_set_remote(admission, handle);
         }
         else {
@@ -154,8 +145,8 @@
         }
         admission_drop(admission, ADMISSION_DROP_NO_AGENT);
     }
-    if (!search || target.ip == 0) {
-        /* Of a search only its end is told. */
+    if (!is_lookup || target.ip == 0) {
+        /* Of a lookup, only the end is reported. */
         admission_notify_redirected(admission, key, origin, why, target,
                                     now_us);
     }
@@ -165,7 +156,7 @@
                                  key, why, &frame);
 }
 
-/* Why a SYN shouldn't be given to the endpoint, or FRAME_REASON_NONE. */
+/* Reason not to give a SYN to the endpoint, or FRAME_REASON_NONE. */
 static enum frame_reason
 refusal_reason(const struct admission *admission,
                const struct frame_forward *frame, uint64_t now_us)
@@ -198,7 +189,7 @@
 }
 
 static void
-keep_frame(struct admission_flow *flow, const struct frame_forward *frame)
+store_frame(struct admission_flow *flow, const struct frame_forward *frame)
 {
     flow->frame = *frame;
     flow->origin = frame->origin;
@@ -208,16 +199,16 @@
         flow->frame.bytes = flow->syn;
     }
     else {
-        /* Too large to keep: it can't be sent on later. */
+        /* Too large to store, so it can't be forwarded later. */
         flow->frame.next_count = 0;
     }
 }
 
 static void
-note_best(struct admission *admission, struct frame_forward *frame,
-          uint64_t now_us)
+update_best_agent(struct admission *admission, struct frame_forward *frame,
+                  uint64_t now_us)
 {
-    unsigned load = load_of(admission, now_us);
+    unsigned load = relative_load(admission, now_us);
 
     if (frame->best.ip == 0 || load < frame->best_load) {
         frame->best = admission->self;
@@ -236,14 +227,14 @@
     enum frame_reason why;
 
     if (frame->view.version != 0) {
-        /* A balancer without a configuration doesn't know the limit. */
+        /* A balancer without a configuration doesn't have the limit. */
         slow_start_limit(&admission->slow_start, frame->slow_start_limit);
     }
     why = refusal_reason(admission, frame, now_us);
-    keep_frame(flow, frame);
+    store_frame(flow, frame);
     flow->maybe_local = maybe_local;
     if (why == FRAME_REASON_BUSY) {
-        note_best(admission, &flow->frame, now_us);
+        update_best_agent(admission, &flow->frame, now_us);
     }
     if (why == FRAME_REASON_NONE) {
         admission_admit_syn(admission, handle, now_us);
@@ -262,20 +253,19 @@
     open_flow(admission, frame, packet, false, now_us);
 }
 
-/* The endpoint seems to have started anew since the SYN was seen here. */
+/* Handles a SYN again after the endpoint restarted. */
 static void
 reopen_flow(struct admission *admission, uint32_t handle,
             const struct frame_forward *frame,
             const struct relay_packet *packet, uint64_t now_us)
 {
-    bool was_here =
+    bool was_established =
         admission->flows[handle].state == ADMISSION_FLOW_ESTABLISHED;
 
     admission_flow_remove(admission, handle);
-    open_flow(admission, frame, packet, was_here, now_us);
+    open_flow(admission, frame, packet, was_established, now_us);
 }
 
-/* Another copy of a SYN that was seen here. */
 void
 admission_handle_duplicate_syn(struct admission *admission, uint32_t handle,
                                const struct frame_forward *frame,
@@ -287,14 +277,14 @@
     flow_index_touch(&admission->table, handle, now_us);
     if (flow->incarnation != admission->incarnation ||
         frame->service != admission->endpoint.service) {
-        /* The endpoint that it was given to is no more. */
+        /* The endpoint that got the SYN has ended. */
         reopen_flow(admission, handle, frame, packet, now_us);
         return;
     }
     switch (flow->state) {
     case ADMISSION_FLOW_OPENING:
     case ADMISSION_FLOW_ESTABLISHED:
-        /* The endpoint answers again, with the same number. */
+        /* The endpoint repeats its SYN+ACK with the same sequence number. */
         flow->origin = frame->origin;
         admission->out->ops->to_endpoint(admission->out, packet->bytes,
                                          packet->size);
@@ -306,7 +296,7 @@
         admission_queue_refresh(admission, handle, frame, now_us);
         return;
     default:
-        /* It was sent on, maybe to nobody: look at it anew. */
+        /* It was redirected, or no agent took it: decide again. */
         admission_flow_remove(admission, handle);
         admission_open_flow(admission, frame, packet, now_us);
     }
--- a/src/relay/admission/admission_orphans.c
+++ b/src/relay/admission/admission_orphans.c
@@ -2,17 +2,15 @@
 
 #include "base/clock.h"
 
-/* An endpoint that reacts to nothing for this long is down, or its host stands
- * still: it answers a packet within 1 ms, and a caller that waits for longer
- * is late. */
+/* An endpoint that answers nothing for this time is down, or its host is
+ * frozen. */
 #define SILENT_US (1 * USEC_PER_SEC)
 
-/* An endpoint answers a packet in 0.3 ms, five times as long on a slowed host
- * whose small processor it shares. */
-#define ANSWER_US (5 * USEC_PER_MSEC)
+/* Time after which an unanswered packet makes the endpoint suspect. Allows for
+ * a slow host whose processor the agent shares. */
+#define ANSWER_TIMEOUT_US (5 * USEC_PER_MSEC)
 
-/* A probe opens a connection, which costs an endpoint that is there about as
- * much as a flow. */
+/* Interval of probes. Each opens a connection to the endpoint. */
 #define PROBE_INTERVAL_US (200 * USEC_PER_MSEC)
 
 bool
@@ -24,8 +22,8 @@
             !admission->evicted_flows);
 }
 
-/* Whether the endpoint doesn't hold the flow, for certain. One that is being
- * opened, or was opened here, may be. */
+/* Whether the endpoint certainly doesn't hold the flow. Flows that are being
+ * opened or were opened here may be held. */
 static bool
 is_absent(const struct admission *admission, uint32_t handle)
 {
@@ -38,30 +36,29 @@
     case ADMISSION_FLOW_ESTABLISHED:
         return false;
     default:
-        return admission->flows[handle].denied ||
+        return admission->flows[handle].rejected ||
                (!admission->flows[handle].maybe_local &&
                 admission_knows_all_flows(admission));
     }
 }
 
-/* Whether the endpoint may not be there at all: it was never heard, or owes
- * an answer. */
+/* Whether the endpoint may be down: no heartbeat came yet, or an answer is
+ * overdue. */
 static bool
-is_suspect(const struct admission *admission, uint64_t now_us)
+may_be_down(const struct admission *admission, uint64_t now_us)
 {
-    bool owes = admission->unanswered_us != 0 &&
-                now_us - admission->unanswered_us >= ANSWER_US;
+    bool is_overdue = admission->unanswered_us != 0 &&
+                      now_us - admission->unanswered_us >= ANSWER_TIMEOUT_US;
 
-    return owes || admission->endpoint.incarnation_count == 0;
+    return is_overdue || admission->endpoint.incarnation_count == 0;
 }
 
-/* The host knows at once whether the endpoint's process is there; without it
- * the endpoint's silence would have to last for a second. */
+/* A probe detects an endpoint that is down sooner than SILENT_US does. */
 static void
 probe_if_due(struct admission *admission, uint64_t now_us)
 {
     if (admission->endpoint.state == ENDPOINT_GONE ||
-        admission->endpoint.down || !is_suspect(admission, now_us) ||
+        admission->endpoint.down || !may_be_down(admission, now_us) ||
         (admission->probed_us != 0 &&
          now_us - admission->probed_us < PROBE_INTERVAL_US)) {
         return;
@@ -72,10 +69,10 @@
 
 void
 admission_handle_query(struct admission *admission, struct addr balancer,
-                       const struct frame_query *ask, uint64_t now_us)
+                       const struct frame_query *query, uint64_t now_us)
 {
-    struct frame_query_reply absent = {
-        .query = ask->query,
+    struct frame_query_reply reply = {
+        .query = query->query,
         .down = admission->endpoint.down,
         .partial = !admission_knows_all_flows(admission),
         .silent = admission->endpoint.state != ENDPOINT_GONE &&
@@ -83,13 +80,13 @@
                   now_us - admission->unanswered_us >= SILENT_US,
     };
 
-    admission_note_balancer(admission, balancer, &ask->view, now_us);
+    admission_note_balancer(admission, balancer, &query->view, now_us);
     probe_if_due(admission, now_us);
-    for (unsigned i = 0; i < ask->count; i++) {
-        uint32_t handle = flow_index_find(&admission->table, ask->flows[i]);
+    for (unsigned i = 0; i < query->count; i++) {
+        uint32_t handle = flow_index_find(&admission->table, query->flows[i]);
 
         if (is_absent(admission, handle)) {
-            absent.absent[i / 32] |= 1u << i % 32;
+            reply.absent[i / 32] |= 1u << i % 32;
         }
         else if (handle != FLOW_INDEX_NONE && admission->flows[handle].state ==
                                                   ADMISSION_FLOW_ESTABLISHED) {
@@ -97,5 +94,5 @@
             admission_notify_established(admission, handle, now_us);
         }
     }
-    admission->out->ops->query_reply(admission->out, balancer, &absent);
+    admission->out->ops->query_reply(admission->out, balancer, &reply);
 }
--- a/src/relay/admission/admission_private.h
+++ b/src/relay/admission/admission_private.h
@@ -1,11 +1,11 @@
 /**
- * DOC: admission_private - what the parts of admission share
+ * DOC: admission_private - interfaces between the files of admission
  *
- * admission_flow keeps the flows, admission_open decides on SYNs,
- * admission_queue on what waits for a slot, admission_established on packets
- * of flows that are known, admission_endpoint on what the endpoint sends,
- * admission_orphans answers for flows that nobody has found, admission_notify
- * says it all to balancers.
+ * admission_flow holds the flow table, admission_open decides on SYNs,
+ * admission_queue on queued SYNs and requests, admission_established on
+ * callers' packets of flows, admission_endpoint on the endpoint's packets.
+ * admission_orphans answers orphan queries and admission_notify sends status
+ * frames.
  */
 #ifndef SWIFTARCH_RELAY_ADMISSION_ADMISSION_PRIVATE_H
 #define SWIFTARCH_RELAY_ADMISSION_ADMISSION_PRIVATE_H
@@ -14,297 +14,310 @@
 
 #define ADMISSION_SYN_MAX 64
 
-/* No packet visits more agents than its balancer named, and the one that
- * was least busy once more. */
+/* Limit of a packet's hops: the agents that its balancer named, and the least
+ * busy one a second time. */
 #define ADMISSION_HOPS_MAX (FRAME_NEXT_MAX + 2)
 
-/** enum admission_flow_state - where a flow is, as seen from here */
+/** enum admission_flow_state - a flow's state at this agent */
 enum admission_flow_state {
-    ADMISSION_FLOW_OPENING,     /* its SYN was given to the endpoint */
-    ADMISSION_FLOW_ESTABLISHED, /* the endpoint holds it */
-    ADMISSION_FLOW_OFFERED, /* a packet of it was offered to the endpoint */
-    ADMISSION_FLOW_REMOTE,  /* sent on to another agent */
-    ADMISSION_FLOW_QUEUED,  /* its SYN waits for a free slot */
+    ADMISSION_FLOW_OPENING,     /* its SYN was sent to the endpoint */
+    ADMISSION_FLOW_ESTABLISHED, /* the endpoint has answered it */
+    ADMISSION_FLOW_OFFERED, /* a packet of a lookup was sent to the endpoint */
+    ADMISSION_FLOW_REMOTE,  /* redirected to another agent, or open at an
+                               unknown one */
+    ADMISSION_FLOW_QUEUED,  /* its SYN is queued for a free slot */
 };
 
 /**
- * struct admission_flow - what is known of a flow
- * @state: where it is
- * @incarnation: incarnation of the endpoint that it belongs to
- * @busy_at: place in the busy list, or -1
+ * struct admission_flow - a flow at this agent
+ * @state: its state
+ * @incarnation: the endpoint's incarnation when the flow was added or its SYN
+ * was sent
+ * @busy_index: index in the busy list, or -1
+ * @from_lookup: @frame is of a lookup's packet, not of the SYN
  * @confirmed: the caller acknowledged this endpoint's SYN+ACK
- * @asked: known by a packet of a search, not by its SYN
- * @refuted: the caller took another endpoint's answer to its SYN
- * @denied: the endpoint doesn't hold it: it handed back, or answered with a
- *          reset, a packet that only its holder takes
- * @maybe_local: it was open here when the endpoint seemed to incarnation anew,
- * and its SYN came again: it may be here all the same
- * @proven: the endpoint sent something after that: the flow was open there
- * @queued: its request waits here until a slot is free
- * @packet_pool: packets of that request
- * @service: service it was opened for
- * @origin: balancer that its packets came through last
- * @target: for ADMISSION_FLOW_REMOTE, the agent it was sent to, or none
+ * @accepted_elsewhere: the caller accepted another endpoint's SYN+ACK
+ * @rejected: the endpoint doesn't hold the flow: a packet that only its holder
+ * takes bounced or was reset
+ * @maybe_local: the flow was established at the endpoint's last incarnation
+ * and its SYN came again, so that the endpoint may still hold it
+ * @proven: the endpoint sent a packet of the established flow
+ * @queued: the flow is open, its request is queued until a slot is free
+ * @packets: chain of the queued request's packets
+ * @service: hash_service() of the service in its frame
+ * @origin: balancer that its packets last came through
+ * @target: for ADMISSION_FLOW_REMOTE, the agent that it was redirected to;
+ * address 0 if unknown
  * @seq: sequence number of the endpoint's SYN+ACK
  * @caller_seq: end of the caller's data seen so far
  * @busy_us: since when its request is in progress
- * @tried_us: when the SYN was given to the endpoint
+ * @syn_sent_us: when the SYN was sent to the endpoint
  * @established_us: when the endpoint answered the SYN, 0 for not yet
- * @target_us: when an answer to a held SYN's request is late
- * @abandon_us: when the caller of a held SYN stops waiting
- * @asked_us: when its request was given to the endpoint, 0 for not yet
- * @depth: requests in progress then
- * @frame: the frame it came with, to send it on (its bytes are @syn)
+ * @target_us: response target of a queued SYN or request
+ * @abandon_us: when the caller of a queued SYN or request abandons it
+ * @request_us: when its request was given to the endpoint, 0 for none
+ * @depth: requests in progress at that time, this one included
+ * @frame: the frame it came with, to forward it later (its bytes are @syn)
  * @syn: the SYN
  */
 struct admission_flow {
     enum admission_flow_state state;
     unsigned incarnation;
-    int busy_at;
-    bool asked;
+    int busy_index;
+    bool from_lookup;
     bool confirmed;
-    bool refuted;
-    bool denied;
+    bool accepted_elsewhere;
+    bool rejected;
     bool maybe_local;
     bool proven;
     bool queued;
-    int packet_pool;
+    int packets;
     uint32_t service;
     struct addr origin;
     struct addr target;
     uint32_t seq;
     uint32_t caller_seq;
     uint64_t busy_us;
-    uint64_t tried_us;
+    uint64_t syn_sent_us;
     uint64_t established_us;
     uint64_t target_us;
     uint64_t abandon_us;
-    uint64_t asked_us;
+    uint64_t request_us;
     unsigned depth;
     struct frame_forward frame;
     uint8_t syn[ADMISSION_SYN_MAX];
 };
 
-/** admission_drop() - a packet ends here */
+/** admission_drop() - report a dropped packet */
 void
 admission_drop(struct admission *admission, enum admission_drop why);
 
-/** admission_decided() - notify what became of a flow */
+/** admission_decided() - report a decision on a flow */
 void
 admission_decided(struct admission *admission,
                   enum admission_decision decision, uint32_t handle,
                   enum frame_reason why);
 
-/** admission_expect_reply() - the endpoint is given a packet that it answers
- * at once, or as soon as its request is done */
+/** admission_expect_reply() - track a packet that the endpoint must answer, to
+ * detect a silent endpoint */
 void
 admission_expect_reply(struct admission *admission, uint64_t now_us);
 
-/** admission_flow_set_busy() - a request of the flow is in progress */
+/** admission_flow_set_busy() - count the flow's request as in progress */
 void
 admission_flow_set_busy(struct admission *admission, uint32_t handle,
                         uint64_t now_us);
 
-/** admission_flow_set_idle() - none is */
+/** admission_flow_set_idle() - end the flow's request in progress, if any */
 void
 admission_flow_set_idle(struct admission *admission, uint32_t handle);
 
-/** admission_queue_remove() - a SYN waits no more */
+/** admission_queue_remove() - remove a flow from the queue, if it is there */
 void
 admission_queue_remove(struct admission *admission, uint32_t handle);
 
-/** admission_flow_dequeue() - neither its SYN nor its request waits any more
- */
+/** admission_flow_dequeue() - drop the flow's queued SYN or request with its
+ * packets */
 void
 admission_flow_dequeue(struct admission *admission, uint32_t handle);
 
-/** admission_flow_remove() - give up its handle */
+/** admission_flow_remove() - remove a flow from the table */
 void
 admission_flow_remove(struct admission *admission, uint32_t handle);
 
-/** admission_flow_set_remote() - the flow is open at another endpoint, nobody
- * here knows which */
+/**
+ * admission_flow_set_remote() - mark a flow as open at another, unknown
+ * endpoint
+ *
+ * The flow stays in the table: the endpoint may still wait for the end of its
+ * own handshake, and would silently take the other endpoint's packets.
+ */
 void
 admission_flow_set_remote(struct admission *admission, uint32_t handle);
 
-/** admission_flow_add() - a handle for a flow that isn't known yet */
+/** admission_flow_add() - add a flow that isn't in the table, evicting the
+ * oldest one when it is full; returns its handle */
 uint32_t
 admission_flow_add(struct admission *admission, struct relay_flow key,
                    enum admission_flow_state state, uint64_t now_us);
 
-/** admission_syn_timer_add() - look at the flow when its answer is due */
+/** admission_syn_timer_add() - start the timeout of a SYN that was sent to the
+ * endpoint */
 void
 admission_syn_timer_add(struct admission *admission, uint32_t handle,
                         uint64_t now_us);
 
-/** admission_notify() - send a balancer a word, with the endpoint's health */
+/** admission_notify() - complete a status frame with the endpoint's health and
+ * send it to a balancer */
 void
 admission_notify(struct admission *admission, struct addr balancer,
                  struct frame_status *status, uint64_t now_us);
 
-/** admission_notify_established() - the endpoint holds the flow */
+/** admission_notify_established() - notify the flow's balancer that the
+ * endpoint holds it */
 void
 admission_notify_established(struct admission *admission, uint32_t handle,
                              uint64_t now_us);
 
-/** admission_notify_redirected() - the flow went to @target, or to nobody */
+/** admission_notify_redirected() - notify a balancer that the flow went to
+ * @target, or to no agent if its address is 0 */
 void
 admission_notify_redirected(struct admission *admission, struct relay_flow key,
                             struct addr origin, enum frame_reason why,
                             struct addr target, uint64_t now_us);
 
-/** admission_notify_state() - notify all balancers of late that the endpoint's
- * state has changed */
+/** admission_notify_state() - notify all recently heard balancers of the
+ * endpoint's new state */
 void
 admission_notify_state(struct admission *admission, uint64_t now_us);
 
-/** admission_note_balancer() - a balancer spoke, and of how it keeps up with
- * the store
- */
+/** admission_note_balancer() - record that a frame of a balancer came, with
+ * its view of the store */
 void
 admission_note_balancer(struct admission *admission, struct addr balancer,
                         const struct frame_store_view *view, uint64_t now_us);
 
-/** admission_notify_served() - notify a balancer what the endpoint serves */
+/** admission_notify_served() - send a balancer the service addresses that are
+ * known, if any */
 void
 admission_notify_served(struct admission *admission, struct addr balancer);
 
-/** admission_note_served() - the endpoint holds a flow from before this
- * agent's incarnation */
+/** admission_note_served() - add the service address of a flow from before
+ * this agent's start */
 void
 admission_note_served(struct admission *admission, struct addr service);
 
-/** admission_announce() - say that this agent is here */
+/** admission_announce() - send the endpoint's state to the announce targets */
 void
 admission_announce(struct admission *admission, uint64_t now_us);
 
-/** admission_deliver_syn() - give the SYN of a flow to the endpoint, whose
- * request isn't begun by that */
+/** admission_deliver_syn() - send a flow's SYN to the endpoint, without a
+ * request in progress */
 void
 admission_deliver_syn(struct admission *admission, uint32_t handle,
                       uint64_t now_us);
 
-/** admission_admit_syn() - give the SYN of a flow to the endpoint, which
- * begins its request */
+/** admission_admit_syn() - send a flow's SYN to the endpoint and count its
+ * request as in progress */
 void
 admission_admit_syn(struct admission *admission, uint32_t handle,
                     uint64_t now_us);
 
 /**
- * admission_queue_flow() - a SYN came while the endpoint is full
+ * admission_queue_flow() - queue a new flow while the endpoint is full
  *
- * Its flow is opened at once, and its request waits here until a slot is free.
- * A caller whose flow is open waits for its answer; one whose SYN waits comes
- * again after 1.4 s, as a new flow whose age nobody knows, and takes the slot
- * of one that could be in time. Requests instead of SYNs: 0.7531 -> 0.7790 in
- * the mean of nine days with a loss of power or a burst. The SYN waits where
- * the caller's time isn't known, or the endpoint is cold and may be given
- * none.
+ * The flow is opened at once and its request is queued. A queued SYN would be
+ * sent again as a new flow of unknown age, which could take the slot of a
+ * request that can still meet its target. The SYN itself is queued if the
+ * request timeout is unknown or a cold endpoint may not be given it yet.
  *
- * Return: false when too many wait.
+ * Return: false when the queue is full.
  */
 bool
 admission_queue_flow(struct admission *admission, uint32_t handle,
                      uint64_t now_us);
 
-/** admission_queue_refresh() - another copy of a SYN that waits: its caller
- * does too
- */
+/** admission_queue_refresh() - renew the deadlines of a queued SYN when a copy
+ * of it comes */
 void
 admission_queue_refresh(struct admission *admission, uint32_t handle,
                         const struct frame_forward *frame, uint64_t now_us);
 
-/** admission_queue_request() - a packet of a request that is to wait came;
- * whether it waits */
+/** admission_queue_request() - queue a packet of a queued request; false if
+ * the packet must go to the endpoint now */
 bool
 admission_queue_request(struct admission *admission, uint32_t handle,
                         const struct relay_packet *packet, uint64_t now_us);
 
-/** admission_begin_request() - a request of the flow is given to the endpoint
- */
+/** admission_begin_request() - record that the flow's request is given to the
+ * endpoint */
 void
 admission_begin_request(struct admission *admission, uint32_t handle,
                         uint64_t now_us);
 
-/** admission_has_capacity() - whether the endpoint takes another request soon
- */
+/** admission_has_capacity() - whether the endpoint may be given another
+ * request; @in_time: the request can still meet its target */
 bool
 admission_has_capacity(const struct admission *admission, bool in_time,
                        uint64_t now_us);
 
-/** admission_redirect() - send a flow's packet on; without anyone left the
- * flow is forgotten, unless it is known to be open elsewhere */
+/** admission_redirect() - forward a flow's packet to the next agent, or else
+ * to the least busy one; without either, the flow is removed, or marked as
+ * remote if it is or may be open elsewhere */
 void
 admission_redirect(struct admission *admission, uint32_t handle,
                    enum frame_reason why, uint64_t now_us);
 
-/** admission_open_flow() - a SYN of a flow that isn't known */
+/** admission_open_flow() - handle a SYN of an unknown flow */
 void
 admission_open_flow(struct admission *admission,
                     const struct frame_forward *frame,
                     const struct relay_packet *packet, uint64_t now_us);
 
-/** admission_handle_duplicate_syn() - another copy of a SYN that was seen here
- */
+/** admission_handle_duplicate_syn() - handle a copy of a known flow's SYN */
 void
 admission_handle_duplicate_syn(struct admission *admission, uint32_t handle,
                                const struct frame_forward *frame,
                                const struct relay_packet *packet,
                                uint64_t now_us);
 
-/** admission_queue_in_time() - how many of those that wait can still be in
- * time
- */
+/** admission_queue_in_time() - number of queued SYNs and requests that can
+ * still meet their target */
 unsigned
 admission_queue_in_time(const struct admission *admission, uint64_t now_us);
 
-/** admission_queue_admit() - give what waits to the endpoint while it has room
- */
+/** admission_queue_admit() - give queued SYNs and requests to the endpoint
+ * while it has capacity; called after each packet and tick */
 void
 admission_queue_admit(struct admission *admission, uint64_t now_us);
 
-/** admission_queue_expire() - end the wait of what callers gave up */
+/** admission_queue_expire() - drop queued SYNs and requests whose callers
+ * abandoned them */
 void
 admission_queue_expire(struct admission *admission, uint64_t now_us);
 
-/** admission_forward_next() - send a packet along the agents that its frame
- * names */
+/** admission_forward_next() - forward a packet to @agent and remove that agent
+ * from its lookup path */
 void
 admission_forward_next(struct admission *admission,
                        const struct frame_forward *frame, struct addr agent);
 
-/** admission_knows_all_flows() - whether the endpoint holds no flow but those
- * in the table, for certain: each that its current incarnation holds passed
- * here, or there is no endpoint */
+/** admission_knows_all_flows() - whether the table lists all flows of the
+ * endpoint: the agent saw its current incarnation from the start and evicted
+ * none, or the endpoint has ended */
 bool
 admission_knows_all_flows(const struct admission *admission);
 
-/** admission_offer_unknown() - offer a packet of an unknown flow to the
- * endpoint */
+/** admission_offer_unknown() - handle a packet of an unknown flow: offer it to
+ * the endpoint, which may hold the flow from before this agent's start, or
+ * continue the lookup */
 void
 admission_offer_unknown(struct admission *admission,
                         const struct frame_forward *frame,
                         const struct relay_packet *packet, uint64_t now_us);
 
-/** admission_reset_flow() - notify a caller that its flow is over */
+/** admission_reset_flow() - reset a flow at its caller, as the endpoint that
+ * held it has ended or restarted */
 void
 admission_reset_flow(struct admission *admission, uint32_t handle,
                      uint32_t seq);
 
-/** admission_handle_flow_packet() - a packet of a flow that is known */
+/** admission_handle_flow_packet() - handle a caller's packet of a known flow,
+ * other than a SYN */
 void
 admission_handle_flow_packet(struct admission *admission, uint32_t handle,
                              const struct frame_forward *frame,
                              const struct relay_packet *packet,
                              uint64_t now_us);
 
-/** admission_handle_bounce() - the endpoint doesn't take a packet */
+/** admission_handle_bounce() - handle a caller's packet that the endpoint
+ * refused */
 void
 admission_handle_bounce(struct admission *admission,
                         const struct relay_packet *packet, uint64_t now_us);
 
-/** admission_handle_endpoint_reply() - the endpoint sent a packet; whether it
- * may go to its caller */
+/** admission_handle_endpoint_reply() - handle a packet that the endpoint sent;
+ * returns whether it may go to its caller */
 bool
 admission_handle_endpoint_reply(struct admission *admission,
                                 const struct relay_packet *packet,
--- a/src/relay/admission/admission_queue.c
+++ b/src/relay/admission/admission_queue.c
@@ -2,19 +2,13 @@
 
 #include "base/clock.h"
 
-/* Whether a held SYN or request goes before another: first those that can
- * still be answered in time, then the urgent. Of the late ones that which
- * waits no longer soonest: as many are served in time, and an eighth
- * fewer give up (nine plays of days with a loss of power). Of the others the
- * one with most time left: whoever waited longest would be just in time by the
- * mean, and late whenever a request before it takes longer: with slots that
- * are asked for half as much again as they can do, 0.92 of their work is in
- * time instead of 0.85 (work between half and thrice its mean), and two days
- * of a total loss earned 0.008 more on one site, 0.003 on another, nothing on
- * two. */
+/* Whether a queued SYN or request is admitted before another. Order: those
+ * that can be in time, then priority. Of the late ones, the one that its
+ * caller abandons first. Of the others, the one with most time left: the one
+ * that waited longest would often miss its target by a little. */
 static bool
-goes_before(const struct admission_flow *a, const struct admission_flow *b,
-            uint64_t answer_us)
+is_admitted_before(const struct admission_flow *a,
+                   const struct admission_flow *b, uint64_t answer_us)
 {
     bool a_in_time = answer_us <= a->target_us;
     bool b_in_time = answer_us <= b->target_us;
@@ -45,7 +39,8 @@
     return count;
 }
 
-/* Held SYN to admit next; @in_time: whether it can still be in time. */
+/* Picks the queued SYN or request to admit next; @in_time: whether it can
+ * still be in time. */
 static uint32_t
 queue_next(const struct admission *admission, uint64_t now_us, bool *in_time)
 {
@@ -55,8 +50,8 @@
     uint32_t best = admission->queue[0];
 
     for (unsigned i = 1; i < admission->queue_count; i++) {
-        if (goes_before(&admission->flows[admission->queue[i]],
-                        &admission->flows[best], answer_us)) {
+        if (is_admitted_before(&admission->flows[admission->queue[i]],
+                               &admission->flows[best], answer_us)) {
             best = admission->queue[i];
         }
     }
@@ -64,7 +59,7 @@
     return best;
 }
 
-/* When a waiting SYN's caller wants its answer, and how long it waits. */
+/* Sets a queued SYN's response target and the end of its caller's timeout. */
 static void
 set_deadlines(struct admission_flow *flow, const struct frame_forward *frame,
               uint64_t now_us)
@@ -85,7 +80,7 @@
                      now_us);
 }
 
-/* Gives the SYN to the endpoint at once; its request waits. */
+/* Sends the SYN to the endpoint at once; the request will be queued. */
 static void
 open_and_queue_request(struct admission *admission, uint32_t handle,
                        uint64_t now_us)
@@ -143,7 +138,7 @@
     notify_queued(admission, handle, now_us);
 }
 
-/* Ends the wait of a held SYN or request whose caller has given up. */
+/* Drops a queued SYN or request that its caller abandoned. */
 static void
 expire_queued(struct admission *admission, uint32_t handle)
 {
@@ -158,7 +153,7 @@
     admission_drop(admission, ADMISSION_DROP_EXPIRED);
 }
 
-/* Gives the endpoint a request that has waited. */
+/* Gives a queued request to the endpoint. */
 static void
 admit_request(struct admission *admission, uint32_t handle, uint64_t now_us)
 {
@@ -172,7 +167,7 @@
     admission_begin_request(admission, handle, now_us);
     admission_expect_reply(admission, now_us);
     while ((packet = packet_pool_take(&admission->packet_pool,
-                                      &flow->packet_pool)) != NULL) {
+                                      &flow->packets)) != NULL) {
         admission->out->ops->to_endpoint(admission->out, packet->bytes,
                                          packet->size);
     }
@@ -183,24 +178,24 @@
                         const struct relay_packet *packet, uint64_t now_us)
 {
     struct admission_flow *flow = &admission->flows[handle];
-    bool first = flow->packet_pool == PACKET_POOL_NONE;
+    bool first = flow->packets == PACKET_POOL_NONE;
     bool full = admission->queue_count == ADMISSION_QUEUE_MAX;
 
     if (first && (full || now_us >= flow->abandon_us)) {
-        /* No room, or a request that comes long after its SYN: its caller's
-         * time isn't known. */
+        /* The queue is full, or the request came so late after its SYN that
+         * its deadlines are unknown. */
         flow->queued = false;
         admission_begin_request(admission, handle, now_us);
         return false;
     }
-    packet_pool_append(&admission->packet_pool, &flow->packet_pool, packet);
+    packet_pool_append(&admission->packet_pool, &flow->packets, packet);
     if (first) {
         admission->queue[admission->queue_count++] = handle;
     }
     return true;
 }
 
-/* Held SYNs go elsewhere: the endpoint takes nothing new any more. */
+/* Redirects queued SYNs when the endpoint takes no new flows. */
 static void
 redirect_queue(struct admission *admission, enum frame_reason why,
                uint64_t now_us)
@@ -220,8 +215,7 @@
     }
 }
 
-/* Requests that wait for an endpoint that is no more: their callers are told
- * at once. */
+/* Resets the flows of queued requests when the endpoint has ended. */
 static void
 reset_queued(struct admission *admission)
 {
@@ -235,9 +229,9 @@
     }
 }
 
-/* Gives held SYNs and requests to the endpoint while it has room. */
+/* Gives queued SYNs and requests to the endpoint while it has capacity. */
 static void
-admit(struct admission *admission, uint64_t now_us)
+admit_queued(struct admission *admission, uint64_t now_us)
 {
     if (admission_is_evacuated(admission)) {
         redirect_queue(admission, FRAME_REASON_EVACUATED, now_us);
@@ -275,7 +269,7 @@
 void
 admission_queue_admit(struct admission *admission, uint64_t now_us)
 {
-    admit(admission, now_us);
+    admit_queued(admission, now_us);
     admission->slow_start_due_us = UINT64_MAX;
     if (admission->queue_count > 0 &&
         !slow_start_allows(&admission->slow_start, now_us)) {
--- a/src/relay/admission/endpoint.c
+++ b/src/relay/admission/endpoint.c
@@ -7,20 +7,20 @@
 #include "base/clock.h"
 #include "base/hash.h"
 
-/* Until a heartbeat says otherwise. */
+/* Slots until a heartbeat reports them. */
 #define SLOTS_DEFAULT 2
 
-/* What an endpoint's first heartbeat counts at most. It goes out within
- * milliseconds of the incarnation, before that nothing is sent there, and one
- * that isn't answered is sent again with a higher count. */
+/* Highest sequence number of an incarnation's first heartbeat. It is sent
+ * within milliseconds of the start, before the endpoint gets a flow; if it
+ * isn't acknowledged, the next one has a higher number. */
 #define SEQUENCE_FIRST 1
 
-/* Silence of the current incarnation after which an earlier one is believed:
- * four heartbeats of 1.2 s. A heartbeat is held up for less than that, as its
- * sender gives it up after a second and sends the next. */
+/* Time without a heartbeat of the current incarnation after which one of an
+ * earlier incarnation is accepted: four heartbeats of 1.2 s. A heartbeat isn't
+ * delayed for longer, as its sender gives up after a second. */
 #define CURRENT_SILENT_US (5 * USEC_PER_SEC)
 
-/* Start that an id had last, or NULL. */
+/* Latest incarnation of an id, or NULL. */
 static struct endpoint_incarnation *
 incarnation_find(struct endpoint *endpoint, const char *id)
 {
@@ -32,8 +32,8 @@
     return NULL;
 }
 
-/* Makes a incarnation the current one; @known, the same or an earlier one of
- * its id, or else the one seen longest ago makes room. */
+/* Makes an incarnation the current one. It replaces @known, an entry of the
+ * same id, or else the oldest entry. */
 static struct endpoint_incarnation *
 incarnation_set_current(struct endpoint *endpoint,
                         struct endpoint_incarnation *known,
@@ -57,7 +57,7 @@
     return &endpoint->incarnations[0];
 }
 
-/* Whether a heartbeat is of a incarnation before the current one. */
+/* Whether a heartbeat is of an incarnation before the current one. */
 static bool
 is_earlier(const struct endpoint *endpoint, const struct heartbeat *heartbeat,
            uint64_t now_us)
@@ -69,7 +69,8 @@
            now_us - endpoint->heard_us < CURRENT_SILENT_US;
 }
 
-/* Whether a heartbeat of a incarnation that is known says nothing new. */
+/* Whether a heartbeat of a known incarnation is a repeated or reordered one.
+ */
 static bool
 is_repeated(const struct endpoint_incarnation *known,
             const struct heartbeat *heartbeat)
@@ -107,9 +108,9 @@
         .draining = heartbeat->draining,
     };
     bool changed = endpoint->service != heartbeat->service;
-    bool other = endpoint->incarnation_count > 0 &&
-                 (known != &endpoint->incarnations[0] ||
-                  known->started_ms != heartbeat->started_ms);
+    bool is_new = endpoint->incarnation_count > 0 &&
+                  (known != &endpoint->incarnations[0] ||
+                   known->started_ms != heartbeat->started_ms);
 
     if (is_earlier(endpoint, heartbeat, now_us)) {
         return ENDPOINT_STALE;
@@ -117,7 +118,7 @@
     if (is_repeated(known, heartbeat)) {
         return ENDPOINT_UNCHANGED;
     }
-    incarnation.complete = other || known == NULL
+    incarnation.complete = is_new || known == NULL
                                ? heartbeat->sequence <= SEQUENCE_FIRST
                                : known->complete;
     incarnation.complete |= endpoint->down;
@@ -129,13 +130,13 @@
     endpoint->slots = heartbeat->slots > 0 ? heartbeat->slots : SLOTS_DEFAULT;
     changed |= set_state(endpoint, heartbeat->draining ? ENDPOINT_DRAINING
                                                        : ENDPOINT_READY);
-    if (other) {
+    if (is_new) {
         return ENDPOINT_NEW_INCARNATION;
     }
     return changed ? ENDPOINT_CHANGED : ENDPOINT_UNCHANGED;
 }
 
-/* Whether a goodbye is of the incarnation that is known under its id. */
+/* Whether a goodbye is of the known incarnation of its id. */
 static bool
 goodbye_matches(const struct endpoint_incarnation *known, uint64_t started_ms)
 {
@@ -151,7 +152,7 @@
 
     if (known == NULL) {
         if (endpoint->incarnation_count > 0) {
-            /* A goodbye that was held up; its sender was replaced. */
+            /* A delayed goodbye of an endpoint that was replaced. */
             return false;
         }
         g_strlcpy(incarnation.id, id, sizeof(incarnation.id));
--- a/src/relay/admission/endpoint.h
+++ b/src/relay/admission/endpoint.h
@@ -1,10 +1,10 @@
 /**
- * DOC: endpoint - what an agent knows of the endpoint beside it
+ * DOC: endpoint - state of the endpoint beside an agent
  *
- * From its heartbeats, from its goodbye, and from whether it answers. A start
- * of an endpoint is an id and the time of day at which it began: the same id
- * may start again. A heartbeat or goodbye of an earlier start that was held up
- * on its way changes nothing for long.
+ * The state follows from heartbeats, the goodbye, and whether the endpoint
+ * answers. An incarnation is one run of an endpoint, identified by an id and
+ * its start time, as the same id may start again. Delayed heartbeats and
+ * goodbyes of an earlier incarnation are ignored.
  */
 #ifndef SWIFTARCH_RELAY_ADMISSION_ENDPOINT_H
 #define SWIFTARCH_RELAY_ADMISSION_ENDPOINT_H
@@ -18,15 +18,15 @@
 #define ENDPOINT_INCARNATIONS_MAX 8
 
 /**
- * struct heartbeat - what an endpoint says of itself
- * @id: names the endpoint
- * @started_ms: when this start of it began, Unix time; 0 when it doesn't say:
- *           then the id alone tells its incarnations apart
+ * struct heartbeat - a heartbeat of an endpoint
+ * @id: the endpoint's id
+ * @started_ms: start of its incarnation, Unix time; 0 if not reported: the id
+ * alone identifies the incarnation then
  * @service: hash_service() of its service
- * @draining: it ends soon and takes nothing new
+ * @draining: it ends soon and takes no new flows
  * @slots: requests that it runs at a time
- * @warmup_left_ms: how long it stays slow after its start
- * @sequence: grows with each heartbeat of one start
+ * @warmup_left_ms: how long it stays cold
+ * @sequence: grows with each heartbeat of an incarnation
  */
 struct heartbeat {
     char id[ENDPOINT_ID_MAX];
@@ -39,14 +39,14 @@
 };
 
 /**
- * struct endpoint_incarnation - one start of an endpoint
- * @id: its id
- * @started_ms: when it began, 0 when it doesn't say
- * @sequence: highest seen
- * @complete: its first heartbeat was heard, so that it has held no flow that
- *         didn't pass this agent
- * @draining: it said last that it takes nothing new
- * @left: it said that it ends
+ * struct endpoint_incarnation - one run of an endpoint
+ * @id: the endpoint's id
+ * @started_ms: its start, Unix time; 0 if not reported
+ * @sequence: highest sequence number seen
+ * @complete: its first heartbeat was received, so all of its flows passed this
+ * agent
+ * @draining: its last heartbeat reported that it drains
+ * @left: its goodbye was received
  */
 struct endpoint_incarnation {
     char id[ENDPOINT_ID_MAX];
@@ -58,15 +58,14 @@
 };
 
 /**
- * struct endpoint - the endpoint
+ * struct endpoint - the endpoint of an agent
  * @service: hash_service() of its service
- * @state: what it is fit for
+ * @state: whether it takes new flows
  * @slots: requests that it runs at a time
- * @heard_us: last heartbeat of the current start
- * @down: its process isn't there; what comes next is another start, all of
- *        which is seen
- * @incarnations: the incarnations seen last, @incarnations[0] the current one
- * @incarnation_count: how many
+ * @heard_us: time of the current incarnation's last heartbeat
+ * @down: its process isn't running; the next incarnation will be complete
+ * @incarnations: the last incarnations seen, the current one first
+ * @incarnation_count: number of them
  */
 struct endpoint {
     uint32_t service;
@@ -78,76 +77,79 @@
     unsigned incarnation_count;
 };
 
-/** endpoint_init() - an endpoint of a service of which nothing is known */
+/** endpoint_init() - set up an endpoint of @service in state ENDPOINT_UNKNOWN
+ */
 void
 endpoint_init(struct endpoint *endpoint, const char *service);
 
-/** enum endpoint_update - what a heartbeat brought */
+/** enum endpoint_update - effect of a heartbeat */
 enum endpoint_update {
-    ENDPOINT_UNCHANGED,       /* it is late, or says what is known */
-    ENDPOINT_CHANGED,         /* the state or the service is another */
-    ENDPOINT_NEW_INCARNATION, /* another start: what the earlier one held is
-                                 over */
-    ENDPOINT_STALE, /* of a start before the current one: not believed */
+    ENDPOINT_UNCHANGED,       /* repeated, reordered, or without a change */
+    ENDPOINT_CHANGED,         /* the state or the service changed */
+    ENDPOINT_NEW_INCARNATION, /* a new incarnation: flows of the last one have
+                                 ended */
+    ENDPOINT_STALE,           /* of an earlier incarnation: ignored */
 };
 
 /**
- * endpoint_heartbeat() - take a heartbeat
+ * endpoint_heartbeat() - update the state from a heartbeat
  *
- * One of a start that began before the current one was held up on its way, and
- * one that doesn't say when, after one that did, is of somebody else. It
- * is believed only when the current one has been silent for several
- * heartbeats: the time of day may have gone back between the two.
+ * A heartbeat that reports an earlier start than the current incarnation, or
+ * none after one that did, is stale. It is accepted only if the current
+ * incarnation has been silent for several heartbeats, as the clock may have
+ * been set back between two starts.
  */
 enum endpoint_update
 endpoint_heartbeat(struct endpoint *endpoint,
                    const struct heartbeat *heartbeat, uint64_t now_us);
 
 /**
- * endpoint_left() - a start ends
- * @id: its id
- * @started_ms: when it began, 0 when its goodbye doesn't say: then it counts
- * only for one that doesn't either or that said before that it drains, as it
- * may be of an earlier start
+ * endpoint_left() - handle a goodbye
+ * @id: the endpoint's id
+ * @started_ms: start of the incarnation that ends, 0 if not reported. Without
+ * it, the goodbye counts only for an incarnation that doesn't report its start
+ * either or that drains, as it may be of an earlier one.
  *
  * Return: whether the state changed.
  */
 bool
 endpoint_left(struct endpoint *endpoint, const char *id, uint64_t started_ms);
 
-/** endpoint_answered() - it sent something; whether the state changed */
+/** endpoint_answered() - the endpoint sent a packet; returns whether the state
+ * changed */
 bool
 endpoint_answered(struct endpoint *endpoint);
 
-/** endpoint_silent() - it didn't answer; whether the state changed */
+/** endpoint_silent() - a SYN timed out; returns whether the state changed */
 bool
 endpoint_silent(struct endpoint *endpoint);
 
 /**
- * endpoint_refused() - it bounced a SYN; whether the state changed
+ * endpoint_refused() - the endpoint bounced a SYN; returns whether the state
+ * changed
  * @busy: requests in progress, that SYN's included
  *
- * One of which nothing is known isn't up yet; one that refuses though it has
- * a free slot is down. Its next heartbeat or answer tells that it is back. A
- * busy one is only full.
+ * The endpoint becomes silent if no heartbeat has come yet or it has a free
+ * slot, until its next heartbeat or answer. A busy one is only full.
  */
 bool
 endpoint_refused(struct endpoint *endpoint, unsigned busy);
 
-/** endpoint_down() - its process isn't there; whether that is new */
+/** endpoint_down() - the endpoint's process isn't running; returns whether
+ * that is new */
 bool
 endpoint_down(struct endpoint *endpoint);
 
-/** endpoint_is_complete() - whether this agent has seen every flow of the
- * endpoint's current start */
+/** endpoint_is_complete() - whether all flows of the current incarnation
+ * passed this agent */
 bool
 endpoint_is_complete(const struct endpoint *endpoint);
 
-/** endpoint_is_available() - whether it may be given a new flow */
+/** endpoint_is_available() - whether the endpoint takes new flows */
 bool
 endpoint_is_available(const struct endpoint *endpoint);
 
-/** endpoint_health() - what balancers are told */
+/** endpoint_health() - health to report to balancers, with @busy requests */
 struct frame_health
 endpoint_health(const struct endpoint *endpoint, unsigned busy);
 
--- a/src/relay/admission/outcome.c
+++ b/src/relay/admission/outcome.c
@@ -2,14 +2,14 @@
 
 #include "base/clock.h"
 
-/* Weight of one request: three resets in a row make an endpoint a failing
- * one, seven answers a well one again. One reset alone, as of a flow that its
- * endpoint has just closed, makes none. */
-#define WEIGHT 8
-#define FAILING 300
-
-/* What isn't asked can't show that it is well again: its past counts half
- * after this long, and it is tried. */
+/* A request has a weight of 1/SAMPLE_WEIGHT. Three resets in a row reach the
+ * threshold, a single one doesn't: it may be of a flow that the endpoint just
+ * closed. */
+#define SAMPLE_WEIGHT 8
+#define FAILING_PER_MILLE 300
+
+/* The rate halves after this time without requests, so that the endpoint is
+ * tried again. */
 #define HALF_LIFE_US (2 * USEC_PER_SEC)
 
 static unsigned
@@ -25,13 +25,13 @@
 {
     unsigned failed = failure_rate_at(outcome, now_us);
 
-    failed -= failed / WEIGHT;
-    outcome->failed = failed + (reset ? 1000 / WEIGHT : 0);
+    failed -= failed / SAMPLE_WEIGHT;
+    outcome->failed = failed + (reset ? 1000 / SAMPLE_WEIGHT : 0);
     outcome->at_us = now_us;
 }
 
 bool
 outcome_is_failing(const struct outcome *outcome, uint64_t now_us)
 {
-    return failure_rate_at(outcome, now_us) >= FAILING;
+    return failure_rate_at(outcome, now_us) >= FAILING_PER_MILLE;
 }
--- a/src/relay/admission/packet_pool.h
+++ b/src/relay/admission/packet_pool.h
@@ -1,9 +1,9 @@
 /**
- * DOC: packet_pool - packets of requests that wait at an agent
+ * DOC: packet_pool - packets of queued requests
  *
- * A fixed pool of packets in chains: one chain holds the first packets of one
- * request, in the order they came. A packet that finds no room is left out;
- * its caller sends it again.
+ * A fixed pool of packets in chains. A chain holds the first packets of one
+ * request in order of arrival. Packets that don't fit are dropped; their
+ * caller sends them again.
  */
 #ifndef SWIFTARCH_RELAY_ADMISSION_PACKET_POOL_H
 #define SWIFTARCH_RELAY_ADMISSION_PACKET_POOL_H
@@ -14,17 +14,22 @@
 
 #include "relay/wire/packet.h"
 
-/* Packets in the pool: two for each request that may wait; most requests are
- * one packet. 320 KB, of which only what was used costs memory. */
+/* Packets in the pool: two for each queue entry. Most requests are one packet.
+ */
 #define PACKET_POOL_MAX 256
 
-/* Packets of one request: what its caller sends before it waits for an
- * acknowledgement. */
+/* Packets of one request: a TCP initial congestion window fits. */
 #define PACKET_POOL_CHAIN_MAX 16
 
 #define PACKET_POOL_NONE (-1)
 
-/** struct pool_packet - one packet, or a free slot */
+/**
+ * struct pool_packet - a packet, or a free slot
+ * @next: next slot of its chain, or PACKET_POOL_NONE
+ * @seq: TCP sequence number
+ * @size: length of @bytes used
+ * @bytes: the packet
+ */
 struct pool_packet {
     int next;
     uint32_t seq;
@@ -34,9 +39,9 @@
 
 /**
  * struct packet_pool - the pool
- * @items: the packets
- * @used: places that were ever used
- * @free: chain of those that are free again
+ * @items: the slots
+ * @used: slots that were ever used
+ * @free: chain of slots that are free again
  */
 struct packet_pool {
     struct pool_packet *items;
@@ -44,7 +49,7 @@
     int free;
 };
 
-/** packet_pool_init() - an empty pool; 0 or -ENOMEM */
+/** packet_pool_init() - allocate an empty pool; returns 0 or -ENOMEM */
 int
 packet_pool_init(struct packet_pool *packet_pool);
 
@@ -52,19 +57,19 @@
 void
 packet_pool_finish(struct packet_pool *packet_pool);
 
-/** packet_pool_append() - keep a packet at the end of a chain,
- * PACKET_POOL_NONE for an empty one; false when there is no room, or it is
- * there already */
+/** packet_pool_append() - copy a packet to the end of a chain, which is
+ * PACKET_POOL_NONE if empty; false if the chain or the pool is full, or the
+ * chain has a packet of the same sequence number */
 bool
 packet_pool_append(struct packet_pool *packet_pool, int *chain,
                    const struct relay_packet *packet);
 
-/** packet_pool_take() - first packet of a chain, which is free from now on and
- * valid until the next packet_pool_append(); NULL for none */
+/** packet_pool_take() - remove the first packet of a chain; valid until the
+ * next packet_pool_append(), NULL if the chain is empty */
 const struct pool_packet *
 packet_pool_take(struct packet_pool *packet_pool, int *chain);
 
-/** packet_pool_release() - free a chain */
+/** packet_pool_release() - remove all packets of a chain */
 void
 packet_pool_release(struct packet_pool *packet_pool, int *chain);
 
--- a/src/relay/admission/slow_start.c
+++ b/src/relay/admission/slow_start.c
@@ -6,28 +6,28 @@
 
 #include "base/clock.h"
 
-/* The second in which requests are counted, and a margin for those that reach
- * the endpoint later than others: hosts run on with up to 20 ms delay. */
+/* Window in which requests are counted: a second, and a margin for requests
+ * that reach the endpoint with different delays. */
 #define WINDOW_US (1050 * USEC_PER_MSEC)
 
 static unsigned
-slot_of(const struct slow_start *slow_start, unsigned at)
+ring_index(const struct slow_start *slow_start, unsigned at)
 {
     return (slow_start->admitted_first + at) % SLOW_START_LIMIT_MAX;
 }
 
-/* How many of the recorded requests lie in the window that ends now. */
+/* Recorded requests in the window that ends now. */
 static unsigned
 admitted_in_window(const struct slow_start *slow_start, uint64_t now_us)
 {
-    unsigned old = 0;
+    unsigned expired = 0;
 
-    while (old < slow_start->admitted_count &&
-           now_us - slow_start->admitted_us[slot_of(slow_start, old)] >=
+    while (expired < slow_start->admitted_count &&
+           now_us - slow_start->admitted_us[ring_index(slow_start, expired)] >=
                WINDOW_US) {
-        old++;
+        expired++;
     }
-    return slow_start->admitted_count - old;
+    return slow_start->admitted_count - expired;
 }
 
 static bool
@@ -77,11 +77,11 @@
 slow_start_record(struct slow_start *slow_start, uint64_t now_us)
 {
     if (slow_start->admitted_count == SLOW_START_LIMIT_MAX) {
-        slow_start->admitted_first = slot_of(slow_start, 1);
+        slow_start->admitted_first = ring_index(slow_start, 1);
         slow_start->admitted_count--;
     }
     slow_start
-        ->admitted_us[slot_of(slow_start, slow_start->admitted_count++)] =
+        ->admitted_us[ring_index(slow_start, slow_start->admitted_count++)] =
         now_us;
 }
 
@@ -94,7 +94,7 @@
         slow_start->admitted_count >= slow_start->limit) {
         unsigned at = slow_start->admitted_count - slow_start->limit;
         uint64_t free_us =
-            slow_start->admitted_us[slot_of(slow_start, at)] + WINDOW_US;
+            slow_start->admitted_us[ring_index(slow_start, at)] + WINDOW_US;
 
         next_us = MAX(next_us, free_us);
     }
--- a/src/relay/admission/slow_start.h
+++ b/src/relay/admission/slow_start.h
@@ -1,14 +1,13 @@
 /**
- * DOC: slow_start - how many requests an endpoint gets while it warms up
+ * DOC: slow_start - rate limit of requests to a cold endpoint
  *
- * Operators say how many requests a second a service's endpoints bear until
- * they are warm. All requests of an endpoint pass its one agent, so a record
- * of what was given to it in the last second keeps that bound for any second,
- * without a word to anybody.
+ * Operators set the requests per second that a service's endpoints get until
+ * they are warm. All requests pass the endpoint's one agent, which records
+ * them and keeps the limit in any second.
  *
- * While it isn't known whether the endpoint is warm, it is taken as cold: it
- * may just have started. An agent that has just started itself doesn't know
- * what its predecessor gave in the second before, and counts that as all.
+ * An endpoint is cold until it is known to be warm. An agent that has just
+ * started doesn't know what its predecessor admitted in the last second, and
+ * admits nothing for that time.
  */
 #ifndef SWIFTARCH_RELAY_ADMISSION_SLOW_START_H
 #define SWIFTARCH_RELAY_ADMISSION_SLOW_START_H
@@ -16,17 +15,17 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Requests in a second that are recorded; a higher limit counts as this. */
+/* Recorded requests; a higher limit counts as this one. */
 #define SLOW_START_LIMIT_MAX 256
 
 /**
- * struct slow_start - one endpoint's
+ * struct slow_start - rate limit of one endpoint
  * @limit: requests in any second while it is cold, 0 for no limit
- * @cold_until_us: when it is warm, UINT64_MAX while that isn't known
- * @since_us: what was given before isn't known
- * @admitted_us: when the last requests were given, a ring
- * @admitted_first: place of the oldest of them
- * @admitted_count: how many
+ * @cold_until_us: when it becomes warm, UINT64_MAX if unknown
+ * @since_us: start of the record; earlier requests are unknown
+ * @admitted_us: ring of the times of the last requests
+ * @admitted_first: index of the oldest one
+ * @admitted_count: number of them
  */
 struct slow_start {
     unsigned limit;
@@ -37,23 +36,24 @@
     unsigned admitted_count;
 };
 
-/** slow_start_init() - nothing is known of the endpoint, nor of what it was
- * given before @now_us */
+/** slow_start_init() - begin with an endpoint that is cold and requests before
+ * @now_us unknown */
 void
 slow_start_init(struct slow_start *slow_start, uint64_t now_us);
 
-/** slow_start_limit() - operators say how much a cold endpoint bears; 0 for
- * anything */
+/** slow_start_limit() - set the configured limit in requests per second; 0 for
+ * none */
 void
 slow_start_limit(struct slow_start *slow_start, unsigned limit);
 
-/** slow_start_set_remaining() - the endpoint says how much longer it is cold
- */
+/** slow_start_set_remaining() - set how much longer the endpoint is cold, as
+ * its heartbeat reports */
 void
 slow_start_set_remaining(struct slow_start *slow_start, unsigned left_ms,
                          uint64_t now_us);
 
-/** slow_start_restart() - the endpoint may have started anew */
+/** slow_start_restart() - treat the endpoint as cold, as it may have restarted
+ */
 void
 slow_start_restart(struct slow_start *slow_start);
 
@@ -61,11 +61,12 @@
 bool
 slow_start_allows(const struct slow_start *slow_start, uint64_t now_us);
 
-/** slow_start_record() - it was given one */
+/** slow_start_record() - record a request given to the endpoint */
 void
 slow_start_record(struct slow_start *slow_start, uint64_t now_us);
 
-/** slow_start_next_us() - when there will be room, if there is none now */
+/** slow_start_next_us() - when the limit allows a request, if it doesn't now
+ */
 uint64_t
 slow_start_next_us(const struct slow_start *slow_start);
 
