--- a/tests/relay/admission_established_test.c
+++ b/tests/relay/admission_established_test.c
@@ -6,9 +6,9 @@
 #include "relay/admission_fixture.h"
 #include "relay/relay_fixture.h"
 
-#define SUITE "/relay/door_known"
+#define SUITE "/relay/admission_established"
 
-TEST_F(fixture, packets_follow_a_flow_that_went_on)
+TEST_F(fixture, packets_follow_a_redirected_flow)
 {
     struct relay_flow flow = fixture_flow(3);
 
@@ -19,29 +19,30 @@
     g_string_truncate(fixture->record, 0);
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_ACK, 2, 7, 30), 0,
                     false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   NULL);
 }
 
-TEST_F(fixture, a_leaving_endpoint_takes_nothing_new_and_keeps_its_flows)
+TEST_F(fixture, a_draining_endpoint_takes_no_new_flows_and_keeps_its_own)
 {
     struct relay_flow flow = fixture_flow(1);
 
     fixture_open_flow(fixture, 1);
     g_string_truncate(fixture->record, 0);
     fixture_heartbeat(fixture, "i-1", "lots", true, 4);
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=1 state=2",
-                   NULL);
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=1 state=2", NULL);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(2), RELAY_SYN, 1, 0, 0),
                     1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=2 on=1 busy=1 state=2", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=2 on=1 busy=1 state=2", NULL);
     fixture_receive(
         fixture, fixture_from_caller(flow, RELAY_ACK, 101, 501, 40), 0, false);
     fixture_expect(fixture->record, "endpoint 40", NULL);
 }
 
-TEST_F(fixture, a_flow_from_before_the_start_is_offered_first)
+TEST_F(fixture, an_unknown_flow_is_offered_to_the_endpoint)
 {
     struct relay_flow flow = fixture_flow(1);
     struct relay_packet data =
@@ -51,47 +52,49 @@
     fixture_expect(fixture->record, "endpoint 40", NULL);
     fixture_answer(fixture,
                    fixture_from_endpoint(flow, RELAY_ACK, 501, 141, 900));
-    fixture_expect(fixture->record, "tell placed reason=0 on=0 busy=0 state=0",
+    fixture_expect(fixture->record,
+                   "notify established reason=0 on=0 busy=0 state=0",
                    "caller 1001", NULL);
 }
 
-TEST_F(fixture, only_flows_from_before_the_start_tell_what_is_served)
+TEST_F(fixture, only_flows_from_before_the_start_prove_served_addresses)
 {
     struct frame_ping nothing = {0};
 
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
                           &nothing, fixture->now_us);
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=0 state=0",
-                   NULL);
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=0 state=0", NULL);
     fixture_open_flow(fixture, 1);
     g_string_truncate(fixture->record, 0);
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
                           &nothing, fixture->now_us);
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=1 state=0",
-                   NULL);
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=1 state=0", NULL);
     fixture_answer(fixture, fixture_from_endpoint(fixture_flow(7), RELAY_ACK,
                                                   501, 141, 900));
-    fixture_expect(fixture->record, "serves 1", "caller 1007", NULL);
+    fixture_expect(fixture->record, "served 1", "caller 1007", NULL);
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
                           &nothing, fixture->now_us);
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=1 state=0",
-                   "serves 1", NULL);
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=1 state=0", "served 1",
+                   NULL);
 }
 
-TEST_F(fixture, an_agent_greets_until_a_balancer_speaks)
+TEST_F(fixture, an_agent_announces_itself_until_a_balancer_is_heard)
 {
     struct frame_ping ping = {.view.version = 4};
 
     admission_add_announce_target(&fixture->admission,
                                   fixture_addr(FIXTURE_BALANCER));
     fixture_advance_ms(fixture, 1);
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=0 state=0",
-                   NULL);
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=0 state=0", NULL);
     fixture_advance_ms(fixture, 99);
     fixture_expect(fixture->record, NULL);
     fixture_advance_ms(fixture, 1);
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=0 state=0",
-                   NULL);
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=0 state=0", NULL);
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
                           &ping, fixture->now_us);
     g_string_truncate(fixture->record, 0);
@@ -99,7 +102,7 @@
     fixture_expect(fixture->record, NULL);
 }
 
-TEST_F(fixture, who_spoke_last_is_named_as_the_holder_of_a_version)
+TEST_F(fixture, the_balancer_heard_last_is_reported_as_holder_of_a_version)
 {
     struct frame_ping ping = {.view.version = 4};
     struct addr second = fixture_addr("10.9.0.2:7720");
@@ -117,61 +120,63 @@
 
 TEST_F(fixture, balancers_that_read_the_store_are_counted_for_the_others)
 {
-    struct frame_ping reads = {.view = {4, FRAME_READER_READING}};
-    struct frame_ping reads_not = {.view = {4, FRAME_READER_NONE}};
-    struct frame_ping tries = {.view = {4, FRAME_READER_TRYING}};
+    struct frame_ping reading = {.view = {4, FRAME_READER_READING}};
+    struct frame_ping not_reading = {.view = {4, FRAME_READER_NONE}};
+    struct frame_ping trying = {.view = {4, FRAME_READER_TRYING}};
     struct addr second = fixture_addr("10.9.0.2:7720");
 
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
-                          &reads, fixture->now_us);
+                          &reading, fixture->now_us);
     g_assert_cmpuint(fixture->readers, ==, 0);
-    admission_handle_ping(&fixture->admission, second, &reads_not,
+    admission_handle_ping(&fixture->admission, second, &not_reading,
                           fixture->now_us);
     g_assert_cmpuint(fixture->readers, ==, 1);
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
-                          &tries, fixture->now_us);
-    admission_handle_ping(&fixture->admission, second, &reads_not,
+                          &trying, fixture->now_us);
+    admission_handle_ping(&fixture->admission, second, &not_reading,
                           fixture->now_us);
     g_assert_cmpuint(fixture->readers, ==, 0);
     g_assert_cmpuint(fixture->trying, ==, 1);
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
-                          &reads, fixture->now_us);
-    /* One that wasn't heard from for a second may be gone. */
+                          &reading, fixture->now_us);
+    /* A balancer without a frame for a second isn't counted. */
     fixture->now_us += 1100 * USEC_PER_MSEC;
-    admission_handle_ping(&fixture->admission, second, &reads,
+    admission_handle_ping(&fixture->admission, second, &reading,
                           fixture->now_us);
     g_assert_cmpuint(fixture->readers, ==, 0);
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
-                          &reads_not, fixture->now_us);
+                          &not_reading, fixture->now_us);
     g_assert_cmpuint(fixture->readers, ==, 1);
-    admission_handle_ping(&fixture->admission, second, &reads_not,
+    admission_handle_ping(&fixture->admission, second, &not_reading,
                           fixture->now_us);
     admission_handle_ping(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
-                          &reads_not, fixture->now_us);
+                          &not_reading, fixture->now_us);
     g_assert_cmpuint(fixture->readers, ==, 0);
 }
 
 TEST_F(fixture, a_flow_is_explained)
 {
     struct relay_flow flow = fixture_flow(1);
-    struct admission_explanation told;
+    struct admission_explanation explanation;
 
-    g_assert_false(admission_explain(&fixture->admission, flow, &told));
+    g_assert_false(admission_explain(&fixture->admission, flow, &explanation));
     fixture_open_flow(fixture, 1);
-    g_assert_true(admission_explain(&fixture->admission, flow, &told));
-    g_assert_cmpstr(told.state, ==, "here");
-    g_assert_true(told.in_progress);
-    g_assert_false(told.confirmed);
+    g_assert_true(admission_explain(&fixture->admission, flow, &explanation));
+    g_assert_cmpstr(explanation.state, ==, "here");
+    g_assert_true(explanation.in_progress);
+    g_assert_false(explanation.confirmed);
     fixture_receive(fixture,
                     fixture_from_caller(flow, RELAY_ACK, 101, 900001, 40), 2,
                     false);
-    g_assert_true(admission_explain(&fixture->admission, flow, &told));
-    g_assert_cmpstr(told.state, ==, "elsewhere");
-    g_assert_true(addr_equal(told.target, fixture_addr(FIXTURE_SECOND)));
-    g_assert_true(addr_equal(told.origin, fixture_addr(FIXTURE_BALANCER)));
+    g_assert_true(admission_explain(&fixture->admission, flow, &explanation));
+    g_assert_cmpstr(explanation.state, ==, "elsewhere");
+    g_assert_true(
+        addr_equal(explanation.target, fixture_addr(FIXTURE_SECOND)));
+    g_assert_true(
+        addr_equal(explanation.origin, fixture_addr(FIXTURE_BALANCER)));
 }
 
-TEST_F(fixture, a_flow_that_the_endpoint_lacks_is_looked_for)
+TEST_F(fixture, a_bounced_packet_continues_its_lookup)
 {
     struct relay_packet data =
         fixture_from_caller(fixture_flow(1), RELAY_ACK, 101, 501, 40);
@@ -179,11 +184,11 @@
     fixture_receive(fixture, data, 2, false);
     fixture_answer(fixture, fixture_bounced(data));
     fixture_expect(fixture->record, "endpoint 40",
-                   "carry 10.0.0.2:7000 hops=1 left=1", NULL);
+                   "forward 10.0.0.2:7000 hops=1 left=1", NULL);
 }
 
-/* Nothing is kept of it, and only its end is told. */
-TEST_F(fixture, a_search_passes_who_knows_all_flows)
+/* No flow is added, and only the end of the lookup is reported. */
+TEST_F(fixture, a_lookup_skips_an_endpoint_whose_flows_are_all_known)
 {
     struct relay_packet data =
         fixture_from_caller(fixture_flow(1), RELAY_ACK, 101, 501, 40);
@@ -191,14 +196,15 @@
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     g_string_truncate(fixture->record, 0);
     fixture_receive(fixture, data, 2, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=1",
+                   NULL);
     fixture_receive(fixture, data, 0, false);
     fixture_expect(fixture->record, "drop 1",
-                   "tell passed reason=4 on=0 busy=0 state=1", NULL);
+                   "notify redirected reason=4 on=0 busy=0 state=1", NULL);
     g_assert_cmpuint(fixture->admission.table.used, ==, 0);
 }
 
-TEST_F(fixture, two_packets_of_a_search_go_the_same_way)
+TEST_F(fixture, two_packets_of_a_lookup_go_the_same_way)
 {
     struct relay_flow flow = fixture_flow(1);
     struct relay_packet ack =
@@ -210,14 +216,15 @@
     fixture_receive(fixture, fin, 2, false);
     fixture_answer(fixture, fixture_bounced(ack));
     g_string_truncate(fixture->record, 0);
-    /* It may overtake the first, and must not end the search then. */
+    /* The FIN may overtake the first packet and must not end the lookup. */
     fixture_answer(fixture, fixture_bounced(fin));
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=1",
+                   NULL);
 }
 
-/* An endpoint that has just started answers data of flows that it never held
- * with a reset, where others hand it back. */
-TEST_F(fixture, a_reset_of_an_endpoint_that_lacks_the_flow_goes_nowhere)
+/* An endpoint that has just started may reset flows that it never held instead
+ * of bouncing their packets. */
+TEST_F(fixture, a_reset_of_a_flow_not_held_is_dropped)
 {
     struct relay_flow flow = fixture_flow(1);
     struct relay_packet data =
@@ -228,14 +235,15 @@
     fixture_answer(fixture, fixture_from_endpoint(flow, RELAY_RST | RELAY_ACK,
                                                   501, 101, 0));
     fixture_expect(fixture->record, "drop 1",
-                   "tell passed reason=4 on=0 busy=0 state=0", NULL);
+                   "notify redirected reason=4 on=0 busy=0 state=0", NULL);
     g_assert_cmpuint(fixture->admission.served.count, ==, 0);
-    /* The caller sends it again: it is looked for further on. */
+    /* A packet that is sent again continues the lookup. */
     fixture_receive(fixture, data, 2, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=1",
+                   NULL);
 }
 
-TEST_F(fixture, a_reset_before_the_caller_confirmed_goes_nowhere)
+TEST_F(fixture, a_reset_before_the_caller_confirmed_is_dropped)
 {
     struct relay_flow flow = fixture_flow(1);
     struct relay_packet rst =
@@ -243,7 +251,7 @@
 
     fixture_open_flow(fixture, 1);
     g_string_truncate(fixture->record, 0);
-    /* The caller may have taken another endpoint's answer. */
+    /* The caller may have accepted another endpoint's SYN+ACK. */
     fixture_answer(fixture, rst);
     fixture_expect(fixture->record, "drop 1", NULL);
     fixture_receive(
@@ -253,7 +261,7 @@
     fixture_expect(fixture->record, "caller 1001", NULL);
 }
 
-TEST_F(fixture, a_search_goes_where_its_own_frame_says)
+TEST_F(fixture, a_lookup_follows_the_path_in_its_frame)
 {
     struct relay_packet data =
         fixture_from_caller(fixture_flow(1), RELAY_ACK, 101, 501, 40);
@@ -261,15 +269,18 @@
     fixture_receive(fixture, data, 2, false);
     fixture_answer(fixture, fixture_bounced(data));
     g_string_truncate(fixture->record, 0);
-    /* The second agent has stopped since, and is not named any more. */
+    /* The second agent has stopped and isn't on the lookup path any more. */
     fixture_receive_along(fixture, data, FIXTURE_THIRD, NULL);
-    fixture_expect(fixture->record, "carry 10.0.0.3:7000 hops=1 left=0", NULL);
-    /* Where it went on to is named still: that is likeliest. */
+    fixture_expect(fixture->record, "forward 10.0.0.3:7000 hops=1 left=0",
+                   NULL);
+    /* The agent that got the first packet is still on the path and is
+     * preferred. */
     fixture_receive(fixture, data, 2, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=1",
+                   NULL);
 }
 
-TEST_F(fixture, a_search_that_goes_the_other_way_is_not_turned_round)
+TEST_F(fixture, a_lookup_in_reverse_order_keeps_its_order)
 {
     struct relay_packet data =
         fixture_from_caller(fixture_flow(1), RELAY_ACK, 101, 501, 40);
@@ -277,12 +288,13 @@
     fixture_receive(fixture, data, 2, false);
     fixture_answer(fixture, fixture_bounced(data));
     g_string_truncate(fixture->record, 0);
-    /* The second agent, where the first packet went, may be dead. */
+    /* The second agent, which got the first packet, may be down. */
     fixture_receive_along(fixture, data, FIXTURE_THIRD, FIXTURE_SECOND);
-    fixture_expect(fixture->record, "carry 10.0.0.3:7000 hops=1 left=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.3:7000 hops=1 left=1",
+                   NULL);
 }
 
-TEST_F(fixture, the_other_answer_to_a_syn_counts)
+TEST_F(fixture, a_flow_that_acks_another_syn_ack_is_redirected)
 {
     struct relay_flow flow = fixture_flow(1);
 
@@ -291,67 +303,68 @@
     fixture_receive(fixture,
                     fixture_from_caller(flow, RELAY_ACK, 101, 900000, 40), 1,
                     false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=4 on=1 busy=0 state=0", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=4 on=1 busy=0 state=0", NULL);
 }
 
-TEST_F(fixture, a_flow_that_is_open_elsewhere_stays_elsewhere)
+TEST_F(fixture, a_flow_open_elsewhere_is_not_offered_again)
 {
     struct relay_flow flow = fixture_flow(1);
 
     fixture_open_flow(fixture, 1);
     g_string_truncate(fixture->record, 0);
-    /* Its balancer knows of this answer alone, the caller took another. */
+    /* The balancer has this SYN+ACK only, the caller accepted another. */
     fixture_receive(fixture,
                     fixture_from_caller(flow, RELAY_ACK, 101, 900001, 40), 0,
                     false);
     fixture_expect(fixture->record, "drop 1",
-                   "tell passed reason=4 on=0 busy=0 state=0", NULL);
-    /* The endpoint still waits for its own handshake, and would say nothing
-     * to a packet of the other's. */
+                   "notify redirected reason=4 on=0 busy=0 state=0", NULL);
+    /* The endpoint waits for its own handshake and would silently take the
+     * packet. */
     fixture_receive(fixture,
                     fixture_from_caller(flow, RELAY_ACK, 101, 900001, 40), 2,
                     false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=1",
+                   NULL);
     fixture_receive(fixture,
                     fixture_from_caller(flow, RELAY_ACK, 101, 900001, 40), 0,
                     false);
     fixture_expect(fixture->record, "drop 1",
-                   "tell passed reason=4 on=0 busy=0 state=0", NULL);
+                   "notify redirected reason=4 on=0 busy=0 state=0", NULL);
 }
 
-TEST_F(fixture, a_flow_that_the_endpoint_has_not_answered_is_not_here)
+TEST_F(fixture, a_packet_of_an_opening_flow_goes_to_the_endpoint_only)
 {
     struct relay_flow flow = fixture_flow(1);
 
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_SYN, 100, 0, 0),
                     2, false);
     g_string_truncate(fixture->record, 0);
-    /* Its SYN was answered elsewhere too. */
+    /* Another endpoint answered the SYN too. */
     fixture_receive(fixture,
                     fixture_from_caller(flow, RELAY_ACK, 101, 900000, 40), 1,
                     false);
     fixture_expect(fixture->record, "endpoint 40", NULL);
 }
 
-TEST_F(fixture, an_answer_to_a_syn_alone_proves_no_flow)
+TEST_F(fixture, a_syn_ack_alone_proves_no_flow)
 {
     struct relay_flow flow = fixture_flow(1);
 
-    /* The SYN went through an agent that has started anew since. */
+    /* The SYN came before this agent's start. */
     fixture_answer(fixture, fixture_from_endpoint(flow, RELAY_SYN | RELAY_ACK,
                                                   500, 101, 0));
     fixture_expect(fixture->record, "caller 1001", NULL);
     g_assert_cmpuint(fixture->admission.served.count, ==, 0);
-    /* The caller took another endpoint's answer. */
+    /* The caller accepted another endpoint's SYN+ACK. */
     fixture_receive(fixture,
                     fixture_from_caller(flow, RELAY_ACK, 101, 900000, 40), 1,
                     false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=4 on=1 busy=0 state=0", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=4 on=1 busy=0 state=0", NULL);
 }
 
-TEST_F(fixture, data_that_bounces_does_not_end_the_handshake)
+TEST_F(fixture, bounced_data_does_not_end_the_handshake)
 {
     struct relay_flow flow = fixture_flow(1);
     struct relay_packet data =
@@ -364,11 +377,12 @@
     g_string_truncate(fixture->record, 0);
     fixture_answer(fixture, fixture_from_endpoint(flow, RELAY_SYN | RELAY_ACK,
                                                   500, 101, 0));
-    fixture_expect(fixture->record, "tell placed reason=0 on=0 busy=1 state=0",
+    fixture_expect(fixture->record,
+                   "notify established reason=0 on=0 busy=1 state=0",
                    "caller 1001", NULL);
 }
 
-TEST_F(fixture, a_flow_whose_endpoint_started_anew_is_reset)
+TEST_F(fixture, a_proven_flow_that_bounces_is_reset)
 {
     struct relay_flow flow = fixture_flow(1);
     struct relay_packet data =
@@ -377,10 +391,11 @@
     fixture_open_flow(fixture, 1);
     fixture_receive(fixture, data, 0, false);
     g_string_truncate(fixture->record, 0);
-    /* Not proven open yet: it may have been answered elsewhere. */
+    /* The flow isn't proven open: another endpoint may have answered its SYN.
+     */
     fixture_answer(fixture, fixture_bounced(data));
     fixture_expect(fixture->record, "drop 1",
-                   "tell passed reason=4 on=0 busy=0 state=0", NULL);
+                   "notify redirected reason=4 on=0 busy=0 state=0", NULL);
     fixture_open_flow(fixture, 2);
     flow = fixture_flow(2);
     fixture_receive(
@@ -412,8 +427,8 @@
     fixture_expect(fixture->record, "reset 1001 at 1401", NULL);
 }
 
-/* Its caller may yet say that it took another answer. */
-TEST_F(fixture, a_flow_that_was_never_answered_is_not_reset)
+/* The caller may still accept another SYN+ACK. */
+TEST_F(fixture, an_unproven_flow_of_an_ended_endpoint_is_not_reset)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     fixture_open_flow(fixture, 1);
@@ -425,18 +440,18 @@
     fixture_expect(fixture->record, "endpoint 40", NULL);
 }
 
-TEST_F(fixture, another_service_at_the_address_takes_no_flow_of_the_old_one)
+TEST_F(fixture, an_endpoint_of_another_service_takes_no_flow)
 {
     fixture_heartbeat(fixture, "i-9", "albums", false, 1);
     g_string_truncate(fixture->record, 0);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 1, 0, 0),
                     1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=5 on=1 busy=0 state=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=5 on=1 busy=0 state=1", NULL);
 }
 
-TEST_F(fixture, a_late_syn_of_an_earlier_start_is_a_new_one)
+TEST_F(fixture, a_repeated_syn_of_an_earlier_incarnation_is_a_new_one)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     fixture_open_flow(fixture, 1);
@@ -446,11 +461,11 @@
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 100, 1, 0),
                     1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=2 on=1 busy=0 state=2", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=2 on=1 busy=0 state=2", NULL);
 }
 
-TEST_F(fixture, a_late_syn_of_another_service_is_passed_on)
+TEST_F(fixture, a_repeated_syn_of_another_service_is_redirected)
 {
     struct relay_flow flow = fixture_flow(1);
 
@@ -461,11 +476,11 @@
     g_string_truncate(fixture->record, 0);
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_SYN, 100, 1, 0),
                     1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=5 on=1 busy=0 state=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=5 on=1 busy=0 state=1", NULL);
 }
 
-TEST_F(fixture, a_late_heartbeat_of_a_dead_start_changes_nothing)
+TEST_F(fixture, a_late_heartbeat_of_an_earlier_incarnation_is_ignored)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 7);
     fixture_heartbeat(fixture, "i-2", "lots", false, 1);
@@ -474,7 +489,7 @@
     g_assert_cmpstr(fixture->admission.endpoint.incarnations[0].id, ==, "i-2");
 }
 
-TEST_F(fixture, a_flow_of_an_earlier_start_of_the_same_id_is_over)
+TEST_F(fixture, a_flow_of_an_earlier_incarnation_of_the_same_id_is_reset)
 {
     struct relay_packet data =
         fixture_from_caller(fixture_flow(1), RELAY_ACK, 141, 1401, 40);
@@ -493,9 +508,8 @@
     fixture_expect(fixture->record, "endpoint 40", "reset 1001 at 1401", NULL);
 }
 
-/* Its SYN waits here for a slot, at an agent that has just started; the
- * endpoint took it before. */
-TEST_F(fixture, a_held_syn_whose_flow_was_here_all_along_waits_no_more)
+/* The endpoint held the flow before this agent started and queued its SYN. */
+TEST_F(fixture, a_queued_syn_of_an_established_flow_leaves_the_queue)
 {
     fixture_fill(fixture);
     fixture_receive_forced(fixture, 4, 100, 1400, 2);
@@ -504,16 +518,17 @@
     fixture_answer(fixture, fixture_from_endpoint(fixture_flow(4), RELAY_ACK,
                                                   501, 141, 900));
     g_assert_cmpuint(fixture->admission.queue_count, ==, 0);
-    fixture_expect(fixture->record, "tell placed reason=0 on=0 busy=4 state=0",
+    fixture_expect(fixture->record,
+                   "notify established reason=0 on=0 busy=4 state=0",
                    "caller 1004", NULL);
-    /* The slots are free again, and no SYN of it goes out. */
+    /* The slots are free again, and the SYN isn't sent. */
     fixture_advance_ms(fixture, 70);
     fixture_expect(fixture->record, NULL);
 }
 
-/* The answer of an endpoint that is no more was read late; a copy of the SYN
- * went to the next start, whose answer the caller took. */
-TEST_F(fixture, the_last_answer_to_a_syn_is_the_one_that_counts)
+/* A SYN+ACK of the last incarnation is read late. A copy of the SYN goes to
+ * the next one, whose SYN+ACK the caller accepts. */
+TEST_F(fixture, a_later_syn_ack_replaces_an_earlier_one)
 {
     struct relay_flow flow = fixture_flow(1);
 
--- a/tests/relay/admission_evacuated_test.c
+++ b/tests/relay/admission_evacuated_test.c
@@ -3,14 +3,14 @@
 #include "relay/admission_fixture.h"
 #include "relay/relay_fixture.h"
 
-#define SUITE "/relay/door_evacuated"
+#define SUITE "/relay/admission_evacuated"
 
-/* What evacuates a data centre comes as one entry in the operators' store and
- * is told by others; the agent that would give a SYN to its endpoint has the
- * last word. */
+/* The agent itself refuses SYNs in an evacuated data centre, so that a
+ * balancer with an older list can't open flows there. */
 
 static bool
-told(struct fixture *fixture, uint64_t revision, const char *data_centre)
+receive_evacuations(struct fixture *fixture, uint64_t revision,
+                    const char *data_centre)
 {
     struct evacuations evacuations = {.revision = revision};
 
@@ -22,7 +22,8 @@
 }
 
 static void
-syn(struct fixture *fixture, unsigned number, unsigned next, bool forced)
+receive_syn(struct fixture *fixture, unsigned number, unsigned next,
+            bool forced)
 {
     fixture_receive(
         fixture,
@@ -34,37 +35,37 @@
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     g_string_truncate(fixture->record, 0);
-    g_assert_true(told(fixture, 5, "here"));
-    syn(fixture, 1, 1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=7 on=1 busy=0 state=1", NULL);
+    g_assert_true(receive_evacuations(fixture, 5, "here"));
+    receive_syn(fixture, 1, 1, false);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=7 on=1 busy=0 state=1", NULL);
 }
 
-TEST_F(fixture, none_is_taken_though_nobody_else_is_left)
+TEST_F(fixture, no_flow_is_taken_though_no_other_agent_is_left)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     g_string_truncate(fixture->record, 0);
-    told(fixture, 5, "here");
-    syn(fixture, 1, 0, true);
+    receive_evacuations(fixture, 5, "here");
+    receive_syn(fixture, 1, 0, true);
     fixture_expect(fixture->record, "drop 1",
-                   "tell passed reason=7 on=0 busy=0 state=1", NULL);
+                   "notify redirected reason=7 on=0 busy=0 state=1", NULL);
 }
 
-TEST_F(fixture, another_data_centre_is_nothing_to_this_one)
+TEST_F(fixture, an_evacuation_of_another_data_centre_has_no_effect)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     g_string_truncate(fixture->record, 0);
-    g_assert_false(told(fixture, 5, "east"));
-    syn(fixture, 1, 1, false);
+    g_assert_false(receive_evacuations(fixture, 5, "east"));
+    receive_syn(fixture, 1, 1, false);
     fixture_expect(fixture->record, "endpoint 0", NULL);
 }
 
-TEST_F(fixture, flows_that_are_open_go_on)
+TEST_F(fixture, open_flows_continue)
 {
     struct relay_flow flow = fixture_flow(1);
 
     fixture_open_flow(fixture, 1);
-    told(fixture, 5, "here");
+    receive_evacuations(fixture, 5, "here");
     g_string_truncate(fixture->record, 0);
     fixture_receive(
         fixture, fixture_from_caller(flow, RELAY_ACK, 101, 501, 40), 0, false);
@@ -73,7 +74,7 @@
     fixture_expect(fixture->record, "endpoint 40", "caller 1001", NULL);
 }
 
-TEST_F(fixture, syns_that_wait_for_a_slot_go_elsewhere)
+TEST_F(fixture, queued_syns_are_redirected)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     fixture_fill(fixture);
@@ -81,27 +82,28 @@
                     fixture_from_caller(fixture_flow(4), RELAY_SYN, 100, 0, 0),
                     1, true);
     g_string_truncate(fixture->record, 0);
-    told(fixture, 5, "here");
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0 forced",
-                   "tell passed reason=7 on=1 busy=4 state=1", NULL);
+    receive_evacuations(fixture, 5, "here");
+    fixture_expect(fixture->record,
+                   "forward 10.0.0.2:7000 hops=1 left=0 forced",
+                   "notify redirected reason=7 on=1 busy=4 state=1", NULL);
     g_assert_cmpuint(fixture->admission.queue_count, ==, 0);
 }
 
-TEST_F(fixture, after_its_end_new_flows_are_taken_again)
+TEST_F(fixture, new_flows_are_taken_after_its_end)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
-    told(fixture, 5, "here");
-    g_assert_true(told(fixture, 6, NULL));
-    /* What was held up on its way. */
-    g_assert_false(told(fixture, 5, "here"));
+    receive_evacuations(fixture, 5, "here");
+    g_assert_true(receive_evacuations(fixture, 6, NULL));
+    /* A delayed older list. */
+    g_assert_false(receive_evacuations(fixture, 5, "here"));
     g_string_truncate(fixture->record, 0);
-    syn(fixture, 1, 1, false);
+    receive_syn(fixture, 1, 1, false);
     fixture_expect(fixture->record, "endpoint 0", NULL);
 }
 
-TEST_F(fixture, heartbeats_are_acknowledged_all_the_while)
+TEST_F(fixture, heartbeats_are_still_handled)
 {
-    told(fixture, 5, "here");
+    receive_evacuations(fixture, 5, "here");
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     fixture_heartbeat(fixture, "i-1", "lots", true, 2);
     g_assert_cmpint(fixture->admission.endpoint.state, ==, ENDPOINT_DRAINING);
--- a/tests/relay/admission_fixture.c
+++ b/tests/relay/admission_fixture.c
@@ -8,7 +8,7 @@
 #define SELF "10.0.0.1:7000"
 
 static struct fixture *
-of_out(struct admission_out *out)
+fixture_from_out(struct admission_out *out)
 {
     return (struct fixture *)out;
 }
@@ -16,7 +16,7 @@
 static void
 to_endpoint(struct admission_out *out, const uint8_t *bytes, size_t size)
 {
-    fixture_record(of_out(out)->record, "endpoint %zu",
+    fixture_record(fixture_from_out(out)->record, "endpoint %zu",
                    size - FIXTURE_HEADERS_SIZE);
 }
 
@@ -24,14 +24,14 @@
 to_caller(struct admission_out *out, struct addr caller, const uint8_t *bytes,
           size_t size)
 {
-    fixture_record(of_out(out)->record, "caller %u", caller.port);
+    fixture_record(fixture_from_out(out)->record, "caller %u", caller.port);
 }
 
 static void
 reset(struct admission_out *out, struct relay_flow flow, uint32_t seq)
 {
-    fixture_record(of_out(out)->record, "reset %u at %u", flow.caller.port,
-                   seq);
+    fixture_record(fixture_from_out(out)->record, "reset %u at %u",
+                   flow.caller.port, seq);
 }
 
 static void
@@ -40,8 +40,9 @@
 {
     char text[ADDR_TEXT_MAX];
 
-    fixture_record(of_out(out)->record, "carry %s hops=%u left=%u%s",
-                   addr_format(agent, text), frame->hops, frame->next_count,
+    fixture_record(fixture_from_out(out)->record,
+                   "forward %s hops=%u left=%u%s", addr_format(agent, text),
+                   frame->hops, frame->next_count,
                    frame->forced ? " forced" : "");
 }
 
@@ -50,45 +51,45 @@
        const struct frame_status *status)
 {
     static const char *const types[] = {
-        [FRAME_ESTABLISHED] = "placed",
-        [FRAME_REDIRECTED] = "passed",
-        [FRAME_QUEUED] = "held",
+        [FRAME_ESTABLISHED] = "established",
+        [FRAME_REDIRECTED] = "redirected",
+        [FRAME_QUEUED] = "queued",
         [FRAME_STATE] = "state",
     };
 
-    of_out(out)->readers = status->readers.reading;
-    of_out(out)->trying = status->readers.trying;
-    fixture_record(of_out(out)->record,
-                   "tell %s reason=%u on=%d busy=%u state=%u",
+    fixture_from_out(out)->readers = status->readers.reading;
+    fixture_from_out(out)->trying = status->readers.trying;
+    fixture_record(fixture_from_out(out)->record,
+                   "notify %s reason=%u on=%d busy=%u state=%u",
                    types[status->type], status->reason, status->target.ip != 0,
                    status->health.busy, status->health.state);
 }
 
 static void
-serves(struct admission_out *out, struct addr balancer,
-       const struct frame_served *served)
+send_served(struct admission_out *out, struct addr balancer,
+            const struct frame_served *served)
 {
-    fixture_record(of_out(out)->record, "serves %u", served->count);
+    fixture_record(fixture_from_out(out)->record, "served %u", served->count);
 }
 
 static void
-absent(struct admission_out *out, struct addr balancer,
-       const struct frame_query_reply *absent)
+send_query_reply(struct admission_out *out, struct addr balancer,
+                 const struct frame_query_reply *reply)
 {
-    fixture_record(of_out(out)->record, "absent %x%s", absent->absent[0],
-                   absent->silent ? " silent" : "");
+    fixture_record(fixture_from_out(out)->record, "absent %x%s",
+                   reply->absent[0], reply->silent ? " silent" : "");
 }
 
 static void
 probe(struct admission_out *out)
 {
-    fixture_record(of_out(out)->record, "probe");
+    fixture_record(fixture_from_out(out)->record, "probe");
 }
 
 static void
 dropped(struct admission_out *out, enum admission_drop why)
 {
-    fixture_record(of_out(out)->record, "drop %d", why);
+    fixture_record(fixture_from_out(out)->record, "drop %d", why);
 }
 
 static void
@@ -99,8 +100,8 @@
 }
 
 static const struct admission_out_ops ops = {
-    to_endpoint, to_caller, reset, forward, notify,
-    serves,      absent,    probe, dropped, decided};
+    to_endpoint, to_caller,        reset, forward, notify,
+    send_served, send_query_reply, probe, dropped, decided};
 
 void
 fixture_init(struct fixture *fixture)
@@ -191,30 +192,32 @@
 void
 fixture_starts(struct fixture *fixture, const char *id, uint64_t started_ms)
 {
-    struct heartbeat beat = {
+    struct heartbeat heartbeat = {
         .started_ms = started_ms,
         .service = hash_service("lots"),
         .slots = 2,
         .sequence = 1,
     };
 
-    g_strlcpy(beat.id, id, sizeof(beat.id));
-    admission_handle_heartbeat(&fixture->admission, &beat, fixture->now_us);
+    g_strlcpy(heartbeat.id, id, sizeof(heartbeat.id));
+    admission_handle_heartbeat(&fixture->admission, &heartbeat,
+                               fixture->now_us);
 }
 
 void
 fixture_heartbeat(struct fixture *fixture, const char *id, const char *service,
                   bool draining, uint64_t sequence)
 {
-    struct heartbeat beat = {
+    struct heartbeat heartbeat = {
         .service = hash_service(service),
         .draining = draining,
         .slots = 2,
         .sequence = sequence,
     };
 
-    g_strlcpy(beat.id, id, sizeof(beat.id));
-    admission_handle_heartbeat(&fixture->admission, &beat, fixture->now_us);
+    g_strlcpy(heartbeat.id, id, sizeof(heartbeat.id));
+    admission_handle_heartbeat(&fixture->admission, &heartbeat,
+                               fixture->now_us);
 }
 
 void
--- a/tests/relay/admission_load_test.c
+++ b/tests/relay/admission_load_test.c
@@ -6,29 +6,27 @@
 #include "relay/admission/admission.h"
 #include "relay/relay_fixture.h"
 
-/*
- * What an agent's order at its admission makes of the seconds after a loss of
- * all hosts: everybody comes at once, for longer than the endpoint can follow.
- */
-#define SUITE "/relay/door_load"
+/* Simulates an overload after a loss of all hosts and checks how many callers
+ * the queue's order serves in time. */
+#define SUITE "/relay/admission_load"
 
 #define SLOTS 2
 #define STEP_US 500
 #define LOAD_US (2 * USEC_PER_SEC)
 #define CALLERS_MAX 400
 
-/* A caller gives up its SYN after 1.4 s. */
-#define PATIENCE_MS 1400
+/* Time after which a caller abandons its SYN. */
+#define CALLER_TIMEOUT_MS 1400
 
 /**
- * struct load - what comes to the agent
- * @service_us: what a request takes, in the mean
- * @rtt_us: from the endpoint's answer to the caller's next packet
- * @target_ms: how soon a caller wants its answer
- * @request_timeout_ms: how long it waits at most; 0: the agent isn't told
- * @fresh: callers that come one after the other in LOAD_US
- * @late: callers whose SYN's last copy, 600 ms old, comes at the start
- * @attempts: how often a caller opens a flow, while none is answered
+ * struct load - the simulated load
+ * @service_us: mean service time
+ * @rtt_us: from a SYN+ACK to the caller's next packet
+ * @target_ms: response target
+ * @request_timeout_ms: the caller's request timeout in frames, 0 for unknown
+ * @fresh: callers that arrive evenly in LOAD_US
+ * @late: callers at the start whose SYN is 600 ms old
+ * @attempts: flows that a caller opens at most until one is answered
  */
 struct load {
     uint64_t service_us;
@@ -40,11 +38,9 @@
     unsigned attempts;
 };
 
-/* An endpoint of two slots whose requests take 20 ms in the mean, the work of
- * small sites; callers 3 ms away who want their answer within 100 ms; half as
- * many requests again as the slots can do, which is what retries add to a busy
- * fixture's load after 1.2 s without power. */
-static const struct load short_work = {
+/* Short requests at one and a half times the slots' capacity, as retries cause
+ * after a loss of power. */
+static const struct load short_requests = {
     .service_us = 20 * USEC_PER_MSEC,
     .rtt_us = 6 * USEC_PER_MSEC,
     .target_ms = 100,
@@ -52,11 +48,9 @@
     .attempts = 1,
 };
 
-/* Requests that take 53 ms at a cold endpoint, 33 ms at a warm one; callers
- * 1 ms away who want their answer within 250 ms and wait for 3 s; nine tenths
- * of what the slots can do, and the callers of the second before, whom nobody
- * served. */
-static const struct load long_work = {
+/* Long requests at nine tenths of the slots' capacity, after a second in which
+ * no caller was served. */
+static const struct load long_requests = {
     .service_us = 53 * USEC_PER_MSEC,
     .rtt_us = 2 * USEC_PER_MSEC,
     .target_ms = 250,
@@ -66,26 +60,26 @@
     .attempts = 3,
 };
 
-/** enum step - what becomes of a caller next */
+/** enum step - a caller's next event */
 enum step {
-    STEP_WAITS,
-    STEP_ASKS,
-    STEP_ASKED,
-    STEP_QUEUES,
-    STEP_RUNS,
+    STEP_SYN_SENT,
+    STEP_CONNECTED,
+    STEP_REQUESTED,
+    STEP_DELIVERED,
+    STEP_RUNNING,
     STEP_ANSWERED
 };
 
-/** struct caller - one request */
+/** struct caller - a caller with one request */
 struct caller {
     enum step step;
     unsigned flow;
     unsigned attempts;
-    uint64_t asked_us;
+    uint64_t arrived_us;
     uint64_t abandon_at_us;
     uint64_t next_us;
     uint64_t answered_us;
-    bool offered;
+    bool delivered;
 };
 
 /** struct fixture - an agent, its endpoint and their callers */
@@ -102,28 +96,28 @@
 };
 
 static struct fixture *
-of_out(struct admission_out *out)
+fixture_from_out(struct admission_out *out)
 {
     return (struct fixture *)out;
 }
 
-/* The caller of a flow, from the port of its packet; the rig's bytes hold the
- * number behind the head. */
-static unsigned offered_number;
+/* Number of the caller whose packet was last sent to the endpoint, from the
+ * packet's first bytes. */
+static unsigned delivered_number;
 
 static void
 to_endpoint(struct admission_out *out, const uint8_t *bytes, size_t size)
 {
-    struct fixture *fixture = of_out(out);
+    struct fixture *fixture = fixture_from_out(out);
     struct caller *caller;
 
-    memcpy(&offered_number, bytes, sizeof(offered_number));
-    caller = &fixture->callers[offered_number];
-    if (caller->step == STEP_WAITS) {
-        caller->offered = true;
+    memcpy(&delivered_number, bytes, sizeof(delivered_number));
+    caller = &fixture->callers[delivered_number];
+    if (caller->step == STEP_SYN_SENT) {
+        caller->delivered = true;
     }
-    else if (caller->step == STEP_ASKED) {
-        caller->step = STEP_QUEUES;
+    else if (caller->step == STEP_REQUESTED) {
+        caller->step = STEP_DELIVERED;
     }
 }
 
@@ -151,14 +145,14 @@
 }
 
 static void
-serves(struct admission_out *out, struct addr balancer,
-       const struct frame_served *served)
+send_served(struct admission_out *out, struct addr balancer,
+            const struct frame_served *served)
 {
 }
 
 static void
-absent(struct admission_out *out, struct addr balancer,
-       const struct frame_query_reply *frame)
+send_query_reply(struct admission_out *out, struct addr balancer,
+                 const struct frame_query_reply *frame)
 {
 }
 
@@ -180,13 +174,13 @@
 }
 
 static const struct admission_out_ops ops = {
-    to_endpoint, to_caller, reset, forward, notify,
-    serves,      absent,    probe, dropped, decided};
+    to_endpoint, to_caller,        reset, forward, notify,
+    send_served, send_query_reply, probe, dropped, decided};
 
 static void
 fixture_init(struct fixture *fixture)
 {
-    struct heartbeat beat = {
+    struct heartbeat heartbeat = {
         .id = "i-1",
         .service = hash_service("lots"),
         .slots = SLOTS,
@@ -200,7 +194,8 @@
                                    fixture_addr("10.0.0.1:7000"), "here",
                                    "lots", fixture->now_us),
                     ==, 0);
-    admission_handle_heartbeat(&fixture->admission, &beat, fixture->now_us);
+    admission_handle_heartbeat(&fixture->admission, &heartbeat,
+                               fixture->now_us);
 }
 
 static void
@@ -211,8 +206,8 @@
 }
 
 static struct relay_packet
-packet_of(const struct fixture *fixture, unsigned number, unsigned flags,
-          uint32_t ack, uint16_t len)
+make_packet(const struct fixture *fixture, unsigned number, unsigned flags,
+            uint32_t ack, uint16_t len)
 {
     static uint8_t bytes[RELAY_PACKET_MAX];
     struct relay_packet packet = fixture_from_caller(
@@ -224,12 +219,12 @@
     return packet;
 }
 
-/* The caller opens a flow, or sends a copy of its SYN, of @age_ms. */
+/* The caller opens a flow, or sends a copy of its SYN that is @age_ms old. */
 static void
 open_flow(struct fixture *fixture, unsigned number, unsigned age_ms)
 {
     const struct load *load = fixture->load;
-    struct relay_packet packet = packet_of(fixture, number, RELAY_SYN, 0, 0);
+    struct relay_packet packet = make_packet(fixture, number, RELAY_SYN, 0, 0);
     struct frame_forward frame = {
         .service = hash_service("lots"),
         .origin = fixture_addr("10.9.0.1:7720"),
@@ -237,7 +232,7 @@
         .target_ms =
             (uint16_t)(age_ms < load->target_ms ? load->target_ms - age_ms
                                                 : 0),
-        .caller_timeout_ms = (uint16_t)(PATIENCE_MS - age_ms),
+        .caller_timeout_ms = (uint16_t)(CALLER_TIMEOUT_MS - age_ms),
         .request_timeout_ms =
             (uint16_t)(load->request_timeout_ms > 0
                            ? load->request_timeout_ms - age_ms
@@ -254,22 +249,22 @@
 }
 
 static void
-come(struct fixture *fixture, unsigned age_ms)
+arrive(struct fixture *fixture, unsigned age_ms)
 {
     unsigned number = fixture->count++;
 
     fixture->callers[number] = (struct caller){
         .flow = fixture->flows++,
-        .asked_us = fixture->now_us - age_ms * USEC_PER_MSEC,
+        .arrived_us = fixture->now_us - age_ms * USEC_PER_MSEC,
     };
     open_flow(fixture, number, age_ms);
 }
 
 static void
-ask(struct fixture *fixture, unsigned number)
+send_request(struct fixture *fixture, unsigned number)
 {
     struct relay_packet packet =
-        packet_of(fixture, number, RELAY_ACK, 501, 40);
+        make_packet(fixture, number, RELAY_ACK, 501, 40);
     struct frame_forward frame = {
         .service = hash_service("lots"),
         .origin = fixture_addr("10.9.0.1:7720"),
@@ -292,8 +287,8 @@
                                      fixture->now_us);
 }
 
-/* Half of the mean to one and a half times it, and each tenth request thrice
- * that. */
+/* Service times vary evenly around 5/6 of the mean, and one request in ten
+ * takes three times as long. */
 static uint64_t
 service_us(struct fixture *fixture)
 {
@@ -304,9 +299,10 @@
     return g_rand_int_range(fixture->rand, 0, 10) == 0 ? 3 * us : us;
 }
 
-/* The caller's SYN had no answer: it comes again, and nobody knows its age. */
+/* The caller abandoned its SYN and opens a new flow, of which the agent can't
+ * see the request's age. */
 static void
-come_again(struct fixture *fixture, unsigned number)
+retry(struct fixture *fixture, unsigned number)
 {
     struct caller *caller = &fixture->callers[number];
 
@@ -322,26 +318,26 @@
 {
     struct caller *caller = &fixture->callers[number];
 
-    if (caller->offered) {
-        caller->offered = false;
-        caller->step = STEP_ASKS;
+    if (caller->delivered) {
+        caller->delivered = false;
+        caller->step = STEP_CONNECTED;
         caller->next_us = fixture->now_us + fixture->load->rtt_us;
         answer(fixture, number, RELAY_SYN | RELAY_ACK, 500, 0);
     }
-    if (caller->step == STEP_WAITS &&
+    if (caller->step == STEP_SYN_SENT &&
         fixture->now_us >= caller->abandon_at_us) {
-        come_again(fixture, number);
+        retry(fixture, number);
     }
-    if (caller->step == STEP_ASKS && fixture->now_us >= caller->next_us) {
-        caller->step = STEP_ASKED;
-        ask(fixture, number);
+    if (caller->step == STEP_CONNECTED && fixture->now_us >= caller->next_us) {
+        caller->step = STEP_REQUESTED;
+        send_request(fixture, number);
     }
-    if (caller->step == STEP_QUEUES && fixture->running < SLOTS) {
+    if (caller->step == STEP_DELIVERED && fixture->running < SLOTS) {
         fixture->running++;
-        caller->step = STEP_RUNS;
+        caller->step = STEP_RUNNING;
         caller->next_us = fixture->now_us + service_us(fixture);
     }
-    if (caller->step == STEP_RUNS && fixture->now_us >= caller->next_us) {
+    if (caller->step == STEP_RUNNING && fixture->now_us >= caller->next_us) {
         fixture->running--;
         caller->step = STEP_ANSWERED;
         caller->answered_us = fixture->now_us + fixture->load->rtt_us / 2;
@@ -357,14 +353,14 @@
 
     fixture->load = load;
     while (fixture->count < load->late) {
-        come(fixture, 600);
+        arrive(fixture, 600);
     }
     while (fixture->now_us < start_us + LOAD_US) {
         fixture->now_us += STEP_US;
         while (fixture->count < load->late + load->fresh &&
                fixture->now_us >=
                    start_us + (fixture->count - load->late) * gap_us) {
-            come(fixture, 0);
+            arrive(fixture, 0);
         }
         admission_tick(&fixture->admission, fixture->now_us);
         for (unsigned i = 0; i < fixture->count; i++) {
@@ -373,7 +369,7 @@
     }
 }
 
-/* Callers from number @first on that had their answer in time. */
+/* Number of callers from @first on that were answered in time. */
 static unsigned
 in_time_from(const struct fixture *fixture, unsigned first)
 {
@@ -383,44 +379,46 @@
         const struct caller *caller = &fixture->callers[i];
 
         in_time += caller->step == STEP_ANSWERED &&
-                   caller->answered_us - caller->asked_us <=
+                   caller->answered_us - caller->arrived_us <=
                        fixture->load->target_ms * USEC_PER_MSEC;
     }
     return in_time;
 }
 
-TEST_F(fixture, more_than_the_slots_can_do)
+TEST_F(fixture, an_overload_leaves_few_slots_to_late_requests)
 {
-    uint64_t can_do = LOAD_US / short_work.service_us * SLOTS;
+    uint64_t capacity = LOAD_US / short_requests.service_us * SLOTS;
     unsigned in_time;
 
-    run(fixture, &short_work);
-    in_time = (unsigned)(in_time_from(fixture, 0) * 1000 / can_do);
-    g_test_message("%u in 1000 of what the slots can do are in time", in_time);
+    run(fixture, &short_requests);
+    in_time = (unsigned)(in_time_from(fixture, 0) * 1000 / capacity);
+    g_test_message("%u in 1000 of the slots' capacity are in time", in_time);
     g_assert_cmpuint(in_time, >=, 900);
 }
 
-/* Late requests that wait on open flows don't come again as new ones: eight of
- * ten fresh callers are served in time, and with SYNs that wait fewer. */
-TEST_F(fixture, those_who_are_late_take_no_slot_of_the_fresh)
+/* Late callers with an open flow don't come again as new ones, so more new
+ * callers are served in time than with queued SYNs. */
+TEST_F(fixture, late_requests_take_no_slots_of_new_callers)
 {
-    struct load waiting_syns = long_work;
+    struct load without_timeout = long_requests;
     struct fixture *other = g_new0(struct fixture, 1);
-    unsigned queued;
-    unsigned held;
+    unsigned queued_requests;
+    unsigned queued_syns;
 
-    waiting_syns.request_timeout_ms = 0;
+    without_timeout.request_timeout_ms = 0;
     fixture_init(other);
-    run(other, &waiting_syns);
-    held = in_time_from(other, long_work.late) * 1000 / long_work.fresh;
+    run(other, &without_timeout);
+    queued_syns =
+        in_time_from(other, long_requests.late) * 1000 / long_requests.fresh;
     fixture_finish(other);
     g_free(other);
-    run(fixture, &long_work);
-    queued = in_time_from(fixture, long_work.late) * 1000 / long_work.fresh;
+    run(fixture, &long_requests);
+    queued_requests =
+        in_time_from(fixture, long_requests.late) * 1000 / long_requests.fresh;
     g_test_message(
-        "in 1000 fresh callers: %u with requests that wait, %u with "
-        "SYNs that wait",
-        queued, held);
-    g_assert_cmpuint(queued, >=, 800);
-    g_assert_cmpuint(queued, >, held);
+        "in 1000 new callers in time: %u with queued requests, %u with "
+        "queued SYNs",
+        queued_requests, queued_syns);
+    g_assert_cmpuint(queued_requests, >=, 800);
+    g_assert_cmpuint(queued_requests, >, queued_syns);
 }
--- a/tests/relay/admission_open_test.c
+++ b/tests/relay/admission_open_test.c
@@ -6,7 +6,7 @@
 #include "relay/admission_fixture.h"
 #include "relay/relay_fixture.h"
 
-#define SUITE "/relay/door_open"
+#define SUITE "/relay/admission_open"
 
 TEST_F(fixture, a_flow_opens_and_is_answered)
 {
@@ -14,8 +14,8 @@
 
     fixture_open_flow(fixture, 1);
     fixture_expect(fixture->record, "endpoint 0",
-                   "tell placed reason=0 on=0 busy=1 state=0", "caller 1001",
-                   NULL);
+                   "notify established reason=0 on=0 busy=1 state=0",
+                   "caller 1001", NULL);
     fixture_receive(
         fixture, fixture_from_caller(flow, RELAY_ACK, 101, 501, 40), 0, false);
     fixture_answer(fixture,
@@ -24,7 +24,7 @@
     g_assert_cmpuint(fixture->admission.busy_count, ==, 0);
 }
 
-TEST_F(fixture, a_syn_that_was_let_go_is_not_waited_for)
+TEST_F(fixture, an_abandoned_syn_has_no_timeout)
 {
     struct relay_packet syn =
         fixture_from_caller(fixture_flow(1), RELAY_SYN, 100, 0, 0);
@@ -32,13 +32,13 @@
     fixture_receive(fixture, syn, 0, false);
     fixture_answer(fixture, fixture_bounced(syn));
     fixture_expect(fixture->record, "endpoint 0",
-                   "tell state reason=0 on=0 busy=1 state=4", "drop 1",
-                   "tell passed reason=4 on=0 busy=0 state=4", NULL);
+                   "notify state reason=0 on=0 busy=1 state=4", "drop 1",
+                   "notify redirected reason=4 on=0 busy=0 state=4", NULL);
     fixture_advance_ms(fixture, 6);
     fixture_expect(fixture->record, NULL);
 }
 
-TEST_F(fixture, an_endpoint_that_is_not_up_costs_one_syn)
+TEST_F(fixture, an_endpoint_that_is_not_up_gets_one_syn)
 {
     struct relay_packet syn =
         fixture_from_caller(fixture_flow(1), RELAY_SYN, 100, 0, 0);
@@ -46,14 +46,14 @@
     fixture_receive(fixture, syn, 1, false);
     fixture_answer(fixture, fixture_bounced(syn));
     fixture_expect(fixture->record, "endpoint 0",
-                   "tell state reason=0 on=0 busy=1 state=4",
-                   "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=4 on=1 busy=0 state=4", NULL);
+                   "notify state reason=0 on=0 busy=1 state=4",
+                   "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=4 on=1 busy=0 state=4", NULL);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(2), RELAY_SYN, 1, 0, 0),
                     1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=3 on=1 busy=0 state=4", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=3 on=1 busy=0 state=4", NULL);
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     g_string_truncate(fixture->record, 0);
     fixture_receive(fixture,
@@ -75,8 +75,8 @@
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(2), RELAY_SYN, 1, 0, 0),
                     1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=3 on=1 busy=0 state=4", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=3 on=1 busy=0 state=4", NULL);
     fixture_heartbeat(fixture, "i-1", "lots", false, 2);
     g_string_truncate(fixture->record, 0);
     fixture_receive(fixture,
@@ -99,7 +99,7 @@
     g_assert_cmpint(fixture->admission.endpoint.state, ==, ENDPOINT_READY);
 }
 
-TEST_F(fixture, a_silent_endpoint_costs_one_syn)
+TEST_F(fixture, a_silent_endpoint_gets_one_syn)
 {
     struct relay_flow flow = fixture_flow(1);
 
@@ -108,22 +108,24 @@
     fixture_advance_ms(fixture, 4);
     fixture_expect(fixture->record, "endpoint 0", NULL);
     fixture_advance_ms(fixture, 1);
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=1 state=4",
-                   "carry 10.0.0.2:7000 hops=1 left=1",
-                   "tell passed reason=3 on=1 busy=0 state=4", NULL);
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=1 state=4",
+                   "forward 10.0.0.2:7000 hops=1 left=1",
+                   "notify redirected reason=3 on=1 busy=0 state=4", NULL);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(2), RELAY_SYN, 1, 0, 0),
                     2, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=1",
-                   "tell passed reason=3 on=1 busy=0 state=4", NULL);
-    /* Its late answer would open the flow in two places. */
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=1",
+                   "notify redirected reason=3 on=1 busy=0 state=4", NULL);
+    /* Its late SYN+ACK would open the flow at two endpoints. */
     fixture_answer(fixture, fixture_from_endpoint(flow, RELAY_SYN | RELAY_ACK,
                                                   5, 101, 0));
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=0 state=1",
-                   "drop 2", NULL);
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=0 state=1", "drop 2",
+                   NULL);
 }
 
-TEST_F(fixture, a_busy_endpoint_sends_new_flows_on)
+TEST_F(fixture, a_busy_endpoint_redirects_new_flows)
 {
     fixture_open_flow(fixture, 1);
     fixture_open_flow(fixture, 2);
@@ -131,14 +133,14 @@
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(3), RELAY_SYN, 1, 0, 0),
                     1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=1 on=1 busy=2 state=0", NULL);
-    /* Nobody else: the least busy takes it, and that is this one. */
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=1 on=1 busy=2 state=0", NULL);
+    /* No other agent is left, and this one is the least busy. */
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(4), RELAY_SYN, 1, 0, 0),
                     0, false);
     fixture_expect(fixture->record, "endpoint 0",
-                   "tell passed reason=1 on=1 busy=3 state=0", NULL);
+                   "notify redirected reason=1 on=1 busy=3 state=0", NULL);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(5), RELAY_SYN, 1, 0, 0),
                     1, true);
@@ -146,13 +148,13 @@
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(6), RELAY_SYN, 1, 0, 0),
                     1, true);
-    /* What waits counts too. */
-    fixture_expect(fixture->record, "tell held reason=0 on=0 busy=5 state=0",
-                   NULL);
+    /* The queued SYN counts as busy. */
+    fixture_expect(fixture->record,
+                   "notify queued reason=0 on=0 busy=5 state=0", NULL);
 }
 
-/* The endpoint answers the request of an open flow, and is given @expected
- * next. */
+/* The endpoint answers an open flow's request. Unless @expected is NULL,
+ * checks that output and a queued SYN for the endpoint. */
 static void
 finish_request(struct fixture *fixture, unsigned number, const char *expected)
 {
@@ -168,7 +170,7 @@
     }
 }
 
-TEST_F(fixture, what_can_be_in_time_goes_before_what_is_late)
+TEST_F(fixture, syns_in_time_are_admitted_before_late_ones)
 {
     fixture_fill(fixture);
     fixture_receive_forced(fixture, 4, 0, 800, 1);
@@ -179,9 +181,10 @@
     fixture_answer(fixture,
                    fixture_from_endpoint(fixture_flow(5),
                                          RELAY_SYN | RELAY_ACK, 500, 101, 0));
-    fixture_expect(fixture->record, "tell placed reason=0 on=0 busy=4 state=0",
+    fixture_expect(fixture->record,
+                   "notify established reason=0 on=0 busy=4 state=0",
                    "caller 1005", NULL);
-    /* The late one needs a slot that is free, not one that will be. */
+    /* The late one needs a free slot, without the extra room. */
     finish_request(fixture, 2, NULL);
     finish_request(fixture, FIXTURE_FILL_LAST, NULL);
     g_assert_cmpuint(fixture->admission.queue_count, ==, 1);
@@ -189,9 +192,9 @@
     g_assert_cmpuint(fixture->admission.queue_count, ==, 0);
 }
 
-TEST_F(fixture, far_callers_do_not_leave_slots_idle)
+TEST_F(fixture, long_round_trips_do_not_leave_slots_idle)
 {
-    /* A handshake takes twice as long as a request. */
+    /* The round trip takes twice as long as a request. */
     fixture->admission.latency =
         (struct latency){.service_us = 15000, .rtt_us = 30000};
     for (unsigned i = 1; i <= 5; i++) {
@@ -205,11 +208,11 @@
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(7), RELAY_SYN, 100, 0, 0),
                     2, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=1",
-                   "tell passed reason=1 on=1 busy=5 state=0", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=1",
+                   "notify redirected reason=1 on=1 busy=5 state=0", NULL);
 }
 
-TEST_F(fixture, the_urgent_goes_first_among_equals)
+TEST_F(fixture, higher_priority_is_admitted_first)
 {
     fixture_fill(fixture);
     fixture_receive_forced(fixture, 4, 100, 1400, 2);
@@ -219,11 +222,12 @@
     fixture_answer(fixture,
                    fixture_from_endpoint(fixture_flow(5),
                                          RELAY_SYN | RELAY_ACK, 500, 101, 0));
-    fixture_expect(fixture->record, "tell placed reason=0 on=0 busy=5 state=0",
+    fixture_expect(fixture->record,
+                   "notify established reason=0 on=0 busy=5 state=0",
                    "caller 1005", NULL);
 }
 
-TEST_F(fixture, a_held_syn_is_not_given_to_an_endpoint_after_its_caller_left)
+TEST_F(fixture, an_abandoned_syn_leaves_the_queue)
 {
     fixture_fill(fixture);
     fixture_receive_forced(fixture, 4, 0, 50, 2);
@@ -233,7 +237,7 @@
     g_assert_cmpuint(fixture->admission.queue_count, ==, 0);
 }
 
-TEST_F(fixture, a_held_syn_whose_flow_opened_elsewhere_is_let_go)
+TEST_F(fixture, a_queued_syn_whose_flow_opened_elsewhere_is_removed)
 {
     struct relay_packet data =
         fixture_from_caller(fixture_flow(4), RELAY_ACK, 101, 900001, 40);
@@ -242,15 +246,15 @@
     fixture_receive_forced(fixture, 4, 0, 1400, 2);
     g_assert_cmpuint(fixture->admission.queue_count, ==, 1);
     g_string_truncate(fixture->record, 0);
-    /* Who sends more than a SYN has had an answer to it. */
+    /* A caller that sends data has accepted a SYN+ACK. */
     fixture_receive(fixture, data, 1, false);
     g_assert_cmpuint(fixture->admission.queue_count, ==, 0);
     fixture_answer(fixture, fixture_bounced(data));
     fixture_expect(fixture->record, "endpoint 40",
-                   "carry 10.0.0.2:7000 hops=1 left=0", NULL);
+                   "forward 10.0.0.2:7000 hops=1 left=0", NULL);
 }
 
-TEST_F(fixture, held_syns_go_elsewhere_when_the_endpoint_leaves)
+TEST_F(fixture, queued_syns_are_redirected_when_the_endpoint_drains)
 {
     fixture_fill(fixture);
     fixture_receive_forced(fixture, 4, 100, 1400, 2);
@@ -258,12 +262,12 @@
     g_string_truncate(fixture->record, 0);
     fixture_advance_ms(fixture, 1);
     fixture_expect(fixture->record, "drop 1",
-                   "tell passed reason=2 on=0 busy=4 state=2", NULL);
+                   "notify redirected reason=2 on=0 busy=4 state=2", NULL);
 }
 
-/* Its copy was given to another start of the endpoint, which has its own time
- * to answer. */
-TEST_F(fixture, a_wait_for_an_earlier_start_is_over)
+/* A copy of the SYN goes to the next incarnation, with a timeout of its own.
+ */
+TEST_F(fixture, a_syn_timer_of_an_earlier_incarnation_is_stale)
 {
     struct relay_packet syn =
         fixture_from_caller(fixture_flow(1), RELAY_SYN, 100, 0, 0);
@@ -277,7 +281,7 @@
     fixture_advance_ms(fixture, 2);
     fixture_expect(fixture->record, NULL);
     fixture_advance_ms(fixture, 3);
-    g_assert_nonnull(strstr(fixture->record->str, "carry 10.0.0.2:7000"));
+    g_assert_nonnull(strstr(fixture->record->str, "forward 10.0.0.2:7000"));
 }
 
 /* The endpoint resets flows 1 to 3 with their requests in progress. */
@@ -297,20 +301,21 @@
     }
 }
 
-/* Its heartbeats say that it is well. */
-TEST_F(fixture, an_endpoint_that_resets_requests_gets_what_no_other_takes)
+/* Its heartbeats still report it as ready. */
+TEST_F(fixture, a_failing_endpoint_only_gets_flows_no_other_agent_takes)
 {
     struct relay_packet syn =
         fixture_from_caller(fixture_flow(4), RELAY_SYN, 100, 0, 0);
 
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     fail_three(fixture);
-    /* Balancers are told at once. */
-    fixture_expect(fixture->record, "tell state reason=0 on=0 busy=1 state=1",
-                   "caller 1003", NULL);
+    /* Balancers are notified at once. */
+    fixture_expect(fixture->record,
+                   "notify state reason=0 on=0 busy=1 state=1", "caller 1003",
+                   NULL);
     fixture_receive(fixture, syn, 1, false);
-    fixture_expect(fixture->record, "carry 10.0.0.2:7000 hops=1 left=0",
-                   "tell passed reason=6 on=1 busy=0 state=1", NULL);
+    fixture_expect(fixture->record, "forward 10.0.0.2:7000 hops=1 left=0",
+                   "notify redirected reason=6 on=1 busy=0 state=1", NULL);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(5), RELAY_SYN, 100, 0, 0),
                     0, false);
--- a/tests/relay/admission_orphans_test.c
+++ b/tests/relay/admission_orphans_test.c
@@ -3,30 +3,30 @@
 #include "lib/harness.h"
 #include "relay/admission_fixture.h"
 
-#define SUITE "/relay/door_lost"
+#define SUITE "/relay/admission_orphans"
 
-/* A balancer asks for @count flows from @first on. */
+/* A balancer queries @count flows from @first on. */
 static void
-ask_from(struct fixture *fixture, unsigned first, unsigned count)
+send_query_from(struct fixture *fixture, unsigned first, unsigned count)
 {
-    struct frame_query question = {.query = 7, .view.version = 1};
+    struct frame_query query = {.query = 7, .view.version = 1};
 
     for (unsigned i = 0; i < count; i++) {
-        question.flows[question.count++] = fixture_flow(first + i);
+        query.flows[query.count++] = fixture_flow(first + i);
     }
     admission_handle_query(&fixture->admission, fixture_addr(FIXTURE_BALANCER),
-                           &question, fixture->now_us);
+                           &query, fixture->now_us);
 }
 
 static void
-ask(struct fixture *fixture, unsigned count)
+send_query(struct fixture *fixture, unsigned count)
 {
-    ask_from(fixture, 1, count);
+    send_query_from(fixture, 1, count);
 }
 
-/* A packet of a flow that is looked for, and the endpoint hands it back. */
+/* The endpoint bounces a lookup's packet. */
 static void
-search_in_vain(struct fixture *fixture, unsigned flow)
+bounce_lookup_packet(struct fixture *fixture, unsigned flow)
 {
     struct relay_packet data =
         fixture_from_caller(fixture_flow(flow), RELAY_ACK, 101, 501, 40);
@@ -35,35 +35,36 @@
     fixture_answer(fixture, fixture_bounced(data));
 }
 
-TEST_F(fixture, who_heard_the_endpoint_start_knows_all_its_flows)
+TEST_F(fixture, a_complete_incarnation_has_no_unknown_flows)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     fixture_open_flow(fixture, 1);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 3);
-    fixture_expect(fixture->record, "tell placed reason=0 on=0 busy=1 state=1",
+    send_query(fixture, 3);
+    fixture_expect(fixture->record,
+                   "notify established reason=0 on=0 busy=1 state=1",
                    "absent 6", NULL);
 }
 
-TEST_F(fixture, who_came_later_does_not)
+TEST_F(fixture, an_incomplete_incarnation_may_hold_unknown_flows)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 12);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 3);
+    send_query(fixture, 3);
     fixture_expect(fixture->record, "absent 0", NULL);
 }
 
-TEST_F(fixture, what_the_endpoint_handed_back_it_does_not_hold)
+TEST_F(fixture, a_flow_whose_packet_bounced_is_absent)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 12);
-    search_in_vain(fixture, 2);
+    bounce_lookup_packet(fixture, 2);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 3);
+    send_query(fixture, 3);
     fixture_expect(fixture->record, "absent 2", NULL);
 }
 
-/* A SYN that is handed back says only that the endpoint is full. */
-TEST_F(fixture, a_syn_that_was_handed_back_proves_nothing)
+/* A bounced SYN only shows that the endpoint is full. */
+TEST_F(fixture, a_bounced_syn_does_not_prove_absence)
 {
     struct relay_packet syn =
         fixture_from_caller(fixture_flow(1), RELAY_SYN, 100, 0, 0);
@@ -72,28 +73,29 @@
     fixture_receive(fixture, syn, 0, false);
     fixture_answer(fixture, fixture_bounced(syn));
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
 }
 
-TEST_F(fixture, a_flow_that_is_being_opened_may_be_held)
+TEST_F(fixture, an_opening_flow_is_not_absent)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 100, 0, 0),
                     0, false);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
 }
 
-/* Its first heartbeat came before this agent's start, its second is heard. */
-TEST_F(fixture, a_later_start_is_known_whole_again)
+/* The agent missed the first incarnation's first heartbeat, but not the
+ * second's. */
+TEST_F(fixture, a_later_incarnation_is_complete_again)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 12);
     fixture_heartbeat(fixture, "i-2", "lots", false, 1);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 1", NULL);
 }
 
@@ -103,11 +105,11 @@
     fixture_open_flow(fixture, 1);
     admission_endpoint_left(&fixture->admission, "i-1", 0, fixture->now_us);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 1", NULL);
 }
 
-TEST_F(fixture, a_full_table_has_forgotten_some)
+TEST_F(fixture, an_evicted_flow_is_not_absent)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 1);
     for (unsigned i = 0; i <= ADMISSION_FLOWS_MAX; i++) {
@@ -115,49 +117,49 @@
                                                       RELAY_ACK, 1, 1, 100));
     }
     g_string_truncate(fixture->record, 0);
-    ask_from(fixture, ADMISSION_FLOWS_MAX + 5, 1);
+    send_query_from(fixture, ADMISSION_FLOWS_MAX + 5, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
 }
 
-TEST_F(fixture, the_host_is_asked_for_an_endpoint_that_was_never_heard)
+TEST_F(fixture, an_endpoint_never_heard_is_probed)
 {
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "probe", "absent 0", NULL);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
     admission_endpoint_down(&fixture->admission, fixture->now_us);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 1", NULL);
-    /* What starts there now is seen from its first moment. */
+    /* The next incarnation is complete, as the endpoint was down before. */
     fixture_heartbeat(fixture, "i-1", "lots", false, 3);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 1", NULL);
 }
 
-TEST_F(fixture, an_endpoint_that_owes_an_answer_is_silent_in_the_end)
+TEST_F(fixture, an_endpoint_with_an_overdue_answer_becomes_silent)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 12);
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_ACK, 101, 501, 40),
         0, false);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
     fixture->now_us += 6 * USEC_PER_MSEC;
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "probe", "absent 0", NULL);
     fixture->now_us += USEC_PER_SEC;
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "probe", "absent 0 silent", NULL);
     fixture_heartbeat(fixture, "i-1", "lots", false, 13);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
 }
 
-/* Nothing answers a lone acknowledgement. */
-TEST_F(fixture, an_endpoint_that_owes_nothing_is_not_silent)
+/* An acknowledgement without data needs no answer. */
+TEST_F(fixture, an_endpoint_without_overdue_answers_is_not_silent)
 {
     fixture_heartbeat(fixture, "i-1", "lots", false, 12);
     fixture_receive(
@@ -165,14 +167,14 @@
         0, false);
     fixture->now_us += 2 * USEC_PER_SEC;
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
 }
 
-/* It may have been opened at the new start, before that one's first heartbeat
- * was heard: it isn't called absent until the endpoint hands it back, and its
- * packets are offered there. */
-TEST_F(fixture, a_flow_of_an_earlier_start_whose_syn_comes_again_is_in_doubt)
+/* The flow may have been opened at the new incarnation before its first
+ * heartbeat. It isn't reported absent until the endpoint bounces one of its
+ * packets. */
+TEST_F(fixture, a_repeated_syn_of_an_earlier_incarnation_may_be_held)
 {
     struct relay_packet data =
         fixture_from_caller(fixture_flow(1), RELAY_ACK, 101, 501, 40);
@@ -185,14 +187,14 @@
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 100, 1, 0),
                     1, false);
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
     fixture_receive(fixture, data, 1, false);
     fixture_expect(fixture->record, "endpoint 40", NULL);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 0", NULL);
     fixture_answer(fixture, fixture_bounced(data));
     g_string_truncate(fixture->record, 0);
-    ask(fixture, 1);
+    send_query(fixture, 1);
     fixture_expect(fixture->record, "absent 1", NULL);
 }
--- a/tests/relay/latency_test.c
+++ b/tests/relay/latency_test.c
@@ -2,9 +2,9 @@
 #include "lib/harness.h"
 #include "relay/admission/latency.h"
 
-#define SUITE "/relay/pace"
+#define SUITE "/relay/latency"
 
-TEST(averages_follow_what_is_seen)
+TEST(averages_follow_the_samples)
 {
     struct latency latency;
 
@@ -18,19 +18,19 @@
     g_assert_cmpuint(latency.rtt_us, >, 8 * USEC_PER_MSEC);
 }
 
-TEST(waiting_in_a_queue_is_not_work)
+TEST(service_time_excludes_queueing)
 {
     struct latency latency;
 
     latency_init(&latency);
     for (unsigned i = 0; i < 60; i++) {
-        /* Six requests on two slots: three rounds of 20 ms. */
+        /* Six requests on two slots at 20 ms each. */
         latency_add_service(&latency, 60 * USEC_PER_MSEC, 6, 2);
     }
     g_assert_cmpuint(latency.service_us, <=, 20 * USEC_PER_MSEC);
 }
 
-TEST(one_request_that_hangs_says_little)
+TEST(one_hanging_request_has_little_effect)
 {
     struct latency latency;
     uint64_t before;
@@ -41,7 +41,7 @@
     g_assert_cmpuint(latency.service_us, <, 2 * before);
 }
 
-TEST(the_further_callers_are_the_more_may_be_on_their_way)
+TEST(overcommit_grows_with_the_round_trip_time)
 {
     struct latency latency = {.service_us = 16000, .rtt_us = 7000};
 
@@ -52,12 +52,12 @@
     g_assert_cmpuint(latency_overcommit(&latency, 2), ==, 1);
     latency.rtt_us = 31000;
     g_assert_cmpuint(latency_overcommit(&latency, 2), ==, 3);
-    /* Tiny requests don't open the admission wide. */
+    /* Short requests don't lift the limit. */
     latency.service_us = 100;
     g_assert_cmpuint(latency_overcommit(&latency, 2), ==, 8);
 }
 
-TEST(more_in_progress_takes_longer)
+TEST(the_estimate_grows_with_requests_in_progress)
 {
     struct latency latency;
 
--- a/tests/relay/outcome_test.c
+++ b/tests/relay/outcome_test.c
@@ -5,7 +5,7 @@
 #define SUITE "/relay/outcome"
 
 static struct outcome
-after(unsigned resets, unsigned answers)
+outcome_after(unsigned resets, unsigned answers)
 {
     struct outcome outcome = {0};
 
@@ -18,18 +18,18 @@
     return outcome;
 }
 
-TEST(three_resets_in_a_row_make_a_failing_one)
+TEST(three_resets_in_a_row_are_failing)
 {
-    struct outcome two = after(2, 0);
-    struct outcome three = after(3, 0);
-    struct outcome well_again = after(30, 10);
+    struct outcome two = outcome_after(2, 0);
+    struct outcome three = outcome_after(3, 0);
+    struct outcome well_again = outcome_after(30, 10);
 
     g_assert_false(outcome_is_failing(&two, USEC_PER_SEC));
     g_assert_true(outcome_is_failing(&three, USEC_PER_SEC));
     g_assert_false(outcome_is_failing(&well_again, USEC_PER_SEC));
 }
 
-TEST(two_of_five_are_too_many_one_of_ten_is_not)
+TEST(two_resets_of_five_are_failing_one_of_ten_is_not)
 {
     struct outcome outcome = {0};
     unsigned failing = 0;
@@ -45,9 +45,9 @@
     }
 }
 
-TEST(who_is_not_asked_is_tried_again)
+TEST(an_endpoint_without_requests_is_tried_again)
 {
-    struct outcome outcome = after(20, 0);
+    struct outcome outcome = outcome_after(20, 0);
 
     g_assert_true(outcome_is_failing(&outcome, 2 * USEC_PER_SEC));
     g_assert_false(outcome_is_failing(&outcome, 5 * USEC_PER_SEC));
--- a/tests/relay/packet_pool_test.c
+++ b/tests/relay/packet_pool_test.c
@@ -3,10 +3,10 @@
 #include "lib/harness.h"
 #include "relay/admission/packet_pool.h"
 
-#define SUITE "/relay/kept"
+#define SUITE "/relay/packet_pool"
 
 static struct relay_packet
-packet_of(uint32_t seq, uint8_t byte)
+make_packet(uint32_t seq, uint8_t byte)
 {
     static uint8_t bytes[RELAY_PACKET_MAX];
 
@@ -18,12 +18,12 @@
 static bool
 add(struct packet_pool *packet_pool, int *chain, uint32_t seq, uint8_t byte)
 {
-    struct relay_packet packet = packet_of(seq, byte);
+    struct relay_packet packet = make_packet(seq, byte);
 
     return packet_pool_append(packet_pool, chain, &packet);
 }
 
-TEST(packets_come_back_in_order_and_whole)
+TEST(packets_are_taken_in_order_and_complete)
 {
     struct packet_pool packet_pool;
     const struct pool_packet *item;
@@ -33,7 +33,7 @@
     g_assert_null(packet_pool_take(&packet_pool, &chain));
     g_assert_true(add(&packet_pool, &chain, 1, 11));
     g_assert_true(add(&packet_pool, &chain, 1201, 12));
-    /* The caller sent it again. */
+    /* A repeated packet. */
     g_assert_false(add(&packet_pool, &chain, 1, 13));
     item = packet_pool_take(&packet_pool, &chain);
     g_assert_cmpuint(item->seq, ==, 1);
@@ -44,13 +44,13 @@
     packet_pool_finish(&packet_pool);
 }
 
-TEST(places_are_used_again_and_there_is_an_end_of_them)
+TEST(slots_are_reused_and_limited)
 {
     struct packet_pool packet_pool;
     int chains[PACKET_POOL_MAX + 1];
 
     g_assert_cmpint(packet_pool_init(&packet_pool), ==, 0);
-    for (unsigned query = 0; query < 3; query++) {
+    for (unsigned pass = 0; pass < 3; pass++) {
         for (unsigned i = 0; i <= PACKET_POOL_MAX; i++) {
             chains[i] = PACKET_POOL_NONE;
             g_assert_true(add(&packet_pool, &chains[i], i, 1) ==
@@ -65,7 +65,7 @@
     packet_pool_finish(&packet_pool);
 }
 
-TEST(one_request_takes_not_all_of_them)
+TEST(a_chain_is_limited)
 {
     struct packet_pool packet_pool;
     int chain = PACKET_POOL_NONE;
