--- a/tests/relay/admission_load_test.c
+++ b/tests/relay/admission_load_test.c
@@ -24,7 +24,7 @@
  * @rtt_us: from a SYN+ACK to the caller's next packet
  * @target_ms: response target
  * @request_timeout_ms: the caller's request timeout in frames, 0 for unknown
- * @fresh: callers that arrive evenly in LOAD_US
+ * @new_callers: callers that arrive evenly in LOAD_US
  * @late: callers at the start whose SYN is 600 ms old
  * @attempts: flows that a caller opens at most until one is answered
  */
@@ -33,7 +33,7 @@
     uint64_t rtt_us;
     unsigned target_ms;
     unsigned request_timeout_ms;
-    unsigned fresh;
+    unsigned new_callers;
     unsigned late;
     unsigned attempts;
 };
@@ -44,7 +44,7 @@
     .service_us = 20 * USEC_PER_MSEC,
     .rtt_us = 6 * USEC_PER_MSEC,
     .target_ms = 100,
-    .fresh = 300,
+    .new_callers = 300,
     .attempts = 1,
 };
 
@@ -55,12 +55,12 @@
     .rtt_us = 2 * USEC_PER_MSEC,
     .target_ms = 250,
     .request_timeout_ms = 3000,
-    .fresh = 68,
+    .new_callers = 68,
     .late = 34,
     .attempts = 3,
 };
 
-/** enum step - a caller's next event */
+/** enum step - how far a caller's request has got */
 enum step {
     STEP_SYN_SENT,
     STEP_CONNECTED,
@@ -349,7 +349,7 @@
 run(struct fixture *fixture, const struct load *load)
 {
     uint64_t start_us = fixture->now_us;
-    uint64_t gap_us = LOAD_US / load->fresh;
+    uint64_t gap_us = LOAD_US / load->new_callers;
 
     fixture->load = load;
     while (fixture->count < load->late) {
@@ -357,7 +357,7 @@
     }
     while (fixture->now_us < start_us + LOAD_US) {
         fixture->now_us += STEP_US;
-        while (fixture->count < load->late + load->fresh &&
+        while (fixture->count < load->late + load->new_callers &&
                fixture->now_us >=
                    start_us + (fixture->count - load->late) * gap_us) {
             arrive(fixture, 0);
@@ -408,13 +408,13 @@
     without_timeout.request_timeout_ms = 0;
     fixture_init(other);
     run(other, &without_timeout);
-    queued_syns =
-        in_time_from(other, long_requests.late) * 1000 / long_requests.fresh;
+    queued_syns = in_time_from(other, long_requests.late) * 1000 /
+                  long_requests.new_callers;
     fixture_finish(other);
     g_free(other);
     run(fixture, &long_requests);
-    queued_requests =
-        in_time_from(fixture, long_requests.late) * 1000 / long_requests.fresh;
+    queued_requests = in_time_from(fixture, long_requests.late) * 1000 /
+                      long_requests.new_callers;
     g_test_message(
         "in 1000 new callers in time: %u with queued requests, %u with "
         "queued SYNs",
