--- a/src/relay/program/config_peer.c
+++ b/src/relay/program/config_peer.c
@@ -6,17 +6,18 @@
 #include "base/clock.h"
 #include "base/container.h"
 
-/* A peer answers within a few ms; a dead one costs this long. */
+/* Bounds the delay that an unreachable peer causes. */
 #define TIMEOUT_MS 400
 
-/* Pause between two questions, so that peers aren't flooded after a total
- * loss, when none of them knows anything. */
+/* Interval between two queries; limits the load on peers while none of them
+ * has a configuration. */
 #define QUERY_INTERVAL_US (150 * USEC_PER_MSEC)
 
+/* Largest reply, in bytes. */
 #define BODY_MAX (4u << 20)
 
 static struct json_object *
-member(struct json_object *object, const char *name)
+get_member(struct json_object *object, const char *name)
 {
     struct json_object *value = NULL;
 
@@ -36,11 +37,11 @@
     }
     for (size_t i = 0; i < count; i++) {
         struct json_object *item = json_object_array_get_idx(list, i);
-        const char *text = json_object_get_string(member(item, "address"));
+        const char *text = json_object_get_string(get_member(item, "address"));
         const char *data_centre =
-            json_object_get_string(member(item, "data_centre"));
+            json_object_get_string(get_member(item, "data_centre"));
         uint32_t service =
-            (uint32_t)json_object_get_int64(member(item, "service"));
+            (uint32_t)json_object_get_int64(get_member(item, "service"));
         struct addr addr;
 
         if (text != NULL && data_centre != NULL &&
@@ -62,8 +63,8 @@
         json_object_put(json);
         return -EPROTO;
     }
-    report_agents(config_peer, member(json, "agents"));
-    config_peer->ops->config(config_peer, member(json, "config"));
+    report_agents(config_peer, get_member(json, "agents"));
+    config_peer->ops->config(config_peer, get_member(json, "config"));
     json_object_put(json);
     return 0;
 }
@@ -113,8 +114,8 @@
 }
 
 static void
-query(struct config_peer *config_peer, struct addr peer, const char *target,
-      uint64_t now_us)
+start_query(struct config_peer *config_peer, struct addr peer,
+            const char *target, uint64_t now_us)
 {
     struct httpc_request request = {
         .method = HTTPC_GET,
@@ -142,18 +143,18 @@
 config_peer_query_config(struct config_peer *config_peer, struct addr peer,
                          uint64_t now_us)
 {
-    query(config_peer, peer, CONFIG_PEER_PATH "?" CONFIG_PEER_CONFIG_ONLY "=1",
-          now_us);
+    start_query(config_peer, peer,
+                CONFIG_PEER_PATH "?" CONFIG_PEER_CONFIG_ONLY "=1", now_us);
 }
 
 void
 config_peer_query_next(struct config_peer *config_peer, uint64_t now_us)
 {
     if (config_peer->peer_count > 0 && now_us >= config_peer->next_us) {
-        query(config_peer,
-              config_peer
-                  ->peers[config_peer->next_peer++ % config_peer->peer_count],
-              CONFIG_PEER_PATH, now_us);
+        start_query(config_peer,
+                    config_peer->peers[config_peer->next_peer++ %
+                                       config_peer->peer_count],
+                    CONFIG_PEER_PATH, now_us);
     }
 }
 
--- a/src/relay/program/config_peer.h
+++ b/src/relay/program/config_peer.h
@@ -1,9 +1,10 @@
 /**
- * DOC: config_peer - what balancers tell each other when the store can't
+ * DOC: config_peer - configuration and agents from another balancer
  *
- * A balancer serves the configuration that it follows and the agents that it
- * knows. One that has none, or has heard of a newer one, asks: first whoever
- * is known to have it, then the hosts that its settings name.
+ * Each balancer serves its configuration and its list of agents over HTTP. A
+ * balancer without a configuration queries the peers in its settings in turn
+ * while the store doesn't reply. A balancer that is behind queries the one
+ * that has advertised a newer configuration.
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_CONFIG_PEER_H
 #define SWIFTARCH_RELAY_PROGRAM_CONFIG_PEER_H
@@ -18,37 +19,38 @@
 #include "relay/forwarder/agents.h"
 #include "relay/program/relay_settings.h"
 
+/* Path of the HTTP resource. */
 #define CONFIG_PEER_PATH "/share"
 
-/* Query of a call that wants the configuration alone. */
+/* Query parameter: the reply leaves out the agents. */
 #define CONFIG_PEER_CONFIG_ONLY "config"
 
 struct config_peer;
 
-/** struct config_peer_ops - what the owner is told */
+/** struct config_peer_ops - callbacks into the owner */
 struct config_peer_ops {
-    /** @config: a peer's configuration; NULL when it has none */
+    /** @config: a peer's configuration, NULL if it has none */
     void (*config)(struct config_peer *config_peer,
                    struct json_object *config);
-    /** @agent: an agent that a peer knows */
+    /** @agent: an agent in a peer's list */
     void (*agent)(struct config_peer *config_peer, struct addr addr,
                   uint32_t service, const char *data_centre);
-    /** @replied: a peer replied (0), or why it didn't */
+    /** @replied: a query ended; @status is 0 or a negative errno */
     void (*replied)(struct config_peer *config_peer, struct addr peer,
                     int status);
 };
 
 /**
- * struct config_peer - asks peers; the vtable comes first
- * @ops: the owner
- * @call: the open call
- * @base: events
- * @httpc: connection to the peer that is asked
- * @peer: that peer
- * @peers: hosts to ask in next_peer
- * @peer_count: how many
- * @next_peer: which is next
- * @next_us: when the next may be asked
+ * struct config_peer - client that queries peers, one at a time
+ * @ops: callbacks into the owner
+ * @call: the call in progress
+ * @base: event loop
+ * @httpc: connection to @peer, or NULL
+ * @peer: the peer queried last
+ * @peers: peers in the settings, without this balancer
+ * @peer_count: number of @peers
+ * @next_peer: counter; modulo @peer_count, the index of the next peer
+ * @next_us: earliest time of the next query
  */
 struct config_peer {
     const struct config_peer_ops *ops;
@@ -62,37 +64,51 @@
     uint64_t next_us;
 };
 
-/** config_peer_init() - nobody to ask yet; @seed differs between processes, so
- * that they don't all ask the same peer first */
+/**
+ * config_peer_init() - initialize without peers
+ * @seed: differs between processes, so that they start with different peers
+ */
 void
 config_peer_init(struct config_peer *config_peer,
                  const struct config_peer_ops *ops, struct event_base *base,
                  uint64_t seed);
 
-/** config_peer_set_peers() - ask @peers from now on, but never @self */
+/** config_peer_set_peers() - replace the peers; @self is left out */
 void
 config_peer_set_peers(struct config_peer *config_peer,
                       const struct addr *peers, size_t count,
                       struct addr self);
 
-/** config_peer_finish() - end the open call */
+/** config_peer_finish() - cancel the call and close the connection */
 void
 config_peer_finish(struct config_peer *config_peer);
 
-/** config_peer_query_config() - ask @peer for its configuration alone, unless
- * a call is open or was just made: many ask the few that have a new one first
+/**
+ * config_peer_query_config() - query @peer for its configuration only
+ *
+ * Does nothing while a call is in progress or shortly after one.
  */
 void
 config_peer_query_config(struct config_peer *config_peer, struct addr peer,
                          uint64_t now_us);
 
-/** config_peer_query_next() - ask the next of the hosts in the settings for
- * all that it knows */
+/**
+ * config_peer_query_next() - query the next peer in the settings for its
+ * configuration and agents
+ *
+ * Does nothing while a call is in progress or shortly after one.
+ */
 void
 config_peer_query_next(struct config_peer *config_peer, uint64_t now_us);
 
-/** config_peer_encode() - what a balancer answers; @config may be NULL, and
- * @agents where they aren't wanted */
+/**
+ * config_peer_encode() - encode the reply to a query
+ * @config: configuration, may be NULL
+ * @agents: agents, NULL to leave them out; suspect agents and those whose
+ *          endpoint is gone are skipped
+ *
+ * Return: a new object for json_object_put().
+ */
 struct json_object *
 config_peer_encode(struct json_object *config, const struct agents *agents);
 
--- a/src/relay/program/dgram.c
+++ b/src/relay/program/dgram.c
@@ -6,14 +6,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Room for the bursts that arrive while a host of a twentieth of a core
- * reads a large configuration. */
-#define SOCKET_BUFFER (1 << 20)
+/* Receive buffer; absorbs bursts that arrive while a slow host decodes a large
+ * configuration. */
+#define RECEIVE_BUFFER_BYTES (1 << 20)
 
 /**
- * struct dgram_buffers - two batches
- * @in: datagrams read
- * @out: datagrams to be sent
+ * struct dgram_buffers - buffers for one received and one queued batch
+ * @in: datagrams received
+ * @out: datagrams to send
  */
 struct dgram_buffers {
     struct mmsghdr in_headers[DGRAM_BATCH];
@@ -47,7 +47,8 @@
     }
 }
 
-/* Reads one batch; how many datagrams it held. */
+/* Reads one batch. Returns the number of datagrams, -1 for none or an error.
+ */
 static int
 read_batch(struct dgram *dgram)
 {
@@ -72,7 +73,7 @@
 {
     struct dgram *dgram = data;
 
-    /* One batch a turn: the other sockets get theirs in between. */
+    /* One batch per event, so that other sockets are not starved. */
     read_batch(dgram);
     dgram->ops->batch_done(dgram);
 }
@@ -82,13 +83,13 @@
 {
     struct sockaddr_in sin = addr_to_sockaddr(addr);
     socklen_t len = sizeof(sin);
-    int size = SOCKET_BUFFER;
+    int size = RECEIVE_BUFFER_BYTES;
 
     dgram->fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (dgram->fd < 0) {
         return -errno;
     }
-    /* A smaller buffer only drops earlier. */
+    /* Not fatal: a smaller buffer only drops datagrams earlier. */
     (void)setsockopt(dgram->fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
     if (bind(dgram->fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 ||
         getsockname(dgram->fd, (struct sockaddr *)&sin, &len) < 0) {
@@ -123,7 +124,8 @@
 err:
     dgram_finish(dgram);
     return error_set(err, ret, "open a datagram socket",
-                     addr_format(addr, text), "it can't be bound");
+                     addr_format(addr, text),
+                     "the socket can't be created or bound");
 }
 
 void
@@ -178,8 +180,8 @@
                              dgram->queued - sent, MSG_DONTWAIT);
 
         if (count <= 0) {
-            /* The first can't be sent: a full buffer, or a host that is
-             * unreachable; its sender's timeouts cover it. */
+            /* The first datagram can't be sent (full buffer or unreachable
+             * host). Skip it: the protocol's timeouts cover the loss. */
             dgram->send_failures++;
             count = 1;
         }
--- a/src/relay/program/dgram.h
+++ b/src/relay/program/dgram.h
@@ -1,8 +1,8 @@
 /**
- * DOC: dgram - a datagram socket that reads and writes in batches
+ * DOC: dgram - UDP socket that receives and sends in batches
  *
- * Each system call is paid for, so what a batch of datagrams leads to is
- * sent with one call at its end.
+ * Datagrams are queued and sent with one system call, usually after each
+ * received batch.
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_DGRAM_H
 #define SWIFTARCH_RELAY_PROGRAM_DGRAM_H
@@ -15,31 +15,33 @@
 #include "base/error.h"
 #include "relay/wire/frame.h"
 
+/* Datagrams in a batch. */
 #define DGRAM_BATCH 32
 
 struct dgram;
 
-/** struct dgram_ops - what the owner is told */
+/** struct dgram_ops - callbacks into the owner */
 struct dgram_ops {
-    /** @datagram: one came */
+    /** @datagram: a datagram was received; @bytes are valid until the return
+     */
     void (*datagram)(struct dgram *dgram, struct addr from,
                      const uint8_t *bytes, size_t size);
-    /** @batch_done: all of a batch were told */
+    /** @batch_done: all datagrams of a batch have been handled */
     void (*batch_done)(struct dgram *dgram);
 };
 
 struct dgram_buffers;
 
 /**
- * struct dgram - the socket; the vtable comes first
- * @ops: the owner
+ * struct dgram - a bound socket and its queue
+ * @ops: callbacks into the owner
  * @owner: for the owner's use
- * @fd: the socket
- * @event: tells when it is readable
- * @addr: address it is bound to
- * @buffers: room for two batches
- * @queued: datagrams to be sent
- * @send_failures: datagrams that the kernel didn't take
+ * @fd: the socket, -1 for none
+ * @event: read event
+ * @addr: address the socket is bound to
+ * @buffers: one received and one queued batch
+ * @queued: number of queued datagrams
+ * @send_failures: datagrams dropped because the kernel refused them
  */
 struct dgram {
     const struct dgram_ops *ops;
@@ -52,34 +54,40 @@
     uint64_t send_failures;
 };
 
-/** dgram_init() - bind to @addr and read on @base */
+/** dgram_init() - bind to @addr and receive on @base; 0 or a negative errno
+ * with @err set */
 int
 dgram_init(struct dgram *dgram, const struct dgram_ops *ops, void *owner,
            struct event_base *base, struct addr addr, struct error *err);
 
-/** dgram_finish() - close the socket */
+/** dgram_finish() - close the socket; queued datagrams are dropped */
 void
 dgram_finish(struct dgram *dgram);
 
-/** dgram_send() - queue a datagram (copied); sent with dgram_flush() */
+/** dgram_send() - queue a copy of a datagram; larger than FRAME_MAX is dropped
+ */
 void
 dgram_send(struct dgram *dgram, struct addr to, const uint8_t *bytes,
            size_t size);
 
-/** dgram_buffer() - FRAME_MAX bytes to write the next datagram into; then
- * dgram_queue() it */
+/**
+ * dgram_buffer() - buffer of FRAME_MAX bytes for the next datagram
+ *
+ * Flushes first if the queue is full. Fill the buffer, then call
+ * dgram_queue().
+ */
 uint8_t *
 dgram_buffer(struct dgram *dgram);
 
-/** dgram_queue() - queue what was written to dgram_buffer() */
+/** dgram_queue() - queue the datagram in dgram_buffer() */
 void
 dgram_queue(struct dgram *dgram, struct addr to, size_t size);
 
-/** dgram_flush() - send all that is queued */
+/** dgram_flush() - send all queued datagrams */
 void
 dgram_flush(struct dgram *dgram);
 
-/** dgram_poll() - read what waits, without waiting for more */
+/** dgram_poll() - handle all pending datagrams, without blocking */
 void
 dgram_poll(struct dgram *dgram);
 
--- a/src/relay/program/loop.c
+++ b/src/relay/program/loop.c
@@ -5,11 +5,12 @@
 #include <stddef.h>
 #include <string.h>
 
-/* A timer that is this close to due fires now: it isn't worth a sleep. */
+/* Work due within this time is done in the current tick, which saves a
+ * wakeup. */
 #define TICK_TOLERANCE_US 200
 
 static void
-arm(struct loop *loop, uint64_t due_us)
+arm_timer(struct loop *loop, uint64_t due_us)
 {
     uint64_t now_us = loop_now_us(loop);
     uint64_t delay_us = due_us > now_us ? due_us - now_us : 0;
@@ -30,7 +31,8 @@
     struct loop *loop = data;
 
     loop->armed_us = UINT64_MAX;
-    arm(loop, loop->ops->tick(loop, loop_now_us(loop) + TICK_TOLERANCE_US));
+    arm_timer(loop,
+              loop->ops->tick(loop, loop_now_us(loop) + TICK_TOLERANCE_US));
 }
 
 static void
@@ -108,14 +110,14 @@
 loop_schedule(struct loop *loop, uint64_t due_us)
 {
     if (due_us < loop->armed_us) {
-        arm(loop, due_us);
+        arm_timer(loop, due_us);
     }
 }
 
 void
 loop_run(struct loop *loop)
 {
-    arm(loop, loop_now_us(loop));
+    arm_timer(loop, loop_now_us(loop));
     event_base_dispatch(loop->base);
 }
 
--- a/src/relay/program/loop.h
+++ b/src/relay/program/loop.h
@@ -1,5 +1,8 @@
 /**
- * DOC: loop - one thread: events, a tick when something is due, signals
+ * DOC: loop - single-threaded event loop with a timer and signals
+ *
+ * Runs the owner's tick when it is due, and calls it back on SIGTERM and
+ * SIGINT (stop) and on SIGHUP (reload).
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_LOOP_H
 #define SWIFTARCH_RELAY_PROGRAM_LOOP_H
@@ -13,24 +16,25 @@
 
 struct loop;
 
-/** struct loop_ops - what the owner is asked */
+/** struct loop_ops - callbacks into the owner */
 struct loop_ops {
-    /** @tick: do what is due, then say when the next tick is due */
+    /** @tick: do due work; returns when the next tick is due, UINT64_MAX for
+     * never */
     uint64_t (*tick)(struct loop *loop, uint64_t now_us);
-    /** @stop: a planned stop was asked for */
+    /** @stop: SIGTERM or SIGINT requests a planned stop */
     void (*stop)(struct loop *loop, uint64_t now_us);
-    /** @reload: the settings file has changed */
+    /** @reload: SIGHUP requests a reload of the settings */
     void (*reload)(struct loop *loop);
 };
 
 /**
- * struct loop - the loop; the vtable comes first
- * @ops: the owner
- * @base: events
- * @clock: time
- * @timer: fires the tick
+ * struct loop - state of the loop
+ * @ops: callbacks into the owner
+ * @base: libevent's loop
+ * @clock: monotonic clock
+ * @timer: runs the tick
  * @signals: SIGTERM, SIGINT, SIGHUP
- * @armed_us: when the timer is set to fire
+ * @armed_us: when @timer expires, UINT64_MAX for never
  */
 struct loop {
     const struct loop_ops *ops;
@@ -41,28 +45,28 @@
     uint64_t armed_us;
 };
 
-/** loop_init() - 0 or -ENOMEM */
+/** loop_init() - set up events and signals, ignore SIGPIPE; 0 or -ENOMEM */
 int
 loop_init(struct loop *loop, const struct loop_ops *ops);
 
-/** loop_finish() - free the events */
+/** loop_finish() - free events and the loop, also after a failed loop_init()
+ */
 void
 loop_finish(struct loop *loop);
 
-/** loop_now_us() - steady time */
+/** loop_now_us() - monotonic time in microseconds */
 uint64_t
 loop_now_us(struct loop *loop);
 
-/** loop_schedule() - something is due at @due_us, maybe sooner than the timer
- */
+/** loop_schedule() - run the tick at @due_us, unless it is due sooner */
 void
 loop_schedule(struct loop *loop, uint64_t due_us);
 
-/** loop_run() - until loop_stop() */
+/** loop_run() - run until loop_stop() */
 void
 loop_run(struct loop *loop);
 
-/** loop_stop() - leave loop_run() */
+/** loop_stop() - make loop_run() return */
 void
 loop_stop(struct loop *loop);
 
--- a/src/relay/program/probe.c
+++ b/src/relay/program/probe.c
@@ -8,9 +8,9 @@
 
 #include <event2/util.h>
 
-/* A process of the same host takes or refuses a connection within 1 ms, five
- * times as long on a slowed one; past this one nothing is told. */
-static const struct timeval timeout = {.tv_usec = 100000};
+/* A process on the same host accepts or refuses a connection far sooner; a
+ * timeout proves nothing. */
+static const struct timeval connect_timeout = {.tv_usec = 100000};
 
 static void
 close_probe(struct probe *probe)
@@ -26,24 +26,24 @@
 }
 
 static void
-end(struct probe *probe, int error)
+report_result(struct probe *probe, int error)
 {
     close_probe(probe);
     probe->ops->ended(probe, error == ECONNREFUSED);
 }
 
 static void
-on_writable(evutil_socket_t fd, short what, void *arg)
+on_writable(evutil_socket_t fd, short events, void *arg)
 {
     struct probe *probe = arg;
     int error = 0;
     socklen_t len = sizeof(error);
 
-    if ((what & EV_TIMEOUT) != 0 ||
+    if ((events & EV_TIMEOUT) != 0 ||
         getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len) < 0) {
         error = ETIMEDOUT;
     }
-    end(probe, error);
+    report_result(probe, error);
 }
 
 void
@@ -77,12 +77,13 @@
     }
     if (connect(probe->fd, (struct sockaddr *)&to, sizeof(to)) < 0 &&
         errno != EINPROGRESS) {
-        end(probe, errno);
+        report_result(probe, errno);
         return;
     }
     probe->event =
         event_new(probe->base, probe->fd, EV_WRITE, on_writable, probe);
-    if (probe->event == NULL || event_add(probe->event, &timeout) < 0) {
+    if (probe->event == NULL ||
+        event_add(probe->event, &connect_timeout) < 0) {
         close_probe(probe);
     }
 }
--- a/src/relay/program/probe.h
+++ b/src/relay/program/probe.h
@@ -1,8 +1,8 @@
 /**
- * DOC: probe - whether anybody listens at an address
+ * DOC: probe - checks by a TCP connection whether a process is listening
  *
- * A connection that is refused proves that no process is there, and with it
- * that none of its flows are. One that is taken is closed again at once.
+ * A refused connection proves that the endpoint's process is gone, and its
+ * flows with it. An accepted one is closed at once.
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_PROBE_H
 #define SWIFTARCH_RELAY_PROGRAM_PROBE_H
@@ -14,20 +14,20 @@
 
 struct probe;
 
-/** struct probe_ops - what the owner is told */
+/** struct probe_ops - callbacks into the owner */
 struct probe_ops {
-    /** @ended: the probe ended; @refused: nobody listens there, otherwise
-     * somebody does, or it can't be told */
+    /** @ended: the probe ended; @refused: no process is listening. Otherwise
+     * one is, or the probe was inconclusive */
     void (*ended)(struct probe *probe, bool refused);
 };
 
 /**
- * struct probe - one address; the vtable comes first
- * @ops: the owner
- * @base: where it waits
- * @peer: the address
- * @fd: the open connection, -1 for none
- * @event: tells how it ended
+ * struct probe - probe of one address
+ * @ops: callbacks into the owner
+ * @base: event loop
+ * @peer: address to connect to
+ * @fd: socket of the probe in progress, -1 for none
+ * @event: write event with the timeout
  */
 struct probe {
     const struct probe_ops *ops;
@@ -37,16 +37,17 @@
     struct event *event;
 };
 
-/** probe_init() - nothing is open */
+/** probe_init() - initialize for @peer; no probe is started */
 void
 probe_init(struct probe *probe, const struct probe_ops *ops,
            struct event_base *base, struct addr peer);
 
-/** probe_finish() - end what is open; nothing is told */
+/** probe_finish() - cancel the probe in progress without a callback */
 void
 probe_finish(struct probe *probe);
 
-/** probe_start() - connect, unless that is being done */
+/** probe_start() - start a probe unless one is in progress; without a free
+ * socket nothing happens */
 void
 probe_start(struct probe *probe);
 
--- a/src/relay/program/relay_agent.c
+++ b/src/relay/program/relay_agent.c
@@ -11,10 +11,10 @@
 #include "platform/object_store.h"
 #include "relay/program/relay_agent_private.h"
 
-#define FLUSH_US (100 * USEC_PER_MSEC)
+#define LOG_FLUSH_INTERVAL_US (100 * USEC_PER_MSEC)
 
-/* A planned stop waits for requests in progress, and then this long for the
- * last packets of their flows. */
+/* A planned stop waits until no request is in progress and no packet has come
+ * for this time. */
 #define STOP_QUIET_US (100 * USEC_PER_MSEC)
 
 enum { EXIT_STOPPED = 0, EXIT_ERROR = 1, EXIT_SETTINGS = 2 };
@@ -22,12 +22,12 @@
 static bool
 stop_is_complete(const struct relay_agent *agent, uint64_t now_us)
 {
-    uint64_t since_us = now_us - agent->stop_us;
+    uint64_t elapsed_us = now_us - agent->stop_us;
 
     if (agent->stop_us == 0) {
         return false;
     }
-    return since_us >= agent->settings.stop_ms * USEC_PER_MSEC ||
+    return elapsed_us >= agent->settings.stop_ms * USEC_PER_MSEC ||
            (agent->admission.busy_count == 0 &&
             agent->admission.queue_count == 0 &&
             now_us - agent->packet_us >= STOP_QUIET_US &&
@@ -61,16 +61,18 @@
                    agent->settings.log_per_s, agent->settings.stop_ms, report);
 }
 
-/* What the agent's own calls tell of the store goes on with its frames. */
+/* Hands the store's epoch, as seen by the registration's calls, to admission,
+ * which advertises it in frames. */
 static void
-notify_epoch(struct relay_agent *agent, uint64_t now_us)
+update_epoch(struct relay_agent *agent, uint64_t now_us)
 {
-    struct evacuations told = {.epoch = agent->registration.epoch};
+    struct evacuations latest = {.epoch = agent->registration.epoch};
 
-    (void)admission_handle_evacuations(&agent->admission, &told, now_us);
+    (void)admission_handle_evacuations(&agent->admission, &latest, now_us);
 }
 
-/* Somebody took the agent's object away while its endpoint lives. */
+/* Writes the agent's object again if it was removed from the store although
+ * the endpoint is up. */
 static void
 register_again(struct relay_agent *agent, uint64_t now_us)
 {
@@ -90,20 +92,21 @@
     struct relay_agent *agent = container_of(loop, struct relay_agent, loop);
     uint64_t next_us;
 
-    /* Answers that wait are no missed answers. */
+    /* Read pending packets first: in a late tick they must not count as
+     * timeouts. */
     dgram_poll(&agent->outbound);
     admission_tick(&agent->admission, now_us);
     dgram_flush(&agent->outbound);
     dgram_flush(&agent->frames);
     register_again(agent, now_us);
     registration_writer_tick(&agent->registration, now_us);
-    notify_epoch(agent, now_us);
+    update_epoch(agent, now_us);
     if (settings_file_changed(&agent->file, now_us)) {
         reload(agent);
     }
     if (now_us >= agent->flush_us) {
         event_log_flush(&agent->log);
-        agent->flush_us = now_us + FLUSH_US;
+        agent->flush_us = now_us + LOG_FLUSH_INTERVAL_US;
     }
     if (stop_is_complete(agent, now_us)) {
         loop_stop(loop);
@@ -142,7 +145,7 @@
 
 static const struct loop_ops loop_ops = {on_tick, on_stop, on_reload};
 
-/* Start. */
+/* Startup. */
 
 static int
 start_sockets(struct relay_agent *agent, struct error *err)
@@ -203,7 +206,8 @@
     agent->probe.fd = -1;
     agent->last_refusal = HEARTBEAT_ACCEPTED;
     if (loop_init(&agent->loop, &loop_ops) < 0) {
-        return error_set(err, -ENOMEM, "start", NULL, "no event loop");
+        return error_set(err, -ENOMEM, "start", NULL,
+                         "the event loop can't be created");
     }
     agent->started_us = loop_now_us(&agent->loop);
     settings_file_init(&agent->file, path, RELAY_AGENT, agent->started_us);
--- a/src/relay/program/relay_agent_http.c
+++ b/src/relay/program/relay_agent_http.c
@@ -22,7 +22,7 @@
                    agent->admission.busy_count, cause);
 }
 
-/* In words, by enum heartbeat_refusal. */
+/* Names in metrics and log lines. */
 static const char *const refusal_names[] = {
     [HEARTBEAT_REFUSED_NO_JSON] = "no_json",
     [HEARTBEAT_REFUSED_NO_SERVICE] = "no_service",
@@ -39,8 +39,8 @@
     [HEARTBEAT_FORMAT_FIELD] = HEARTBEAT_REFUSED_WRONG_FIELD,
 };
 
-/* Counts a heartbeat that isn't believed; a line when the reason is another
- * than the last one's. */
+/* Counts a refused heartbeat, and logs it when the reason differs from that of
+ * the previous heartbeat. */
 static void
 record_refusal(struct relay_agent *agent, enum heartbeat_refusal why,
                const struct error *err)
@@ -73,15 +73,15 @@
         return 400;
     }
     if (heartbeat.service != hash_service(agent->settings.service)) {
-        error_set(&err, -EINVAL, "take a heartbeat", id,
-                  "the endpoint here is of %s", agent->settings.service);
+        error_set(&err, -EINVAL, "accept a heartbeat", id,
+                  "its service is not %s", agent->settings.service);
         record_refusal(agent, HEARTBEAT_REFUSED_OTHER_SERVICE, &err);
         return 400;
     }
     if (!admission_handle_heartbeat(&agent->admission, &heartbeat,
                                     loop_now_us(&agent->loop))) {
-        error_set(&err, -EINVAL, "take a heartbeat", id,
-                  "it is of a start before the current one");
+        error_set(&err, -EINVAL, "accept a heartbeat", id,
+                  "it is of an earlier incarnation of the endpoint");
         record_refusal(agent, HEARTBEAT_REFUSED_STALE, &err);
         return 503;
     }
--- a/src/relay/program/relay_agent_out.c
+++ b/src/relay/program/relay_agent_out.c
@@ -159,10 +159,10 @@
 }
 
 static void
-count_decision(struct relay_agent *agent, enum admission_decision did,
+count_decision(struct relay_agent *agent, enum admission_decision decision,
                enum frame_reason why)
 {
-    switch (did) {
+    switch (decision) {
     case ADMISSION_DECISION_ESTABLISH:
         agent->counts.established++;
         break;
@@ -179,7 +179,7 @@
 }
 
 static void
-out_decided(struct admission_out *out, enum admission_decision did,
+out_decided(struct admission_out *out, enum admission_decision decision,
             struct relay_flow flow, enum frame_reason why,
             const struct frame_forward *frame)
 {
@@ -187,12 +187,12 @@
     char caller[ADDR_TEXT_MAX];
     char service[ADDR_TEXT_MAX];
 
-    count_decision(agent, did, why);
+    count_decision(agent, decision, why);
     if (!event_log_wants(&agent->log, EVENT_ROUTINE)) {
         return;
     }
     event_log_line(
-        &agent->log, EVENT_ROUTINE, decision_names[did],
+        &agent->log, EVENT_ROUTINE, decision_names[decision],
         "caller=%s service=%s reason=%s endpoint=%s busy=%u "
         "slots=%u held=%u target_ms=%u forced=%d hops=%u",
         addr_format(flow.caller, caller), addr_format(flow.service, service),
@@ -216,7 +216,7 @@
     .decided = out_decided,
 };
 
-/* Datagrams. */
+/* Received datagrams. */
 
 static void
 on_forward(struct relay_agent *agent, const uint8_t *bytes, size_t size,
@@ -267,7 +267,7 @@
     uint64_t now_us = loop_now_us(&agent->loop);
     int type = frame_type(bytes, size);
     struct frame_ping ping;
-    struct frame_query ask;
+    struct frame_query query;
 
     agent->counts.frames_in++;
     if (type > 0) {
@@ -284,8 +284,8 @@
         }
         break;
     case FRAME_QUERY:
-        if (frame_query_decode(bytes, size, &ask) == 0) {
-            admission_handle_query(&agent->admission, from, &ask, now_us);
+        if (frame_query_decode(bytes, size, &query) == 0) {
+            admission_handle_query(&agent->admission, from, &query, now_us);
             return;
         }
         break;
--- a/src/relay/program/relay_agent_private.h
+++ b/src/relay/program/relay_agent_private.h
@@ -1,8 +1,9 @@
 /**
- * DOC: relay_agent_private - what the parts of the program share
+ * DOC: relay_agent_private - state shared by the files of the agent process
  *
- * relay_agent starts, stops and keeps time; _out carries decisions and
- * datagrams, _http takes heartbeats and answers calls.
+ * relay_agent.c starts, ticks and stops the process; relay_agent_out.c
+ * receives datagrams and implements admission's outputs; relay_agent_http.c
+ * serves heartbeats, metrics and state over HTTP.
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_RELAY_AGENT_PRIVATE_H
 #define SWIFTARCH_RELAY_PROGRAM_RELAY_AGENT_PRIVATE_H
@@ -17,42 +18,41 @@
 #include "relay/program/relay_settings.h"
 #include "relay/program/settings_file.h"
 
-/** enum heartbeat_refusal - why a heartbeat wasn't believed */
+/** enum heartbeat_refusal - why a heartbeat was refused */
 enum heartbeat_refusal {
     HEARTBEAT_REFUSED_NO_JSON,
     HEARTBEAT_REFUSED_NO_SERVICE,
     HEARTBEAT_REFUSED_NO_STATE,
     HEARTBEAT_REFUSED_WRONG_FIELD,
-    HEARTBEAT_REFUSED_OTHER_SERVICE, /* of a service that isn't the endpoint's
-                                        here */
-    HEARTBEAT_REFUSED_STALE,         /* of a start before the current one */
-    HEARTBEAT_ACCEPTED,              /* it was believed */
+    HEARTBEAT_REFUSED_OTHER_SERVICE, /* not the service in the settings */
+    HEARTBEAT_REFUSED_STALE,         /* of an earlier incarnation */
+    HEARTBEAT_ACCEPTED,              /* not refused; also the array size */
 };
 
 /**
- * struct relay_agent - the program
- * @loop: events and time
+ * struct relay_agent - state of the agent process
+ * @loop: event loop
  * @out: outputs of @admission
- * @settings: settings
- * @file: the file that they are from
- * @admission: decisions
- * @frames: frames, and packets to callers
- * @outbound: packets from and to the endpoint
- * @ready_handler: answers /ready and /metrics
- * @ready: its listener
- * @metrics: a second one, or NULL
- * @heartbeat_handler: answers the endpoint's heartbeats
- * @heartbeats: its listener
+ * @settings: settings in force
+ * @file: the settings file, watched for changes
+ * @admission: decisions on SYNs and flows
+ * @frames: socket for frames and for packets to callers
+ * @outbound: socket for packets from and to the endpoint
+ * @ready_handler: serves /ready, /metrics, /state and /flow
+ * @ready: listener of @ready_handler
+ * @metrics: a second listener of @ready_handler, or NULL
+ * @heartbeat_handler: serves the endpoint's heartbeats
+ * @heartbeats: listener of @heartbeat_handler
  * @store: connection to the store
- * @registration: writes the agent's object
- * @probe: asks whether the endpoint's process is there
- * @log: lines on standard output
- * @started_us: when the program started
+ * @registration: writes the agent's object to the store
+ * @probe: checks whether the endpoint's process is listening
+ * @log: event log on standard output
+ * @started_us: when the process started
  * @stop_us: when the planned stop began, 0 for none
- * @packet_us: when the last packet came
- * @flush_us: when the log is written next
- * @last_refusal: why the last heartbeat wasn't believed
- * @counts: packets and frames
+ * @packet_us: when the last packet arrived
+ * @flush_us: when the log is flushed next
+ * @last_refusal: result of the last heartbeat
+ * @counts: counters for /metrics
  */
 struct relay_agent {
     struct loop loop;
@@ -92,7 +92,8 @@
     } counts;
 };
 
-/* In words, by enum frame_reason, enum endpoint_state, enum admission_drop. */
+/* Names in metrics and log lines: enum frame_reason, enum endpoint_state and
+ * enum admission_drop. */
 extern const char *const relay_agent_reason_names[];
 extern const char *const relay_agent_state_names[];
 extern const char *const relay_agent_drop_names[];
@@ -104,7 +105,7 @@
 extern const struct httpd_ops relay_agent_heartbeat_ops;
 extern const struct httpd_ops relay_agent_ready_ops;
 
-/** relay_agent_flush() - send what is queued, and mind what is due next */
+/** relay_agent_flush() - send queued datagrams and schedule the next tick */
 void
 relay_agent_flush(struct relay_agent *agent);
 
--- a/src/relay/program/relay_balancer.c
+++ b/src/relay/program/relay_balancer.c
@@ -14,34 +14,35 @@
 #include "relay/store/registration.h"
 #include "relay/program/relay_balancer_private.h"
 
-#define FLUSH_US (100 * USEC_PER_MSEC)
+#define LOG_FLUSH_INTERVAL_US (100 * USEC_PER_MSEC)
 
-/* Agents come in bursts (a data centre that starts) and series (a release, one
- * a second): a watch then brings several. New ones aren't missed for that
- * long, and those that have gone say so themselves. */
+/* Agents register in bursts (a data centre starts) or in series (a release):
+ * the delay lets one watch return several changes. A new agent can wait for
+ * that long, and an agent that stops reports it by a frame. */
 static const struct watcher_backoff agents_watch_delay = {
     .min_us = 100 * USEC_PER_MSEC,
     .max_us = 2 * USEC_PER_SEC,
 };
 
-/* Operators may change the configuration many times a second. The longest is
- * a tenth of the shortest bound that they set. */
+/* The configuration may change many times a second. The longest delay is a
+ * tenth of the shortest propagation time that operators require. */
 static const struct watcher_backoff config_watch_delay = {
     .min_us = 25 * USEC_PER_MSEC,
     .max_us = 300 * USEC_PER_MSEC,
 };
 
-/* When the store takes longer than this, peers are asked too: its answers
- * take 4 ms. While it says that there is no configuration yet, they are left
- * alone: the few that all hosts name would be asked by the whole fleet. */
+/* Peers are queried once the store has not replied for this time. They are not
+ * queried when it replies that there is no configuration: the whole fleet
+ * would query the few peers that all settings name. */
 #define PEER_QUERY_DELAY_US (60 * USEC_PER_MSEC)
 
-/* On a planned stop the fabric needs two missed probes, half a second apart,
- * to send packets elsewhere; then what comes has ended. */
+/* On a planned stop the network fabric sends packets elsewhere after two
+ * missed probes, half a second apart. The process exits once packets have
+ * ceased. */
 #define STOP_QUIET_US (400 * USEC_PER_MSEC)
 #define STOP_MIN_US (1200 * USEC_PER_MSEC)
 
-/* Evacuations come one at a time, by hand. */
+/* Evacuations are rare: operators start them one at a time. */
 static const struct watcher_backoff evacuations_watch_delay = {
     .min_us = 25 * USEC_PER_MSEC,
     .max_us = 300 * USEC_PER_MSEC,
@@ -52,13 +53,13 @@
 static bool
 stop_is_complete(const struct relay_balancer *balancer, uint64_t now_us)
 {
-    uint64_t since_us = now_us - balancer->stop_us;
+    uint64_t elapsed_us = now_us - balancer->stop_us;
 
     if (balancer->stop_us == 0) {
         return false;
     }
-    return since_us >= balancer->settings.stop_ms * USEC_PER_MSEC ||
-           (since_us >= STOP_MIN_US &&
+    return elapsed_us >= balancer->settings.stop_ms * USEC_PER_MSEC ||
+           (elapsed_us >= STOP_MIN_US &&
             now_us - balancer->packet_us >= STOP_QUIET_US);
 }
 
@@ -72,8 +73,8 @@
     }
 }
 
-/* The configuration's calls find out whether the store is back; the agents'
- * wait for that, so that an outage costs half the calls. */
+/* During an outage only the configuration watcher retries; the agents watcher
+ * waits for its success, which halves the calls. */
 static bool
 agents_watch_allowed(const struct relay_balancer *balancer)
 {
@@ -95,7 +96,8 @@
     }
 }
 
-/* What part this balancer takes in reading the latest, and tells agents. */
+/* Updates whether this balancer is a store reader, and what its frames report
+ * about that. */
 static void
 update_reader_role(struct relay_balancer *balancer, uint64_t now_us)
 {
@@ -113,7 +115,7 @@
     }
 }
 
-/* How new what is read must be, and how soon a failed read is repeated. */
+/* Sets each watcher's read mode and how soon it retries a failed call. */
 static void
 set_read_modes(struct relay_balancer *balancer, uint64_t now_us)
 {
@@ -129,14 +131,14 @@
                                  ? store_reader_initial_mode(reader)
                                  : store_reader_next_mode(
                                        reader, config->failures, now_us));
-    /* Agents whose objects were taken away are to hear of it soon, from
-     * whoever knows first; nothing else waits for this list. */
+    /* A reader reads the latest list, so that an agent whose object was
+     * removed is notified soon. Stale reads are enough for every other use. */
     watcher_set_read(agents, reader->reading && agents->failures == 0
                                  ? STORE_READ_LATEST
                                  : STORE_READ_STALE);
 }
 
-/* Asks whoever is known to have a newer configuration. */
+/* Queries the balancer that is known to have a newer configuration. */
 static void
 query_config_holder(struct relay_balancer *balancer, uint64_t now_us)
 {
@@ -199,12 +201,14 @@
         container_of(loop, struct relay_balancer, loop);
     uint64_t next_us;
 
-    /* Answers that wait are no missed answers. */
+    /* Read pending frames first: in a late tick they must not count as
+     * timeouts. */
     dgram_poll(&balancer->frames);
     forwarder_tick(&balancer->forwarder, now_us);
     tick_watchers(balancer, now_us);
     query_peers(balancer, now_us);
-    /* Who asks the witnesses waits for their answers. */
+    /* Send pings to the witnesses now: the reader decision waits for the
+     * replies. */
     dgram_flush(&balancer->frames);
     if (settings_file_changed(&balancer->file, now_us)) {
         reload(balancer);
@@ -212,7 +216,7 @@
     if (now_us >= balancer->flush_us) {
         relay_balancer_log_readiness(balancer);
         event_log_flush(&balancer->log);
-        balancer->flush_us = now_us + FLUSH_US;
+        balancer->flush_us = now_us + LOG_FLUSH_INTERVAL_US;
     }
     if (stop_is_complete(balancer, now_us)) {
         loop_stop(loop);
@@ -252,7 +256,7 @@
 
 static const struct loop_ops loop_ops = {on_tick, on_stop, on_reload};
 
-/* Start. */
+/* Startup. */
 
 static int
 start_stores(struct relay_balancer *balancer, uint64_t now_us)
@@ -332,7 +336,8 @@
     balancer->evacuated =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     if (loop_init(&balancer->loop, &loop_ops) < 0) {
-        return error_set(err, -ENOMEM, "start", NULL, "no event loop");
+        return error_set(err, -ENOMEM, "start", NULL,
+                         "the event loop can't be created");
     }
     now_us = loop_now_us(&balancer->loop);
     balancer->started_us = now_us;
--- a/src/relay/program/relay_balancer_evacuations.c
+++ b/src/relay/program/relay_balancer_evacuations.c
@@ -6,21 +6,20 @@
 
 #include "base/container.h"
 
-/* How long a balancer that serves callers waits to be latest by agents before
- * it reads the list itself: answers of agents take milliseconds, and the
- * store's answer costs processor time that a host that has just started lacks.
- */
+/* How long a balancer that serves callers waits for agents to report the
+ * evacuations before it lists them itself. Agents reply within milliseconds,
+ * and a list costs processor time, which is scarce right after the start. */
 #define INITIAL_LIST_DELAY_US (200 * USEC_PER_MSEC)
 
-/* The same after the store came back older, when its readers list at once. */
+/* The same after a rollback of the store: the readers list at once. */
 #define NEW_EPOCH_LIST_DELAY_US (2 * USEC_PER_SEC)
 
-/* A line for all evacuated data centres. */
+/* Bytes for the names of all evacuated data centres in a log line. */
 #define NAMES_MAX 512
 
-/* Whether the list is to be read though this balancer leaves the store's
- * latest to others: no agent has latest of it, as after a loss of all hosts,
- * or while the store came back older and no reader has read it since. */
+/* Whether a balancer that is not a reader must list the evacuations: no agent
+ * has reported them, as after a loss of all hosts, or after a rollback of the
+ * store that no reader has followed yet. */
 static bool
 needs_initial_list(const struct relay_balancer *balancer, uint64_t now_us)
 {
@@ -32,20 +31,22 @@
             now_us - store->rollback_us >= NEW_EPOCH_LIST_DELAY_US);
 }
 
-/* Readers follow the list; the others are latest by agents. As for the agents'
- * list, the configuration's calls find out whether the store is back. */
+/* Readers watch the evacuations; agents report them to the other balancers. As
+ * for the agents watcher, during an outage only the configuration watcher
+ * retries. */
 static bool
 evacuations_watch_allowed(const struct relay_balancer *balancer,
                           uint64_t now_us)
 {
-    bool reaches = balancer->evacuations_watcher.failures == 0 ||
-                   balancer->config_watcher.failures == 0;
+    bool reachable = balancer->evacuations_watcher.failures == 0 ||
+                     balancer->config_watcher.failures == 0;
 
-    return balancer->settings.evacuations && reaches &&
+    return balancer->settings.evacuations && reachable &&
            (balancer->reader.reading || needs_initial_list(balancer, now_us));
 }
 
-/* Names of the evacuated data centres in which agents are known. */
+/* Lists the names of evacuated data centres that have agents, separated by
+ * commas. */
 static void
 list_evacuated_names(const struct agents *agents, char *names, size_t size)
 {
@@ -55,12 +56,12 @@
 
     for (size_t i = 0; i < agents_count(agents); i++) {
         const struct agent_row *row = agents_at(agents, i);
-        bool known = !row->evacuated;
+        bool skip = !row->evacuated;
 
-        for (unsigned n = 0; n < count && !known; n++) {
-            known = named[n] == row->data_centre_key;
+        for (unsigned n = 0; n < count && !skip; n++) {
+            skip = named[n] == row->data_centre_key;
         }
-        if (!known) {
+        if (!skip) {
             named[count++] = row->data_centre_key;
             g_string_append_printf(text, "%s%s", text->len > 0 ? "," : "",
                                    row->data_centre);
@@ -70,7 +71,8 @@
     g_string_free(text, TRUE);
 }
 
-/* The store has come back older: nothing that was read of it stands. */
+/* Restarts all watchers after the store's epoch has changed: what was read in
+ * an earlier epoch may have been lost. */
 static void
 adopt_epoch(struct relay_balancer *balancer, uint32_t epoch,
             const char *source)
@@ -137,10 +139,10 @@
 static void
 evacuations_listed(struct watcher *watcher)
 {
-    /* What a whole list says is taken over when its call has ended. */
+    /* evacuations_ended() applies the complete list. */
 }
 
-/* Takes over the names that the store has latest. */
+/* Applies the names that the watcher has read. */
 static void
 apply_evacuated_names(struct relay_balancer *balancer, uint32_t epoch,
                       uint64_t revision)
--- a/src/relay/program/relay_balancer_out.c
+++ b/src/relay/program/relay_balancer_out.c
@@ -82,7 +82,7 @@
                            dgram_buffer(&balancer->frames));
 
     dgram_queue(&balancer->frames, agent, size);
-    balancer->counts.queried++;
+    balancer->counts.orphan_queries++;
 }
 
 static void
@@ -138,27 +138,27 @@
 }
 
 static void
-out_decided(struct forwarder_out *out, enum forwarder_decision did,
+out_decided(struct forwarder_out *out, enum forwarder_decision decision,
             struct relay_flow flow, struct addr agent, unsigned tries,
             uint64_t age_us)
 {
     struct relay_balancer *balancer = balancer_of_out(out);
-    bool established = did == FORWARDER_DECISION_ESTABLISH;
-    bool sent = did == FORWARDER_DECISION_SEND;
+    bool established = decision == FORWARDER_DECISION_ESTABLISH;
+    bool sent = decision == FORWARDER_DECISION_SEND;
     char caller[ADDR_TEXT_MAX];
     char service[ADDR_TEXT_MAX];
     char peer[ADDR_TEXT_MAX];
 
     balancer->counts.established += established;
-    balancer->counts.lookups_started += did == FORWARDER_DECISION_LOOKUP;
+    balancer->counts.lookups_started += decision == FORWARDER_DECISION_LOOKUP;
     balancer->counts.opened += sent && tries == 1;
     balancer->counts.flows_retried += sent && tries > 1;
-    /* A flow's first try is latest by the line that says where it ended. */
+    /* The first try gets no line: the line of its outcome covers it. */
     if ((sent && tries == 1) ||
         !event_log_wants(&balancer->log, EVENT_ROUTINE)) {
         return;
     }
-    event_log_line(&balancer->log, EVENT_ROUTINE, decision_names[did],
+    event_log_line(&balancer->log, EVENT_ROUTINE, decision_names[decision],
                    "caller=%s service=%s agent=%s tries=%u age_us=%" PRIu64
                    " config=%" PRIu64,
                    addr_format(flow.caller, caller),
@@ -169,7 +169,7 @@
 
 static void
 out_concluded(struct forwarder_out *out, const struct orphan_query *query,
-              unsigned over)
+              unsigned ended)
 {
     struct relay_balancer *balancer = balancer_of_out(out);
 
@@ -179,7 +179,7 @@
     event_log_line(&balancer->log, EVENT_ROUTINE, "lost_flows",
                    "asked_for=%u over=%u agents=%u missing=%u "
                    "unreachable=%u list_whole=%d took_us=%" PRIu64,
-                   query->count, over, query->queried, query->missing,
+                   query->count, ended, query->queried, query->missing,
                    query->unreachable, query->confirmed,
                    loop_now_us(&balancer->loop) - query->started_us);
 }
@@ -197,7 +197,7 @@
     .concluded = out_concluded,
 };
 
-/* Datagrams. */
+/* Received datagrams. */
 
 static void
 on_packet(struct dgram *dgram, struct addr from, const uint8_t *bytes,
@@ -239,7 +239,7 @@
     struct evacuations evacuations;
     struct frame_status status;
     struct frame_served served;
-    struct frame_query_reply absent;
+    struct frame_query_reply reply;
     int type = frame_type(bytes, size);
 
     if (type > 0) {
@@ -253,8 +253,8 @@
         return;
     }
     if (type == FRAME_QUERY_REPLY &&
-        frame_query_reply_decode(bytes, size, &absent) == 0) {
-        forwarder_query_reply(&balancer->forwarder, from, &absent,
+        frame_query_reply_decode(bytes, size, &reply) == 0) {
+        forwarder_query_reply(&balancer->forwarder, from, &reply,
                               loop_now_us(&balancer->loop));
         return;
     }
--- a/src/relay/program/relay_balancer_private.h
+++ b/src/relay/program/relay_balancer_private.h
@@ -1,9 +1,12 @@
 /**
- * DOC: relay_balancer_private - what the parts of the program config_peer
+ * DOC: relay_balancer_private - state shared by the files of the balancer
+ * process
  *
- * relay_balancer starts, stops and keeps time; _out carries decisions and
- * datagrams, _store what the store and peers say, _evacuations which data
- * centres are out of service, _http answers calls.
+ * relay_balancer.c starts, ticks and stops the process; relay_balancer_out.c
+ * receives datagrams and implements forwarder's outputs;
+ * relay_balancer_store.c applies configuration and agents from the store and
+ * from peers; relay_balancer_evacuations.c applies evacuated data centres;
+ * relay_balancer_http.c serves metrics, state and peers over HTTP.
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_RELAY_BALANCER_PRIVATE_H
 #define SWIFTARCH_RELAY_PROGRAM_RELAY_BALANCER_PRIVATE_H
@@ -21,37 +24,38 @@
 #include "relay/forwarder/forwarder.h"
 
 /**
- * struct relay_balancer - the program
- * @loop: events and time
+ * struct relay_balancer - state of the balancer process
+ * @loop: event loop
  * @out: outputs of @forwarder
- * @settings: settings
- * @file: the file that they are from
- * @forwarder: decisions
- * @data: packets of callers
- * @frames: frames from agents
- * @ready_handler: answers /ready and /metrics
- * @ready: its listener
- * @metrics: a second one, or NULL
- * @config_peer_handler: answers peers
- * @config_peer_httpd: its listener
- * @stores: connections to the store, one for each below
- * @confirm: asks whether the list of agents is whole
- * @config_watcher: the operators' configuration
- * @reader: how new its reads must be
- * @agents_watcher: the agents' objects
- * @evacuations_watcher: data centres that operators take out of service
- * @evacuated: their names, as a set
- * @malformed_objects: names of agents' objects that can't be read
- * @config_peer: asks peers
- * @config: configuration in force, as it was read
- * @log: lines on standard output
- * @started_us: when the program started
+ * @settings: settings in force
+ * @file: the settings file, watched for changes
+ * @forwarder: forwarding decisions
+ * @data: socket for packets of callers
+ * @frames: socket for frames to and from agents
+ * @ready_handler: serves /ready, /metrics, /state and /flow
+ * @ready: listener of @ready_handler
+ * @metrics: a second listener of @ready_handler, or NULL
+ * @config_peer_handler: serves queries of peers
+ * @config_peer_httpd: listener of @config_peer_handler
+ * @stores: connections to the store, one for each of the three watchers and
+ *          for @confirm
+ * @config_watcher: follows the configuration
+ * @reader: decides whether this balancer is a store reader
+ * @agents_watcher: follows the agents' objects
+ * @evacuations_watcher: follows the evacuated data centres
+ * @evacuated: names of evacuated data centres (a set)
+ * @confirm: confirms that the list of agents is complete
+ * @malformed_objects: names of agents' objects that can't be decoded (a set)
+ * @config_peer: queries peers
+ * @config: configuration in force as JSON, or NULL
+ * @log: event log on standard output
+ * @started_us: when the process started
  * @stop_us: when the planned stop began, 0 for none
- * @packet_us: when the last packet came
- * @flush_us: when the log is written next
- * @was_ready: whether callers were served at the last look
- * @ready_us: since when, if they are
- * @counts: packets and frames
+ * @packet_us: when the last packet of a caller arrived
+ * @flush_us: when the log is flushed next
+ * @was_ready: readiness at the last check
+ * @ready_us: when @was_ready last changed
+ * @counts: counters for /metrics
  */
 struct relay_balancer {
     struct loop loop;
@@ -92,13 +96,13 @@
         uint64_t lookups_started;
         uint64_t pings;
         uint64_t resets;
-        uint64_t unreadable;
-        uint64_t queried;
+        uint64_t agent_objects_refused;
+        uint64_t orphan_queries;
         uint64_t dropped[FORWARDER_DROP_COUNT];
     } counts;
 };
 
-/* Why packets end here, in words, by enum forwarder_drop. */
+/* Names of enum forwarder_drop in metrics and log lines. */
 extern const char *const relay_balancer_drop_names[];
 
 extern const struct forwarder_out_ops relay_balancer_out_ops;
@@ -113,34 +117,42 @@
 extern const struct httpd_ops relay_balancer_config_peer_httpd_ops;
 
 /**
- * relay_balancer_apply_evacuations() - the store or an agent told which data
- * centres are evacuated
+ * relay_balancer_apply_evacuations() - apply the evacuated data centres and
+ * the store's epoch
+ * @latest: as read from the store or reported by an agent
+ * @source: "store" or "agent", for the log
+ *
+ * A later epoch restarts all watchers.
  */
 void
 relay_balancer_apply_evacuations(struct relay_balancer *balancer,
-                                 const struct evacuations *told,
+                                 const struct evacuations *latest,
                                  const char *source);
 
-/** relay_balancer_evacuations_tick() - make the call that is due */
+/** relay_balancer_evacuations_tick() - start the store call that is due */
 void
 relay_balancer_evacuations_tick(struct relay_balancer *balancer,
                                 uint64_t now_us);
 
-/** relay_balancer_evacuations_next_us() - when that is, UINT64_MAX for never
- */
+/** relay_balancer_evacuations_next_us() - when the next store call is due,
+ * UINT64_MAX for never */
 uint64_t
 relay_balancer_evacuations_next_us(const struct relay_balancer *balancer,
                                    uint64_t now_us);
 
-/** relay_balancer_store_ended() - a call to the store ended: minds what is due
- * next, and logs whether the store answers again, or no more, if @changed */
+/**
+ * relay_balancer_store_ended() - a watcher's call to the store ended
+ * @status: 0 or a negative errno
+ * @changed: the store has become reachable or unreachable, which is logged
+ *
+ * Applies the store's epoch and schedules the next tick.
+ */
 void
 relay_balancer_store_ended(struct relay_balancer *balancer,
                            const struct watcher *watcher, int status,
                            bool changed);
 
-/** relay_balancer_log_readiness() - tell in the log when readiness has changed
- */
+/** relay_balancer_log_readiness() - log a change of readiness */
 void
 relay_balancer_log_readiness(struct relay_balancer *balancer);
 
--- a/src/relay/program/relay_balancer_store.c
+++ b/src/relay/program/relay_balancer_store.c
@@ -62,7 +62,7 @@
 static void
 ignore_list(struct watcher *watcher)
 {
-    /* An operator never takes the configuration away. */
+    /* Nothing to do: the configuration's object is never removed. */
 }
 
 static void
@@ -81,9 +81,9 @@
                            const struct watcher *watcher, int status,
                            bool changed)
 {
-    struct evacuations told = {.epoch = watcher->epoch};
+    struct evacuations latest = {.epoch = watcher->epoch};
 
-    relay_balancer_apply_evacuations(balancer, &told, "store");
+    relay_balancer_apply_evacuations(balancer, &latest, "store");
     loop_schedule(&balancer->loop, loop_now_us(&balancer->loop));
     relay_balancer_log_readiness(balancer);
     if (!changed) {
@@ -125,15 +125,15 @@
     g_hash_table_remove_all(balancer->malformed_objects);
 }
 
-/* Keeps the names of agents' objects that somebody has overwritten: while
- * there are any, the list isn't whole. */
+/* Tracks agents' objects that can't be decoded: while there are any, the list
+ * of agents is incomplete. */
 static void
 track_malformed_object(struct relay_balancer *balancer, const char *name,
-                       bool unreadable)
+                       bool malformed)
 {
     struct addr addr;
 
-    if (!unreadable) {
+    if (!malformed) {
         g_hash_table_remove(balancer->malformed_objects, name);
     }
     else if (registration_addr(name, &addr) == 0) {
@@ -150,18 +150,18 @@
     struct registration registration;
     struct addr addr;
 
-    bool unreadable =
+    bool malformed =
         !object->removed &&
         registration_decode(object->name, object->value, &registration) < 0;
 
-    track_malformed_object(balancer, object->name, unreadable);
-    if (unreadable) {
-        balancer->counts.unreadable++;
+    track_malformed_object(balancer, object->name, malformed);
+    if (malformed) {
+        balancer->counts.agent_objects_refused++;
         event_log_line(&balancer->log, EVENT_RARE, "agent_refused",
                        "object=%s reason=\"it can't be read\"", object->name);
     }
-    if (object->removed || unreadable) {
-        /* An agent that is there writes its object anew when it is told. */
+    if (object->removed || malformed) {
+        /* A running agent writes its object again once it is notified. */
         if (registration_addr(object->name, &addr) == 0) {
             agents_unlist(&balancer->forwarder.agents, addr, now_us);
         }
@@ -170,9 +170,8 @@
     agents_list(&balancer->forwarder.agents, registration.addr,
                 hash_service(registration.service), registration.data_centre,
                 now_us);
-    /* A list has one line for all: a line each costs a host that starts, with
-     * two hundred agents, a seventh of the processor time until it is ready.
-     */
+    /* A complete list is logged as one line: a line for each agent would
+     * delay the start. */
     if (watcher->state == WATCHER_WATCH) {
         event_log_line(&balancer->log, EVENT_ROUTINE, "agent_listed",
                        "agent=%s service=%s data_centre=%s revision=%" PRIu64,
@@ -193,7 +192,7 @@
     event_log_line(&balancer->log, EVENT_RARE, "agents_listed",
                    "agents=%zu revision=%" PRIu64, agents_count(agents),
                    watcher->revision);
-    /* Backwards: a row that is removed gives its place to the last. */
+    /* Iterate backwards: a removal moves the last row into the gap. */
     for (size_t i = agents_count(agents); i-- > 0;) {
         if (!agents_at(agents, i)->listed) {
             agents_unlist(agents, agents_at(agents, i)->addr, now_us);
@@ -216,16 +215,16 @@
     .ended = agents_ended,
 };
 
-/* Whether the list is whole. */
+/* Confirmation that the list of agents is complete. */
 
 static void
-on_list_complete(struct confirm *confirm, uint64_t asked_us)
+on_list_complete(struct confirm *confirm, uint64_t queried_us)
 {
     struct relay_balancer *balancer =
         container_of(confirm, struct relay_balancer, confirm);
 
     if (g_hash_table_size(balancer->malformed_objects) == 0) {
-        forwarder_confirmed(&balancer->forwarder, asked_us,
+        forwarder_confirmed(&balancer->forwarder, queried_us,
                             loop_now_us(&balancer->loop));
     }
 }
--- a/src/relay/program/relay_explain.h
+++ b/src/relay/program/relay_explain.h
@@ -1,7 +1,8 @@
 /**
- * DOC: relay_explain - what a process of relay mode knows of one flow, as JSON
+ * DOC: relay_explain - HTTP replies with the state of one flow, as JSON
  *
- * GET RELAY_EXPLAIN_PATH?caller=ADDRESS:PORT&service=ADDRESS:PORT
+ * Serves GET RELAY_EXPLAIN_PATH?caller=ADDRESS:PORT&service=ADDRESS:PORT for
+ * "swiftarch relay-explain". Other parameters get status 400.
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_RELAY_EXPLAIN_H
 #define SWIFTARCH_RELAY_PROGRAM_RELAY_EXPLAIN_H
@@ -12,12 +13,13 @@
 
 #define RELAY_EXPLAIN_PATH "/flow"
 
-/** relay_explain_balancer() - answer where the flow is, or would go */
+/** relay_explain_balancer() - reply with the flow's agent, and the agents to
+ * which a new flow would go */
 void
 relay_explain_balancer(struct httpd_request *request,
                        const struct forwarder *forwarder, uint64_t now_us);
 
-/** relay_explain_agent() - answer what the agent knows of the flow */
+/** relay_explain_agent() - reply with the agent's state of the flow */
 void
 relay_explain_agent(struct httpd_request *request,
                     const struct admission *admission);
--- a/src/relay/program/relay_settings.c
+++ b/src/relay/program/relay_settings.c
@@ -7,17 +7,16 @@
 
 #include "base/keys.h"
 
-/* A stop that the platform plans may take 6 s; a second is left to end. */
+/* The platform allows 6 s for a planned stop. */
 #define STOP_DEFAULT_MS 5000
 #define STOP_MAX_MS 600000
 
-/* Some 100 lines of 200 bytes a second cost well under a hundredth of the
- * smallest host's processor. */
+/* Limits the processor time that logging takes on the smallest host. */
 #define LOG_DEFAULT_PER_S 60
 #define LOG_MAX_PER_S 100000
 #define PORT_MAX 65535
 
-/* More than any endpoint runs in a second. */
+/* Upper limits, beyond the request rate of any endpoint. */
 #define SLOW_START_OVER_MAX 1000
 #define SLOW_START_SLACK_MAX 65535
 
--- a/src/relay/program/relay_settings.h
+++ b/src/relay/program/relay_settings.h
@@ -1,5 +1,6 @@
 /**
- * DOC: relay_settings - settings of a balancer or an agent in relay mode
+ * DOC: relay_settings - the settings file of a balancer or an agent in relay
+ * mode
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_RELAY_SETTINGS_H
 #define SWIFTARCH_RELAY_PROGRAM_RELAY_SETTINGS_H
@@ -16,44 +17,44 @@
 #define RELAY_NAME_MAX 64
 #define RELAY_PEERS_MAX 8
 
-/** enum relay_role - program that the file is for */
+/** enum relay_role - which process the settings are for */
 enum relay_role {
     RELAY_BALANCER,
     RELAY_AGENT,
 };
 
 /**
- * struct relay_settings - one process's settings
- * @name: unique name of the process (key "name")
- * @data_centre: key "data_centre"
- * @data: UDP address for packets of callers, at an agent for frames ("data")
- * @frames: balancer: UDP address for frames ("frames")
- * @ready: address of /ready and /metrics ("ready")
- * @metrics: another address of /metrics, ip 0 for none ("metrics")
- * @config_peer: balancer: address where other balancers read the configuration
- *         ("share")
- * @upstream: agent: where its endpoint takes packets ("upstream")
- * @outbound: agent: UDP address that the endpoint sends to ("outbound")
- * @heartbeats: agent: address for the endpoint's heartbeats ("heartbeats")
- * @service: agent: name of the endpoint's service ("service")
- * @callers_port: agent: port at which callers take packets ("callers_port",
- *                default the port of @data)
- * @frames_port: agent: port at which all balancers take frames, in place of
- *               those in @peers ("frames_port")
- * @store: the platform's store ("store")
- * @peers: hosts that may run a balancer, for when the store is away
- *         ("peers"): a balancer asks them for the configuration, an agent
- *         tells them that it is there
- * @peer_count: how many
- * @regions: balancer: in which region each data centre lies ("regions", an
- *           object from names to names): routes may name where they are served
- * @evacuations: balancer: operators may take data centres out of service, so
- *               the store is asked for that ("evacuations", default true)
- * @slow_start: balancer: an endpoint that warms up may get, in any second, its
- *           service's rate times the first ("warming_over", default 1) and so
- *           many requests more ("warming_slack", default 0)
- * @stop_ms: how long a planned stop may take ("stop_ms")
- * @log_per_s: routine lines a second in the log ("log_per_s")
+ * struct relay_settings - settings of one process; keys in quotes
+ * @name: "name": unique name of the process
+ * @data_centre: "data_centre": the process's data centre
+ * @data: "data": UDP address for packets of callers; at an agent, for frames
+ * @frames: "frames" (balancer): UDP address for frames
+ * @ready: "ready": HTTP address of /ready, /metrics, /state and /flow
+ * @metrics: "metrics": a second HTTP address of the same, ip 0 for none
+ * @config_peer: "share" (balancer): HTTP address for queries of peers
+ * @upstream: "upstream" (agent): UDP address at which the endpoint receives
+ *            packets
+ * @outbound: "outbound" (agent): UDP address to which the endpoint sends
+ * @heartbeats: "heartbeats" (agent): HTTP address for heartbeats
+ * @service: "service" (agent): name of the endpoint's service
+ * @callers_port: "callers_port" (agent): UDP port at which callers receive
+ *                packets; by default the port of @data
+ * @frames_port: "frames_port" (agent): UDP port at which all balancers receive
+ *               frames; replaces the ports in @peers
+ * @store: "store": HTTP address of the platform's store
+ * @peers: "peers": addresses on hosts that may run a balancer, for outages of
+ *         the store; a balancer queries them for the configuration, an agent
+ *         announces itself to them
+ * @peer_count: number of @peers
+ * @regions: "regions" (balancer): region of each data centre; routes may be
+ *           limited to regions
+ * @evacuations: "evacuations" (balancer): follow the evacuated data centres in
+ *               the store; true by default
+ * @slow_start: "warming_over" and "warming_slack" (balancer): a cold endpoint
+ *              may get, in any second, its service's rate times the first (1
+ *              by default) plus the second (0 by default) in requests
+ * @stop_ms: "stop_ms": longest duration of a planned stop, in milliseconds
+ * @log_per_s: "log_per_s": limit of routine log lines a second
  */
 struct relay_settings {
     char name[RELAY_NAME_MAX];
@@ -80,18 +81,17 @@
 };
 
 /**
- * relay_settings_load() - read and check a settings file
- * @report: gets all faults, one a line (g_free() it), NULL when there are
- *          none
+ * relay_settings_load() - read and validate a settings file
+ * @report: set to all faults, one per line, for g_free(); NULL without faults
  *
- * Return: 0, -EINVAL, or what reading the file returned.
+ * Return: 0, -EINVAL for an invalid file, or the errno of reading it, negated.
  */
 int
 relay_settings_load(struct relay_settings *settings, enum relay_role role,
                     const char *path, char **report, struct error *err);
 
-/** relay_settings_read() - the same at a program's start: faults go to
- * standard error */
+/** relay_settings_read() - relay_settings_load() at the start of a process,
+ * which prints faults on standard error */
 int
 relay_settings_read(struct relay_settings *settings, enum relay_role role,
                     const char *path);
--- a/src/relay/program/relay_state.c
+++ b/src/relay/program/relay_state.c
@@ -88,7 +88,7 @@
         json, "evacuated",
         json_object_new_boolean(admission_is_evacuated(admission)));
     add_number(json, "store_era", admission->store.latest.epoch);
-    /* The newest that any balancer spoke of. */
+    /* The newest version that any balancer has advertised. */
     add_number(json, "version", admission->heard.version);
     return json;
 }
--- a/src/relay/program/relay_state.h
+++ b/src/relay/program/relay_state.h
@@ -1,5 +1,7 @@
 /**
- * DOC: relay_state - what a process of relay mode has in force, as JSON
+ * DOC: relay_state - state of a balancer or an agent of relay mode, as JSON
+ *
+ * Served at RELAY_STATE_PATH for "swiftarch relay-show".
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_RELAY_STATE_H
 #define SWIFTARCH_RELAY_PROGRAM_RELAY_STATE_H
@@ -13,17 +15,18 @@
 
 #define RELAY_STATE_PATH "/state"
 
-/** relay_state_balancer() - configuration in force and agents known */
+/** relay_state_balancer() - encode configuration, evacuations and agents */
 struct json_object *
 relay_state_balancer(const struct relay_settings *settings,
                      const struct forwarder *forwarder);
 
-/** relay_state_agent() - the endpoint, and what waits for it */
+/** relay_state_agent() - encode the endpoint's state, its load and its queue
+ */
 struct json_object *
 relay_state_agent(const struct relay_settings *settings,
                   const struct admission *admission);
 
-/** relay_state_respond() - answer with @json, which is freed */
+/** relay_state_respond() - reply with @json and release it */
 void
 relay_state_respond(struct httpd_request *request, struct json_object *json);
 
--- a/src/relay/program/settings_file.c
+++ b/src/relay/program/settings_file.c
@@ -8,10 +8,10 @@
 #include "base/clock.h"
 #include "base/hash.h"
 
-/* A changed file is noticed within this; a look is one system call. */
+/* Interval between two checks of the file. */
 #define CHECK_INTERVAL_US (2 * USEC_PER_SEC)
 
-/* Time and size of a file as one number; 0 when it isn't there. */
+/* Hash of a file's modification time and size; 0 if stat() fails. */
 static uint64_t
 file_fingerprint(const char *path)
 {
--- a/src/relay/program/settings_file.h
+++ b/src/relay/program/settings_file.h
@@ -1,9 +1,8 @@
 /**
- * DOC: settings_file - notices that a process's settings file has changed
+ * DOC: settings_file - reloads a process's settings file
  *
- * By a signal or without one: the file's time and size are looked at every
- * few seconds. Addresses stay for a process's life; what may change while it
- * runs is taken over, and a file with faults changes nothing.
+ * The modification time and size are checked every two seconds. Only some
+ * settings can change while the process runs; an invalid file changes nothing.
  */
 #ifndef SWIFTARCH_RELAY_PROGRAM_SETTINGS_FILE_H
 #define SWIFTARCH_RELAY_PROGRAM_SETTINGS_FILE_H
@@ -14,11 +13,11 @@
 #include "relay/program/relay_settings.h"
 
 /**
- * struct settings_file - the file
- * @path: where it is
- * @role: program that reads it
- * @fingerprint: its time and size when it was read last, as one number
- * @next_check_us: when to look next
+ * struct settings_file - a settings file and when it was read
+ * @path: path of the file
+ * @role: process that the settings are for
+ * @fingerprint: hash of modification time and size at the last read
+ * @next_check_us: when the file is checked next
  */
 struct settings_file {
     const char *path;
@@ -27,23 +26,23 @@
     uint64_t next_check_us;
 };
 
-/** settings_file_init() - a file that has just been read */
+/** settings_file_init() - initialize for a file that has just been read */
 void
 settings_file_init(struct settings_file *file, const char *path,
                    enum relay_role role, uint64_t now_us);
 
-/** settings_file_changed() - whether it has changed since it was read; looks
- * only when it is time to */
+/** settings_file_changed() - whether the file has changed since the last read;
+ * false until the next check is due */
 bool
 settings_file_changed(struct settings_file *file, uint64_t now_us);
 
 /**
- * settings_file_reload() - read it and take over into @settings what may
- * change: peers, stop_ms and log_per_s
- * @report: the first fault, or ""
- * @size: room in @report
+ * settings_file_reload() - read the file and update peers, stop_ms and
+ * log_per_s in @settings
+ * @report: set to the first fault, or ""
+ * @size: size of @report
  *
- * Return: 0, or a negative errno with @settings as they were.
+ * Return: 0, or a negative errno with @settings unchanged.
  */
 int
 settings_file_reload(struct settings_file *file,
