--- a/bench/relay/bench_relay.c
+++ b/bench/relay/bench_relay.c
@@ -1,11 +1,12 @@
 /**
- * DOC: bench_relay - cost of the relay mode's decisions, and its memory
+ * DOC: bench_relay - processor time and memory of the relay mode's decisions
  *
- * One thread, no sockets. "open" is a new flow's SYN with the agent's answer
- * to it, "known" a packet of a pinned flow, "search" one of a flow that is
- * not pinned; at the agent, "open" is a SYN with the endpoint's answer and
- * "known" a packet of a flow that is here. Sizes are agents in all and
- * agents of the service that the flows go to.
+ * Runs in one thread without sockets. At the balancer, "open" is a new flow's
+ * SYN with the agent's status, "estab" a packet of a pinned flow and "lookup"
+ * a packet of a flow without a pin. At the agent, "open" is a SYN with the
+ * endpoint's SYN-ACK and reply, and "estab" a packet of an established flow.
+ * Columns "agents" and "service" are all agents and those of the flows'
+ * service.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -51,7 +52,7 @@
 
 static void
 forwarder_query(struct forwarder_out *out, struct addr agent,
-                const struct frame_query *ask)
+                const struct frame_query *query)
 {
 }
 
@@ -61,8 +62,8 @@
 }
 
 static void
-forwarder_behind(struct forwarder_out *out,
-                 const struct frame_config_version *newer)
+forwarder_newer_config(struct forwarder_out *out,
+                       const struct frame_config_version *newer)
 {
 }
 
@@ -79,7 +80,7 @@
 }
 
 static void
-forwarder_decided(struct forwarder_out *out, enum forwarder_decision did,
+forwarder_decided(struct forwarder_out *out, enum forwarder_decision decision,
                   struct relay_flow flow, struct addr agent, unsigned tries,
                   uint64_t age_us)
 {
@@ -87,13 +88,13 @@
 
 static void
 forwarder_concluded(struct forwarder_out *out,
-                    const struct orphan_query *query, unsigned over)
+                    const struct orphan_query *query, unsigned ended)
 {
 }
 
 static const struct forwarder_out_ops forwarder_ops = {
     forwarder_forward,  forwarder_reset,   forwarder_ping,
-    forwarder_query,    forwarder_confirm, forwarder_behind,
+    forwarder_query,    forwarder_confirm, forwarder_newer_config,
     forwarder_readers,  forwarder_dropped, forwarder_decided,
     forwarder_concluded};
 
@@ -121,7 +122,7 @@
 admission_forward_next(struct admission_out *out, struct addr agent,
                        const struct frame_forward *frame)
 {
-    g_error("a flow went on");
+    g_error("a flow was redirected");
 }
 
 static void
@@ -135,14 +136,14 @@
 }
 
 static void
-admission_serves(struct admission_out *out, struct addr balancer,
+admission_served(struct admission_out *out, struct addr balancer,
                  const struct frame_served *served)
 {
 }
 
 static void
 admission_query_reply(struct admission_out *out, struct addr balancer,
-                      const struct frame_query_reply *absent)
+                      const struct frame_query_reply *reply)
 {
 }
 
@@ -158,7 +159,7 @@
 }
 
 static void
-admission_decided(struct admission_out *out, enum admission_decision did,
+admission_decided(struct admission_out *out, enum admission_decision decision,
                   struct relay_flow flow, enum frame_reason why,
                   const struct frame_forward *frame)
 {
@@ -166,7 +167,7 @@
 
 static const struct admission_out_ops admission_ops = {
     admission_to_endpoint,  admission_to_caller, admission_reset,
-    admission_forward_next, admission_notify,    admission_serves,
+    admission_forward_next, admission_notify,    admission_served,
     admission_query_reply,  admission_probe,     admission_dropped,
     admission_decided};
 
@@ -203,7 +204,8 @@
 }
 
 static void
-fill_forwarder(struct forwarder *forwarder, size_t agents, size_t of_service)
+fill_forwarder(struct forwarder *forwarder, size_t agents,
+               size_t service_agents)
 {
     struct routes routes;
     struct route *route;
@@ -223,7 +225,7 @@
             .health = {hash_service("lots"), ENDPOINT_READY, 0, 2, false},
         };
 
-        if (i >= of_service) {
+        if (i >= service_agents) {
             status.health.service = (uint32_t)(1 + i % OTHER_SERVICES);
         }
         agents_list(&forwarder->agents, agent_addr(i), status.health.service,
@@ -246,10 +248,10 @@
     }
 }
 
-/* One pass over all flows at a balancer. */
+/* One pass over all flows at a balancer; keeps the shortest times, in ns. */
 static void
 pass_forwarder(struct forwarder *forwarder, uint64_t now_us, double *open,
-               double *known, double *search)
+               double *established, double *lookup)
 {
     uint64_t since = now_ns();
 
@@ -258,7 +260,7 @@
 
         forwarder_packet(forwarder, &ack, now_us);
     }
-    keep_min(search, per_flow(since));
+    keep_min(lookup, per_flow(since));
     since = now_ns();
     for (unsigned i = 0; i < FLOWS; i++) {
         struct relay_packet syn =
@@ -280,17 +282,17 @@
 
         forwarder_packet(forwarder, &ack, now_us);
     }
-    keep_min(known, per_flow(since));
-    /* All flows are forgotten before the next pass. */
+    keep_min(established, per_flow(since));
+    /* Expires all flows before the next pass. */
     forwarder_tick(forwarder, now_us + 100 * USEC_PER_SEC);
 }
 
 static void
-bench_forwarder(size_t agents, size_t of_service)
+bench_forwarder(size_t agents, size_t service_agents)
 {
     struct forwarder_out out = {&forwarder_ops};
     struct addr self = {0x0a090001, 7720};
-    double open = 0, known = 0, search = 0;
+    double open = 0, established = 0, lookup = 0;
     struct forwarder forwarder;
     size_t before, used;
 
@@ -298,14 +300,14 @@
         g_error("no memory");
     }
     before = mallinfo2().uordblks;
-    fill_forwarder(&forwarder, agents, of_service);
+    fill_forwarder(&forwarder, agents, service_agents);
     used = mallinfo2().uordblks - before;
     for (unsigned i = 0; i < REPEATS; i++) {
         pass_forwarder(&forwarder, (i + 1) * 1000 * USEC_PER_SEC, &open,
-                       &known, &search);
+                       &established, &lookup);
     }
-    printf("balancer  %8zu %8zu %8.0f %8.0f %8.0f %10zu\n", agents, of_service,
-           open, known, search, used / agents);
+    printf("balancer  %8zu %8zu %8.0f %8.0f %8.0f %10zu\n", agents,
+           service_agents, open, established, lookup, used / agents);
     forwarder_finish(&forwarder);
 }
 
@@ -322,11 +324,11 @@
         .bytes = bytes,
         .size = sizeof(bytes),
     };
-    struct heartbeat beat = {.id = "i-1",
-                             .service = hash_service("lots"),
-                             .slots = 1024,
-                             .sequence = 1};
-    double open = 0, known = 0;
+    struct heartbeat heartbeat = {.id = "i-1",
+                                  .service = hash_service("lots"),
+                                  .slots = 1024,
+                                  .sequence = 1};
+    double open = 0, established = 0;
 
     for (unsigned repeat = 0; repeat < REPEATS; repeat++) {
         struct admission admission;
@@ -336,20 +338,20 @@
                            1) < 0) {
             g_error("no memory");
         }
-        admission_handle_heartbeat(&admission, &beat, 1);
+        admission_handle_heartbeat(&admission, &heartbeat, 1);
         since = now_ns();
         for (unsigned i = 0; i < FLOWS; i++) {
             struct relay_packet syn = packet_of(i, RELAY_SYN, 1, 0, 0);
-            struct relay_packet accept =
+            struct relay_packet syn_ack =
                 packet_of(i, RELAY_SYN | RELAY_ACK, 8, 2, 0);
-            struct relay_packet answer = packet_of(i, RELAY_ACK, 9, 2, 40);
-            struct addr swap = accept.from;
+            struct relay_packet reply = packet_of(i, RELAY_ACK, 9, 2, 40);
+            struct addr caller = syn_ack.from;
 
-            accept.from = answer.from = accept.to;
-            accept.to = answer.to = swap;
+            syn_ack.from = reply.from = syn_ack.to;
+            syn_ack.to = reply.to = caller;
             admission_handle_forward(&admission, &frame, &syn, 1000 + i);
-            admission_handle_endpoint_packet(&admission, &accept, 1000 + i);
-            admission_handle_endpoint_packet(&admission, &answer, 1000 + i);
+            admission_handle_endpoint_packet(&admission, &syn_ack, 1000 + i);
+            admission_handle_endpoint_packet(&admission, &reply, 1000 + i);
         }
         keep_min(&open, per_flow(since));
         since = now_ns();
@@ -358,10 +360,10 @@
 
             admission_handle_forward(&admission, &frame, &ack, 20000 + i);
         }
-        keep_min(&known, per_flow(since));
+        keep_min(&established, per_flow(since));
         admission_finish(&admission);
     }
-    printf("agent     %8s %8s %8.0f %8.0f\n", "-", "-", open, known);
+    printf("agent     %8s %8s %8.0f %8.0f\n", "-", "-", open, established);
 }
 
 int
@@ -369,16 +371,16 @@
 {
     static const struct {
         size_t agents;
-        size_t of_service;
+        size_t service_agents;
     } sizes[] = {{10, 7},    {40, 7},     {160, 7},     {1000, 7},
                  {10000, 7}, {110000, 7}, {110000, 70}, {110000, 700}};
 
-    printf("role        agents  service  open ns known ns search ns  "
-           "bytes an agent\n");
+    printf("role        agents  service  open ns estab ns lookup ns  "
+           "bytes/agent\n");
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-        bench_forwarder(sizes[i].agents, sizes[i].of_service);
+        bench_forwarder(sizes[i].agents, sizes[i].service_agents);
     }
     bench_admission();
-    printf("%" G_GUINT64_FORMAT " bytes were carried\n", forwarded_bytes);
+    printf("%" G_GUINT64_FORMAT " bytes forwarded\n", forwarded_bytes);
     return 0;
 }
--- a/bench/relay/bench_store.c
+++ b/bench/relay/bench_store.c
@@ -1,12 +1,11 @@
 /**
- * DOC: bench_store - calls to the platform's store that balancers make
+ * DOC: bench_store - rate of balancers' calls to the platform's store
  *
- * Balancers follow the configuration and the list of agents, as processes of
- * relay mode do, on a clock that is advanced in steps; the store answers at
- * once, or after a change. For each number of members (half of them
- * balancers): calls a second in all, and of one balancer. Quiet: nothing
- * changes; busy: the configuration changes as often as at the size to design
- * for, and one agent in a thousand is replaced an hour.
+ * Simulates balancers that watch the configuration and the list of agents, on
+ * a clock that advances in steps. Prints, for each number of members (half of
+ * them balancers), the calls per second of all balancers and of one. "quiet"
+ * has no changes; "busy" changes the configuration at the design rate and
+ * replaces one agent in a thousand per hour.
  */
 #include <stdio.h>
 #include <string.h>
@@ -21,20 +20,22 @@
 #define DURATION_S 600
 #define KINDS 2
 
-/* 20,000 changes of the configuration a day. */
+/* 20,000 configuration changes per day. */
 #define CONFIG_INTERVAL_US (4320 * USEC_PER_MSEC)
 #define AGENT_LIFETIME_US (1000 * 3600 * USEC_PER_SEC)
 
-/* As balancers have them. */
+/* Delays for the configuration and for the list of agents. */
 static const struct watcher_backoff watch_delays[KINDS] = {
     {25 * USEC_PER_MSEC, 300 * USEC_PER_MSEC},
     {100 * USEC_PER_MSEC, 1 * USEC_PER_SEC},
 };
 
 /**
- * struct client - a connection to the store, and what is followed on it
- * @call: the open watch, or NULL
- * @until_us: when it ends empty
+ * struct client - a balancer's watcher with its connection to the store
+ * @store: connection
+ * @watcher: follows one kind
+ * @call: the watch in progress, or NULL
+ * @until_us: when @call ends without a change
  */
 struct client {
     struct store store;
@@ -91,7 +92,7 @@
 static const struct watcher_ops watcher_ops = {ignore, ignore_object, ignore,
                                                ignore_end};
 
-/* Ends the watch, with a change or empty. */
+/* Ends the client's watch with one change or none. */
 static void
 end_watch(struct client *client, bool change)
 {
@@ -108,7 +109,7 @@
 }
 
 static void
-change(struct client *clients, size_t balancers, unsigned kind)
+change_kind(struct client *clients, size_t balancers, unsigned kind)
 {
     revision++;
     for (size_t i = 0; i < balancers; i++) {
@@ -134,7 +135,7 @@
     }
 }
 
-/* Calls a second, after a minute in which all settle. */
+/* Returns the calls per second after a warm-up of one minute. */
 static double
 simulate(size_t members, bool busy)
 {
@@ -158,11 +159,11 @@
     while (now_us < (60 + DURATION_S) * USEC_PER_SEC) {
         if (busy && now_us >= config_us) {
             config_us = now_us + CONFIG_INTERVAL_US;
-            change(clients, balancers, 0);
+            change_kind(clients, balancers, 0);
         }
         if (busy && now_us >= agent_us) {
             agent_us = now_us + agent_interval_us;
-            change(clients, balancers, 1);
+            change_kind(clients, balancers, 1);
         }
         step(clients, balancers);
     }
--- a/src/cli/relay_explain.c
+++ b/src/cli/relay_explain.c
@@ -1,6 +1,6 @@
 /**
- * DOC: relay_explain - "swiftarch relay-explain": what processes of relay
- * mode know of one flow
+ * DOC: relay_explain - "swiftarch relay-explain": prints the state of one flow
+ * on balancers and agents of relay mode
  */
 #include "relay/program/relay_explain.h"
 
@@ -18,7 +18,7 @@
 #define ADDRESSES_MAX 1024
 
 static void
-print_list(const char *what, struct json_object *json, const char *key)
+print_list(const char *label, struct json_object *json, const char *key)
 {
     struct json_object *list = NULL;
     size_t count = 0;
@@ -26,12 +26,12 @@
     if (json_object_object_get_ex(json, key, &list)) {
         count = json_object_array_length(list);
     }
-    printf("  %s:", what);
+    printf("  %s:", label);
     for (size_t i = 0; i < count; i++) {
         printf(" %s",
                json_object_get_string(json_object_array_get_idx(list, i)));
     }
-    printf("%s\n", count == 0 ? " nobody" : "");
+    printf("%s\n", count == 0 ? " none" : "");
 }
 
 static void
@@ -57,7 +57,8 @@
                relay_query_number(json, "tries"),
                relay_query_number(json, "searches"),
                relay_query_text(json, "holder"),
-               relay_query_bool(json, "held") ? ", which holds its SYN" : "");
+               relay_query_bool(json, "held") ? ", which has queued its SYN"
+                                              : "");
         print_list("endpoints that answered are beside", json, "places");
     }
     if (routed) {
@@ -141,7 +142,7 @@
     struct arg_str *caller =
         arg_str1(NULL, NULL, "CALLER", "the caller's address and port");
     struct arg_str *service =
-        arg_str1(NULL, NULL, "SERVICE", "address and port that it opened");
+        arg_str1(NULL, NULL, "SERVICE", "address and port of the service");
     struct arg_str *addresses =
         arg_strn(NULL, NULL, "ADDRESS", 1, ADDRESSES_MAX,
                  "ready addresses of balancers and agents");
@@ -153,7 +154,7 @@
         fprintf(stderr, "%s: no memory\n", argv[0]);
     }
     else if (cli_parse(table, help, end,
-                       "Tell what processes of relay mode know of one flow.",
+                       "Show the state of one flow on balancers and agents.",
                        argc, argv, &code)) {
         code = explain_all(caller->sval[0], service->sval[0], addresses);
     }
--- a/src/cli/relay_query.c
+++ b/src/cli/relay_query.c
@@ -7,13 +7,15 @@
 #include "base/httpc.h"
 
 #define TIMEOUT_MS 2000
+
+/* Largest reply, in bytes. */
 #define BODY_MAX (64u << 20)
 
 /**
- * struct query - one process is asked
- * @call: the call
- * @base: events, left once the answer is there
- * @json: what it answered, or NULL
+ * struct query - a query in progress
+ * @call: the HTTP call
+ * @base: event loop, stopped when the call ends
+ * @json: the parsed reply, or NULL
  * @status: HTTP status or a negative errno
  */
 struct query {
@@ -52,7 +54,8 @@
     struct addr addr;
 
     if (addr_parse(address, &addr) < 0) {
-        fprintf(stderr, "%s: no address such as 127.0.0.1:8167\n", address);
+        fprintf(stderr, "%s: expected an address such as 127.0.0.1:8167\n",
+                address);
         return CLI_USAGE;
     }
     httpc = httpc_new_addr(base, addr, BODY_MAX);
@@ -65,9 +68,9 @@
         return CLI_OK;
     }
     json_object_put(query.json);
-    fprintf(stderr, "%s: no answer: %s\n", address,
+    fprintf(stderr, "%s: query failed: %s\n", address,
             query.status < 0 ? strerror(-query.status)
-                             : "not a process of relay mode");
+                             : "the reply is not from a balancer or an agent");
     return CLI_NO_ANSWER;
 }
 
--- a/src/cli/relay_show.c
+++ b/src/cli/relay_show.c
@@ -1,6 +1,6 @@
 /**
- * DOC: relay_show - "swiftarch relay-show": what is in force on processes of
- * relay mode
+ * DOC: relay_show - "swiftarch relay-show": prints the state of balancers and
+ * agents of relay mode
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -62,8 +62,8 @@
     }
     printf(
         "%s agent %s in %s: service %s, endpoint %s (%s), busy %" PRId64
-        " of %" PRId64 ", %" PRId64 " held, %" PRId64
-        " flows, newest version heard %" PRId64 "%s\n",
+        " of %" PRId64 ", %" PRId64 " queued, %" PRId64
+        " flows, newest version reported %" PRId64 "%s\n",
         address, relay_query_text(json, "name"),
         relay_query_text(json, "data_centre"),
         relay_query_text(json, "service"), relay_query_text(json, "endpoint"),
@@ -73,7 +73,7 @@
         relay_query_bool(json, "evacuated") ? ", data centre evacuated" : "");
 }
 
-/* Asks one process and prints its answer. */
+/* Queries one process and prints its state. */
 static int
 show_one(struct event_base *base, const char *address)
 {
@@ -121,8 +121,8 @@
         fprintf(stderr, "%s: no memory\n", argv[0]);
     }
     else if (cli_parse(table, help, end,
-                       "Tell what is in force on processes of relay mode.",
-                       argc, argv, &code)) {
+                       "Show the state of balancers and agents.", argc, argv,
+                       &code)) {
         code = show_all(addresses);
     }
     arg_freetable(table, G_N_ELEMENTS(table));
--- a/tests/relay/relay_fixture.c
+++ b/tests/relay/relay_fixture.c
@@ -27,8 +27,8 @@
 }
 
 static struct relay_packet
-make(struct addr from, struct addr to, unsigned flags, uint32_t seq,
-     uint32_t ack, uint16_t len)
+make_packet(struct addr from, struct addr to, unsigned flags, uint32_t seq,
+            uint32_t ack, uint16_t len)
 {
     memset(bytes, 0, sizeof(bytes));
     return (struct relay_packet){
@@ -47,14 +47,14 @@
 fixture_from_caller(struct relay_flow flow, unsigned flags, uint32_t seq,
                     uint32_t ack, uint16_t len)
 {
-    return make(flow.caller, flow.service, flags, seq, ack, len);
+    return make_packet(flow.caller, flow.service, flags, seq, ack, len);
 }
 
 struct relay_packet
 fixture_from_endpoint(struct relay_flow flow, unsigned flags, uint32_t seq,
                       uint32_t ack, uint16_t len)
 {
-    return make(flow.service, flow.caller, flags, seq, ack, len);
+    return make_packet(flow.service, flow.caller, flags, seq, ack, len);
 }
 
 struct relay_packet
--- a/tests/relay/settings_test.c
+++ b/tests/relay/settings_test.c
@@ -1,3 +1,5 @@
+/* Settings files: keys that are lost or misread, faults that are not reported
+ * with their key, and invalid files that change a running process. */
 #include <string.h>
 
 #include <glib.h>
@@ -16,7 +18,7 @@
     "\"outbound\":\"10.0.0.1:7002\",\"heartbeats\":\"10.0.0.1:7003\","        \
     "\"service\":\"lots\",\"store\":\"10.0.9.1:8000\""
 
-/* Loads @text; its faults, or "" (g_free() it). */
+/* Loads settings from @text. Returns the faults, or "", for g_free(). */
 static char *
 load_faults(const char *text, enum relay_role role,
             struct relay_settings *settings)
@@ -47,7 +49,7 @@
     g_free(faults);
 }
 
-TEST(an_agents_settings_are_read)
+TEST(agent_settings_are_read)
 {
     struct relay_settings settings;
     char *faults = load_faults("{" AGENT_KEYS
@@ -63,7 +65,7 @@
     g_assert_cmpuint(settings.stop_ms, >, 0);
 }
 
-TEST(a_changed_file_is_noticed_and_one_with_faults_changes_nothing)
+TEST(a_changed_file_is_reloaded_and_an_invalid_file_changes_nothing)
 {
     struct relay_settings settings;
     struct settings_file file;
@@ -100,7 +102,7 @@
     g_free(path);
 }
 
-TEST(faults_name_their_key)
+TEST(faults_name_the_key)
 {
     expect_fault("{" AGENT_KEYS ",\"nonsense\":1}", RELAY_AGENT, "nonsense");
     expect_fault("{" AGENT_KEYS "}", RELAY_BALANCER, "frames");
@@ -116,7 +118,7 @@
     "\"ready\":\"10.0.0.1:7001\",\"frames\":\"10.0.0.1:7002\","               \
     "\"share\":\"10.0.0.1:7003\",\"store\":\"10.0.9.1:8000\""
 
-TEST(operator_settings_are_read)
+TEST(optional_balancer_settings_are_read)
 {
     struct relay_settings settings;
     char *faults = load_faults("{" BALANCER_KEYS ",\"warming_over\":1.5,"
@@ -138,7 +140,7 @@
     g_assert_cmpfloat(settings.slow_start.over, ==, 1);
 }
 
-TEST(faults_of_operator_settings_are_named)
+TEST(faults_of_optional_balancer_settings_name_the_key)
 {
     expect_fault("{" BALANCER_KEYS ",\"evacuations\":1}", RELAY_BALANCER,
                  "evacuations");
