--- a/src/relay/store/confirm.c
+++ b/src/relay/store/confirm.c
@@ -2,8 +2,8 @@
 
 #include "base/container.h"
 
-/* The shortest wait of a watch: it answers at once. */
-#define WAIT_MS 1
+/* Shortest wait that a watch may have; the store answers at once. */
+#define WATCH_WAIT_MIN_MS 1
 
 static void
 on_done(struct store_call *call, const struct store_reply *reply)
@@ -13,7 +13,7 @@
     confirm->open = false;
     if (reply->epoch != confirm->epoch ||
         confirm->watcher->epoch != confirm->epoch) {
-        /* Its revision stands for something else by now. */
+        /* Revisions of different epochs can't be compared. */
         watcher_set_epoch(confirm->watcher, reply->epoch);
         return;
     }
@@ -51,7 +51,7 @@
     confirm->revision = confirm->watcher->revision;
     confirm->asked_us = now_us;
     if (confirm->store->ops->watch(confirm->store, confirm->watcher->kind,
-                                   confirm->revision, WAIT_MS,
+                                   confirm->revision, WATCH_WAIT_MIN_MS,
                                    STORE_READ_LATEST, &confirm->call) < 0) {
         confirm->open = false;
     }
--- a/src/relay/store/confirm.h
+++ b/src/relay/store/confirm.h
@@ -1,11 +1,11 @@
 /**
- * DOC: confirm - asks the store whether a list that is followed is complete
+ * DOC: confirm - asks the store whether a watcher's list is complete
  *
- * A watch may have been silent for seconds without a sign. Where a decision
- * rests on nothing being missing, a call of its own asks for changes since the
- * revision that the follower knows: none means that the list is complete as of
- * that call. Changes that it brings instead are handed to the follower, whose
- * own watch may be told of them seconds later.
+ * A watch may be cut off for seconds without an error. Where a decision
+ * depends on a complete list, a separate call asks for changes since the
+ * watcher's revision. If there are none, the list was complete at the time of
+ * the call. Changes in the reply are handed to the watcher, whose own watch
+ * may receive them seconds later.
  */
 #ifndef SWIFTARCH_RELAY_STORE_CONFIRM_H
 #define SWIFTARCH_RELAY_STORE_CONFIRM_H
@@ -18,23 +18,25 @@
 
 struct confirm;
 
-/** struct confirm_ops - what the owner is told */
+/** struct confirm_ops - callbacks to the owner */
 struct confirm_ops {
-    /** @complete: the list was complete when the store was asked at @asked_us
+    /**
+     * @complete: the list was complete at @asked_us, when the store was asked;
+     *            not called if it wasn't or if the call failed
      */
     void (*complete)(struct confirm *confirm, uint64_t asked_us);
 };
 
 /**
- * struct confirm - one list; the vtable comes first
- * @ops: the owner
+ * struct confirm - checks the list of one watcher
+ * @ops: callbacks
  * @call: the open call
- * @store: connection of its own
- * @watcher: follower of the list
+ * @store: connection for this use only; not owned
+ * @watcher: watcher of the list; not owned
  * @open: a call is open
- * @epoch: epoch of the store in which it asked
- * @revision: revision that it asked for changes since
- * @asked_us: when
+ * @epoch: the watcher's epoch when the call began
+ * @revision: the watcher's revision when the call began
+ * @asked_us: when the call began
  */
 struct confirm {
     const struct confirm_ops *ops;
@@ -47,13 +49,13 @@
     uint64_t asked_us;
 };
 
-/** confirm_init() - nothing is asked yet; @store isn't freed here */
+/** confirm_init() - prepares a check; makes no call */
 void
 confirm_init(struct confirm *confirm, const struct confirm_ops *ops,
              struct store *store, struct watcher *watcher);
 
-/** confirm_start() - ask, unless a call is open or the list isn't read yet:
- * then nothing is told */
+/** confirm_start() - makes the call, unless one is open already or the watcher
+ * has no complete list */
 void
 confirm_start(struct confirm *confirm, uint64_t now_us);
 
--- a/src/relay/store/registration.c
+++ b/src/relay/store/registration.c
@@ -10,21 +10,23 @@
 #include "base/container.h"
 #include "base/hash.h"
 
-/* Pauses after a write that failed: a new agent is unknown to balancers
- * until it is done, and during an outage each try is paid for. */
+/* First and longest pause after a failed call. Balancers don't know a new
+ * agent until it is registered, so the first is short; calls to a store that
+ * is down are paid for, so pauses double. */
 #define RETRY_MIN_US (100 * USEC_PER_MSEC)
 #define RETRY_MAX_US (1600 * USEC_PER_MSEC)
-#define JITTER_PARTS 4
+/* Pauses vary by up to 1/JITTER_DIVISOR between agents. */
+#define JITTER_DIVISOR 4
 
-/* The first look may be as old as the store's history is long at least, some
- * ten seconds: the object may have been removed since. */
+/* Pause before the second read: a stale read may be about ten seconds old, and
+ * the object may have been removed since. */
 #define RECHECK_DELAY_US (10 * USEC_PER_SEC)
 
-/* All agents look after their objects when the store has come back older. */
+/* Agents spread their reads after a rollback over this time. */
 #define EPOCH_JITTER_US (3 * USEC_PER_SEC)
 
 static const char *
-text(struct json_object *object, const char *name)
+get_string(struct json_object *object, const char *name)
 {
     struct json_object *value = NULL;
 
@@ -44,17 +46,18 @@
                addr.port);
 }
 
-/* Digits and then @end; a number up to @max, without zeros before it. */
+/* Reads a decimal number up to @max, without leading zeros, followed by @end.
+ */
 static bool
-read_part(const char **at, char end, unsigned max, unsigned *part)
+parse_number(const char **at, char end, unsigned max, unsigned *number)
 {
     const char *first = *at;
 
-    *part = 0;
-    while (g_ascii_isdigit(**at) && *part <= max) {
-        *part = *part * 10 + (unsigned)(*(*at)++ - '0');
+    *number = 0;
+    while (g_ascii_isdigit(**at) && *number <= max) {
+        *number = *number * 10 + (unsigned)(*(*at)++ - '0');
     }
-    if (*at == first || *part > max || **at != end ||
+    if (*at == first || *number > max || **at != end ||
         (*first == '0' && *at - first > 1)) {
         return false;
     }
@@ -69,14 +72,14 @@
 
     addr->ip = 0;
     for (unsigned i = 0; i < 4; i++) {
-        unsigned part;
+        unsigned value;
 
-        if (!read_part(&name, '-', UINT8_MAX, &part)) {
+        if (!parse_number(&name, '-', UINT8_MAX, &value)) {
             return -EINVAL;
         }
-        addr->ip = addr->ip << 8 | part;
+        addr->ip = addr->ip << 8 | value;
     }
-    if (!read_part(&name, '\0', UINT16_MAX, &port)) {
+    if (!parse_number(&name, '\0', UINT16_MAX, &port)) {
         return -EINVAL;
     }
     addr->port = (uint16_t)port;
@@ -87,9 +90,9 @@
 registration_decode(const char *name, struct json_object *value,
                     struct registration *registration)
 {
-    const char *addr = text(value, "address");
-    const char *service = text(value, "service");
-    const char *data_centre = text(value, "data_centre");
+    const char *addr = get_string(value, "address");
+    const char *service = get_string(value, "service");
+    const char *data_centre = get_string(value, "data_centre");
     struct addr named;
 
     if (addr == NULL || service == NULL || data_centre == NULL ||
@@ -129,7 +132,7 @@
 }
 
 static uint64_t
-pause_after(const struct registration_writer *writer)
+retry_pause_us(const struct registration_writer *writer)
 {
     uint64_t pause_us = RETRY_MIN_US;
     uint64_t seed = hash_pair(writer->registration.addr.ip, writer->failures);
@@ -138,20 +141,20 @@
          i++) {
         pause_us *= 2;
     }
-    return pause_us + seed % (pause_us / JITTER_PARTS);
+    return pause_us + seed % (pause_us / JITTER_DIVISOR);
 }
 
-/* Whether the object that was read is what would be written. */
+/* Whether the reply holds the registration as it would be written. */
 static bool
-is_there(const struct registration_writer *writer,
-         const struct store_reply *reply)
+holds_registration(const struct registration_writer *writer,
+                   const struct store_reply *reply)
 {
-    struct registration there;
+    struct registration stored;
 
     return reply->count == 1 &&
            registration_decode(reply->objects[0].name, reply->objects[0].value,
-                               &there) == 0 &&
-           registration_equal(&there, &writer->registration);
+                               &stored) == 0 &&
+           registration_equal(&stored, &writer->registration);
 }
 
 static void
@@ -161,8 +164,8 @@
     switch (writer->step) {
     case REGISTRATION_READ:
         writer->reads++;
-        writer->step =
-            is_there(writer, reply) ? REGISTRATION_DONE : REGISTRATION_PUT;
+        writer->step = holds_registration(writer, reply) ? REGISTRATION_DONE
+                                                         : REGISTRATION_PUT;
         break;
     case REGISTRATION_REMOVE:
         writer->step = REGISTRATION_REMOVED;
@@ -183,16 +186,16 @@
     writer->open = false;
     writer->next_us = 0;
     if (writer->called_step != writer->step) {
-        /* Something else is wanted since; it comes next. */
+        /* The step has changed since the call began; it is next. */
         return;
     }
     if (reply->epoch != 0 && reply->epoch < writer->epoch) {
-        /* An answer of before the store came back. */
+        /* A reply from before the rollback. */
         writer->failures++;
         return;
     }
     if (writer->epoch != 0 && reply->epoch > writer->epoch) {
-        /* What an earlier look found may be lost. */
+        /* The object that an earlier read found may be lost. */
         writer->reads = 0;
     }
     writer->epoch = MAX(writer->epoch, reply->epoch);
@@ -203,7 +206,8 @@
         writer->step = REGISTRATION_CREATE;
     }
     else if (!removing && reply->status == -EEXIST) {
-        /* A create whose answer was lost, or an earlier host's object. */
+        /* An earlier create whose reply was lost, or the object of an earlier
+         * host at this address. */
         writer->step = REGISTRATION_PUT;
     }
     else {
@@ -212,7 +216,7 @@
 }
 
 static int
-make_call(struct registration_writer *writer)
+start_call(struct registration_writer *writer)
 {
     struct store *store = writer->store;
     struct json_object *value;
@@ -244,18 +248,18 @@
 static bool
 has_work(const struct registration_writer *writer)
 {
-    bool stands = writer->step == REGISTRATION_DONE &&
-                  writer->reads >= REGISTRATION_READS;
+    bool settled = writer->step == REGISTRATION_DONE &&
+                   writer->reads >= REGISTRATION_READS;
 
-    return !writer->open && !stands && writer->step != REGISTRATION_REMOVED;
+    return !writer->open && !settled && writer->step != REGISTRATION_REMOVED;
 }
 
-/* How long the next call waits for. */
+/* Pause before the next call. */
 static uint64_t
-pause_of(const struct registration_writer *writer)
+call_delay_us(const struct registration_writer *writer)
 {
     if (writer->failures > 0) {
-        return pause_after(writer);
+        return retry_pause_us(writer);
     }
     return writer->step == REGISTRATION_DONE ? RECHECK_DELAY_US : 0;
 }
@@ -297,7 +301,7 @@
 registration_writer_set_epoch(struct registration_writer *writer,
                               uint32_t epoch, uint64_t now_us)
 {
-    uint64_t spread_us =
+    uint64_t jitter_us =
         hash_pair(writer->registration.addr.ip, epoch) % EPOCH_JITTER_US;
 
     if (writer->epoch == 0 || epoch <= writer->epoch ||
@@ -313,7 +317,7 @@
     }
     writer->reads = 0;
     if (!writer->open) {
-        writer->next_us = now_us + spread_us;
+        writer->next_us = now_us + jitter_us;
     }
     return true;
 }
@@ -325,7 +329,7 @@
         return;
     }
     if (writer->next_us == 0) {
-        writer->next_us = now_us + pause_of(writer);
+        writer->next_us = now_us + call_delay_us(writer);
     }
     if (writer->next_us > now_us) {
         return;
@@ -335,7 +339,7 @@
     }
     writer->open = true;
     writer->called_step = writer->step;
-    if (make_call(writer) < 0) {
+    if (start_call(writer) < 0) {
         writer->open = false;
         writer->failures++;
         writer->next_us = 0;
--- a/src/relay/store/registration.h
+++ b/src/relay/store/registration.h
@@ -1,13 +1,13 @@
 /**
  * DOC: registration - an agent's object in the store
  *
- * It says only that an agent is at an address, of which service and in which
- * data centre; how its endpoint is goes from agent to balancer directly. So
- * it is written once in a host's life: an agent that starts reads first, with
- * a read that costs a tenth of a write and may be seconds old, and writes only
- * what isn't there. It looks once more when such a read can't be that old any
- * longer, and both again when the store has come back from an older copy of
- * itself.
+ * The object holds the address of an agent, its service and its data centre.
+ * Health of its endpoint goes from agent to balancer directly, so the object
+ * is written once in a host's life. An agent that starts first reads the
+ * object with a stale read, which costs a tenth of a write, and writes only if
+ * the object is missing or differs. As a stale read may be seconds old, the
+ * agent reads once more when it can't be that old any longer. It does both
+ * again after the store has been restored from an older copy.
  */
 #ifndef SWIFTARCH_RELAY_STORE_REGISTRATION_H
 #define SWIFTARCH_RELAY_STORE_REGISTRATION_H
@@ -25,10 +25,10 @@
 #define REGISTRATION_NAME_MAX 32
 
 /**
- * struct registration - what the object says
- * @addr: where the agent takes frames
+ * struct registration - decoded object
+ * @addr: address at which the agent receives frames
  * @service: name of its endpoint's service
- * @data_centre: where it stands
+ * @data_centre: name of its data centre
  */
 struct registration {
     struct addr addr;
@@ -36,21 +36,20 @@
     char data_centre[AGENT_DATA_CENTRE_MAX];
 };
 
-/** registration_name() - name of the object of the agent at @addr, into
+/** registration_name() - writes the object name of the agent at @addr into
  * REGISTRATION_NAME_MAX bytes */
 void
 registration_name(struct addr addr, char *name);
 
-/** registration_addr() - address that an object's name stands for; 0 or
- * -EINVAL */
+/** registration_addr() - address in an object's name; 0 or -EINVAL */
 int
 registration_addr(const char *name, struct addr *addr);
 
 /**
- * registration_decode() - read an object
+ * registration_decode() - decodes an object
  *
- * Others may write objects of the kind: one whose name isn't that of the
- * address in it, or whose value can't be read, names no agent.
+ * Others may write objects of this kind: one that can't be decoded, or whose
+ * name doesn't match its address, is an error.
  *
  * Return: 0 or -EINVAL.
  */
@@ -58,40 +57,41 @@
 registration_decode(const char *name, struct json_object *value,
                     struct registration *registration);
 
-/** registration_equal() - whether two say the same */
+/** registration_equal() - whether all fields are equal */
 bool
 registration_equal(const struct registration *a, const struct registration *b);
 
-/** registration_encode() - the value of an object */
+/** registration_encode() - encodes the value of an object; the caller owns it
+ */
 struct json_object *
 registration_encode(const struct registration *registration);
 
-/** enum registration_step - what the writer does next */
+/** enum registration_step - the writer's current or next call */
 enum registration_step {
-    REGISTRATION_READ,    /* read what is there */
-    REGISTRATION_PUT,     /* replace: it says something else */
-    REGISTRATION_CREATE,  /* there is none */
-    REGISTRATION_DONE,    /* it stands */
-    REGISTRATION_REMOVE,  /* the endpoint has ended for good */
-    REGISTRATION_REMOVED, /* it is removed */
+    REGISTRATION_READ,    /* read the object */
+    REGISTRATION_PUT,     /* replace it, as it differs */
+    REGISTRATION_CREATE,  /* create it, as it doesn't exist */
+    REGISTRATION_DONE,    /* it is in the store */
+    REGISTRATION_REMOVE,  /* remove it, as the endpoint has ended */
+    REGISTRATION_REMOVED, /* it has been removed */
 };
 
-/* Looks after which an object that was found is taken to stand. */
+/* Reads that must find the object before the writer stops reading. */
 #define REGISTRATION_READS 2
 
 /**
- * struct registration_writer - writes the object until it stands
+ * struct registration_writer - keeps one object in the store
  * @call: the open call
- * @store: connection of its own
- * @registration: what is written
- * @step: what is done or due
+ * @store: connection for this use only; not owned
+ * @registration: the object
+ * @step: current or next call
  * @open: a call is open
- * @failures: calls that failed in a row
- * @called_step: what the open call is for; @step may have changed since
- * @epoch: the store's era by its last answer, 0 when it isn't known
- * @reported_epoch: the last that others told of
- * @reads: reads that found the object, REGISTRATION_READS once it was written
- * @next_us: when the next call is due, 0 when the last one has just ended
+ * @failures: consecutive failed calls
+ * @called_step: @step when the open call began; @step may have changed since
+ * @epoch: the store's epoch in its last reply, 0 if unknown
+ * @reported_epoch: last epoch passed to registration_writer_set_epoch()
+ * @reads: reads that found the object, REGISTRATION_READS after a write
+ * @next_us: when the next call is due; 0 until the first tick after a call
  */
 struct registration_writer {
     struct store_call call;
@@ -107,33 +107,36 @@
     uint64_t next_us;
 };
 
-/** registration_writer_init() - begin to write @registration at @now_us */
+/** registration_writer_init() - starts to write @registration at @now_us */
 void
 registration_writer_init(struct registration_writer *writer,
                          struct store *store,
                          const struct registration *registration,
                          uint64_t now_us);
 
-/** registration_writer_restore() - the object that stood is gone: write it
- * anew
- */
+/** registration_writer_restore() - creates the object again after it was
+ * removed by others; no effect unless it was in the store */
 void
 registration_writer_restore(struct registration_writer *writer,
                             uint64_t now_us);
 
-/** registration_writer_remove() - remove the object instead */
+/** registration_writer_remove() - removes the object, also while it is being
+ * written */
 void
 registration_writer_remove(struct registration_writer *writer,
                            uint64_t now_us);
 
-/** registration_writer_set_epoch() - the store's epoch is @epoch, somebody
- * told; whether it has come back older since the object was written or
- * removed, which is looked after then */
+/**
+ * registration_writer_set_epoch() - handles an epoch that a frame reported
+ *
+ * Return: whether the epoch is later than that of the last reply, so that the
+ * object is read or removed again.
+ */
 bool
 registration_writer_set_epoch(struct registration_writer *writer,
                               uint32_t epoch, uint64_t now_us);
 
-/** registration_writer_tick() - make the call that is due */
+/** registration_writer_tick() - makes the call that is due */
 void
 registration_writer_tick(struct registration_writer *writer, uint64_t now_us);
 
--- a/src/relay/store/store.h
+++ b/src/relay/store/store.h
@@ -1,8 +1,9 @@
 /**
- * DOC: store - the platform's store as relay mode needs it
+ * DOC: store - interface to the platform's object store
  *
- * Objects of a kind have a name, a revision and a value (JSON). A store here
- * is one connection with one call at a time; who needs more opens more.
+ * Objects of a kind have a name, a revision and a JSON value. A struct store
+ * is one connection that makes one call at a time; users that need concurrent
+ * calls open several.
  */
 #ifndef SWIFTARCH_RELAY_STORE_STORE_H
 #define SWIFTARCH_RELAY_STORE_STORE_H
@@ -13,11 +14,11 @@
 #include <stdint.h>
 
 /**
- * struct store_object - an object, valid during the callback
- * @name: its name, unique in its kind
+ * struct store_object - an object; valid during the callback only
+ * @name: its name, unique within its kind
  * @revision: revision of its last change
- * @removed: it is no more
- * @value: its value, NULL when there is none
+ * @removed: the object was removed
+ * @value: its value, NULL if it has none
  */
 struct store_object {
     const char *name;
@@ -27,20 +28,20 @@
 };
 
 /**
- * struct store_reply - how a call ended
- * @status: 0, or -ENOENT (no such object), -EEXIST (another state than
- *          expected), -ESTALE (the history before that revision is gone),
- *          -EBUSY (refused, nothing was done), -EPROTO (an answer that can't
- *          be read), or what the connection met; for a write, whether it
- *          took effect is then unknown
- * @epoch: grows each time the store comes back from an older copy of itself
- * and has lost what was written since: revisions of two eras say nothing of
- *       each other. 0 when the answer doesn't say
- * @revision: the store's revision that the answer stands for
- * @more: the list goes on after its last name
- * @objects: what came
- * @count: how many
- * @unreadable: how many items were left out because they can't be read
+ * struct store_reply - result of a call
+ * @epoch: number of the store's current epoch, 0 if the reply has none. It
+ *         grows each time the store is restored from an older copy, which
+ *         loses later writes; revisions of different epochs can't be compared
+ * @revision: the store's revision as of this reply
+ * @objects: objects of the reply
+ * @count: number of objects
+ * @unreadable: items that were left out because they can't be decoded
+ * @status: 0, or -ENOENT (no such object), -EEXIST (the object isn't in the
+ *          expected state), -ESTALE (history since that revision is gone),
+ *          -EBUSY (refused, nothing was done), -EPROTO (the reply can't be
+ *          decoded), or an error of the connection; it is unknown then whether
+ *          a write took effect
+ * @more: the list continues after its last name
  */
 struct store_reply {
     uint32_t epoch;
@@ -52,50 +53,58 @@
     bool more;
 };
 
-/** enum store_read_mode - how new the answer to a read must be */
+/** enum store_read_mode - how current the reply to a read must be */
 enum store_read_mode {
-    STORE_READ_LATEST, /* all that was acknowledged before the call */
-    STORE_READ_STALE,  /* may be seconds old; a tenth of the price, and free
-                        * of the store's limit of calls */
+    STORE_READ_LATEST, /* includes every write acknowledged before the call */
+    STORE_READ_STALE,  /* may be seconds old; costs a tenth of the price and
+                          doesn't count against the store's rate limit */
     STORE_READ_COUNT,
 };
 
-/** struct store_call - caller-owned; @done is told once, at the end */
+/** struct store_call - caller-owned; @done is called once, when the call ends
+ */
 struct store_call {
     void (*done)(struct store_call *call, const struct store_reply *reply);
 };
 
 struct store;
 
-/** struct store_ops - what a store can do; all return 0 or a negative errno
- * and then don't tell @call */
+/**
+ * struct store_ops - operations of a store
+ *
+ * All calls return 0 or a negative errno; @call->done isn't called after an
+ * error or after @cancel.
+ */
 struct store_ops {
-    /** @list: objects of a kind; @after names the last one known, or NULL */
+    /**
+     * @list: lists objects of a kind; @after is the last name of the page
+     *        before, or NULL
+     */
     int (*list)(struct store *store, const char *kind, const char *after,
                 enum store_read_mode read, struct store_call *call);
-    /** @watch: changes after @revision, as soon as there are any */
+    /** @watch: waits up to @wait_ms for changes after @revision */
     int (*watch)(struct store *store, const char *kind, uint64_t revision,
                  unsigned wait_ms, enum store_read_mode read,
                  struct store_call *call);
-    /** @get: one object, or -ENOENT */
+    /** @get: reads one object, or -ENOENT */
     int (*get)(struct store *store, const char *kind, const char *name,
                enum store_read_mode read, struct store_call *call);
-    /** @put: replace the value of an object that exists */
+    /** @put: replaces the value of an existing object */
     int (*put)(struct store *store, const char *kind, const char *name,
                struct json_object *value, struct store_call *call);
-    /** @create: make an object that doesn't exist */
+    /** @create: creates an object that doesn't exist */
     int (*create)(struct store *store, const char *kind, const char *name,
                   struct json_object *value, struct store_call *call);
-    /** @remove: remove an object if it is still at @revision; 0 for any */
+    /** @remove: removes an object if it is still at @revision; 0 for any */
     int (*remove)(struct store *store, const char *kind, const char *name,
                   uint64_t revision, struct store_call *call);
-    /** @cancel: end the open call, which isn't told */
+    /** @cancel: cancels the open call */
     void (*cancel)(struct store *store);
-    /** @free: end what is open and free the store */
+    /** @free: cancels the open call and frees the store */
     void (*free)(struct store *store);
 };
 
-/** struct store - any store; the vtable comes first */
+/** struct store - base of all stores */
 struct store {
     const struct store_ops *ops;
 };
--- a/src/relay/store/store_reader.c
+++ b/src/relay/store/store_reader.c
@@ -5,65 +5,62 @@
 #include "base/clock.h"
 #include "base/hash.h"
 
-/* Readers that a data centre should have. One may be cut off from the store
- * without a sign until its connection's probes fail, 3 s later; both at once
- * is rare, and then the cheap reads bring the change all the same. */
+/* Fewer readers than this cause others to start. One may be cut off from the
+ * store without an error until its connection's keepalive fails, 3 s later. */
 #define READERS_MIN 2
 
-/* Of more than this so many go on, by chance. Up to it nobody stops: each
- * change of parts costs calls, and a chance may leave too few. */
+/* With more readers than this, each stops at random so that this many remain
+ * on average. Up to it none stops, as a random choice may leave too few. */
 #define READERS_MAX 3
 
-/* How long a balancer listens before it takes part or stops, and by how much
- * that differs between balancers, so that one should_start before all others
- * have seen that nobody reads. Agents hear from a balancer with each packet,
- * some ten times in that time on the least busy hosts measured. */
+/* Shortest window, and its variation between balancers: one should start
+ * before all others find that there is no reader. Agents receive several
+ * frames of each balancer within a window. */
 #define WINDOW_US (500 * USEC_PER_MSEC)
 #define WINDOW_JITTER_US (500 * USEC_PER_MSEC)
 
-/* How long witnesses have to answer: several trips between data centres, and
- * the wait for its turn of a host with a fortieth of a core. */
+/* Time for witnesses to answer: several round trips between data centres and
+ * the scheduling delay of a small host. */
 #define WITNESS_TIMEOUT_US (100 * USEC_PER_MSEC)
 
-/* A reader tells the witnesses this often: agents count those that they heard
- * from in the last second, and one datagram may be lost. */
+/* Interval of a reader's pings to the witnesses. Agents count readers of the
+ * last second; one datagram may be lost. */
 #define WITNESS_PING_US (400 * USEC_PER_MSEC)
 
-/* When there are too few but some, one balancer in this many should_start at
- * the end of its window: all at once would be many. Data centres have some 20.
- */
+/* With too few readers, but at least one, one balancer in this many starts at
+ * the end of its window. Data centres have about 20. */
 #define START_ONE_IN 16
 
-/* One in so many balancers that start reads the latest at once. */
-#define FIRST_ONE_IN 4
+/* One in this many balancers reads the latest when it starts. */
+#define INITIAL_LATEST_ONE_IN 4
 
-/* A cheap watch tells within this time of a change as a rule; past it, the
- * latest is read. A tenth of the shortest bound that operators set. */
+/* Time for a stale watch to return a change before the latest is read; a tenth
+ * of the shortest time that operators allow for a change. */
 #define LATEST_READ_DELAY_US (300 * USEC_PER_MSEC)
 
-/* A read of the latest takes some milliseconds; past this the store is slow
- * or away, and the balancer that has the configuration is asked. */
-#define QUERY_AFTER_US (600 * USEC_PER_MSEC)
+/* Time after which a newer configuration is fetched from a peer: the store is
+ * slow or down, as a read takes milliseconds. */
+#define PEER_QUERY_DELAY_US (600 * USEC_PER_MSEC)
 
-/* How much sooner some ask, by balancer: those that ask later ask those that
- * have asked. */
-#define PEER_JITTER_US (250 * USEC_PER_MSEC)
+/* Balancers fetch up to this much earlier, so that late ones find more peers
+ * that have the configuration. */
+#define PEER_QUERY_JITTER_US (250 * USEC_PER_MSEC)
 
-/* How long an agent's word that somebody reads the latest counts: it would
- * have reported of a newer configuration with the same word. */
+/* Time for which an agent's report of a reader is valid. The agent would have
+ * reported a newer configuration in the same frame. */
 #define REPORT_TTL_US (1 * USEC_PER_SEC)
 
 static void
 begin_window(struct store_reader *reader, uint64_t now_us)
 {
-    uint64_t spread =
+    uint64_t jitter_us =
         hash_pair(reader->seed, reader->windows) % WINDOW_JITTER_US;
 
     reader->reported = reader->others;
     reader->others = (struct frame_readers){0};
-    reader->asked = false;
+    reader->witnesses_queried = false;
     reader->windows++;
-    reader->window_us = now_us + WINDOW_US + spread;
+    reader->window_us = now_us + WINDOW_US + jitter_us;
 }
 
 static bool
@@ -73,7 +70,7 @@
 }
 
 static bool
-behind_for(const struct store_reader *reader, uint64_t us, uint64_t now_us)
+is_behind_for(const struct store_reader *reader, uint64_t us, uint64_t now_us)
 {
     return is_behind(reader) && now_us - reader->behind_us >= us;
 }
@@ -81,19 +78,23 @@
 static uint64_t
 peer_delay_us(const struct store_reader *reader)
 {
-    return QUERY_AFTER_US -
-           hash_pair(reader->seed, reader->newer.version) % PEER_JITTER_US;
+    return PEER_QUERY_DELAY_US -
+           hash_pair(reader->seed, reader->newer.version) %
+               PEER_QUERY_JITTER_US;
 }
 
-/* A chance that comes out true @part times in @whole. */
+/* A random choice, the same within a window: true with probability @numerator
+ * / @denominator. */
 static bool
-chance(const struct store_reader *reader, unsigned part, unsigned whole)
+random_choice(const struct store_reader *reader, unsigned numerator,
+              unsigned denominator)
 {
-    return hash_pair(reader->windows, reader->seed) % whole < part;
+    return hash_pair(reader->windows, reader->seed) % denominator < numerator;
 }
 
-/* Other readers that count: one that can't reach the store leaves the part to
- * those that can, and shares it with those that can't either. */
+/* Other readers that do the work. A balancer that can't reach the store
+ * doesn't start or continue while others reach it; those that can't reach it
+ * either count too. */
 static unsigned
 count_other_readers(const struct store_reader *reader, unsigned failures)
 {
@@ -101,16 +102,15 @@
                          : reader->others.reading + reader->others.trying;
 }
 
-/* An agent knows of the readers that spoke to it in the last second, which in
- * a large data centre are few of them: only what witnesses tell says that
- * there are too few. */
+/* An ordinary agent counts only the few readers that send it packets, so only
+ * the witnesses can report that there are too few. */
 static bool
 should_start(const struct store_reader *reader, unsigned failures)
 {
     unsigned others = count_other_readers(reader, failures);
 
-    return others == 0 || (reader->asked && others < READERS_MIN &&
-                           chance(reader, 1, START_ONE_IN));
+    return others == 0 || (reader->witnesses_queried && others < READERS_MIN &&
+                           random_choice(reader, 1, START_ONE_IN));
 }
 
 static bool
@@ -121,7 +121,8 @@
     if (failures > 0 && reader->others.reading > 0) {
         return false;
     }
-    return others < READERS_MAX || chance(reader, READERS_MAX, others + 1);
+    return others < READERS_MAX ||
+           random_choice(reader, READERS_MAX, others + 1);
 }
 
 void
@@ -134,7 +135,8 @@
 enum store_read_mode
 store_reader_initial_mode(const struct store_reader *reader)
 {
-    return reader->reading || hash_pair(reader->seed, 0) % FIRST_ONE_IN == 0
+    return reader->reading ||
+                   hash_pair(reader->seed, 0) % INITIAL_LATEST_ONE_IN == 0
                ? STORE_READ_LATEST
                : STORE_READ_STALE;
 }
@@ -172,7 +174,7 @@
     if (newer->version < reader->newer.version) {
         return;
     }
-    /* Another that has the same may answer where the one before didn't. */
+    /* Another holder of the same version may answer where the first didn't. */
     reader->newer = *newer;
     if (!is_behind(reader)) {
         reader->behind_us = now_us;
@@ -188,7 +190,7 @@
     }
 }
 
-/* The window is over: who reads in the next. */
+/* Decides whether this balancer is a reader in the next window. */
 static void
 end_window(struct store_reader *reader, unsigned failures, uint64_t now_us)
 {
@@ -199,16 +201,17 @@
     if (reader->reading && !was_reading) {
         reader->ping_us = now_us;
     }
-    /* Or others count it until the second is over, and stop too. */
+    /* Else agents would count it for another second, and more readers than
+     * needed might stop. */
     reader->stopped = was_reading && !reader->reading;
     begin_window(reader, now_us);
 }
 
-/* Whether the witnesses are asked before the balancer begins to read. */
+/* Whether to ping the witnesses before deciding to become a reader. */
 static bool
 must_query_witnesses(const struct store_reader *reader, unsigned failures)
 {
-    return !reader->reading && !reader->asked &&
+    return !reader->reading && !reader->witnesses_queried &&
            count_other_readers(reader, failures) < READERS_MIN;
 }
 
@@ -218,7 +221,7 @@
 {
     if (now_us >= reader->window_us) {
         if (must_query_witnesses(reader, failures)) {
-            reader->asked = true;
+            reader->witnesses_queried = true;
             reader->window_us = now_us + WITNESS_TIMEOUT_US;
             return true;
         }
@@ -260,7 +263,8 @@
     if (failures > 0) {
         return STORE_READ_STALE;
     }
-    return reader->reading || behind_for(reader, LATEST_READ_DELAY_US, now_us)
+    return reader->reading ||
+                   is_behind_for(reader, LATEST_READ_DELAY_US, now_us)
                ? STORE_READ_LATEST
                : STORE_READ_STALE;
 }
@@ -281,5 +285,6 @@
                         uint64_t now_us)
 {
     return is_behind(reader) &&
-           (failures > 0 || behind_for(reader, peer_delay_us(reader), now_us));
+           (failures > 0 ||
+            is_behind_for(reader, peer_delay_us(reader), now_us));
 }
--- a/src/relay/store/watcher.c
+++ b/src/relay/store/watcher.c
@@ -9,45 +9,40 @@
 #include "base/container.h"
 #include "base/hash.h"
 
-/* How long a watch waits. The platform allows 30 s, but ends a watch with an
- * error once the revision that it began at has left the history, which is kept
- * for 20 s or more: the kind is then listed anew. Each that ends empty costs a
- * call. But a store that falls silent never answers the calls that
- * reached it then, also when it is back, and nothing else shows it. All
- * followers ask again at the same moment after a change: until a watch has
- * ended empty, which only a store that answers can bring about, it is brief,
- * and of different lengths, so that they aren't all lost together. One that
- * isn't tells the others through the agents. After a failure the store may be
- * silent by now: a tenth of what operators give a change to be in force. */
+/* Durations of a watch, in ms. Each watch that returns empty costs a call, so
+ * they are long once the store is known to answer. A store that hung when it
+ * received a call never answers it, even after it recovers, and there is no
+ * error. Watches are therefore short until one has returned empty, with jitter
+ * so that a hang doesn't catch the watches of all processes, and shorter after
+ * a failure. If peers notify the owner, stale watches may be long. The store
+ * keeps history for 20 s or more: a watch that waits longer than that ends
+ * with an error. */
 #define WATCH_WAIT_MS 15000
 #define WATCH_SHORT_MS 2000
 #define WATCH_SHORT_JITTER_MS 1000
 #define WATCH_FAILED_MS 500
 
-/* First and longest pause after a call that failed. A process without
- * configuration serves nobody, so the first is short; the longest bounds
- * what an outage costs, and how long its end goes unnoticed. */
+/* First and longest pause after a failed call. The first is short because a
+ * process without configuration can't serve; the longest bounds both the cost
+ * of an outage and the time to detect its end. */
 #define RETRY_MIN_US (50 * USEC_PER_MSEC)
 #define RETRY_MAX_US (800 * USEC_PER_MSEC)
 
-/* The longest for an owner that can't work without an answer: a balancer
- * without configuration serves nobody, and a call is worth a fifth of a
- * request. */
+/* Longest pause with fast_retry. */
 #define RETRY_FAST_MAX_US (150 * USEC_PER_MSEC)
 
-/* The first and the longest for an owner that is told when others reach the
- * store again, and within what time it then tries: what an outage costs grows
- * with those that look for its end, not with the fleet. Its end goes unnoticed
- * for no longer than operators give a change to be in force. */
+/* First and longest pause with slow_retry, and the time within which such an
+ * owner retries when peers report that the store answers. An outage then costs
+ * calls of a few processes, not of the whole fleet. */
 #define RETRY_SLOW_MIN_US (400 * USEC_PER_MSEC)
 #define RETRY_SLOW_MAX_US (3200 * USEC_PER_MSEC)
 #define RETRY_WITHIN_US (300 * USEC_PER_MSEC)
 
-/* How old cheap reads are at most: some seconds. */
+/* Maximum age of a stale read. */
 #define STALE_READ_MAX_US (10 * USEC_PER_SEC)
 
-/* Pauses differ by up to a quarter between processes. */
-#define JITTER_PARTS 4
+/* Pauses vary by up to 1/JITTER_DIVISOR between processes. */
+#define JITTER_DIVISOR 4
 
 static uint64_t
 max_retry_pause(const struct watcher *watcher)
@@ -59,11 +54,11 @@
 }
 
 static uint64_t
-pause_after(const struct watcher *watcher)
+retry_pause_us(const struct watcher *watcher)
 {
     uint64_t max_us = max_retry_pause(watcher);
-    bool waits = watcher->slow_retry && !watcher->fast_retry;
-    uint64_t pause_us = waits ? RETRY_SLOW_MIN_US : RETRY_MIN_US;
+    bool slow = watcher->slow_retry && !watcher->fast_retry;
+    uint64_t pause_us = slow ? RETRY_SLOW_MIN_US : RETRY_MIN_US;
     uint64_t jitter;
 
     for (unsigned i = 1; i < watcher->failures && pause_us < max_us; i++) {
@@ -71,7 +66,7 @@
     }
     pause_us = MIN(pause_us, max_us);
     jitter = hash_pair(watcher->seed, watcher->failures) %
-             (pause_us / JITTER_PARTS);
+             (pause_us / JITTER_DIVISOR);
     return pause_us + jitter;
 }
 
@@ -91,11 +86,12 @@
         watcher->after = g_strdup(reply->objects[reply->count - 1].name);
         return;
     }
-    /* Changes made between two pages are watched for from the first. */
+    /* The watch begins at the first page's revision, to see changes made
+     * between pages. */
     watcher->revision = watcher->list_revision;
     watcher->state = WATCHER_WATCH;
     watcher->needs_latest = false;
-    watcher->older = false;
+    watcher->rolled_back = false;
     watcher->ops->listed(watcher);
 }
 
@@ -116,8 +112,8 @@
 {
     watcher->last_empty = false;
     if (status == -ESTALE) {
-        /* A list that may be old could be as old as what is known: watches
-         * from there would fail again and again. */
+        /* A stale list may be as old as @revision, and watches from there
+         * would fail again. */
         watcher->state = WATCHER_LIST;
         watcher->needs_latest = true;
     }
@@ -128,7 +124,7 @@
     watcher->failures++;
 }
 
-/* Nothing that is known stands any more. */
+/* Discards the known revision after a rollback; the kind is listed again. */
 static void
 reset_list(struct watcher *watcher)
 {
@@ -138,11 +134,11 @@
     watcher->revision = 0;
     watcher->needs_latest = false;
     watcher->last_empty = false;
-    watcher->older = true;
+    watcher->rolled_back = true;
     watcher->recovered_us = 0;
 }
 
-/* Minds the epoch that an answer is of; whether the rest of it can be used. */
+/* Handles the epoch of a reply; returns whether the rest of it can be used. */
 static bool
 update_epoch(struct watcher *watcher, uint32_t epoch)
 {
@@ -152,7 +148,7 @@
         return true;
     }
     if (watcher->epoch == 0 ||
-        (epoch > watcher->epoch && watcher->older && lists)) {
+        (epoch > watcher->epoch && watcher->rolled_back && lists)) {
         watcher->epoch = epoch;
         return true;
     }
@@ -161,19 +157,19 @@
     }
     watcher->epoch = epoch;
     reset_list(watcher);
-    /* A list that began in the new epoch is whole; an old one may show what is
-     * lost. */
+    /* The first page of a latest list is valid; a stale one may hold lost
+     * objects. */
     return lists && watcher->read == STORE_READ_LATEST;
 }
 
 static void
-take(struct watcher *watcher, const struct store_reply *reply)
+apply_reply(struct watcher *watcher, const struct store_reply *reply)
 {
     bool first_page = watcher->state == WATCHER_LIST && watcher->after == NULL;
-    bool older = first_page && reply->revision < watcher->revision;
+    bool outdated = first_page && reply->revision < watcher->revision;
 
-    if (older && !watcher->needs_latest) {
-        /* Nothing that is known is given up for it. */
+    if (outdated && !watcher->needs_latest) {
+        /* A stale list must not undo newer changes. */
         watcher->needs_latest = true;
         return;
     }
@@ -189,13 +185,13 @@
 on_done(struct store_call *call, const struct store_reply *reply)
 {
     struct watcher *watcher = container_of(call, struct watcher, call);
-    int before = watcher->status;
+    int previous_status = watcher->status;
     bool usable = update_epoch(watcher, reply->epoch);
 
     watcher->open = false;
     watcher->status = reply->status;
     if (!usable) {
-        /* The next call lists. */
+        /* The next call lists again. */
         watcher->failures = 0;
     }
     else if (reply->status != 0) {
@@ -203,12 +199,13 @@
     }
     else {
         watcher->failures = 0;
-        take(watcher, reply);
+        apply_reply(watcher, reply);
     }
-    /* The pause is counted from the next tick, which knows the time. */
+    /* The next tick sets the time, as it knows the current one. */
     watcher->next_us = 0;
     watcher->ops->ended(watcher, reply->status,
-                        (before == 0) != (reply->status == 0) || before == 1);
+                        (previous_status == 0) != (reply->status == 0) ||
+                            previous_status == 1);
 }
 
 static unsigned
@@ -226,18 +223,18 @@
     return WATCH_WAIT_MS;
 }
 
-/* When the list after the store came back older is due: soon, but not for all
- * at once, where it is the latest. */
+/* When the list after a rollback is due: soon if it is the latest, else once
+ * stale reads are recent enough. Jitter spreads the calls of all processes. */
 static uint64_t
 relist_due_us(struct watcher *watcher, uint64_t now_us)
 {
-    uint64_t spread_us =
+    uint64_t jitter_us =
         hash_pair(watcher->seed, watcher->reported_epoch) % RETRY_WITHIN_US;
 
     if (watcher->recovered_us == 0) {
         watcher->recovered_us = now_us + STALE_READ_MAX_US;
     }
-    return spread_us + (watcher->read == STORE_READ_LATEST
+    return jitter_us + (watcher->read == STORE_READ_LATEST
                             ? now_us
                             : MAX(now_us, watcher->recovered_us));
 }
@@ -247,9 +244,9 @@
 next_delay(struct watcher *watcher, uint64_t now_us)
 {
     const struct watcher_backoff *backoff = &watcher->backoff;
-    bool soon = now_us - watcher->opened_us < backoff->max_us;
+    bool quick = now_us - watcher->opened_us < backoff->max_us;
 
-    if (watcher->last_empty || !soon) {
+    if (watcher->last_empty || !quick) {
         watcher->delay_us = backoff->min_us;
     }
     else {
@@ -260,13 +257,14 @@
 }
 
 static int
-make_call(struct watcher *watcher)
+start_call(struct watcher *watcher)
 {
     struct store *store = watcher->store;
-    bool unsettled =
-        watcher->older && watcher->opened_us < watcher->recovered_us;
-    enum store_read_mode read =
-        watcher->needs_latest || unsettled ? STORE_READ_LATEST : watcher->read;
+    bool stale_unsafe =
+        watcher->rolled_back && watcher->opened_us < watcher->recovered_us;
+    enum store_read_mode read = watcher->needs_latest || stale_unsafe
+                                    ? STORE_READ_LATEST
+                                    : watcher->read;
 
     watcher->calls[read]++;
     if (watcher->state == WATCHER_LIST) {
@@ -290,7 +288,8 @@
     watcher->backoff = backoff;
     watcher->seed = seed;
     watcher->next_us = now_us;
-    /* Neither reached nor failed so far: the first end of a call is told. */
+    /* Neither reached nor failed: the end of the first call is reported as a
+     * change. */
     watcher->status = 1;
 }
 
@@ -301,7 +300,7 @@
     watcher->after = NULL;
 }
 
-/* Ends an open watch; the next begins at once. */
+/* Cancels an open watch; the next begins at once. */
 static void
 restart_watch(struct watcher *watcher)
 {
@@ -346,14 +345,14 @@
 void
 watcher_set_read(struct watcher *watcher, enum store_read_mode read)
 {
-    bool better =
+    bool upgraded =
         read == STORE_READ_LATEST && watcher->read == STORE_READ_STALE;
 
     watcher->read = read;
-    if (better) {
+    if (upgraded) {
         restart_watch(watcher);
     }
-    if (better && watcher->older && !watcher->open) {
+    if (upgraded && watcher->rolled_back && !watcher->open) {
         watcher->next_us = 0;
     }
 }
@@ -380,13 +379,13 @@
         uint64_t pause_us = 0;
 
         if (watcher->failures > 0) {
-            pause_us = pause_after(watcher);
+            pause_us = retry_pause_us(watcher);
         }
         else if (watcher->state == WATCHER_WATCH) {
             pause_us = next_delay(watcher, now_us);
         }
         watcher->next_us = now_us + pause_us;
-        if (watcher->older) {
+        if (watcher->rolled_back) {
             watcher->next_us =
                 MAX(watcher->next_us, relist_due_us(watcher, now_us));
         }
@@ -396,7 +395,7 @@
     }
     watcher->opened_us = now_us;
     watcher->open = true;
-    if (make_call(watcher) < 0) {
+    if (start_call(watcher) < 0) {
         watcher->open = false;
         watcher->failures++;
         watcher->next_us = 0;
--- a/src/relay/store/watcher.h
+++ b/src/relay/store/watcher.h
@@ -1,10 +1,10 @@
 /**
- * DOC: watcher - keeps up with the objects of one kind in the store
+ * DOC: watcher - follows the objects of one kind in the store
  *
- * Lists once, then watches. A watch that is cut goes on from where it was;
- * when the store has forgotten that far back, or has come back from an older
- * copy of itself, the kind is listed anew. While the store is away calls get
- * rarer, as each one is paid for.
+ * It lists once, then watches. A watch that is cut off resumes at the last
+ * revision. When the store's history doesn't go back that far, or the store
+ * has been restored from an older copy, the kind is listed again. Retries back
+ * off while the store is down, as each call is paid for.
  */
 #ifndef SWIFTARCH_RELAY_STORE_WATCHER_H
 #define SWIFTARCH_RELAY_STORE_WATCHER_H
@@ -16,33 +16,38 @@
 
 struct watcher;
 
-/** struct watcher_ops - what the owner is told */
+/** struct watcher_ops - callbacks to the owner */
 struct watcher_ops {
-    /** @listing: a list begins; what it doesn't name is no more */
+    /**
+     * @listing: a list begins; objects that it doesn't contain no longer exist
+     */
     void (*listing)(struct watcher *watcher);
-    /** @object: an object is as it says */
+    /** @object: an object of a list, or a changed or removed one */
     void (*object)(struct watcher *watcher, const struct store_object *object);
-    /** @listed: the list is whole */
+    /** @listed: the list is complete */
     void (*listed)(struct watcher *watcher);
-    /** @ended: a call ended with @status, 0 or a negative errno; the next is
-     * due. @changed: the store answers again, or no more */
+    /**
+     * @ended: a call ended with @status, 0 or a negative errno, and the next
+     *         is due. @changed: the store answers again, or no longer does, or
+     *         this was the first call
+     */
     void (*ended)(struct watcher *watcher, int status, bool changed);
 };
 
-/** enum watcher_state - what is being done */
+/** enum watcher_state - current or next call */
 enum watcher_state {
     WATCHER_LIST,
     WATCHER_WATCH,
 };
 
 /**
- * struct watcher_backoff - how soon a watch follows one that brought changes
+ * struct watcher_backoff - pauses between watches that return changes
  *
- * Each that brings some soon after it began doubles the pause before the
- * next, so that a burst costs few calls and a single change is known at once.
+ * The pause doubles each time a watch returns changes soon after it began, so
+ * that a burst costs few calls and a single change is seen at once.
  *
- * @min_us: the shortest pause
- * @max_us: the longest
+ * @min_us: shortest pause
+ * @max_us: longest pause
  */
 struct watcher_backoff {
     uint64_t min_us;
@@ -50,36 +55,38 @@
 };
 
 /**
- * struct watcher - one kind; the vtable comes first
- * @ops: the owner
+ * struct watcher - follows one kind
+ * @ops: callbacks
  * @call: the open call
- * @store: connection of its own
- * @kind: kind
- * @state: what is done or due
+ * @store: connection for this use only; not owned
+ * @kind: kind of the objects
+ * @state: current or next call
  * @open: a call is open
- * @after: last name of a list that goes on, or NULL
- * @epoch: the store's era by its last answer, 0 when it isn't known
- * @reported_epoch: the last that others told of
- * @revision: the store's revision that is known, of that epoch
+ * @after: last name of an incomplete list, or NULL
+ * @epoch: the store's epoch in its last reply, 0 if unknown
+ * @reported_epoch: last epoch passed to watcher_set_epoch()
+ * @revision: revision up to which changes are known, of that epoch
  * @list_revision: revision of a list's first page
- * @needs_latest: what is known has left the store's history, or a list was
- * older than it: the next list is the latest
- * @older: the store has come back older, and the kind isn't listed since
- * @recovered_us: when cheap reads show nothing any more that it has lost
- * @last_empty: the last watch ended empty: the store answers
- * @failures: calls that failed in a row
- * @next_us: when the next call is due
+ * @needs_latest: the next list must be the latest, because the history since
+ *                @revision is gone or a stale list was older than it
+ * @rolled_back: the store was restored from an older copy, and the kind hasn't
+ *               been listed since
+ * @recovered_us: when stale reads no longer return objects that the store has
+ *                lost; 0 until the first tick after the rollback
+ * @last_empty: the last watch returned without changes, so the store answers
+ * @failures: consecutive failed calls
+ * @next_us: when the next call is due; 0 until the first tick after a call
  * @opened_us: when the open call began
- * @backoff: pauses between calls while changes keep coming
- * @delay_us: the last of these
- * @seed: makes the pauses differ between processes
- * @read: how new what is read must be
- * @calls: calls made, by enum store_read_mode
- * @slow_retry: somebody else finds out when the store is back: pauses get long
- * @fast_retry: the owner can't work without an answer: pauses stay short
- * @notified_by_peers: its owner is told of changes by others too: a watch that
- *                  the store has dropped without a sign costs little
- * @status: how the last call ended
+ * @backoff: pauses between watches that return changes
+ * @delay_us: the last of these pauses
+ * @seed: varies pauses between processes
+ * @read: mode of reads, set by watcher_set_read()
+ * @calls: number of calls, by enum store_read_mode
+ * @slow_retry: other processes detect the store's return: long pauses
+ * @fast_retry: the owner can't work without a reply: short pauses
+ * @notified_by_peers: peers also notify the owner of changes, so a stale watch
+ *                     that is silently cut off delays little
+ * @status: status of the last call, 1 before the first has ended
  */
 struct watcher {
     const struct watcher_ops *ops;
@@ -94,7 +101,7 @@
     uint64_t revision;
     uint64_t list_revision;
     bool needs_latest;
-    bool older;
+    bool rolled_back;
     uint64_t recovered_us;
     bool last_empty;
     unsigned failures;
@@ -112,9 +119,9 @@
 };
 
 /**
- * watcher_init() - follow @kind from @now_us on
+ * watcher_init() - follows @kind from @now_us on
  * @store: not freed by watcher_finish()
- * @backoff: pauses after changes
+ * @backoff: pauses between watches that return changes
  * @seed: differs between processes
  */
 void
@@ -122,44 +129,46 @@
              struct store *store, const char *kind,
              struct watcher_backoff backoff, uint64_t seed, uint64_t now_us);
 
-/** watcher_finish() - free the memory */
+/** watcher_finish() - frees the memory; an open call must have been cancelled
+ */
 void
 watcher_finish(struct watcher *watcher);
 
-/** watcher_set_read() - how new the next changes must be; a watch that may be
- * told of old ones only is ended for one that isn't */
+/** watcher_set_read() - sets the mode of the next reads; a change to the
+ * latest restarts an open stale watch */
 void
 watcher_set_read(struct watcher *watcher, enum store_read_mode read);
 
 /**
- * watcher_advance() - take changes that another call brought
- * @since: revision after which they are; when the follower knows more by now,
- *         they aren't taken
+ * watcher_advance() - applies changes that another call returned
+ * @since: revision that they follow; ignored unless it is the watcher's
  */
 void
 watcher_advance(struct watcher *watcher, uint64_t since,
                 const struct store_reply *reply);
 
 /**
- * watcher_set_epoch() - the store's epoch is @epoch, somebody told
+ * watcher_set_epoch() - handles an epoch that a frame or another call reported
  *
- * After a change nothing that is known stands: the kind is listed anew, the
- * latest soon, by others once cheap reads can't show any more what is lost.
- * What the store then says of its epoch is believed, also if it is another.
+ * A later epoch invalidates all that is known and the kind is listed again:
+ * soon with reads of the latest, else once stale reads no longer return lost
+ * objects. The epoch in the store's reply then counts, whichever it is.
  */
 void
 watcher_set_epoch(struct watcher *watcher, uint32_t epoch);
 
-/** watcher_retry() - the store answers others again: don't wait for long */
+/** watcher_retry() - the store answers others again: shortens the current
+ * pause */
 void
 watcher_retry(struct watcher *watcher, uint64_t now_us);
 
-/** watcher_tick() - make the call that is due; call it at watcher_next_us() */
+/** watcher_tick() - makes the call that is due; call it at watcher_next_us()
+ */
 void
 watcher_tick(struct watcher *watcher, uint64_t now_us);
 
 /** watcher_is_away() - whether the store doesn't answer: the last call failed,
- * or a list is open for longer than @timeout_us */
+ * or a list has been open for longer than @timeout_us */
 bool
 watcher_is_away(const struct watcher *watcher, uint64_t now_us,
                 uint64_t timeout_us);
--- a/src/relay/wire/evacuations.h
+++ b/src/relay/wire/evacuations.h
@@ -2,10 +2,9 @@
  * DOC: evacuations - data centres that operators have taken out of service
  *
  * No new flow may be opened at an endpoint of an evacuated data centre. The
- * set is a function of the store's epoch and revision, so of two states the
- * one of the later epoch, or of the higher revision in the same, is right,
- * whoever tells it and in whatever order: hosts pass it on with each frame and
- * never go back to an older one.
+ * set is a function of the store's epoch and revision, so of two sets the one
+ * of the later epoch, or of the higher revision in the same epoch, is current.
+ * Every frame carries the set of its sender; a host adopts newer sets only.
  */
 #ifndef SWIFTARCH_RELAY_WIRE_EVACUATIONS_H
 #define SWIFTARCH_RELAY_WIRE_EVACUATIONS_H
@@ -13,18 +12,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Data centres that can be evacuated at a time: more than the 26 that the
- * system is designed for. */
+/* Data centres that can be evacuated at a time; the system is designed for 26.
+ */
 #define EVACUATIONS_MAX 32
 
 /**
  * struct evacuations - the set as of one revision
- * @epoch: the store's era, 0 when it isn't known
- * @revision: the store's revision, 0 when nothing is known of that epoch yet
- * @recovery_s: for so long yet the store may lack objects that agents had
- *               written before it came back older
- * @data_centres: evacuations_key() of each data centre, in no order
- * @count: how many
+ * @epoch: the store's epoch, 0 if unknown
+ * @revision: the store's revision, 0 if none of that epoch is known
+ * @recovery_s: seconds for which the store may still lack objects that it lost
+ *              when it was restored from an older copy
+ * @data_centres: evacuations_key() of each data centre, unordered
+ * @count: number of data centres
  */
 struct evacuations {
     uint32_t epoch;
@@ -34,11 +33,12 @@
     uint8_t count;
 };
 
-/** evacuations_key() - what stands for a data centre in the set */
+/** evacuations_key() - 32-bit hash that identifies a data centre in the set */
 uint32_t
 evacuations_key(const char *data_centre);
 
-/** evacuations_add() - one more data centre; false when there is no room */
+/** evacuations_add() - adds a data centre; returns false if the set is full. A
+ * data centre that is in the set already isn't added again. */
 bool
 evacuations_add(struct evacuations *evacuations, uint32_t key);
 
@@ -46,12 +46,14 @@
 bool
 evacuations_contains(const struct evacuations *evacuations, uint32_t key);
 
-/** evacuations_newer() - whether @latest is newer than @known */
+/** evacuations_newer() - whether @latest has a later epoch than @known, or a
+ * higher revision in the same epoch */
 bool
 evacuations_newer(const struct evacuations *latest,
                   const struct evacuations *known);
 
-/** evacuations_equal() - whether both name the same data centres */
+/** evacuations_equal() - whether both sets hold the same data centres,
+ * whatever their epochs and revisions */
 bool
 evacuations_equal(const struct evacuations *a, const struct evacuations *b);
 
--- a/src/relay/wire/flow_index.c
+++ b/src/relay/wire/flow_index.c
@@ -7,12 +7,14 @@
 #include <string.h>
 
 /**
- * struct flow_index_item - one flow
+ * struct flow_index_item - an entry; entries form a bucket chain and an LRU
+ * list
  * @flow: key
- * @used_us: last use
- * @next: next in its bucket plus one, 0 at the end; or next of the free ones
- * @older: used before it
- * @newer: used after it
+ * @used_us: time of the last use
+ * @next: next entry of the bucket plus one, 0 at the end; in a free entry the
+ *        next free handle
+ * @older: previous entry in LRU order
+ * @newer: next entry in LRU order
  */
 struct flow_index_item {
     struct relay_flow flow;
@@ -90,9 +92,8 @@
         .oldest = FLOW_INDEX_NONE,
         .newest = FLOW_INDEX_NONE,
     };
-    /* Pages that were never used cost nothing, neither memory nor time at
-     * the start: so an empty bucket is 0, and bucket_heads hold handles plus
-     * one. */
+    /* An empty bucket is 0 and buckets hold handles plus one, so that calloc()
+     * needn't touch the pages of a large table. */
     table->bucket_heads = calloc(buckets, sizeof(*table->bucket_heads));
     table->items = calloc(capacity, sizeof(*table->items));
     if (table->bucket_heads == NULL || table->items == NULL) {
--- a/src/relay/wire/flow_index.h
+++ b/src/relay/wire/flow_index.h
@@ -1,9 +1,8 @@
 /**
- * DOC: flow_index - handles of flows, found by key, oldest use first out
+ * DOC: flow_index - hash table from flows to handles, with LRU order
  *
- * The table knows no meaning: its user keeps an array of its own, indexed by
- * handle. A full table gives up the flow that was quiet for longest, so that
- * a flood costs memory of the quiet only.
+ * The caller keeps its own array, indexed by handle. When the table is full
+ * the caller evicts the least recently used flow before it adds another.
  */
 #ifndef SWIFTARCH_RELAY_WIRE_FLOW_INDEX_H
 #define SWIFTARCH_RELAY_WIRE_FLOW_INDEX_H
@@ -18,16 +17,16 @@
 struct flow_index_item;
 
 /**
- * struct flow_index - the table
- * @bucket_heads: first item of each chain plus one, a power of two of them
- * @mask: chains less one
- * @items: one for each handle
- * @capacity: handles
- * @used: handles in use
- * @unused: first handle never used so far
- * @free: chain of handles given back
- * @oldest: handle that was quiet for longest, or FLOW_INDEX_NONE
- * @newest: handle used last
+ * struct flow_index - hash table and LRU list
+ * @bucket_heads: first handle of each bucket plus one, 0 for an empty bucket
+ * @mask: number of buckets, a power of two, less one
+ * @items: entries, indexed by handle
+ * @capacity: maximum number of flows
+ * @used: flows in the table
+ * @unused: lowest handle that was never allocated
+ * @free: list of released handles, FLOW_INDEX_NONE if empty
+ * @oldest: least recently used handle, or FLOW_INDEX_NONE
+ * @newest: most recently used handle, or FLOW_INDEX_NONE
  */
 struct flow_index {
     uint32_t *bucket_heads;
@@ -41,11 +40,11 @@
     uint32_t newest;
 };
 
-/** flow_index_init() - room for @capacity flows; 0 or -ENOMEM */
+/** flow_index_init() - allocates a table for @capacity flows; 0 or -ENOMEM */
 int
 flow_index_init(struct flow_index *table, uint32_t capacity);
 
-/** flow_index_finish() - free the memory */
+/** flow_index_finish() - frees the table's memory */
 void
 flow_index_finish(struct flow_index *table);
 
@@ -54,32 +53,33 @@
 flow_index_find(const struct flow_index *table, struct relay_flow flow);
 
 /**
- * flow_index_add() - handle of a flow that isn't there yet
+ * flow_index_add() - adds a flow that isn't in the table and returns its
+ * handle
  *
- * The table must not be full: the user removes flow_index_oldest() first.
+ * The table must not be full: the caller first removes flow_index_oldest().
  */
 uint32_t
 flow_index_add(struct flow_index *table, struct relay_flow flow,
                uint64_t now_us);
 
-/** flow_index_touch() - the flow was used now */
+/** flow_index_touch() - makes the flow the most recently used one */
 void
 flow_index_touch(struct flow_index *table, uint32_t handle, uint64_t now_us);
 
-/** flow_index_remove() - give the handle back */
+/** flow_index_remove() - removes a flow; its handle may be allocated again */
 void
 flow_index_remove(struct flow_index *table, uint32_t handle);
 
-/** flow_index_oldest() - flow that was quiet for longest, or
+/** flow_index_oldest() - handle of the least recently used flow, or
  * FLOW_INDEX_NONE */
 uint32_t
 flow_index_oldest(const struct flow_index *table);
 
-/** flow_index_used_us() - when the flow was used last */
+/** flow_index_used_us() - time of the flow's last use */
 uint64_t
 flow_index_used_us(const struct flow_index *table, uint32_t handle);
 
-/** flow_index_flow() - key of a handle */
+/** flow_index_flow() - flow of a handle */
 struct relay_flow
 flow_index_flow(const struct flow_index *table, uint32_t handle);
 
--- a/src/relay/wire/frame.c
+++ b/src/relay/wire/frame.c
@@ -7,17 +7,19 @@
 #define MAGIC_1 'R'
 #define VERSION 4
 
-/* Bytes before a frame's evacuations, and before the data centres in them. */
+/* Sizes in bytes: of magic, version and type; of these with the fixed part of
+ * the evacuations; of each data centre that follows. */
 #define TYPE_SIZE 4
 #define HEAD_SIZE (TYPE_SIZE + 14)
 #define KEY_SIZE 4
 
-/** struct writer - where the next byte goes; there is always room */
+/** struct writer - next byte to write; the caller's buffer is always large
+ * enough */
 struct writer {
     uint8_t *at;
 };
 
-/** struct reader - what is remaining; @underrun is set once a read fails */
+/** struct reader - unread bytes; @underrun is set by a read past the end */
 struct reader {
     const uint8_t *at;
     size_t remaining;
@@ -84,8 +86,8 @@
     return (struct addr){ip, (uint16_t)get(reader, 2)};
 }
 
-/* Size of a frame's head: how many data centres it names comes last in the
- * part that is always there. */
+/* Size of a header. Its last fixed byte is the number of data centres that
+ * follow. */
 static size_t
 head_size(const uint8_t *bytes)
 {
@@ -343,33 +345,33 @@
 }
 
 size_t
-frame_query_reply_encode(const struct frame_query_reply *absent,
+frame_query_reply_encode(const struct frame_query_reply *reply,
                          const struct evacuations *evacuations, uint8_t *bytes)
 {
     struct writer writer = begin(FRAME_QUERY_REPLY, evacuations, bytes);
 
-    put(&writer, absent->query, 4);
-    put(&writer, absent->silent, 1);
-    put(&writer, absent->down, 1);
-    put(&writer, absent->partial, 1);
+    put(&writer, reply->query, 4);
+    put(&writer, reply->silent, 1);
+    put(&writer, reply->down, 1);
+    put(&writer, reply->partial, 1);
     for (unsigned i = 0; i < FRAME_QUERY_WORDS; i++) {
-        put(&writer, absent->absent[i], 4);
+        put(&writer, reply->absent[i], 4);
     }
     return (size_t)(writer.at - bytes);
 }
 
 int
 frame_query_reply_decode(const uint8_t *bytes, size_t size,
-                         struct frame_query_reply *absent)
+                         struct frame_query_reply *reply)
 {
     struct reader reader = body_of(bytes, size);
 
-    absent->query = (uint32_t)get(&reader, 4);
-    absent->silent = get(&reader, 1) != 0;
-    absent->down = get(&reader, 1) != 0;
-    absent->partial = get(&reader, 1) != 0;
+    reply->query = (uint32_t)get(&reader, 4);
+    reply->silent = get(&reader, 1) != 0;
+    reply->down = get(&reader, 1) != 0;
+    reply->partial = get(&reader, 1) != 0;
     for (unsigned i = 0; i < FRAME_QUERY_WORDS; i++) {
-        absent->absent[i] = (uint32_t)get(&reader, 4);
+        reply->absent[i] = (uint32_t)get(&reader, 4);
     }
     return reader.underrun || reader.remaining != 0 ? -EBADMSG : 0;
 }
--- a/src/relay/wire/frame.h
+++ b/src/relay/wire/frame.h
@@ -1,11 +1,11 @@
 /**
- * DOC: frame - what balancers and agents tell each other, one datagram each
+ * DOC: frame - datagrams between balancers and agents
  *
- * A carried packet travels behind a small head of ours that holds what its
- * endpoint needn't see: the service, where else the flow may be, and whom to
- * tell. Each frame, whichever way it goes, names the store's epoch and the
- * evacuated data centres that its sender knows of. All integers are
- * little-endian; a frame of another version or with a wrong length is refused.
+ * A forwarded packet follows a header that names its service, the balancer
+ * that sent it and the other agents that may hold its flow. The endpoint gets
+ * the packet without the header. Every frame carries the store's epoch and the
+ * evacuated data centres that its sender knows of. Integers are little-endian;
+ * a frame of another version or of a wrong length is refused.
  */
 #ifndef SWIFTARCH_RELAY_WIRE_FRAME_H
 #define SWIFTARCH_RELAY_WIRE_FRAME_H
@@ -17,9 +17,9 @@
 #include "relay/wire/evacuations.h"
 #include "relay/wire/packet.h"
 
-/* Agents that a carried packet may still visit. A SYN names those that its
- * flow ranks highest; a packet whose flow is looked for names more, as the
- * order of agents may have changed since. */
+/* Agents that a forwarded packet may still be redirected to. A SYN lists the
+ * highest ranked agents of its flow; a lookup lists more, as the ranking may
+ * have changed since the flow was opened. */
 #define FRAME_NEXT_MAX 15
 #define FRAME_HEADER_MAX 309
 #define FRAME_MAX (FRAME_HEADER_MAX + RELAY_PACKET_MAX)
@@ -28,48 +28,49 @@
 enum frame_type {
     FRAME_FORWARD = 1,     /* a caller's packet towards an endpoint */
     FRAME_ESTABLISHED = 2, /* an agent's endpoint holds the flow */
-    FRAME_REDIRECTED = 3,  /* an agent sent the flow on, or let go of it */
-    FRAME_QUEUED = 4,      /* an agent keeps a SYN until a slot is free */
-    FRAME_STATE = 5,       /* how an agent's endpoint is */
-    FRAME_PING = 6,        /* asks for FRAME_STATE */
-    FRAME_SERVED = 7,      /* addresses that an endpoint serves */
-    FRAME_QUERY = 8,       /* asks an agent which flows its endpoint holds */
-    FRAME_QUERY_REPLY = 9, /* the flows among these that it doesn't hold */
+    FRAME_REDIRECTED = 3, /* the flow went to another agent or was abandoned */
+    FRAME_QUEUED = 4,     /* an agent queues a SYN until a slot is free */
+    FRAME_STATE = 5,      /* health of an agent's endpoint */
+    FRAME_PING = 6,       /* requests a FRAME_STATE */
+    FRAME_SERVED = 7,     /* addresses that an endpoint serves */
+    FRAME_QUERY = 8,      /* asks which flows an agent's endpoint holds */
+    FRAME_QUERY_REPLY =
+        9, /* flows of a query that the endpoint doesn't hold */
     FRAME_TYPE_MAX = FRAME_QUERY_REPLY,
 };
 
-/** enum frame_reason - why an agent passed a flow on */
+/** enum frame_reason - why an agent redirected or abandoned a flow */
 enum frame_reason {
     FRAME_REASON_NONE = 0,
-    FRAME_REASON_BUSY = 1,          /* all slots taken, others may be free */
-    FRAME_REASON_LEAVING = 2,       /* draining or gone */
+    FRAME_REASON_BUSY = 1,          /* all slots are taken */
+    FRAME_REASON_LEAVING = 2,       /* the endpoint is draining or has ended */
     FRAME_REASON_SILENT = 3,        /* the endpoint didn't answer */
     FRAME_REASON_REFUSED = 4,       /* the endpoint bounced the packet */
     FRAME_REASON_WRONG_SERVICE = 5, /* the endpoint is of another service */
-    FRAME_REASON_FAILING = 6,       /* it resets requests; others may not */
+    FRAME_REASON_FAILING = 6,       /* the endpoint resets requests */
     FRAME_REASON_EVACUATED = 7,     /* its data centre is evacuated */
     FRAME_REASON_MAX = FRAME_REASON_EVACUATED,
 };
 
-/** enum endpoint_state - what an agent knows of its endpoint */
+/** enum endpoint_state - state of an agent's endpoint */
 enum endpoint_state {
     ENDPOINT_UNKNOWN = 0,  /* no heartbeat yet; may be tried */
     ENDPOINT_READY = 1,    /* takes new flows */
     ENDPOINT_DRAINING = 2, /* keeps its flows, takes no new ones */
-    ENDPOINT_GONE = 3,     /* said that it ends */
+    ENDPOINT_GONE = 3,     /* has announced its end */
     ENDPOINT_SILENT = 4,   /* doesn't answer */
     ENDPOINT_STATE_MAX = ENDPOINT_SILENT,
 };
 
 /**
- * struct frame_health - an agent's word on its endpoint
+ * struct frame_health - health of an agent's endpoint
  * @service: hash_service() of its service
  * @state: enum endpoint_state
- * @busy: requests in progress, and those that wait for a slot and can still be
- *        in time, as the agent counts them
+ * @busy: requests in progress, and queued ones that can still meet their
+ *        response target
  * @slots: requests that the endpoint runs at a time
- * @failing: resets much of what it is asked
- * @data_centre: evacuations_key() of where it stands, 0 when it doesn't say
+ * @failing: the endpoint resets a large part of its requests
+ * @data_centre: evacuations_key() of the agent's data centre, 0 if unknown
  */
 struct frame_health {
     uint32_t service;
@@ -81,8 +82,8 @@
 };
 
 /**
- * struct frame_config_version - highest configuration that a host has heard of
- * @version: its number, 0 for none
+ * struct frame_config_version - newest configuration that a host has heard of
+ * @version: its version, 0 for none
  * @holder: a balancer that has it
  */
 struct frame_config_version {
@@ -90,18 +91,18 @@
     struct addr holder;
 };
 
-/** enum frame_reader_state - a balancer's part in reading the store's latest
+/** enum frame_reader_state - whether a balancer reads the store's latest state
  */
 enum frame_reader_state {
-    FRAME_READER_NONE = 0,    /* it leaves that to others */
-    FRAME_READER_READING = 1, /* it reads, and the store answers */
-    FRAME_READER_TRYING = 2,  /* it would, and the store doesn't answer */
+    FRAME_READER_NONE = 0,    /* uses stale reads */
+    FRAME_READER_READING = 1, /* reads the latest, and the store answers */
+    FRAME_READER_TRYING = 2,  /* a reader whose calls to the store fail */
     FRAME_READER_MAX = FRAME_READER_TRYING,
 };
 
 /**
- * struct frame_store_view - how a balancer keeps up with the store
- * @version: configuration that it follows, 0 for none
+ * struct frame_store_view - a balancer's view of the store
+ * @version: configuration that the balancer follows, 0 for none
  * @reader: enum frame_reader_state
  */
 struct frame_store_view {
@@ -110,10 +111,10 @@
 };
 
 /**
- * struct frame_readers - balancers but for the addressee that an agent heard
- * from of late
- * @reading: those that read the store's latest
- * @trying: those that try to
+ * struct frame_readers - readers, without the addressee, that an agent
+ * received frames from in the last second
+ * @reading: in state FRAME_READER_READING
+ * @trying: in state FRAME_READER_TRYING
  */
 struct frame_readers {
     uint8_t reading;
@@ -121,26 +122,26 @@
 };
 
 /**
- * struct frame_forward - a caller's packet on its way
+ * struct frame_forward - a caller's packet from a balancer to an agent, or
+ * between agents
  * @service: hash_service() of the service that its route names
- * @origin: balancer that took it from the caller
- * @view: how that balancer keeps up with the store
- * @forced: take it though all slots are busy
- * @target_ms: of a SYN, how soon its request should be answered to be in
- *             time; 0 when it is late already
+ * @origin: balancer that received the packet from the caller
+ * @view: that balancer's view of the store
+ * @forced: accept the SYN even if all slots are busy
+ * @target_ms: of a SYN, time left to meet the response target; 0 if it is past
+ *             already
  * @priority: of its route, 0 is most urgent
  * @caller_timeout_ms: of a SYN, how long its caller waits for an answer
- * @request_timeout_ms: of a SYN, how long its request may take until its
- * answer is of no use
- * @slow_start_limit: of a SYN, requests that the endpoint may get in a second
- *                 until it is warm; 0 for any number
- * @hops: agents that have seen it
- * @best: agent with the least load so far, ip 0 for none
- * @best_load: its load, in 1/16 of its slots
- * @next: agents to go on to, best first
- * @next_count: how many
+ * @request_timeout_ms: of a SYN, time budget of its request
+ * @slow_start_limit: of a SYN, requests a second that a cold endpoint may get;
+ *                    0 for no limit
+ * @hops: agents that the packet has visited
+ * @best: least loaded agent visited so far, ip 0 for none
+ * @best_load: its load in 1/16 of its slots
+ * @next: agents to redirect to, best first
+ * @next_count: number of these
  * @bytes: the packet
- * @size: its size
+ * @size: its size in bytes
  */
 struct frame_forward {
     uint32_t service;
@@ -162,9 +163,10 @@
 };
 
 /**
- * struct frame_ping - a balancer asks an agent for its word
- * @view: how the balancer keeps up with the store
- * @unlisted: the store named the agent once and doesn't any more
+ * struct frame_ping - a balancer requests an agent's health
+ * @view: the balancer's view of the store
+ * @unlisted: the store listed the agent before and doesn't any more, so that
+ *            the agent registers again
  */
 struct frame_ping {
     struct frame_store_view view;
@@ -172,16 +174,16 @@
 };
 
 /**
- * struct frame_status - an agent's answer to a balancer
+ * struct frame_status - status report of an agent to a balancer
  * @type: FRAME_ESTABLISHED, FRAME_REDIRECTED, FRAME_QUEUED or FRAME_STATE
  * @reason: for FRAME_REDIRECTED, enum frame_reason
- * @target: for FRAME_REDIRECTED, the agent that has the packet now; ip 0 when
- *          nobody has
- * @flow: the flow, but for FRAME_STATE
+ * @target: for FRAME_REDIRECTED, the agent that the packet was sent to; ip 0
+ *          if the flow was abandoned
+ * @flow: the flow; unused in FRAME_STATE
  * @seq: for FRAME_ESTABLISHED, sequence number of the endpoint's SYN+ACK
- * @health: the endpoint
+ * @health: health of the endpoint
  * @heard: newest configuration that the agent has heard of
- * @readers: who reads the store
+ * @readers: readers that the agent counts
  */
 struct frame_status {
     uint8_t type;
@@ -194,18 +196,18 @@
     struct frame_readers readers;
 };
 
-/* Addresses that one frame tells. */
+/* Maximum number of addresses in a frame. */
 #define FRAME_SERVED_MAX 16
 
 /**
- * struct frame_served - addresses under which callers reach an endpoint
+ * struct frame_served - service addresses of an endpoint
  *
- * Seen in flows that the endpoint held before its agent started: for
- * balancers that have no configuration and can't get one.
+ * The agent takes them from flows that the endpoint held before the agent
+ * started. Balancers without a configuration route by them.
  *
  * @service: hash_service() of its service
  * @addrs: the addresses
- * @count: how many
+ * @count: number of addresses
  */
 struct frame_served {
     uint32_t service;
@@ -213,18 +215,18 @@
     uint8_t count;
 };
 
-/* Flows that one frame asks for: 12 bytes each, the whole no larger than a
- * carried packet. A multiple of 32. */
+/* Maximum number of flows in a query, a multiple of 32. At 12 bytes each the
+ * frame is no larger than one with a forwarded packet. */
 #define FRAME_QUERY_MAX 96
 #define FRAME_QUERY_WORDS (FRAME_QUERY_MAX / 32)
 
 /**
- * struct frame_query - a balancer asks all agents of a service for flows that
- * no search has found
- * @query: names the question
- * @view: how the balancer keeps up with the store
+ * struct frame_query - a balancer asks all agents of a service which of the
+ * flows their endpoints hold, after a lookup found none
+ * @query: identifies the query
+ * @view: the balancer's view of the store
  * @flows: the flows
- * @count: how many
+ * @count: number of flows
  */
 struct frame_query {
     uint32_t query;
@@ -234,13 +236,13 @@
 };
 
 /**
- * struct frame_query_reply - an agent's answer
- * @query: the question
- * @silent: the endpoint shows no sign of life: the rest says nothing
- * @down: the endpoint's process isn't there
- * @partial: the endpoint may hold flows that the agent doesn't know, so that
- *           only their packets can tell
- * @absent: a bit for each flow that the endpoint doesn't hold, for certain
+ * struct frame_query_reply - an agent's reply to a query
+ * @query: the query
+ * @silent: the endpoint doesn't answer; the other fields aren't valid
+ * @down: the endpoint's process isn't running
+ * @partial: the endpoint may hold flows that the agent doesn't track
+ * @absent: a bit for each flow of the query that the endpoint certainly
+ *          doesn't hold
  */
 struct frame_query_reply {
     uint32_t query;
@@ -250,75 +252,76 @@
     uint32_t absent[FRAME_QUERY_WORDS];
 };
 
-/** frame_type() - kind of a frame, -EBADMSG for what is none of ours */
+/** frame_type() - enum frame_type of a datagram; -EBADMSG if it isn't a frame
+ * of this version */
 int
 frame_type(const uint8_t *bytes, size_t size);
 
-/** frame_evacuations_decode() - the store's epoch and the evacuated data
- * centres that a frame names; frame_type() has accepted it */
+/** frame_evacuations_decode() - reads epoch and evacuated data centres of a
+ * frame that frame_type() has accepted */
 void
 frame_evacuations_decode(const uint8_t *bytes,
                          struct evacuations *evacuations);
 
-/** frame_forward_encode() - write @forward into FRAME_MAX bytes; its size */
+/** frame_forward_encode() - writes @forward into FRAME_MAX bytes; returns the
+ * frame's size, as do the other encoders */
 size_t
 frame_forward_encode(const struct frame_forward *forward,
                      const struct evacuations *evacuations, uint8_t *bytes);
 
-/** frame_forward_decode() - read it; 0 or -EBADMSG. @forward->bytes points
- * into
- * @bytes. */
+/** frame_forward_decode() - reads a FRAME_FORWARD; 0 or -EBADMSG.
+ * @forward->bytes points into @bytes. */
 int
 frame_forward_decode(const uint8_t *bytes, size_t size,
                      struct frame_forward *forward);
 
-/** frame_status_encode() - write @status into FRAME_HEADER_MAX bytes */
+/** frame_status_encode() - writes @status into FRAME_HEADER_MAX bytes */
 size_t
 frame_status_encode(const struct frame_status *status,
                     const struct evacuations *evacuations, uint8_t *bytes);
 
-/** frame_status_decode() - read it; 0 or -EBADMSG */
+/** frame_status_decode() - reads a status frame; 0 or -EBADMSG */
 int
 frame_status_decode(const uint8_t *bytes, size_t size,
                     struct frame_status *status);
 
-/** frame_served_encode() - write @served into FRAME_HEADER_MAX bytes */
+/** frame_served_encode() - writes @served into FRAME_HEADER_MAX bytes */
 size_t
 frame_served_encode(const struct frame_served *served,
                     const struct evacuations *evacuations, uint8_t *bytes);
 
-/** frame_served_decode() - read it; 0 or -EBADMSG */
+/** frame_served_decode() - reads a FRAME_SERVED; 0 or -EBADMSG */
 int
 frame_served_decode(const uint8_t *bytes, size_t size,
                     struct frame_served *served);
 
-/** frame_query_encode() - write @query into FRAME_MAX bytes */
+/** frame_query_encode() - writes @query into FRAME_MAX bytes */
 size_t
 frame_query_encode(const struct frame_query *query,
                    const struct evacuations *evacuations, uint8_t *bytes);
 
-/** frame_query_decode() - read it; 0 or -EBADMSG */
+/** frame_query_decode() - reads a FRAME_QUERY; 0 or -EBADMSG */
 int
 frame_query_decode(const uint8_t *bytes, size_t size,
                    struct frame_query *query);
 
-/** frame_query_reply_encode() - write @absent into FRAME_HEADER_MAX bytes */
+/** frame_query_reply_encode() - writes @reply into FRAME_HEADER_MAX bytes */
 size_t
-frame_query_reply_encode(const struct frame_query_reply *absent,
+frame_query_reply_encode(const struct frame_query_reply *reply,
                          const struct evacuations *evacuations,
                          uint8_t *bytes);
 
-/** frame_query_reply_decode() - read it; 0 or -EBADMSG */
+/** frame_query_reply_decode() - reads a FRAME_QUERY_REPLY; 0 or -EBADMSG */
 int
 frame_query_reply_decode(const uint8_t *bytes, size_t size,
-                         struct frame_query_reply *absent);
+                         struct frame_query_reply *reply);
 
-/** frame_ping_encode() - write @ping into FRAME_HEADER_MAX bytes */
+/** frame_ping_encode() - writes @ping into FRAME_HEADER_MAX bytes */
 size_t
 frame_ping_encode(const struct frame_ping *ping,
                   const struct evacuations *evacuations, uint8_t *bytes);
 
-/** frame_ping_decode() - read it; 0 or -EBADMSG */
+/** frame_ping_decode() - reads a FRAME_PING; 0 or -EBADMSG */
 int
 frame_ping_decode(const uint8_t *bytes, size_t size, struct frame_ping *ping);
 
--- a/src/relay/wire/packet.h
+++ b/src/relay/wire/packet.h
@@ -1,9 +1,9 @@
 /**
- * DOC: packet - a packet of a relayed flow, as the decisions see it
+ * DOC: packet - header fields of a packet of a relayed flow
  *
- * In relay mode the two ends of a flow are the caller and the endpoint
- * itself. Balancer and agent read the head of a packet to find its flow and
- * hand on the bytes unchanged.
+ * In relay mode the two ends of a flow are the caller and the endpoint itself.
+ * Balancer and agent read a packet's header to find its flow and forward the
+ * bytes unchanged.
  */
 #ifndef SWIFTARCH_RELAY_WIRE_PACKET_H
 #define SWIFTARCH_RELAY_WIRE_PACKET_H
@@ -14,29 +14,30 @@
 
 #include "base/addr.h"
 
-/* Head and data of the largest packet that a flow carries, bytes. */
+/* Size in bytes of the largest packet, with its header. */
 #define RELAY_PACKET_MAX 1234
 
-/** enum relay_packet_flag - what a packet says about its flow */
+/** enum relay_packet_flag - TCP-like flags of a packet */
 enum relay_packet_flag {
-    RELAY_SYN = 1 << 0,     /* opens the flow */
-    RELAY_ACK = 1 << 1,     /* the acknowledgement number counts */
-    RELAY_FIN = 1 << 2,     /* its sender sends no more */
-    RELAY_RST = 1 << 3,     /* the flow is over */
-    RELAY_BOUNCED = 1 << 4, /* an endpoint could not take the packet */
+    RELAY_SYN = 1 << 0, /* opens the flow */
+    RELAY_ACK = 1 << 1, /* the acknowledgement number is valid */
+    RELAY_FIN = 1 << 2, /* the sender sends no more data */
+    RELAY_RST = 1 << 3, /* ends the flow at once */
+    RELAY_BOUNCED =
+        1 << 4, /* returned by an endpoint that couldn't accept it */
 };
 
 /**
- * struct relay_packet - head of a packet, and where its bytes are
- * @from: sender's end
- * @to: the other end
+ * struct relay_packet - decoded header of a packet
+ * @from: address of the sender
+ * @to: address of the receiver
  * @seq: sequence number
- * @ack: acknowledgement number; in a SYN how often it was sent before
- * @len: bytes of data behind the head
+ * @ack: acknowledgement number; in a SYN the number of earlier copies
+ * @len: bytes of data after the header
  * @flags: enum relay_packet_flag
- * @age_ms: of a SYN, how long ago its first copy was sent
- * @caller_timeout_ms: of a SYN, how long its caller waits for an answer to it
- * @bytes: the whole packet, owned by the caller of a decision
+ * @age_ms: of a SYN, time since its first copy was sent
+ * @caller_timeout_ms: of a SYN, how long its caller still waits for an answer
+ * @bytes: the whole packet; not owned
  * @size: its size in bytes
  */
 struct relay_packet {
@@ -53,20 +54,21 @@
 };
 
 /**
- * struct relay_flow - names a flow in both directions
- * @caller: the caller's end
- * @service: address and port that the caller opened
+ * struct relay_flow - key of a flow, the same for both directions
+ * @caller: the caller's address
+ * @service: the address that the caller connected to
  */
 struct relay_flow {
     struct addr caller;
     struct addr service;
 };
 
-/** relay_flow_equal() - whether both name the same flow */
+/** relay_flow_equal() - whether both keys name the same flow */
 bool
 relay_flow_equal(struct relay_flow a, struct relay_flow b);
 
-/** relay_flow_hash() - the same on each host and in each run */
+/** relay_flow_hash() - hash of a flow, the same on each host and in each run
+ */
 uint64_t
 relay_flow_hash(struct relay_flow flow);
 
@@ -78,11 +80,12 @@
 struct relay_flow
 relay_flow_from_endpoint(const struct relay_packet *packet);
 
-/** relay_packet_is_syn() - a caller's SYN, the first or a copy */
+/** relay_packet_is_syn() - whether it is a caller's SYN, the first or a copy
+ */
 bool
 relay_packet_is_syn(const struct relay_packet *packet);
 
-/** relay_packet_is_syn_ack() - an endpoint's SYN+ACK */
+/** relay_packet_is_syn_ack() - whether it is an endpoint's SYN+ACK */
 bool
 relay_packet_is_syn_ack(const struct relay_packet *packet);
 
--- a/src/relay/wire/store_state.c
+++ b/src/relay/wire/store_state.c
@@ -4,27 +4,28 @@
 
 #include "base/clock.h"
 
-/* How long operators may take to write again what the store has lost. */
+/* Time within which operators evacuate data centres again after a rollback. */
 #define PREVIOUS_EPOCH_TTL_US (10 * USEC_PER_SEC)
 
-/* How long agents may take for that: they hear of it with the next frame, look
- * within seconds, and look once more 10 s later, as cheap reads may show what
- * the store has lost. */
+/* Time within which agents register again after a rollback: they read their
+ * objects within seconds, and once more 10 s later because a stale read may
+ * still return an object that is lost. */
 #define RECOVERY_S 20
 
 static void
 save_previous_epoch(struct store_state *state, uint64_t now_us)
 {
     for (unsigned i = 0; i < state->latest.count; i++) {
-        /* Of too many the last are left out, as in the set itself. */
+        /* Data centres that don't fit are left out, as in the set itself. */
         (void)evacuations_add(&state->previous, state->latest.data_centres[i]);
     }
     state->rollback_us = now_us;
     state->recovered_us = now_us + RECOVERY_S * USEC_PER_SEC;
 }
 
-/* A host that has started since knows of the loss from others only. Who knows
- * of it keeps its own word, or it would go round without end. */
+/* A host that started after the rollback learns the recovery time from others.
+ * A host that has one keeps it, as hosts would else extend it for each other
+ * without end. */
 static void
 adopt_recovery(struct store_state *state, const struct evacuations *latest,
                uint64_t now_us)
@@ -39,26 +40,26 @@
 static void
 update_recovery(struct store_state *state, uint64_t now_us)
 {
-    uint64_t left_us =
+    uint64_t remaining_us =
         state->recovered_us > now_us ? state->recovered_us - now_us : 0;
 
     state->latest.recovery_s =
-        (uint8_t)((left_us + USEC_PER_SEC - 1) / USEC_PER_SEC);
+        (uint8_t)((remaining_us + USEC_PER_SEC - 1) / USEC_PER_SEC);
 }
 
 bool
 store_state_update(struct store_state *state, const struct evacuations *latest,
                    uint64_t now_us)
 {
-    bool older =
+    bool rolled_back =
         state->latest.epoch != 0 && latest->epoch > state->latest.epoch;
-    bool changed = older || !evacuations_equal(&state->latest, latest);
+    bool changed = rolled_back || !evacuations_equal(&state->latest, latest);
 
     if (!evacuations_newer(latest, &state->latest)) {
         adopt_recovery(state, latest, now_us);
         return false;
     }
-    if (older) {
+    if (rolled_back) {
         save_previous_epoch(state, now_us);
     }
     state->latest = *latest;
--- a/src/relay/wire/store_state.h
+++ b/src/relay/wire/store_state.h
@@ -1,11 +1,11 @@
 /**
- * DOC: store_state - what a host was latest of the store, and by the store
+ * DOC: store_state - a host's latest knowledge of the store's epoch and
+ * evacuations
  *
- * The store may come back from a copy that is some seconds old; its epoch says
- * so. What operators wrote since that copy is written again a little later, so
- * until then a data centre that was evacuated stays evacuated though the store
- * doesn't name it. What agents wrote since is gone until they write it again:
- * until then a list of agents may lack some that live.
+ * The store may be restored from a copy that is some seconds old; its epoch
+ * then grows. Until operators have had time to evacuate data centres again,
+ * those of the previous epoch stay evacuated. Until agents have registered
+ * again, a list of agents may be incomplete.
  */
 #ifndef SWIFTARCH_RELAY_WIRE_STORE_STATE_H
 #define SWIFTARCH_RELAY_WIRE_STORE_STATE_H
@@ -16,13 +16,13 @@
 #include "relay/wire/evacuations.h"
 
 /**
- * struct store_state - the latest word of it
- * @latest: epoch, revision and evacuated data centres, as latest to others
- * @previous: those that were evacuated in the epoch before
- * @rollback_us: when it was latest that the store has come back older, 0 for
- * never
- * @recovered_us: when agents have written again what it lost in its last
- * epoch, 0 when nobody latest of a loss
+ * struct store_state - epoch, evacuations and recovery after a rollback
+ * @latest: latest epoch, revision and evacuated data centres; sent with each
+ *          frame
+ * @previous: data centres that were evacuated in earlier epochs
+ * @rollback_us: when the host learned of the last rollback, 0 for never
+ * @recovered_us: when agents have registered again after it, 0 if no rollback
+ *                is known
  */
 struct store_state {
     struct evacuations latest;
@@ -32,30 +32,32 @@
 };
 
 /**
- * store_state_update() - take over @latest if that is newer
+ * store_state_update() - adopts @latest if it is newer
  *
- * Return: whether the data centres in it, or the epoch, have changed.
+ * Return: whether the epoch or the evacuated data centres have changed.
  */
 bool
 store_state_update(struct store_state *state, const struct evacuations *latest,
                    uint64_t now_us);
 
-/** store_state_is_evacuated() - whether nothing new may go to a data centre */
+/** store_state_is_evacuated() - whether a data centre is evacuated, now or in
+ * an epoch before that still counts */
 bool
 store_state_is_evacuated(const struct store_state *state, uint32_t key);
 
-/** store_state_is_recovered() - whether all that agents wrote must be in the
- * store again since it came back older, if it did */
+/** store_state_is_recovered() - whether agents have had time to register again
+ * since the last rollback, if any */
 bool
 store_state_is_recovered(const struct store_state *state, uint64_t now_us);
 
-/** store_state_tick() - give up what the epoch before said, once operators
- * have had the time to say it again, and mind what is latest to others;
- * whether other data centres are evacuated by that */
+/** store_state_tick() - updates the recovery time that frames carry and drops
+ * evacuations of previous epochs once they expire; returns whether they
+ * expired. Called from the owner's own tick. */
 bool
 store_state_tick(struct store_state *state, uint64_t now_us);
 
-/** store_state_next_us() - when that is, UINT64_MAX for never */
+/** store_state_next_us() - when evacuations of previous epochs expire,
+ * UINT64_MAX for never */
 uint64_t
 store_state_next_us(const struct store_state *state);
 
