--- a/tests/relay/confirm_test.c
+++ b/tests/relay/confirm_test.c
@@ -6,8 +6,8 @@
 
 #define SUITE "/relay/confirm"
 
-/** struct fixture - a list at revision 40, and a store that answers when told
- */
+/** struct fixture - a list at revision 40, and a store whose replies the test
+ * sends */
 struct fixture {
     struct confirm confirm;
     struct store store;
@@ -43,7 +43,7 @@
                                            .cancel = store_cancel};
 
 static void
-object(struct watcher *watcher, const struct store_object *told)
+object(struct watcher *watcher, const struct store_object *changed)
 {
     container_of(watcher, struct fixture, watcher)->objects++;
 }
@@ -89,11 +89,11 @@
     g_assert_cmpuint(fixture->complete_us, ==, 1000);
 }
 
-TEST_F(fixture, a_change_or_failure_confirms_nothing)
+TEST_F(fixture, changes_and_failures_confirm_nothing)
 {
-    struct store_object told = {.name = "a", .revision = 43};
+    struct store_object changed = {.name = "a", .revision = 43};
     const struct store_reply replies[] = {
-        {.count = 1, .objects = &told, .revision = 44},
+        {.count = 1, .objects = &changed, .revision = 44},
         {.unreadable = 1, .revision = 44},
         {.status = -EBUSY},
         {.status = -ESTALE},
@@ -108,12 +108,12 @@
     g_assert_cmpuint(fixture->calls, ==, G_N_ELEMENTS(replies));
 }
 
-/* The follower's own watch may be told of them seconds later. */
-TEST_F(fixture, changes_go_to_the_follower_unless_it_knows_more)
+/* The watcher's own watch may receive the changes seconds later. */
+TEST_F(fixture, changes_are_applied_unless_the_watcher_is_newer)
 {
-    struct store_object told = {.name = "a", .revision = 43};
+    struct store_object changed = {.name = "a", .revision = 43};
     struct store_reply changes = {
-        .count = 1, .objects = &told, .revision = 44};
+        .count = 1, .objects = &changed, .revision = 44};
 
     confirm_start(&fixture->confirm, 1000);
     answer(fixture, changes);
@@ -126,20 +126,20 @@
     g_assert_cmpuint(fixture->watcher.revision, ==, 47);
 }
 
-TEST_F(fixture, changes_end_a_watch_that_begins_before_them)
+TEST_F(fixture, changes_cancel_the_open_watch)
 {
-    struct store_object told = {.name = "a", .revision = 43};
+    struct store_object changed = {.name = "a", .revision = 43};
 
     fixture->watcher.open = true;
     confirm_start(&fixture->confirm, 1000);
-    answer(fixture,
-           (struct store_reply){.count = 1, .objects = &told, .revision = 44});
+    answer(fixture, (struct store_reply){
+                        .count = 1, .objects = &changed, .revision = 44});
     g_assert_cmpuint(fixture->cancelled, ==, 1);
     g_assert_false(fixture->watcher.open);
 }
 
-/* The follower lists anew while the call is open. */
-TEST_F(fixture, a_list_that_is_reread_is_not_complete)
+/* The watcher lists again while the call is open. */
+TEST_F(fixture, relisting_confirms_nothing)
 {
     confirm_start(&fixture->confirm, 1000);
     fixture->watcher.state = WATCHER_LIST;
@@ -158,8 +158,8 @@
     g_assert_cmpuint(fixture->complete_us, ==, 1000);
 }
 
-/* A revision may be given out again after the store came back older. */
-TEST_F(fixture, a_reply_of_another_epoch_confirms_nothing)
+/* Revisions repeat after a rollback of the store. */
+TEST_F(fixture, reply_of_another_epoch_confirms_nothing)
 {
     fixture->watcher.epoch = 1;
     confirm_start(&fixture->confirm, 1000);
@@ -168,7 +168,7 @@
     g_assert_cmpint(fixture->watcher.state, ==, WATCHER_LIST);
 }
 
-TEST_F(fixture, a_list_that_changed_epoch_confirms_nothing)
+TEST_F(fixture, watcher_in_another_epoch_confirms_nothing)
 {
     fixture->watcher.epoch = 1;
     confirm_start(&fixture->confirm, 1000);
--- a/tests/relay/flow_index_test.c
+++ b/tests/relay/flow_index_test.c
@@ -6,17 +6,17 @@
 #define CAPACITY 64
 #define STEPS 20000
 
-TEST(what_was_added_is_found_until_it_is_removed)
+TEST(flows_are_found_until_removed)
 {
     struct flow_index index;
     uint32_t handles[200];
-    bool there[200] = {false};
+    bool present[200] = {false};
 
     g_assert_cmpint(flow_index_init(&index, 256), ==, 0);
     for (unsigned step = 0; step < STEPS; step++) {
         unsigned i = (unsigned)g_test_rand_int_range(0, 200);
 
-        if (there[i]) {
+        if (present[i]) {
             g_assert_cmpuint(flow_index_find(&index, fixture_flow(i)), ==,
                              handles[i]);
             g_assert_true(relay_flow_equal(flow_index_flow(&index, handles[i]),
@@ -28,7 +28,7 @@
                              FLOW_INDEX_NONE);
             handles[i] = flow_index_add(&index, fixture_flow(i), step);
         }
-        there[i] = !there[i];
+        present[i] = !present[i];
     }
     flow_index_finish(&index);
 }
@@ -65,10 +65,10 @@
         flow_index_add(&index, fixture_flow(i), i);
     }
     for (unsigned i = 0; i < 10 * CAPACITY; i++) {
-        bool there =
+        bool present =
             flow_index_find(&index, fixture_flow(i)) != FLOW_INDEX_NONE;
 
-        g_assert_cmpint(there, ==, i >= 9 * CAPACITY);
+        g_assert_cmpint(present, ==, i >= 9 * CAPACITY);
     }
     flow_index_finish(&index);
 }
--- a/tests/relay/format_test.c
+++ b/tests/relay/format_test.c
@@ -10,13 +10,13 @@
 #define SUITE "/relay/format"
 #define MUTATIONS 20000
 
-/* A caller's SYN, second copy, and how it should be read. */
+/* The second copy of a caller's SYN. */
 static const uint8_t syn[PACKET_FORMAT_HEADER_SIZE] = {
     0xd2, 0x04, 0x09, 0x00, 0x40, 0x64, 0x39, 0x30, 0x07, 0x00, 0x12, 0xc6,
     0x78, 0x56, 0x34, 0x12, 0x01, 0x00, 0x00, 0x00, 0xaa, 0xbb, 0xcc, 0xdd,
     0x00, 0x00, 0x04, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00};
 
-TEST(a_packet_is_read)
+TEST(packet_header_is_decoded)
 {
     struct relay_packet packet;
 
@@ -31,7 +31,7 @@
     g_assert_cmpuint(packet.caller_timeout_ms, ==, 1200);
 }
 
-TEST(a_copy_beyond_the_last_is_as_old_as_the_last)
+TEST(syn_age_is_capped_at_the_last_copy)
 {
     struct relay_packet packet;
     uint8_t bytes[sizeof(syn)];
@@ -43,7 +43,7 @@
     g_assert_cmpuint(packet.age_ms, ==, 600);
 }
 
-TEST(what_is_no_packet_is_refused)
+TEST(invalid_packets_are_refused)
 {
     uint8_t bytes[PACKET_FORMAT_HEADER_SIZE + PACKET_FORMAT_DATA_MAX + 1] = {
         0};
@@ -59,7 +59,7 @@
     g_assert_cmpint(packet_format_decode(bytes, 34, &packet), ==, -EPROTO);
 }
 
-TEST(a_reset_goes_from_the_service_to_the_caller)
+TEST(reset_is_sent_from_service_to_caller)
 {
     uint8_t bytes[PACKET_FORMAT_HEADER_SIZE];
     struct relay_packet packet;
@@ -76,7 +76,7 @@
 }
 
 static int
-read_config(const char *text, struct routes *routes, struct error *err)
+decode_config(const char *text, struct routes *routes, struct error *err)
 {
     struct json_object *json = json_tokener_parse(text);
     int ret = config_format_decode(json, routes, err);
@@ -89,7 +89,7 @@
     "{\"name\":\"" name "\",\"host\":\"" host "\",\"pathPrefix\":\"" port     \
     "\",\"timeoutMs\":1500,\"targetLatencyMs\":100,\"priority\":2,"
 
-TEST(a_configuration_is_read)
+TEST(configuration_is_decoded)
 {
     struct routes routes;
     struct error err = {0};
@@ -97,7 +97,7 @@
     const struct route *route;
 
     g_assert_cmpint(
-        read_config(
+        decode_config(
             "{\"version\":7,\"limits\":{\"idleTimeoutMs\":15000},"
             "\"routes\":[" ROUTE(
                 "b", "198.18.0.2",
@@ -130,7 +130,7 @@
     routes_finish(&routes);
 }
 
-TEST(shares_follow_their_weights)
+TEST(services_are_chosen_by_weight)
 {
     struct route route = {
         .shares = {{1, 90}, {2, 10}},
@@ -147,9 +147,9 @@
     g_assert_cmpuint(second, <, 1150);
 }
 
-TEST(a_wrong_configuration_is_refused_whole)
+TEST(invalid_configuration_is_refused_as_a_whole)
 {
-    static const char *const wrong[] = {
+    static const char *const invalid[] = {
         "[]",
         "{\"routes\":[]}",
         "{\"version\":0,\"routes\":[]}",
@@ -172,18 +172,18 @@
                                                 "/80/") "\"service\":\"s\"}]}",
     };
 
-    for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
         struct routes routes;
         struct error err = {0};
 
-        g_assert_cmpint(read_config(wrong[i], &routes, &err), ==, -EINVAL);
+        g_assert_cmpint(decode_config(invalid[i], &routes, &err), ==, -EINVAL);
         g_assert_cmpuint(routes.count, ==, 0);
         g_assert_cmpstr(err.detail, !=, "");
     }
 }
 
 static int
-read_heartbeat(const char *text, struct heartbeat *heartbeat)
+decode_heartbeat(const char *text, struct heartbeat *heartbeat)
 {
     enum heartbeat_format_fault fault;
     struct error err = {0};
@@ -194,15 +194,15 @@
     return ret;
 }
 
-TEST(a_heartbeat_is_read)
+TEST(heartbeat_is_decoded)
 {
     struct heartbeat heartbeat;
 
     g_assert_cmpint(
-        read_heartbeat("{\"service\":\"lots\",\"address\":\"10.0.0.1:80\","
-                       "\"slots\":3,\"state\":\"draining\","
-                       "\"warmupLeftMs\":1500,\"sequence\":12,\"new\":[]}",
-                       &heartbeat),
+        decode_heartbeat("{\"service\":\"lots\",\"address\":\"10.0.0.1:80\","
+                         "\"slots\":3,\"state\":\"draining\","
+                         "\"warmupLeftMs\":1500,\"sequence\":12,\"new\":[]}",
+                         &heartbeat),
         ==, 0);
     g_assert_cmpstr(heartbeat.id, ==, "i-1");
     g_assert_cmpuint(heartbeat.service, ==, hash_service("lots"));
@@ -214,22 +214,23 @@
 
 #define BEAT(rest) "{\"service\":\"lots\",\"state\":\"ready\"," rest "}"
 
-TEST(an_incarnation_is_known_by_its_time)
+TEST(heartbeat_may_contain_the_start_time)
 {
     struct heartbeat heartbeat;
 
     g_assert_cmpint(
-        read_heartbeat(BEAT("\"slots\":2,\"sequence\":1"), &heartbeat), ==, 0);
+        decode_heartbeat(BEAT("\"slots\":2,\"sequence\":1"), &heartbeat), ==,
+        0);
     g_assert_cmpuint(heartbeat.started_ms, ==, 0);
     g_assert_cmpint(
-        read_heartbeat(
+        decode_heartbeat(
             BEAT("\"slots\":2,\"sequence\":1,\"born\":1790000000123"),
             &heartbeat),
         ==, 0);
     g_assert_cmpuint(heartbeat.started_ms, ==, 1790000000123);
 }
 
-TEST(a_goodbye_may_name_its_incarnation)
+TEST(goodbye_may_contain_the_start_time)
 {
     static const struct {
         const char *body;
@@ -248,9 +249,9 @@
     }
 }
 
-TEST(wrong_heartbeats_are_refused)
+TEST(invalid_heartbeats_are_refused)
 {
-    static const char *const wrong[] = {
+    static const char *const invalid[] = {
         "",
         "{",
         "7",
@@ -261,7 +262,7 @@
         "{\"service\":\"lots\",\"state\":\"ready\",\"slots\":-1}",
         "{\"service\":\"lots\",\"state\":\"ready\",\"slots\":\"2\"}",
         "{\"service\":\"lots\",\"state\":\"ready\",\"sequence\":-4}",
-        /* One field each that no endpoint writes so. */
+        /* One invalid or missing field each. */
         BEAT("\"slots\":2"),
         BEAT("\"sequence\":1"),
         BEAT("\"slots\":0,\"sequence\":1"),
@@ -281,12 +282,12 @@
     };
     struct heartbeat heartbeat;
 
-    for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++) {
-        g_assert_cmpint(read_heartbeat(wrong[i], &heartbeat), ==, -EINVAL);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+        g_assert_cmpint(decode_heartbeat(invalid[i], &heartbeat), ==, -EINVAL);
     }
 }
 
-TEST(ids_are_one_word_of_a_path)
+TEST(endpoint_id_is_one_path_segment)
 {
     g_assert_cmpstr(heartbeat_format_id("/instances/i-7"), ==, "i-7");
     g_assert_null(heartbeat_format_id("/instances/"));
@@ -297,7 +298,8 @@
                                       "xxxxxxxxxxxxxxxxxxxxxxxxxxxxx"));
 }
 
-/* Changes a few bytes of @text, or cuts it. */
+/* Changes a few random bytes of @text and may truncate it; returns its length.
+ */
 static size_t
 mutate(char *text, size_t len)
 {
@@ -328,7 +330,7 @@
     }
 }
 
-TEST(mutated_texts_do_not_crash)
+TEST(mutated_json_does_not_crash)
 {
     static const char beat[] = "{\"service\":\"lots\",\"slots\":3,"
                                "\"state\":\"ready\",\"sequence\":12}";
@@ -350,14 +352,14 @@
                                       &err);
         memcpy(text, config, sizeof(config));
         text[mutate(text, sizeof(config) - 1)] = '\0';
-        if (read_config(text, &routes, &err) == 0) {
+        if (decode_config(text, &routes, &err) == 0) {
             g_assert_cmpuint(routes.version, >, 0);
             routes_finish(&routes);
         }
     }
 }
 
-TEST(rates_of_cold_endpoints_are_read_with_their_services)
+TEST(slow_start_rates_are_decoded)
 {
     static const char config[] =
         "{\"version\":3,\"routes\":[{\"name\":\"a\",\"host\":"
@@ -401,7 +403,7 @@
     return ret;
 }
 
-TEST(region_affinity_of_a_route_is_read)
+TEST(allowed_regions_are_decoded)
 {
     struct routes routes;
 
@@ -417,7 +419,7 @@
     g_assert_cmpint(decode_region_affinity("[]", &routes), ==, 0);
     g_assert_true(region_affinity_allows(&routes.items[0].region_affinity, 0));
     routes_finish(&routes);
-    /* Better the configuration before than a home that is ignored. */
+    /* An invalid list is an error, or requests might leave their regions. */
     g_assert_cmpint(decode_region_affinity("\"coast\"", &routes), ==, -EINVAL);
     g_assert_cmpint(decode_region_affinity("[7]", &routes), ==, -EINVAL);
 }
--- a/tests/relay/frame_test.c
+++ b/tests/relay/frame_test.c
@@ -10,7 +10,7 @@
 
 static const uint8_t packet[40] = {1, 2, 3, 4};
 
-/* What frames say of evacuations where a test isn't about them. */
+/* For tests that don't check evacuations. */
 static const struct evacuations no_evacuations = {.revision = 1};
 
 static struct frame_forward
@@ -111,7 +111,7 @@
     struct frame_ping read = {0};
     struct frame_served served = {
         .service = 3, .addrs = {fixture_addr("198.18.0.1:80")}, .count = 1};
-    struct frame_served told;
+    struct frame_served decoded;
     uint8_t bytes[FRAME_HEADER_MAX];
     size_t size = frame_ping_encode(&ping, &no_evacuations, bytes);
 
@@ -120,9 +120,9 @@
     g_assert_cmpuint(read.view.reader, ==, FRAME_READER_TRYING);
     g_assert_cmpuint(read.view.version, ==, 4);
     size = frame_served_encode(&served, &no_evacuations, bytes);
-    g_assert_cmpint(frame_served_decode(bytes, size, &told), ==, 0);
-    g_assert_cmpuint(told.count, ==, 1);
-    g_assert_true(addr_equal(told.addrs[0], served.addrs[0]));
+    g_assert_cmpint(frame_served_decode(bytes, size, &decoded), ==, 0);
+    g_assert_cmpuint(decoded.count, ==, 1);
+    g_assert_true(addr_equal(decoded.addrs[0], served.addrs[0]));
 }
 
 TEST(an_unknown_reader_state_is_refused)
@@ -138,13 +138,13 @@
     g_assert_cmpint(frame_forward_decode(bytes, size, &forward), ==, -EBADMSG);
 }
 
-/* Whatever a frame is of, its evacuations come first and the rest is whole. */
-TEST(frames_name_the_evacuated_data_centres)
+/* The evacuated data centres of a frame don't change its other fields. */
+TEST(frames_carry_evacuated_data_centres)
 {
     struct evacuations evacuations = {
         .epoch = 3, .revision = 1ull << 40, .recovery_s = 17};
     struct frame_forward forward = sample_forward();
-    struct evacuations told;
+    struct evacuations decoded;
     uint8_t bytes[FRAME_MAX];
     size_t size;
 
@@ -154,14 +154,14 @@
     size = frame_forward_encode(&forward, &evacuations, bytes);
     g_assert_cmpuint(size, <=, FRAME_HEADER_MAX + sizeof(packet));
     g_assert_cmpint(frame_type(bytes, size), ==, FRAME_FORWARD);
-    frame_evacuations_decode(bytes, &told);
-    g_assert_cmpuint(told.epoch, ==, 3);
-    g_assert_cmpuint(told.recovery_s, ==, 17);
-    g_assert_cmpuint(told.revision, ==, 1ull << 40);
-    g_assert_cmpuint(told.count, ==, EVACUATIONS_MAX);
-    g_assert_true(evacuations_contains(&told, 0x80000000u));
+    frame_evacuations_decode(bytes, &decoded);
+    g_assert_cmpuint(decoded.epoch, ==, 3);
+    g_assert_cmpuint(decoded.recovery_s, ==, 17);
+    g_assert_cmpuint(decoded.revision, ==, 1ull << 40);
+    g_assert_cmpuint(decoded.count, ==, EVACUATIONS_MAX);
+    g_assert_true(evacuations_contains(&decoded, 0x80000000u));
     g_assert_true(
-        evacuations_contains(&told, 0x80000000u + EVACUATIONS_MAX - 1));
+        evacuations_contains(&decoded, 0x80000000u + EVACUATIONS_MAX - 1));
     g_assert_cmpint(frame_forward_decode(bytes, size, &forward), ==, 0);
     g_assert_cmpuint(forward.best_load, ==, 48);
     g_assert_cmpuint(forward.slow_start_limit, ==, 35);
@@ -171,7 +171,7 @@
     g_assert_cmpint(frame_type(bytes, size), ==, -EBADMSG);
 }
 
-TEST(foreign_datagrams_are_refused)
+TEST(datagrams_of_other_formats_are_refused)
 {
     uint8_t bytes[FRAME_MAX + 1] = {0};
     struct frame_status status;
@@ -186,15 +186,15 @@
     g_assert_cmpint(frame_status_decode(bytes, 4, &status), ==, -EBADMSG);
 }
 
-/* Reads @bytes as whatever they say they are. */
+/* Decodes @bytes as the frame type that they name. */
 static void
-read_any(const uint8_t *bytes, size_t size)
+decode_any(const uint8_t *bytes, size_t size)
 {
     struct frame_forward forward;
     struct frame_status status;
     struct frame_ping ping;
     struct frame_served served;
-    struct frame_query_reply absent;
+    struct frame_query_reply reply;
     struct frame_query query;
     struct evacuations evacuations;
 
@@ -231,7 +231,7 @@
         }
         break;
     case FRAME_QUERY_REPLY:
-        (void)frame_query_reply_decode(bytes, size, &absent);
+        (void)frame_query_reply_decode(bytes, size, &reply);
         break;
     default:
         break;
@@ -246,7 +246,7 @@
 
     for (unsigned i = 0; i < MUTATIONS; i++) {
         size_t size = (size_t)g_test_rand_int_range(0, (gint32)whole + 1);
-        /* Of the exact size, so that a read past the end shows. */
+        /* Exact size, so that sanitizers detect reads past the end. */
         uint8_t *bytes = g_memdup2(sample, size);
 
         if (size > 4) {
@@ -254,7 +254,7 @@
             bytes[g_test_rand_int_range(4, (gint32)size)] =
                 (uint8_t)g_test_rand_int_range(0, 256);
         }
-        read_any(bytes, size);
+        decode_any(bytes, size);
         g_free(bytes);
     }
 }
@@ -296,14 +296,14 @@
 
 TEST(query_reply_round_trip)
 {
-    struct frame_query_reply absent = {.query = 9,
-                                       .silent = true,
-                                       .down = true,
-                                       .partial = true,
-                                       .absent = {1, 0x80000000, 5}};
+    struct frame_query_reply reply = {.query = 9,
+                                      .silent = true,
+                                      .down = true,
+                                      .partial = true,
+                                      .absent = {1, 0x80000000, 5}};
     struct frame_query_reply read;
     uint8_t bytes[FRAME_HEADER_MAX];
-    size_t size = frame_query_reply_encode(&absent, &no_evacuations, bytes);
+    size_t size = frame_query_reply_encode(&reply, &no_evacuations, bytes);
 
     g_assert_cmpint(frame_type(bytes, size), ==, FRAME_QUERY_REPLY);
     g_assert_cmpint(frame_query_reply_decode(bytes, size, &read), ==, 0);
@@ -311,8 +311,8 @@
     g_assert_true(read.silent);
     g_assert_true(read.down);
     g_assert_true(read.partial);
-    g_assert_cmpmem(read.absent, sizeof(read.absent), absent.absent,
-                    sizeof(absent.absent));
+    g_assert_cmpmem(read.absent, sizeof(read.absent), reply.absent,
+                    sizeof(reply.absent));
     g_assert_cmpint(frame_query_reply_decode(bytes, size - 1, &read), ==,
                     -EBADMSG);
 }
--- a/tests/relay/object_store_test.c
+++ b/tests/relay/object_store_test.c
@@ -12,9 +12,8 @@
 
 #define SUITE "/relay/object_store"
 
-/**
- * struct fixture - a listener with one answer for all, and a client of it
- */
+/** struct fixture - an HTTP server with one response for all requests, and a
+ * client */
 struct fixture {
     struct event_base *base;
     struct httpd_handler handler;
@@ -134,7 +133,7 @@
     return fixture->status;
 }
 
-TEST_F(fixture, a_list_is_read)
+TEST_F(fixture, list_is_decoded)
 {
     fixture->body = "{\"items\":[{\"meta\":{\"name\":\"a\",\"rev\":3},"
                     "\"spec\":{}},{\"meta\":{\"name\":\"b\",\"rev\":4}}],"
@@ -147,13 +146,13 @@
     g_assert_cmpuint(fixture->revision, ==, 9);
 }
 
-/* All answers tell it, refusals too. */
-TEST_F(fixture, the_stores_epoch_is_read)
+/* All responses have the header, also those with an error status. */
+TEST_F(fixture, epoch_header_is_decoded)
 {
     static const struct {
         const char *epoch;
         int http;
-        uint32_t told;
+        uint32_t expected;
     } answers[] = {
         {NULL, 200, 0}, {"0", 200, 1}, {"6", 410, 7}, {"7", 503, 8},
         {"-1", 200, 0}, {"x", 200, 0}, {"", 200, 0},  {"99999999999", 200, 0},
@@ -163,11 +162,11 @@
         fixture->epoch = answers[i].epoch;
         fixture->http = answers[i].http;
         list(fixture, NULL);
-        g_assert_cmpuint(fixture->reported_epoch, ==, answers[i].told);
+        g_assert_cmpuint(fixture->reported_epoch, ==, answers[i].expected);
     }
 }
 
-TEST_F(fixture, events_are_read)
+TEST_F(fixture, watch_events_are_decoded)
 {
     fixture->body = "{\"events\":[{\"deleted\":true,\"object\":{\"meta\":"
                     "{\"name\":\"a\",\"rev\":3}}}],\"at\":12}";
@@ -183,7 +182,7 @@
     g_assert_cmpuint(fixture->revision, ==, 12);
 }
 
-TEST_F(fixture, a_read_that_may_be_old_says_so)
+TEST_F(fixture, stale_reads_have_a_query_parameter)
 {
     struct store *store = fixture->store;
 
@@ -209,7 +208,7 @@
                     "GET /objects/k after=x y watch=- rev=- stale=1");
 }
 
-TEST_F(fixture, one_object_is_read)
+TEST_F(fixture, single_object_is_decoded)
 {
     struct store *store = fixture->store;
 
@@ -232,7 +231,7 @@
                     "GET /objects/k/n after=- watch=- rev=- stale=1");
 }
 
-TEST_F(fixture, writes_carry_name_and_value)
+TEST_F(fixture, writes_contain_name_and_value)
 {
     struct json_object *value = json_object_new_string("v");
 
@@ -261,7 +260,7 @@
     json_object_put(value);
 }
 
-TEST_F(fixture, refusals_have_their_own_errors)
+TEST_F(fixture, http_errors_are_mapped_to_errno)
 {
     static const struct {
         int http;
@@ -275,9 +274,9 @@
     }
 }
 
-TEST_F(fixture, answers_that_cannot_be_read_are_refused)
+TEST_F(fixture, invalid_responses_are_refused)
 {
-    static const char *const wrong[] = {
+    static const char *const invalid[] = {
         "{",
         "[]",
         "{\"items\":7}",
@@ -285,8 +284,8 @@
         "{\"events\":null,\"at\":4}",
     };
 
-    for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++) {
-        fixture->body = wrong[i];
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+        fixture->body = invalid[i];
         g_assert_cmpint(list(fixture, NULL), ==, -EPROTO);
         g_assert_cmpuint(fixture->count, ==, 0);
     }
@@ -294,17 +293,17 @@
 
 #define GOOD "{\"meta\":{\"name\":\"a\",\"rev\":3},\"spec\":{}}"
 
-TEST_F(fixture, an_item_that_cannot_be_read_hides_no_other)
+TEST_F(fixture, invalid_items_are_skipped)
 {
-    static const char *const wrong[] = {
+    static const char *const invalid[] = {
         "7", "null", "[]", "{}", "{\"meta\":{}}", "{\"meta\":{\"name\":7}}",
     };
 
-    for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
         char body[256];
 
         g_snprintf(body, sizeof(body), "{\"items\":[%s," GOOD ",%s],\"at\":9}",
-                   wrong[i], wrong[i]);
+                   invalid[i], invalid[i]);
         fixture->body = body;
         g_assert_cmpint(list(fixture, NULL), ==, 0);
         g_assert_cmpstr(fixture->names, ==, "a ");
@@ -312,7 +311,7 @@
         g_snprintf(body, sizeof(body),
                    "{\"events\":[{\"object\":%s,\"deleted\":true},%s,"
                    "{\"object\":" GOOD "}],\"at\":9}",
-                   wrong[i], wrong[i]);
+                   invalid[i], invalid[i]);
         fixture->body = body;
         g_assert_cmpint(fixture->store->ops->watch(fixture->store, "k", 8,
                                                    1000, STORE_READ_LATEST,
--- a/tests/relay/registration_test.c
+++ b/tests/relay/registration_test.c
@@ -9,7 +9,7 @@
 #define SUITE "/relay/registration"
 #define MS USEC_PER_MSEC
 
-/** struct fixture - an agent's object is written to a store */
+/** struct fixture - a registration writer and its store */
 struct fixture {
     struct store_fixture store;
     struct registration_writer writer;
@@ -37,21 +37,21 @@
     store_fixture_finish(&fixture->store);
 }
 
-/* Answers the open look with an object that says @service. */
+/* Replies to the open read with an object of @service. */
 static void
 reply_to_read(struct fixture *fixture, const char *service)
 {
     struct registration registration = fixture->writer.registration;
-    struct store_object told = {.name = "10-1-0-13-8172", .revision = 7};
+    struct store_object object = {.name = "10-1-0-13-8172", .revision = 7};
     struct store_reply reply = {
-        .epoch = fixture->store.epoch, .objects = &told, .count = 1};
+        .epoch = fixture->store.epoch, .objects = &object, .count = 1};
     struct store_call *call = fixture->store.call;
 
     g_strlcpy(registration.service, service, sizeof(registration.service));
-    told.value = registration_encode(&registration);
+    object.value = registration_encode(&registration);
     fixture->store.call = NULL;
     call->done(call, &reply);
-    json_object_put(told.value);
+    json_object_put(object.value);
 }
 
 static void
@@ -63,22 +63,22 @@
     }
 }
 
-TEST_F(fixture, a_known_host_writes_nothing)
+TEST_F(fixture, registered_host_writes_nothing)
 {
     writer_tick(fixture, 1);
     reply_to_read(fixture, "lots");
     g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_DONE);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
-    /* The look may have been seconds old. */
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale", NULL);
+    /* The first read may have been stale: a second one follows after 10 s. */
     writer_tick(fixture, 9000);
     fixture_expect(fixture->store.record, NULL);
     writer_tick(fixture, 2000);
     reply_to_read(fixture, "lots");
     writer_tick(fixture, 60000);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale", NULL);
 }
 
-TEST_F(fixture, a_host_whose_object_was_removed_after_the_look_writes_it)
+TEST_F(fixture, object_missing_at_the_second_read_is_created)
 {
     writer_tick(fixture, 1);
     reply_to_read(fixture, "lots");
@@ -87,23 +87,23 @@
     writer_tick(fixture, 2);
     store_fixture_reply(&fixture->store, 0, 12, NULL, false);
     writer_tick(fixture, 60000);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
-                   "get 10-1-0-13-8172 any", "create 10-1-0-13-8172", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale",
+                   "get 10-1-0-13-8172 stale", "create 10-1-0-13-8172", NULL);
 }
 
-TEST_F(fixture, an_object_of_the_address_before_is_replaced)
+TEST_F(fixture, different_object_at_the_address_is_replaced)
 {
     writer_tick(fixture, 1);
     reply_to_read(fixture, "albums");
     writer_tick(fixture, 2);
     store_fixture_reply(&fixture->store, 0, 9, NULL, false);
     writer_tick(fixture, 60000);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale",
                    "put 10-1-0-13-8172", NULL);
 }
 
 /* The endpoint may end while its object is still being written. */
-TEST_F(fixture, a_removal_that_is_wanted_during_a_write_follows_it)
+TEST_F(fixture, removal_during_a_write_follows_it)
 {
     writer_tick(fixture, 1);
     store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
@@ -114,27 +114,27 @@
     writer_tick(fixture, 2);
     store_fixture_reply(&fixture->store, 0, 12, NULL, false);
     g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_REMOVED);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale",
                    "create 10-1-0-13-8172", "remove 10-1-0-13-8172", NULL);
 }
 
-TEST_F(fixture, a_new_host_creates_its_object)
+TEST_F(fixture, new_host_creates_its_object)
 {
     writer_tick(fixture, 1);
     store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
     writer_tick(fixture, 2);
-    /* The answer was lost, and what the call did was not. */
+    /* The reply was lost, but the object was created. */
     store_fixture_reply(&fixture->store, -ETIMEDOUT, 0, NULL, false);
     writer_tick(fixture, 200);
     store_fixture_reply(&fixture->store, -EEXIST, 0, NULL, false);
     writer_tick(fixture, 200);
     store_fixture_reply(&fixture->store, 0, 9, NULL, false);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale",
                    "create 10-1-0-13-8172", "create 10-1-0-13-8172",
                    "put 10-1-0-13-8172", NULL);
 }
 
-TEST_F(fixture, an_object_that_was_taken_away_is_written_anew)
+TEST_F(fixture, removed_object_is_created_again)
 {
     writer_tick(fixture, 1);
     reply_to_read(fixture, "lots");
@@ -142,11 +142,11 @@
     writer_tick(fixture, 2);
     store_fixture_reply(&fixture->store, 0, 12, NULL, false);
     g_assert_cmpint(fixture->writer.step, ==, REGISTRATION_DONE);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale",
                    "create 10-1-0-13-8172", NULL);
 }
 
-TEST_F(fixture, a_removal_is_repeated_until_it_is_done)
+TEST_F(fixture, failed_removal_is_repeated)
 {
     writer_tick(fixture, 1);
     reply_to_read(fixture, "lots");
@@ -160,7 +160,7 @@
                      UINT64_MAX);
 }
 
-TEST(names_and_values_come_back)
+TEST(object_round_trip)
 {
     struct registration registration = {
         .addr = fixture_addr("10.1.0.13:8172"),
@@ -176,7 +176,7 @@
     g_assert_true(addr_equal(read.addr, registration.addr));
     g_assert_cmpstr(read.service, ==, "lots");
     g_assert_cmpstr(read.data_centre, ==, "kariakoo");
-    /* The same under another agent's name, and under none. */
+    /* The same value under another name. */
     g_assert_cmpint(registration_decode("10-1-0-14-8172", value, &read), ==,
                     -EINVAL);
     g_assert_cmpint(registration_decode("x", value, &read), ==, -EINVAL);
@@ -196,11 +196,10 @@
                     -EINVAL);
 }
 
-/* Objects of other writers: fields of other types or missing, and bytes that
- * say nothing. */
-TEST(objects_of_other_writers_name_no_agent)
+/* Objects of the kind that other clients wrote. */
+TEST(invalid_objects_are_refused)
 {
-    static const char *const wrong[] = {
+    static const char *const invalid[] = {
         "7",
         "[]",
         "\"10.1.0.13:8172\"",
@@ -217,8 +216,8 @@
     };
     struct registration read;
 
-    for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++) {
-        struct json_object *value = json_tokener_parse(wrong[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+        struct json_object *value = json_tokener_parse(invalid[i]);
 
         g_assert_nonnull(value);
         g_assert_cmpint(registration_decode("10-1-0-13-8172", value, &read),
@@ -227,8 +226,8 @@
     }
 }
 
-/* The store came back from a copy that is some seconds old. */
-TEST_F(fixture, a_store_rollback_causes_a_reread)
+/* The store has been restored from an older copy. */
+TEST_F(fixture, rollback_causes_a_reread)
 {
     fixture->store.epoch = 1;
     writer_tick(fixture, 10);
@@ -244,8 +243,8 @@
         registration_writer_set_epoch(&fixture->writer, 2, fixture->now_us));
     fixture->store.epoch = 2;
     writer_tick(fixture, 3000);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any", NULL);
-    /* Only what is missing is written. */
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale", NULL);
+    /* Only a missing object is written. */
     store_fixture_reply(&fixture->store, -ENOENT, 0, NULL, false);
     writer_tick(fixture, 10);
     fixture_expect(fixture->store.record, "create 10-1-0-13-8172", NULL);
@@ -262,11 +261,11 @@
     writer_tick(fixture, 3000);
     reply_to_read(fixture, "lots");
     writer_tick(fixture, 12000);
-    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 any",
-                   "get 10-1-0-13-8172 any", NULL);
+    fixture_expect(fixture->store.record, "get 10-1-0-13-8172 stale",
+                   "get 10-1-0-13-8172 stale", NULL);
 }
 
-TEST_F(fixture, what_was_removed_is_removed_again)
+TEST_F(fixture, removal_is_repeated_after_a_rollback)
 {
     fixture->store.epoch = 1;
     writer_tick(fixture, 10);
@@ -280,7 +279,7 @@
     fixture_expect(fixture->store.record, "remove 10-1-0-13-8172", NULL);
 }
 
-/* A frame can tell of any epoch. */
+/* A frame may contain any epoch. */
 TEST_F(fixture, a_false_epoch_costs_two_reads)
 {
     fixture->store.epoch = 1;
--- a/tests/relay/store_fixture.c
+++ b/tests/relay/store_fixture.c
@@ -23,7 +23,7 @@
 {
     fixture_record(fixture_of(store)->record, "list %s %s%s", kind,
                    after != NULL ? after : "-",
-                   read == STORE_READ_STALE ? " any" : "");
+                   read == STORE_READ_STALE ? " stale" : "");
     return start_call(store, call);
 }
 
@@ -33,7 +33,8 @@
             struct store_call *call)
 {
     fixture_record(fixture_of(store)->record, "watch %s %u%s", kind,
-                   (unsigned)revision, read == STORE_READ_STALE ? " any" : "");
+                   (unsigned)revision,
+                   read == STORE_READ_STALE ? " stale" : "");
     fixture_of(store)->wait_ms = wait_ms;
     return start_call(store, call);
 }
@@ -74,7 +75,7 @@
           enum store_read_mode read, struct store_call *call)
 {
     fixture_record(fixture_of(store)->record, "get %s%s", name,
-                   read == STORE_READ_STALE ? " any" : "");
+                   read == STORE_READ_STALE ? " stale" : "");
     return start_call(store, call);
 }
 
@@ -101,13 +102,13 @@
 store_fixture_reply(struct store_fixture *fixture, int status,
                     uint64_t revision, const char *name, bool more)
 {
-    struct store_object told = {.name = name, .revision = revision};
+    struct store_object object = {.name = name, .revision = revision};
     struct store_reply reply = {
         .status = status,
         .epoch = fixture->epoch,
         .revision = revision,
         .more = more,
-        .objects = &told,
+        .objects = &object,
         .count = name != NULL ? 1 : 0,
     };
     struct store_call *call = fixture->call;
--- a/tests/relay/store_reader_test.c
+++ b/tests/relay/store_reader_test.c
@@ -6,8 +6,13 @@
 #define SUITE "/relay/store_reader"
 #define MS USEC_PER_MSEC
 
-/** struct fixture - a balancer's reader; how often it pinged the witnesses and
- * was told that the store is back, and how many of its calls failed in a row
+/**
+ * struct fixture - one balancer's store reader
+ * @reader: the reader
+ * @now_us: current time
+ * @pings: pings to the witnesses
+ * @store_returns: reports that the store answers again
+ * @failures: consecutive failed calls to the store
  */
 struct fixture {
     struct store_reader reader;
@@ -29,9 +34,10 @@
 {
 }
 
-/* Time passes; agents tell of other readers all the while. */
+/* Advances the time; every ms an agent reports @others. */
 static void
-advance_with(struct fixture *fixture, unsigned ms, struct frame_readers others)
+advance_reporting(struct fixture *fixture, unsigned ms,
+                  struct frame_readers others)
 {
     for (unsigned i = 0; i < ms; i++) {
         fixture->now_us += MS;
@@ -45,8 +51,8 @@
 static void
 advance_ms(struct fixture *fixture, unsigned ms, unsigned reading)
 {
-    advance_with(fixture, ms,
-                 (struct frame_readers){.reading = (uint8_t)reading});
+    advance_reporting(fixture, ms,
+                      (struct frame_readers){.reading = (uint8_t)reading});
 }
 
 static enum store_read_mode
@@ -55,7 +61,7 @@
     return store_reader_next_mode(&fixture->reader, 0, fixture->now_us);
 }
 
-TEST_F(fixture, a_balancer_reads_when_no_other_does)
+TEST_F(fixture, balancer_without_readers_becomes_one)
 {
     advance_ms(fixture, 400, 0);
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_STALE);
@@ -63,7 +69,7 @@
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_LATEST);
 }
 
-TEST_F(fixture, witnesses_are_asked_before_it_reads_and_told_after)
+TEST_F(fixture, witnesses_are_pinged_before_and_while_reading)
 {
     unsigned waited = 0;
 
@@ -81,7 +87,7 @@
     g_assert_cmpuint(fixture->pings, ==, 4);
 }
 
-TEST_F(fixture, a_witness_that_knows_a_reader_is_enough)
+TEST_F(fixture, reader_known_to_a_witness_is_enough)
 {
     while (fixture->pings == 0) {
         advance_ms(fixture, 1, 0);
@@ -91,7 +97,7 @@
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_STALE);
 }
 
-TEST_F(fixture, a_balancer_that_hears_of_one_leaves_it_to_that)
+TEST_F(fixture, reported_readers_keep_a_balancer_from_reading)
 {
     advance_ms(fixture, 5000, 2);
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_STALE);
@@ -99,7 +105,7 @@
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_LATEST);
 }
 
-TEST_F(fixture, two_readers_stay_and_of_more_some_stop)
+TEST_F(fixture, surplus_readers_stop)
 {
     advance_ms(fixture, 2000, 0);
     advance_ms(fixture, 20000, 1);
@@ -108,9 +114,9 @@
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_STALE);
 }
 
-/* A store that doesn't answer is tried with the cheap calls, also by those
- * that are the only ones to read. */
-TEST_F(fixture, failed_calls_are_repeated_with_cheap_ones)
+/* A store that doesn't answer is tried with stale reads, also by the only
+ * reader. */
+TEST_F(fixture, failed_reads_are_retried_as_stale)
 {
     advance_ms(fixture, 2000, 0);
     g_assert_cmpint(
@@ -119,7 +125,7 @@
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_LATEST);
 }
 
-TEST_F(fixture, a_balancer_that_stays_behind_reads_and_then_asks)
+TEST_F(fixture, outdated_balancer_reads_the_latest_then_queries_a_peer)
 {
     struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
 
@@ -171,28 +177,28 @@
         store_reader_is_current(&fixture->reader, 1, fixture->now_us));
 }
 
-TEST_F(fixture, while_the_store_is_away_a_few_try_it)
+TEST_F(fixture, few_readers_retry_while_the_store_is_down)
 {
     const struct frame_readers tried = {.trying = 2};
 
     fixture->failures = 1;
-    advance_with(fixture, 20000, tried);
+    advance_reporting(fixture, 20000, tried);
     g_assert_false(fixture->reader.reading);
-    advance_with(fixture, 2000, (struct frame_readers){0});
+    advance_reporting(fixture, 2000, (struct frame_readers){0});
     g_assert_true(fixture->reader.reading);
     g_assert_cmpint(store_reader_state(&fixture->reader, 1), ==,
                     FRAME_READER_TRYING);
-    advance_with(fixture, 20000, (struct frame_readers){.trying = 5});
+    advance_reporting(fixture, 20000, (struct frame_readers){.trying = 5});
     g_assert_false(fixture->reader.reading);
-    /* Whoever reaches it doesn't leave it to those that can't. */
+    /* A reader that reaches the store continues when the others don't. */
     fixture->failures = 0;
-    advance_with(fixture, 2000, tried);
+    advance_reporting(fixture, 2000, tried);
     g_assert_true(fixture->reader.reading);
     g_assert_cmpint(store_reader_state(&fixture->reader, 0), ==,
                     FRAME_READER_READING);
 }
 
-TEST_F(fixture, one_that_is_cut_off_leaves_reading_to_those_that_are_not)
+TEST_F(fixture, reader_cut_off_from_the_store_stops)
 {
     advance_ms(fixture, 2000, 0);
     g_assert_true(fixture->reader.reading);
@@ -203,7 +209,7 @@
                     FRAME_READER_NONE);
 }
 
-TEST_F(fixture, the_first_reader_after_a_while_is_news)
+TEST_F(fixture, first_reader_after_a_pause_reports_the_stores_return)
 {
     advance_ms(fixture, 1, 1);
     g_assert_cmpuint(fixture->store_returns, ==, 1);
@@ -214,7 +220,7 @@
     g_assert_cmpuint(fixture->store_returns, ==, 2);
 }
 
-TEST_F(fixture, without_the_store_a_peer_is_asked_at_once)
+TEST_F(fixture, peer_is_queried_at_once_while_the_store_is_down)
 {
     struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
 
@@ -225,8 +231,8 @@
         store_reader_needs_peer(&fixture->reader, 3, fixture->now_us));
 }
 
-/* The first that was named may be frozen. */
-TEST_F(fixture, the_holder_that_was_named_last_is_asked)
+/* The first holder may be frozen. */
+TEST_F(fixture, last_reported_holder_is_queried)
 {
     struct frame_config_version first = {9, fixture_addr("10.9.0.3:7720")};
     struct frame_config_version second = {9, fixture_addr("10.9.0.4:7720")};
@@ -240,8 +246,8 @@
     g_assert_cmpuint(fixture->reader.behind_us, ==, fixture->now_us);
 }
 
-/* While versions follow each other the wait isn't begun anew with each. */
-TEST_F(fixture, newer_versions_in_a_row_do_not_put_the_read_off)
+/* A newer version doesn't restart the delay. */
+TEST_F(fixture, newer_versions_in_a_row_do_not_delay_the_read)
 {
     struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
 
@@ -253,8 +259,8 @@
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_LATEST);
 }
 
-/* After a loss of all hosts some must know the latest, and not all pay. */
-TEST(of_those_that_start_together_a_quarter_reads_the_latest)
+/* When all hosts restart, some must read the latest but not all of them. */
+TEST(a_quarter_of_starting_balancers_reads_the_latest)
 {
     unsigned latest = 0;
 
@@ -268,8 +274,9 @@
     g_assert_cmpuint(latest, <=, 300);
 }
 
-/* Agents hear from few balancers of many: only witnesses know how few read. */
-TEST_F(fixture, one_other_reader_is_enough_until_witnesses_say_so)
+/* Agents receive frames from few balancers; only witnesses can report too few
+ * readers. */
+TEST_F(fixture, one_reader_is_enough_until_witnesses_report)
 {
     for (unsigned i = 0; i < 2000 && fixture->pings == 0; i++) {
         advance_ms(fixture, 1, 1);
@@ -278,7 +285,7 @@
     g_assert_cmpuint(fixture->pings, ==, 1);
 }
 
-TEST_F(fixture, a_reader_that_stops_notifies_witnesses)
+TEST_F(fixture, stopping_reader_notifies_witnesses)
 {
     advance_ms(fixture, 1200, 0);
     g_assert_cmpint(read_now(fixture), ==, STORE_READ_LATEST);
@@ -291,8 +298,8 @@
     g_assert_cmpuint(fixture->pings, ==, 1);
 }
 
-/* All hear of a new configuration at once, and few have it. */
-TEST(balancers_that_are_behind_do_not_ask_all_at_once)
+/* All balancers learn of a new configuration at once, but few have it. */
+TEST(outdated_balancers_query_at_different_times)
 {
     struct frame_config_version newer = {9, fixture_addr("10.9.0.3:7720")};
     unsigned early = 0;
--- a/tests/relay/store_state_test.c
+++ b/tests/relay/store_state_test.c
@@ -24,36 +24,36 @@
 }
 
 static bool
-has(const struct store_state *state, const char *data_centre)
+is_evacuated(const struct store_state *state, const char *data_centre)
 {
     return store_state_is_evacuated(state, evacuations_key(data_centre));
 }
 
-TEST(the_state_of_the_higher_revision_is_taken)
+TEST(higher_revision_is_adopted)
 {
     struct store_state known = {0};
     struct evacuations newer = evacuations_at(7, "north");
     struct evacuations older = evacuations_at(5, NULL);
 
     g_assert_true(store_state_update(&known, &newer, NOW_US));
-    g_assert_true(has(&known, "north"));
+    g_assert_true(is_evacuated(&known, "north"));
     g_assert_false(store_state_update(&known, &older, NOW_US));
-    g_assert_true(has(&known, "north"));
+    g_assert_true(is_evacuated(&known, "north"));
     g_assert_cmpuint(known.latest.revision, ==, 7);
 }
 
-TEST(the_end_of_an_evacuation_is_taken_by_its_revision)
+TEST(end_of_an_evacuation_is_adopted_by_revision)
 {
     struct store_state known = {.latest = evacuations_at(7, "north")};
     struct evacuations ended = evacuations_at(9, NULL);
-    struct evacuations late = evacuations_at(8, "north");
+    struct evacuations stale = evacuations_at(8, "north");
 
     g_assert_true(store_state_update(&known, &ended, NOW_US));
-    g_assert_false(store_state_update(&known, &late, NOW_US));
-    g_assert_false(has(&known, "north"));
+    g_assert_false(store_state_update(&known, &stale, NOW_US));
+    g_assert_false(is_evacuated(&known, "north"));
 }
 
-TEST(the_same_set_at_a_newer_revision_is_no_change)
+TEST(same_set_at_a_newer_revision_is_no_change)
 {
     struct store_state known = {.latest = evacuations_at(7, "north")};
     struct evacuations same = evacuations_at(12, "north");
@@ -62,49 +62,49 @@
     g_assert_cmpuint(known.latest.revision, ==, 12);
 }
 
-TEST(another_data_centre_instead_is_a_change)
+TEST(replaced_data_centre_is_a_change)
 {
     struct store_state known = {.latest = evacuations_at(7, "north")};
     struct evacuations other = evacuations_at(8, "south");
 
     g_assert_true(store_state_update(&known, &other, NOW_US));
-    g_assert_false(has(&known, "north"));
-    g_assert_true(has(&known, "south"));
+    g_assert_false(is_evacuated(&known, "north"));
+    g_assert_true(is_evacuated(&known, "south"));
 }
 
-/* Revisions of two eras say nothing of each other: they go back, and are given
- * out again. */
+/* Revisions of different epochs can't be compared: they repeat after a
+ * rollback. */
 TEST(a_later_epoch_wins_over_a_higher_revision)
 {
     struct store_state known = {.latest = evacuations_at_epoch(1, 90, NULL)};
     struct evacuations later = evacuations_at_epoch(2, 40, "south");
-    struct evacuations late = evacuations_at_epoch(1, 95, NULL);
+    struct evacuations stale = evacuations_at_epoch(1, 95, NULL);
 
     g_assert_true(store_state_update(&known, &later, NOW_US));
-    g_assert_true(has(&known, "south"));
-    g_assert_false(store_state_update(&known, &late, NOW_US));
-    g_assert_true(has(&known, "south"));
+    g_assert_true(is_evacuated(&known, "south"));
+    g_assert_false(store_state_update(&known, &stale, NOW_US));
+    g_assert_true(is_evacuated(&known, "south"));
 }
 
-TEST(what_operators_wrote_stays_until_they_can_have_written_it_again)
+TEST(evacuations_of_the_previous_epoch_expire)
 {
     struct store_state known = {.latest =
                                     evacuations_at_epoch(1, 90, "north")};
     struct evacuations lost = evacuations_at_epoch(2, 40, NULL);
 
     g_assert_true(store_state_update(&known, &lost, NOW_US));
-    g_assert_true(has(&known, "north"));
+    g_assert_true(is_evacuated(&known, "north"));
     g_assert_cmpuint(known.latest.count, ==, 0);
     g_assert_false(store_state_tick(&known, NOW_US + 9 * USEC_PER_SEC));
-    g_assert_true(has(&known, "north"));
+    g_assert_true(is_evacuated(&known, "north"));
     g_assert_cmpuint(store_state_next_us(&known), <=,
                      NOW_US + 11 * USEC_PER_SEC);
     g_assert_true(store_state_tick(&known, NOW_US + 11 * USEC_PER_SEC));
-    g_assert_false(has(&known, "north"));
+    g_assert_false(is_evacuated(&known, "north"));
     g_assert_cmpuint(store_state_next_us(&known), ==, UINT64_MAX);
 }
 
-TEST(what_is_written_again_stays_after_that)
+TEST(evacuations_written_again_remain)
 {
     struct store_state known = {.latest =
                                     evacuations_at_epoch(1, 90, "north")};
@@ -114,10 +114,10 @@
     store_state_update(&known, &lost, NOW_US);
     store_state_update(&known, &again, NOW_US + USEC_PER_SEC);
     store_state_tick(&known, NOW_US + 11 * USEC_PER_SEC);
-    g_assert_true(has(&known, "north"));
+    g_assert_true(is_evacuated(&known, "north"));
 }
 
-TEST(two_epochs_in_a_row_lose_nothing)
+TEST(two_rollbacks_in_a_row_keep_all_evacuations)
 {
     struct store_state known = {.latest =
                                     evacuations_at_epoch(1, 90, "north")};
@@ -127,8 +127,8 @@
     store_state_update(&known, &second, NOW_US);
     store_state_update(&known, &third, NOW_US + 9 * USEC_PER_SEC);
     store_state_tick(&known, NOW_US + 11 * USEC_PER_SEC);
-    g_assert_true(has(&known, "north"));
-    g_assert_true(has(&known, "south"));
+    g_assert_true(is_evacuated(&known, "north"));
+    g_assert_true(is_evacuated(&known, "south"));
 }
 
 TEST(the_first_epoch_is_no_rollback)
@@ -165,7 +165,7 @@
     g_assert_false(store_state_is_recovered(&started, NOW_US));
     g_assert_true(
         store_state_is_recovered(&started, NOW_US + 6 * USEC_PER_SEC));
-    /* It doesn't go query: each keeps its own word. */
+    /* A host that has a recovery time doesn't extend it. */
     store_state_update(&known, &started.latest, NOW_US + 19 * USEC_PER_SEC);
     g_assert_true(
         store_state_is_recovered(&known, NOW_US + 21 * USEC_PER_SEC));
--- a/tests/relay/watcher_test.c
+++ b/tests/relay/watcher_test.c
@@ -10,7 +10,7 @@
 #define SUITE "/relay/watcher"
 #define MS USEC_PER_MSEC
 
-/** struct fixture - a watcher of a store */
+/** struct fixture - a watcher and its store */
 struct fixture {
     struct store_fixture store;
     struct watcher watcher;
@@ -26,11 +26,11 @@
 }
 
 static void
-object(struct watcher *watcher, const struct store_object *told)
+object(struct watcher *watcher, const struct store_object *item)
 {
     fixture_record(
         container_of(watcher, struct fixture, watcher)->store.record,
-        "object %s%s", told->name, told->removed ? " removed" : "");
+        "object %s%s", item->name, item->removed ? " removed" : "");
 }
 
 static void
@@ -69,7 +69,8 @@
     store_fixture_finish(&fixture->store);
 }
 
-/* Time until the follower calls, in ms; at most 10 s. */
+/* Ticks until the watcher makes a call; returns the time in ms, at most 10 s.
+ */
 static unsigned
 wait_for_call(struct fixture *fixture)
 {
@@ -84,7 +85,7 @@
     return waited;
 }
 
-TEST_F(fixture, a_list_is_followed_by_a_watch_from_where_it_was)
+TEST_F(fixture, list_is_followed_by_a_watch)
 {
     watcher_tick(&fixture->watcher, fixture->now_us);
     store_fixture_reply(&fixture->store, 0, 30, "a", true);
@@ -99,7 +100,7 @@
     fixture_expect(fixture->store.record, "object c", "watch kind 36", NULL);
 }
 
-TEST_F(fixture, a_cut_watch_goes_on_and_a_lost_history_is_listed)
+TEST_F(fixture, failed_watch_resumes_and_lost_history_is_relisted)
 {
     watcher_tick(&fixture->watcher, fixture->now_us);
     store_fixture_reply(&fixture->store, 0, 30, NULL, false);
@@ -117,9 +118,9 @@
                    NULL);
 }
 
-/* A store that has fallen silent never answers a call that reached it then,
- * also not when it is back. */
-TEST_F(fixture, a_watch_is_short_until_the_store_answers)
+/* A store that hung never answers a call that reached it then, even after it
+ * recovers. */
+TEST_F(fixture, watch_is_short_until_one_returns_empty)
 {
     watcher_tick(&fixture->watcher, fixture->now_us);
     store_fixture_reply(&fixture->store, 0, 7, NULL, false);
@@ -129,7 +130,8 @@
     store_fixture_reply(&fixture->store, 0, 7, NULL, false);
     wait_for_call(fixture);
     g_assert_cmpuint(fixture->store.wait_ms, ==, 15000);
-    /* Everybody's watch ends with a change, and all ask again at once. */
+    /* All watches end with a change, and their processes call again at once.
+     */
     store_fixture_reply(&fixture->store, 0, 8, "a", false);
     wait_for_call(fixture);
     g_assert_cmpuint(fixture->store.wait_ms, <=, 3000);
@@ -141,7 +143,7 @@
     g_assert_cmpuint(fixture->store.wait_ms, ==, 15000);
 }
 
-TEST_F(fixture, pauses_grow_while_changes_keep_coming)
+TEST_F(fixture, pauses_grow_while_changes_continue)
 {
     static const unsigned pauses[] = {100, 200, 400, 800, 1000, 1000};
 
@@ -152,14 +154,14 @@
         g_assert_cmpuint(wait_for_call(fixture), ==, pauses[i]);
         store_fixture_reply(&fixture->store, 0, 8 + i, "a", false);
     }
-    /* A change that comes alone is followed by the shortest. */
+    /* The pause after a single change is the shortest. */
     wait_for_call(fixture);
     fixture->now_us += 1500 * MS;
     store_fixture_reply(&fixture->store, 0, 20, "a", false);
     g_assert_cmpuint(wait_for_call(fixture), ==, 100);
 }
 
-TEST_F(fixture, pauses_grow_while_the_store_is_away)
+TEST_F(fixture, pauses_grow_while_the_store_is_down)
 {
     unsigned before = 0;
     unsigned calls = 0;
@@ -175,7 +177,7 @@
     g_assert_cmpuint(calls, <, 20);
 }
 
-TEST_F(fixture, slow_retry_until_peers_report_its_return)
+TEST_F(fixture, slow_retry_until_peers_report_the_stores_return)
 {
     unsigned waited = 0;
 
@@ -205,7 +207,7 @@
     }
 }
 
-TEST_F(fixture, a_store_that_does_not_answer_is_away)
+TEST_F(fixture, unanswered_list_means_the_store_is_away)
 {
     g_assert_false(
         watcher_is_away(&fixture->watcher, fixture->now_us, 60 * MS));
@@ -220,7 +222,7 @@
                                    fixture->now_us + 9000 * MS, 60 * MS));
 }
 
-TEST_F(fixture, a_watch_of_old_changes_ends_when_the_latest_are_wanted)
+TEST_F(fixture, stale_watch_is_cancelled_for_a_latest_one)
 {
     fixture->watcher.read = STORE_READ_STALE;
     watcher_tick(&fixture->watcher, fixture->now_us);
@@ -228,18 +230,18 @@
     watcher_tick(&fixture->watcher, fixture->now_us);
     watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
     watcher_tick(&fixture->watcher, fixture->now_us);
-    fixture_expect(fixture->store.record, "list kind - any", "listing",
-                   "listed", "reached", "watch kind 30 any", "cancel",
+    fixture_expect(fixture->store.record, "list kind - stale", "listing",
+                   "listed", "reached", "watch kind 30 stale", "cancel",
                    "watch kind 30", NULL);
-    /* The better one may go on to its end. */
+    /* A latest watch isn't cancelled for a stale one. */
     watcher_set_read(&fixture->watcher, STORE_READ_STALE);
     watcher_tick(&fixture->watcher, fixture->now_us);
     fixture_expect(fixture->store.record, NULL);
     store_fixture_reply(&fixture->store, 0, 31, "a", false);
     wait_for_call(fixture);
-    fixture_expect(fixture->store.record, "object a", "watch kind 31 any",
+    fixture_expect(fixture->store.record, "object a", "watch kind 31 stale",
                    NULL);
-    /* A list goes on to its end. */
+    /* A list isn't cancelled. */
     store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
     wait_for_call(fixture);
     watcher_set_read(&fixture->watcher, STORE_READ_LATEST);
@@ -247,10 +249,9 @@
     store_fixture_reply(&fixture->store, 0, 40, NULL, false);
 }
 
-/* The store has forgotten what followed on what is known. A list as old as
- * that would bring nothing new, and the next watch would fail like the last.
- */
-TEST_F(fixture, after_a_lost_history_the_list_is_the_latest)
+/* A stale list could be as old as the lost history, and the next watch would
+ * fail too. */
+TEST_F(fixture, list_after_a_lost_history_is_the_latest)
 {
     fixture->watcher.read = STORE_READ_STALE;
     watcher_tick(&fixture->watcher, fixture->now_us);
@@ -259,7 +260,7 @@
     store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
     g_string_truncate(fixture->store.record, 0);
     wait_for_call(fixture);
-    /* Also when a call fails meanwhile, and on each page. */
+    /* Also after a failed call, and on each page. */
     store_fixture_reply(&fixture->store, -ECONNRESET, 0, NULL, false);
     wait_for_call(fixture);
     store_fixture_reply(&fixture->store, 0, 31, "a", true);
@@ -268,10 +269,10 @@
     wait_for_call(fixture);
     fixture_expect(fixture->store.record, "list kind -", "list kind -",
                    "listing", "object a", "reached", "list kind a", "object b",
-                   "listed", "watch kind 31 any", NULL);
+                   "listed", "watch kind 31 stale", NULL);
 }
 
-TEST_F(fixture, a_list_that_is_older_than_what_is_known_is_read_anew)
+TEST_F(fixture, outdated_list_is_repeated_as_latest)
 {
     fixture->watcher.read = STORE_READ_STALE;
     fixture->watcher.revision = 30;
@@ -283,11 +284,11 @@
     store_fixture_reply(&fixture->store, 0, 31, "b", false);
     wait_for_call(fixture);
     fixture_expect(fixture->store.record, "listing", "object b", "listed",
-                   "watch kind 31 any", NULL);
+                   "watch kind 31 stale", NULL);
 }
 
-/* Then the store itself has lost what it knew. */
-TEST_F(fixture, the_latest_list_is_taken_whatever_its_revision)
+/* A lower revision in the latest list means that the store lost changes. */
+TEST_F(fixture, latest_list_is_applied_at_any_revision)
 {
     watcher_tick(&fixture->watcher, fixture->now_us);
     store_fixture_reply(&fixture->store, 0, 30, NULL, false);
@@ -301,7 +302,7 @@
                    "reached", "watch kind 5", NULL);
 }
 
-TEST_F(fixture, reads_may_be_old_where_the_owner_says_so)
+TEST_F(fixture, owner_may_choose_stale_reads)
 {
     fixture->watcher.read = STORE_READ_STALE;
     watcher_tick(&fixture->watcher, fixture->now_us);
@@ -309,14 +310,14 @@
     watcher_tick(&fixture->watcher, fixture->now_us);
     store_fixture_reply(&fixture->store, -ESTALE, 0, NULL, false);
     wait_for_call(fixture);
-    fixture_expect(fixture->store.record, "list kind - any", "listing",
-                   "listed", "reached", "watch kind 30 any", "lost",
+    fixture_expect(fixture->store.record, "list kind - stale", "listing",
+                   "listed", "reached", "watch kind 30 stale", "lost",
                    "list kind -", NULL);
     store_fixture_reply(&fixture->store, 0, 50, NULL, false);
 }
 
-/* The store came back from a copy that is some seconds old: what was read of
- * it is void, also where a watch from there would succeed. */
+/* Completes a list in @epoch and opens a watch. The tests then let the store
+ * be restored from an older copy, which invalidates what was read. */
 static void
 watch_in_epoch(struct fixture *fixture, uint32_t epoch)
 {
@@ -327,14 +328,14 @@
     g_string_truncate(fixture->store.record, 0);
 }
 
-TEST_F(fixture, a_watch_of_a_later_epoch_causes_a_relist)
+TEST_F(fixture, watch_reply_of_a_later_epoch_causes_a_relist)
 {
     watch_in_epoch(fixture, 1);
     fixture->store.epoch = 2;
     store_fixture_reply(&fixture->store, 0, 31, "b", false);
     g_assert_cmpuint(wait_for_call(fixture), <=, 300);
     fixture_expect(fixture->store.record, "list kind -", NULL);
-    /* Lower than what was known, and the only thing that stands. */
+    /* A lower revision than before is applied. */
     store_fixture_reply(&fixture->store, 0, 25, "c", false);
     fixture_expect(fixture->store.record, "listing", "object c", "listed",
                    NULL);
@@ -342,7 +343,7 @@
     fixture_expect(fixture->store.record, "watch kind 25", NULL);
 }
 
-TEST_F(fixture, a_lost_history_of_a_later_epoch_costs_one_list)
+TEST_F(fixture, lost_history_of_a_later_epoch_costs_one_list)
 {
     watch_in_epoch(fixture, 1);
     fixture->store.epoch = 2;
@@ -354,7 +355,7 @@
                    "listed", "reached", "watch kind 25", NULL);
 }
 
-/* They may show for seconds what the store has lost. */
+/* Stale reads may return lost objects for seconds. */
 TEST_F(fixture, stale_lists_wait_after_a_rollback)
 {
     fixture->watcher.read = STORE_READ_STALE;
@@ -367,10 +368,10 @@
     g_assert_null(fixture->store.call);
     fixture->now_us += 2 * USEC_PER_SEC;
     watcher_tick(&fixture->watcher, fixture->now_us);
-    fixture_expect(fixture->store.record, "list kind - any", NULL);
+    fixture_expect(fixture->store.record, "list kind - stale", NULL);
 }
 
-TEST_F(fixture, a_new_reader_relists_at_once)
+TEST_F(fixture, new_reader_relists_at_once)
 {
     fixture->watcher.read = STORE_READ_STALE;
     watch_in_epoch(fixture, 1);
@@ -382,7 +383,7 @@
     fixture_expect(fixture->store.record, "list kind -", NULL);
 }
 
-TEST_F(fixture, a_reported_later_epoch_causes_a_relist)
+TEST_F(fixture, reported_later_epoch_causes_a_relist)
 {
     watch_in_epoch(fixture, 1);
     watcher_set_epoch(&fixture->watcher, 2);
@@ -395,9 +396,9 @@
                    "watch kind 25", NULL);
 }
 
-/* A frame can tell of any epoch; the store's own answer is believed, and what
- * is told again costs nothing. */
-TEST_F(fixture, a_false_epoch_costs_one_list)
+/* A frame may contain any epoch; the store's own reply counts, and a repeated
+ * report costs nothing. */
+TEST_F(fixture, false_epoch_costs_one_list)
 {
     watch_in_epoch(fixture, 1);
     watcher_set_epoch(&fixture->watcher, 900);
@@ -412,7 +413,7 @@
                    "watch kind 36", NULL);
 }
 
-TEST_F(fixture, a_reply_of_an_earlier_epoch_is_ignored)
+TEST_F(fixture, reply_of_an_earlier_epoch_is_ignored)
 {
     watch_in_epoch(fixture, 2);
     fixture->store.epoch = 1;
@@ -421,7 +422,7 @@
     fixture_expect(fixture->store.record, "watch kind 30", NULL);
 }
 
-TEST_F(fixture, the_first_epoch_is_adopted)
+TEST_F(fixture, first_epoch_is_adopted)
 {
     watch_in_epoch(fixture, 7);
     watcher_set_epoch(&fixture->watcher, 7);
@@ -429,8 +430,8 @@
     g_assert_cmpint(fixture->watcher.state, ==, WATCHER_WATCH);
 }
 
-/* Others tell of a change, and of one that a dropped watch has missed. */
-TEST_F(fixture, a_stale_watch_is_long_when_peers_notify)
+/* Peers also report changes that a silently dropped watch has missed. */
+TEST_F(fixture, stale_watch_is_long_when_peers_notify)
 {
     fixture->watcher.read = STORE_READ_STALE;
     fixture->watcher.notified_by_peers = true;
@@ -444,7 +445,7 @@
     g_assert_cmpuint(fixture->store.wait_ms, <=, 3000);
 }
 
-TEST_F(fixture, pages_of_two_epochs_are_no_list)
+TEST_F(fixture, pages_of_two_epochs_are_not_combined)
 {
     watch_in_epoch(fixture, 1);
     watcher_set_epoch(&fixture->watcher, 2);
