--- a/src/relay/store/registration.c
+++ b/src/relay/store/registration.c
@@ -15,6 +15,7 @@
  * is down are paid for, so pauses double. */
 #define RETRY_MIN_US (100 * USEC_PER_MSEC)
 #define RETRY_MAX_US (1600 * USEC_PER_MSEC)
+
 /* Pauses vary by up to 1/JITTER_DIVISOR between agents. */
 #define JITTER_DIVISOR 4
 
--- a/src/relay/store/watcher.c
+++ b/src/relay/store/watcher.c
@@ -142,13 +142,13 @@
 static bool
 update_epoch(struct watcher *watcher, uint32_t epoch)
 {
-    bool lists = watcher->state == WATCHER_LIST && watcher->after == NULL;
+    bool first_page = watcher->state == WATCHER_LIST && watcher->after == NULL;
 
     if (epoch == 0 || epoch == watcher->epoch) {
         return true;
     }
     if (watcher->epoch == 0 ||
-        (epoch > watcher->epoch && watcher->rolled_back && lists)) {
+        (epoch > watcher->epoch && watcher->rolled_back && first_page)) {
         watcher->epoch = epoch;
         return true;
     }
@@ -159,7 +159,7 @@
     reset_list(watcher);
     /* The first page of a latest list is valid; a stale one may hold lost
      * objects. */
-    return lists && watcher->read == STORE_READ_LATEST;
+    return first_page && watcher->read == STORE_READ_LATEST;
 }
 
 static void
@@ -314,7 +314,7 @@
 void
 watcher_set_epoch(struct watcher *watcher, uint32_t epoch)
 {
-    bool lists = watcher->state == WATCHER_LIST;
+    bool listing = watcher->state == WATCHER_LIST;
 
     if (watcher->epoch == 0 || epoch <= watcher->epoch ||
         epoch <= watcher->reported_epoch) {
@@ -326,7 +326,7 @@
         watcher->open = false;
     }
     reset_list(watcher);
-    if (!lists || watcher->failures == 0) {
+    if (!listing || watcher->failures == 0) {
         watcher->next_us = 0;
     }
 }
