--- a/src/relay/forwarder/agents.c
+++ b/src/relay/forwarder/agents.c
@@ -7,7 +7,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 
-/* Adds to an array; its new data_centre_key. */
+/* Appends a row and returns its index. */
 static unsigned
 array_add(GPtrArray *array, struct agent_row *row)
 {
@@ -74,7 +74,7 @@
 }
 
 static uint64_t
-key_of(struct addr addr)
+addr_key(struct addr addr)
 {
     return (uint64_t)addr.ip << 16 | addr.port;
 }
@@ -88,7 +88,7 @@
     row->addr = addr;
     row->member = hash_pair(addr.ip, addr.port);
     row->health.service = service;
-    row->key = key_of(addr);
+    row->key = addr_key(addr);
     row->ping_at = -1;
     row->row_at = array_add(agents->rows, row);
     g_hash_table_insert(agents->by_addr, &row->key, row);
@@ -152,7 +152,7 @@
 struct agent_row *
 agents_find(const struct agents *agents, struct addr addr)
 {
-    uint64_t key = key_of(addr);
+    uint64_t key = addr_key(addr);
 
     return g_hash_table_lookup(agents->by_addr, &key);
 }
@@ -179,11 +179,11 @@
         row = row_add(agents, addr, service, now_us);
     }
     if (row->health.service != service) {
-        struct frame_health nothing = {.service = service};
+        struct frame_health unknown = {.service = service};
 
-        /* Another host has the address now: what the old one said is void,
-         * and what the new one says of its service comes with its answer. */
-        set_health(agents, row, &nothing);
+        /* Another host has taken over the address: discard the old agent's
+         * health. */
+        set_health(agents, row, &unknown);
         agents_clear_suspect(row);
         agents_ping_now(agents, row, now_us);
     }
@@ -261,15 +261,15 @@
     }
     if (agents->list_complete && row->listed &&
         row->health.service != health->service) {
-        /* Another host has the address, and the list doesn't say so yet; or
-         * it had, and this is late. */
+        /* The address has changed hosts, and either the list or this frame is
+         * outdated. */
         row->health.state = ENDPOINT_SILENT;
     }
     else {
         set_health(agents, row, health);
     }
     if (health->data_centre != 0) {
-        /* Also while the store is away: a route may have region_affinity. */
+        /* Needed for region affinity while the store is unreachable. */
         set_data_centre(agents, row, health->data_centre);
     }
     row->down = row->down && health->state == ENDPOINT_SILENT;
--- a/src/relay/forwarder/agents.h
+++ b/src/relay/forwarder/agents.h
@@ -1,10 +1,10 @@
 /**
- * DOC: agents - what a balancer knows of the agents, and which it would ask
+ * DOC: agents - a balancer's table of agents, and its choice among them
  *
- * Whether an agent exists comes from the platform's store or from the agent
- * itself; how its endpoint is comes only from the agent, with each answer.
- * An agent that doesn't answer is suspected: it gets no new flow while
- * another can take it, and is pinged until it replies.
+ * Agents come from the store's list and from the frames they send. The health
+ * of an agent's endpoint comes only from the agent, with each reply. An agent
+ * that doesn't reply becomes suspect: it gets no new flow while another agent
+ * can take it, and is pinged until it replies.
  */
 #ifndef SWIFTARCH_RELAY_FORWARDER_AGENTS_H
 #define SWIFTARCH_RELAY_FORWARDER_AGENTS_H
@@ -27,40 +27,41 @@
 
 /**
  * struct agent_row - one agent
- * @addr: where it takes frames
- * @member: rank id, from @addr
- * @data_centre: where it stands, empty when not known
- * @data_centre_key: evacuations_key() of where it stands, which it says itself
- * too
- * @region: in which that lies, 0 when it isn't known
- * @evacuated: operators have taken that data centre out of service
- * @health: its own last word
- * @listed: the store names it
- * @ever_listed: the store ever_listed it once
- * @unlisted: the store ever_listed it once and doesn't any more
- * @suspect: it didn't answer when it should have
- * @silent_us: since when, 0 while it isn't suspected
- * @down: it said last that its endpoint's process isn't there
- * @reply_optional: its answer isn't waited for: it was out of reach when that
- * was queried, or had nothing to hold flows
- * @inconclusive: that question was left without an answer that says anything:
- * it was out of reach, or its endpoint is silent
- * @complete: its last answer to that question was for certain on each flow,
- * and it replied the last one that it was queried
- * @partial: it said then that its endpoint may hold flows that it doesn't know
- * @queried: last question about orphaned flows that it was queried
- * @replied: last one that it replied
- * @heard_us: last frame from it, 0 for never
- * @health_us: when @health was reported
- * @sent: flows sent to it since then
- * @sent_us: last of these
- * @pinged_us: last ping, 0 for never
- * @ping_us: when to ping it next, 0 for never
- * @ping_gap_us: pause before the ping after that
- * @key: of @addr
- * @row_at: data_centre_key among all rows
- * @service_at: data_centre_key among those of its service
- * @ping_at: data_centre_key among those to be pinged, or -1
+ * @addr: address at which it receives frames
+ * @member: its id in rank_score(), derived from @addr
+ * @data_centre: name of its data centre, empty when unknown
+ * @data_centre_key: evacuations_key() of its data centre; the agent reports it
+ *     too
+ * @region: region_key() of the data centre's region, 0 when unknown
+ * @evacuated: operators have taken its data centre out of service
+ * @health: latest health it reported
+ * @listed: it is in the store's list
+ * @ever_listed: it has been in the store's list
+ * @unlisted: it was in the store's list and has been removed
+ * @suspect: it missed a reply
+ * @silent_us: when the first unanswered frame was sent, 0 while not suspect
+ * @down: it last reported that its endpoint's process isn't running
+ * @reply_optional: the open orphan query doesn't wait for its reply: it was
+ *     unreachable or down when the query was sent
+ * @inconclusive: the orphan query has no usable reply from it: it is
+ *     unreachable, or its endpoint is silent
+ * @complete: it answered the last orphan query sent to it, with certainty for
+ *     each flow
+ * @partial: its last reply said that its endpoint may hold flows that it
+ *     doesn't track
+ * @queried: number of the last orphan query sent to it
+ * @replied: number of the last orphan query that it answered
+ * @heard_us: when its last frame arrived, 0 for never
+ * @health_us: when @health arrived
+ * @sent: new flows sent to it since @health_us
+ * @sent_us: when the last of these was sent
+ * @pinged_us: when it was last pinged, 0 for never
+ * @ping_us: when the next ping is due, 0 for never
+ * @ping_gap_us: interval between the next ping and the one after it
+ * @key: key of @addr in agents.by_addr
+ * @row_at: its index in agents.rows
+ * @service_at: its index among the rows of its service
+ * @ping_at: its index in agents.pinged, or -1
  */
 struct agent_row {
     struct addr addr;
@@ -96,20 +97,20 @@
 };
 
 /**
- * struct agents - all of them
+ * struct agents - table of all agents
  *
- * A choice looks at the agents of one service only, and a tick at those to be
- * pinged, so neither grows with the fleet.
+ * Choosing an agent scans the rows of one service, and a tick scans the rows
+ * with a scheduled ping, so that neither grows with the whole fleet.
  *
- * @rows: GPtrArray of struct agent_row, in no order
- * @by_addr: row of an address
- * @by_service: GPtrArray of the rows of a service
- * @pinged: rows that are to be pinged
- * @list_complete: the store's list was read to its end
- * @additions: how often an agent came to a service
- * @own_data_centre: evacuations_key() of where the balancer stands
- * @store: what is known of the store, and which data centres take no new flow
- * @regions: in which each data centre lies
+ * @rows: GPtrArray of struct agent_row, unordered
+ * @by_addr: row by address
+ * @by_service: GPtrArray of rows by service
+ * @pinged: rows with a scheduled ping
+ * @list_complete: the store's list has been read to its end
+ * @additions: number of times an agent was added to a service
+ * @own_data_centre: evacuations_key() of the balancer's data centre
+ * @store: epoch of the store, and evacuated data centres
+ * @regions: region of each data centre
  */
 struct agents {
     GPtrArray *rows;
@@ -123,34 +124,36 @@
     struct regions regions;
 };
 
-/* Agents in a choice: as many as a frame and its first stop hold. */
+/* Agents in a choice: the first stop of a frame and the stops listed in it. */
 #define AGENTS_CHOICE_MAX (FRAME_NEXT_MAX + 1)
 
-/* Agents that pass on who reads the store: two may be dead or slow at a
+/* Agents that relay which balancers read the store; two of them may fail at a
  * time. */
 #define AGENTS_WITNESSES_MAX 3
 
-/* More than there can be to ping. */
+/* Initial value of agents_ping_due()'s @left. */
 #define AGENTS_ALL_PINGS UINT_MAX
 
-/* Above all ranks: a search from the likeliest agent on. */
+/* Above all ranks: starts a lookup at the best-ranked agent. */
 #define AGENTS_ALL UINT64_MAX
 
 /**
  * struct agents_choice - agents for one packet, best first
  * @addrs: their addresses
- * @count: how many
+ * @count: number of @addrs
  */
 struct agents_choice {
     struct addr addrs[AGENTS_CHOICE_MAX];
     unsigned count;
 };
 
-/** agents_init() - none; @data_centre is the balancer's own */
+/**
+ * agents_init() - initialize an empty table; @data_centre is the balancer's
+ */
 void
 agents_init(struct agents *agents, const char *data_centre);
 
-/** agents_set_regions() - in which region each data centre lies */
+/** agents_set_regions() - set the region of each data centre */
 void
 agents_set_regions(struct agents *agents, const struct regions *regions);
 
@@ -158,98 +161,115 @@
 void
 agents_finish(struct agents *agents);
 
-/** agents_find() - row of an address or NULL; valid until it is removed */
+/**
+ * agents_find() - row of an address, or NULL; valid until the row is removed
+ */
 struct agent_row *
 agents_find(const struct agents *agents, struct addr addr);
 
-/** agents_count() - how many are known */
+/** agents_count() - number of agents */
 size_t
 agents_count(const struct agents *agents);
 
-/** agents_at() - one of them, by data_centre_key; places change as rows go */
+/** agents_at() - row by index; indices change when a row is removed */
 struct agent_row *
 agents_at(const struct agents *agents, size_t at);
 
 /**
- * agents_list() - the store names an agent
- * @data_centre: where it stands
+ * agents_list() - add or update an agent that is in the store's list
+ * @service: hash of the service it belongs to
+ * @data_centre: name of its data centre
  */
 void
 agents_list(struct agents *agents, struct addr addr, uint32_t service,
             const char *data_centre, uint64_t now_us);
 
 /**
- * agents_unlist() - the store doesn't name it, or no more
+ * agents_unlist() - mark an agent as absent from the store's list
  *
- * One that it ever_listed once is reported so. One that it never did may be
- * about to be written, or the list be older than its object.
+ * An agent that was listed before is notified by its next ping. One that never
+ * was isn't: its object may not be written yet, or the list may be older than
+ * the object.
  *
- * It stays until it has been silent for seconds; for a minute when its
- * endpoint has ended, so that callers of flows there can be reported.
+ * The row is removed once the agent has been silent for seconds. When its
+ * endpoint has ended, the row stays for a minute, so that callers of its flows
+ * can be reset.
  */
 void
 agents_unlist(struct agents *agents, struct addr addr, uint64_t now_us);
 
-/** agents_list_complete() - the store's list was read to its end: new flows go
- * to agents in it from now on, so that whoever reads it later knows who may
- * hold them; to others only when there is nobody else */
+/**
+ * agents_list_complete() - the store's list has been read to its end: from now
+ * on unlisted agents get new flows only if no listed agent can take them, so
+ * that other balancers find the holder of each flow in the list
+ */
 void
 agents_list_complete(struct agents *agents);
 
 /**
- * agents_evacuate() - somebody reported which data centres are evacuated
- * @ping: tell the agents there at once: the caller may be the first to know.
- *        Also where nothing changed for it: others may have reported of a
- * state in between, and no balancer that knows better sends anything there
+ * agents_evacuate() - update the set of evacuated data centres
+ * @ping: ping all agents in evacuated data centres at once, as this balancer
+ *     may be the first to read the change; agents of data centres that were
+ *     evacuated already are pinged too, as they may have received a different
+ *     state in between
  *
- * Return: whether the set of evacuated data centres has changed.
+ * Return: whether the set has changed.
  */
 bool
 agents_evacuate(struct agents *agents, const struct evacuations *reported,
                 bool ping, uint64_t now_us);
 
-/** agents_tick() - mind evacuations of an epoch of the store that has ended */
+/**
+ * agents_tick() - update evacuations when the time limits of struct
+ * store_state pass
+ */
 void
 agents_tick(struct agents *agents, uint64_t now_us);
 
-/** agents_all_evacuated() - whether a service has agents in @region_affinity,
- * excluded in evacuated data centres only */
+/**
+ * agents_all_evacuated() - whether a service has evacuated agents in the
+ * regions of @region_affinity, and no others there except gone ones
+ */
 bool
 agents_all_evacuated(const struct agents *agents, uint32_t service,
                      const struct region_affinity *region_affinity);
 
-/** agents_update_health() - a frame with its own word came from an agent; of
- * which service it is, the store says first */
+/**
+ * agents_update_health() - record the health in an agent's frame; adds the
+ * agent if necessary. The store's list overrides the service that the agent
+ * reports.
+ */
 void
 agents_update_health(struct agents *agents, struct addr addr,
                      const struct frame_health *health, uint64_t now_us);
 
-/** agents_mark_alive() - a frame without a word on its endpoint came from an
- * agent
- */
+/** agents_mark_alive() - record a frame that carries no health */
 void
 agents_mark_alive(struct agents *agents, struct agent_row *row,
                   uint64_t now_us);
 
-/** agents_mark_unanswered() - an agent didn't answer a new flow sent at
- * @sent_us */
+/**
+ * agents_mark_unanswered() - mark an agent suspect unless a frame arrived from
+ * it after @sent_us
+ */
 void
 agents_mark_unanswered(struct agents *agents, struct addr addr,
                        uint64_t sent_us, uint64_t now_us);
 
-/** agents_sent() - a new flow went to an agent */
+/** agents_sent() - count a new flow sent to an agent */
 void
 agents_sent(struct agents *agents, struct addr addr, uint64_t now_us);
 
 /**
- * agents_ping_due() - an agent to ping now
- * @left: places that are still to be looked at; AGENTS_ALL_PINGS at first, so
- *        that a query looks at each once
- * @addr: its address
- * @unlisted: whether it is to be reported that the store doesn't name it any
- *            more
+ * agents_ping_due() - next agent to ping now
+ * @left: rows still to be checked in this tick; AGENTS_ALL_PINGS at first
+ * @addr: set to its address
+ * @unlisted: set to whether the ping must notify the agent that it was removed
+ *     from the store's list
  *
- * Return: false when none is due.
+ * Also removes rows of unlisted agents that have been silent for long.
+ *
+ * Return: false when no ping is due.
  */
 bool
 agents_ping_due(struct agents *agents, unsigned *left, uint64_t now_us,
@@ -259,24 +279,27 @@
 uint64_t
 agents_next_ping_us(const struct agents *agents);
 
-/** agents_for_new() - who may take a new flow in @region_affinity, best first;
- * the suspected only when there is nobody else */
+/**
+ * agents_for_new() - agents that may take a new flow in the regions of
+ * @region_affinity, best first; only agents of the best available tier
+ */
 void
 agents_for_new(const struct agents *agents, uint32_t service,
                const struct region_affinity *region_affinity, uint64_t hash,
                uint64_t now_us, struct agents_choice *choice);
 
 /**
- * agents_for_established() - who may hold an open flow, likeliest first
+ * agents_for_established() - agents that may hold an established flow, best
+ * rank first
  *
- * Agents whose endpoints may hold flows that they don't know are always among
- * them, as only a packet tells; the others can be queried.
+ * Agents whose endpoints may hold flows that they don't track are always
+ * included, as they can't answer an orphan query with certainty.
  *
- * @region_affinity: where it can have been opened
- * @denied: all agents were queried for it: those whose replies are for certain
- *          are left out
- * @below: only those that rank below this, AGENTS_ALL for all; becomes the
- *         rank of the last of @choice
+ * @region_affinity: regions in which the flow can have been opened
+ * @denied: an orphan query for the flow found no holder: agents that answered
+ *     it with certainty are left out
+ * @below: only agents that rank below this, AGENTS_ALL for all; set to the
+ *     rank of the last agent of @choice
  *
  * Return: false when there are none.
  */
@@ -286,33 +309,39 @@
                        uint64_t hash, bool denied, uint64_t *below,
                        struct agents_choice *choice);
 
-/** agents_of_service() - rows of a service, NULL for none; valid until any
- * additions */
+/**
+ * agents_of_service() - rows of a service, or NULL; valid until a row is added
+ * or removed
+ */
 const GPtrArray *
 agents_of_service(const struct agents *agents, uint32_t service);
 
-/** agents_next_service() - the service with agents that follows @service in
- * the order of their hashes, the first after the last; @excluded is left out,
- * and reported when there is no other */
+/**
+ * agents_next_service() - the service with agents whose hash follows @service,
+ * wrapping to the lowest; skips @excluded, and returns it when there is no
+ * other
+ */
 uint32_t
 agents_next_service(const struct agents *agents, uint32_t service,
                     uint32_t excluded);
 
-/** agent_is_unreachable() - whether an agent has been silent for so long that
- * an answer through it can't be in time any more */
+/**
+ * agent_is_unreachable() - whether an agent has been silent for too long for
+ * its reply to reach a caller in time
+ */
 bool
 agent_is_unreachable(const struct agent_row *row, uint64_t now_us);
 
 /**
- * agents_witnesses() - agents that all balancers of this data centre know of
+ * agents_witnesses() - agents that relay which balancers read the store
  *
- * The same few for each of them, as far as they know the same agents and trust
- * them: what one tells these, the others can ask them.
+ * All balancers of a data centre choose the same few, as far as they have the
+ * same agents and the same suspects.
  */
 void
 agents_witnesses(const struct agents *agents, struct agents_choice *choice);
 
-/** agents_can_serve() - whether some agent may take a new flow of @service */
+/** agents_can_serve() - whether an agent may take a new flow of @service */
 bool
 agents_can_serve(const struct agents *agents, uint32_t service);
 
--- a/src/relay/forwarder/agents_choice.c
+++ b/src/relay/forwarder/agents_choice.c
@@ -4,28 +4,25 @@
 
 #include "base/clock.h"
 
-/* How long an agent's count of busy slots says something: requests run for
- * some 15 ms, so an older count is as good as none. */
+/* Maximum age of a load report: requests take some 15 ms. */
 #define LOAD_MAX_AGE_US (25 * USEC_PER_MSEC)
 
-/* Load is counted in 1/16 of an endpoint's slots. */
+/* Load unit: 1/16 of an endpoint's slots. */
 #define LOAD_UNIT 16
 #define SLOTS_DEFAULT 2
 
-/* What a request in another data centre costs more: as much as one request
- * that syn_timers before it. Bytes between data centres are dear, and one
- * slot's queue is still well inside any aim. */
+/* Load added for another data centre, to limit traffic between data centres:
+ * one request on an endpoint with the default slots. */
 #define LOAD_REMOTE (LOAD_UNIT / SLOTS_DEFAULT)
 
-/* An endpoint that resets what it is queried comes after any that has less
- * than four requests on each of its slots more; it is never left out, as the
- * others may be no better. */
+/* Load added for an endpoint that resets requests: four requests on each slot.
+ * It isn't excluded, as the others may fail too. */
 #define LOAD_FAILING (4 * LOAD_UNIT)
 
-/* Bucket of the ranking by which witnesses are found, any. */
+/* Rank bucket for choosing witnesses; the same in all balancers. */
 #define WITNESS_BUCKET 0
 
-/** struct candidate - an agent in a choice */
+/** struct candidate - an agent considered for a choice */
 struct candidate {
     const struct agent_row *row;
     enum tier tier;
@@ -78,7 +75,7 @@
     return load;
 }
 
-/* Keeps the @capacity best by score, best first; @count grows up to that. */
+/* Inserts a candidate among the @capacity best by score, best first. */
 static void
 keep_best(struct candidate *best, unsigned capacity, unsigned *count,
           const struct candidate *candidate)
@@ -102,7 +99,7 @@
 }
 
 static bool
-goes_before(const struct candidate *a, const struct candidate *b)
+ranks_before(const struct candidate *a, const struct candidate *b)
 {
     if (a->tier != b->tier) {
         return a->tier < b->tier;
@@ -120,7 +117,7 @@
         struct candidate item = items[i];
         unsigned at = i;
 
-        while (at > 0 && goes_before(&item, &items[at - 1])) {
+        while (at > 0 && ranks_before(&item, &items[at - 1])) {
             items[at] = items[at - 1];
             at--;
         }
@@ -174,15 +171,14 @@
         keep_best(best, RANK_DEPTH, &count, &candidate);
     }
     sort_candidates(best, count);
-    /* A packet that is handed from agent to agent ends at a dead one. */
+    /* A path ends at the first dead agent: leave out the worse tiers. */
     while (count > 1 && best[count - 1].tier > best[0].tier) {
         count--;
     }
     choice_fill(choice, best, count);
 }
 
-/* Rank of an agent among those that may hold a flow: the partial before all
- * others. */
+/* Rank of an agent among those that may hold a flow; partial agents first. */
 static uint64_t
 established_score(const struct agent_row *row, uint64_t hash)
 {
@@ -238,8 +234,7 @@
             .score = rank_score(row->member, WITNESS_BUCKET),
         };
 
-        /* Those of other data centres only where there are none
-         * own_data_centre. */
+        /* Agents of other data centres rank after all of the own. */
         candidate.score =
             candidate.score >> 1 | (own_data_centre ? 1ull << 63 : 0);
         if (!row->suspect && row->health.state != ENDPOINT_GONE) {
--- a/src/relay/forwarder/agents_private.h
+++ b/src/relay/forwarder/agents_private.h
@@ -1,8 +1,8 @@
 /**
- * DOC: agents_private - what the parts of agents share
+ * DOC: agents_private - interface between the parts of agents
  *
- * agents keeps the rows, agents_reach who replies and is pinged, agents_choice
- * whom a packet goes to.
+ * agents.c keeps the rows, agents_reach.c tracks which agents reply and
+ * schedules pings, agents_choice.c chooses the agents for a packet.
  */
 #ifndef SWIFTARCH_RELAY_FORWARDER_AGENTS_PRIVATE_H
 #define SWIFTARCH_RELAY_FORWARDER_AGENTS_PRIVATE_H
@@ -11,31 +11,31 @@
 
 /** enum tier - how likely an agent takes a new flow, best first */
 enum tier {
-    AGENT_TIER_OPEN,     /* its own word says so */
-    AGENT_TIER_UNHEARD,  /* the store names it, and it hasn't spoken yet */
-    AGENT_TIER_SUSPECT,  /* may be dead or frozen */
-    AGENT_TIER_UNLISTED, /* the store's list doesn't name it */
-    AGENT_TIER_CLOSED,   /* said that it takes none */
+    AGENT_TIER_OPEN,     /* it reported that it takes new flows */
+    AGENT_TIER_UNHEARD,  /* listed, but no frame has arrived from it */
+    AGENT_TIER_SUSPECT,  /* it missed a reply */
+    AGENT_TIER_UNLISTED, /* not in the store's list */
+    AGENT_TIER_CLOSED,   /* it reported that it takes none */
 };
 
-/** agents_tier() - an agent's */
+/** agents_tier() - tier of an agent */
 enum tier
 agents_tier(const struct agents *agents, const struct agent_row *row);
 
-/** agents_set_ping() - set when a row is pinged next; 0 for never */
+/** agents_set_ping() - schedule the next ping of a row; 0 for never */
 void
 agents_set_ping(struct agents *agents, struct agent_row *row,
                 uint64_t ping_us);
 
-/** agents_ping_now() - a row is pinged at once, and often at first */
+/** agents_ping_now() - ping a row at once, and restart its backoff */
 void
 agents_ping_now(struct agents *agents, struct agent_row *row, uint64_t now_us);
 
-/** agents_clear_suspect() - a row isn't suspected */
+/** agents_clear_suspect() - mark a row as not suspect */
 void
 agents_clear_suspect(struct agent_row *row);
 
-/** agents_remove() - a row is forgotten */
+/** agents_remove() - remove and free a row */
 void
 agents_remove(struct agents *agents, struct agent_row *row);
 
--- a/src/relay/forwarder/agents_reach.c
+++ b/src/relay/forwarder/agents_reach.c
@@ -4,30 +4,26 @@
 
 #include "base/clock.h"
 
-/* A suspected agent is pinged at once, then each 100 ms, slowing down to one
- * ping in 2 s: a host that wakes again is back within a ping. After that the
- * pause is a part of the time for which it has been silent: all balancers ping
- * every host that is gone for good. */
+/* Ping intervals of a suspect agent: 100 ms at first, doubling to 2 s. Once it
+ * has been silent for long, the interval is 1/8 of its silence, up to 5
+ * minutes, which bounds the traffic to hosts that are gone for good. */
 #define PING_FIRST_US (100 * USEC_PER_MSEC)
 #define PING_SLOW_US (2 * USEC_PER_SEC)
-#define PING_SILENCE_PARTS 8
+#define PING_SILENCE_DIVISOR 8
 #define PING_SLOWEST_US (5 * 60 * USEC_PER_SEC)
 
-/* An agent that said that it takes nothing new tells when that additions; the
- * ping is for the word that was orphaned on its way. */
+/* Ping interval of an agent that takes no new flows, in case its report of a
+ * change is lost. */
 #define PING_CLOSED_US (500 * USEC_PER_MSEC)
 
-/* An agent that is silent for this long can't bring a caller its answer in
- * time any more. A planned restart takes some 0.6 s; one that said before that
- * it takes nothing new may be in such a restart and is waited for longer. */
+/* Silence after which an agent is unreachable. A planned restart takes some
+ * 0.6 s; an agent that reported draining may be in one and gets more time. */
 #define SILENT_US (1 * USEC_PER_SEC)
 #define SILENT_CLOSED_US (5 * USEC_PER_SEC)
 
-/* How long an agent whose endpoint has ended is remembered: as long as the
- * oldest flow there may be. */
+/* How long an agent with an ended endpoint is kept: maximum flow lifetime. */
 #define ENDED_RETENTION_US (60 * USEC_PER_SEC)
 
-/* Sets when a row is pinged next; 0 for never. */
 void
 agents_set_ping(struct agents *agents, struct agent_row *row, uint64_t ping_us)
 {
@@ -56,7 +52,7 @@
     agents_set_ping(agents, row, now_us);
 }
 
-/* It didn't answer what was sent at @sent_us. */
+/* Marks a row that didn't reply to a frame sent at @sent_us. */
 static void
 set_suspect(struct agent_row *row, uint64_t sent_us)
 {
@@ -84,7 +80,7 @@
     row->ping_gap_us = PING_FIRST_US;
     if (row->unlisted && row->ping_us != 0 &&
         row->health.state != ENDPOINT_GONE) {
-        /* It isn't told yet, or the store doesn't name it again yet. */
+        /* Keep notifying the agent until the store lists it again. */
         return;
     }
     closed = agents_tier(agents, row) == AGENT_TIER_CLOSED;
@@ -105,10 +101,10 @@
     agents_set_ping(agents, row, now_us);
 }
 
-/* Whether a row that the store no longer names has been silent for so long
- * that it is forgotten. */
+/* Whether an unlisted agent has been silent for so long that its row is
+ * removed. */
 static bool
-is_forgotten(const struct agent_row *row, uint64_t now_us)
+is_expired(const struct agent_row *row, uint64_t now_us)
 {
     bool ended = row->health.state == ENDPOINT_GONE;
 
@@ -116,13 +112,13 @@
            (!ended || now_us - row->health_us > ENDED_RETENTION_US);
 }
 
-/* The longest pause before the next ping. */
+/* Maximum interval before the next ping. */
 static uint64_t
 max_ping_gap(const struct agent_row *row, uint64_t now_us)
 {
     uint64_t silent_us = row->suspect ? now_us - row->silent_us : 0;
 
-    return CLAMP(silent_us / PING_SILENCE_PARTS, PING_SLOW_US,
+    return CLAMP(silent_us / PING_SILENCE_DIVISOR, PING_SLOW_US,
                  PING_SLOWEST_US);
 }
 
@@ -130,15 +126,14 @@
 agents_ping_due(struct agents *agents, unsigned *left, uint64_t now_us,
                 struct addr *addr, bool *unlisted)
 {
-    /* A row that is removed gives its place to the last, which was looked at.
-     */
+    /* Removing a row moves the last one, already checked, into its place. */
     for (*left = MIN(*left, agents->pinged->len); *left > 0;) {
         struct agent_row *row = g_ptr_array_index(agents->pinged, --*left);
 
         if (row->ping_us > now_us) {
             continue;
         }
-        if (is_forgotten(row, now_us)) {
+        if (is_expired(row, now_us)) {
             agents_remove(agents, row);
             continue;
         }
--- a/src/relay/forwarder/forwarder.c
+++ b/src/relay/forwarder/forwarder.c
@@ -9,10 +9,10 @@
 #include "base/clock.h"
 #include "relay/forwarder/forwarder_private.h"
 
-/* Until a configuration says how soon requests are to be replied. */
+/* Response target of learned routes. */
 #define LEARNED_TARGET_MS 100
 
-/* A flow may be quiet for as long as the configuration says, and a bit. */
+/* Added to the configuration's idle timeout. */
 #define IDLE_SLACK_MS 1000
 
 static bool
@@ -22,16 +22,16 @@
            !relay_packet_is_syn_ack(packet);
 }
 
-/* Whether the caller uses its port again for a flow of its own. */
+/* Whether a SYN belongs to a new flow from the same port. */
 static bool
-is_other_flow(const struct forwarder_pin *pin,
-              const struct relay_packet *packet)
+is_port_reused(const struct forwarder_pin *pin,
+               const struct relay_packet *packet)
 {
     return pin->syn_size > 0 && pin->syn_seq != packet->seq;
 }
 
 static void
-expire(struct forwarder *forwarder, uint64_t now_us)
+forget_idle_flows(struct forwarder *forwarder, uint64_t now_us)
 {
     uint64_t idle_us =
         (forwarder->routes.idle_timeout_ms + (uint64_t)IDLE_SLACK_MS) *
@@ -94,10 +94,9 @@
     return true;
 }
 
-/* A packet can't be carried anywhere. A caller that would open a flow is
- * reported at once, rather than after the 1.4 s that it syn_timers; but not by
- * a balancer that may not have the latest configuration, and not after its
- * first SYN: another balancer may have had an earlier copy and sent it on. */
+/* Resetting the caller spares it its SYN timeout of 1.4 s. A balancer with an
+ * outdated configuration doesn't reset, as the route may exist. Nor are later
+ * copies reset: another balancer may have forwarded an earlier one. */
 void
 forwarder_refuse(struct forwarder *forwarder, enum forwarder_drop why,
                  const struct relay_packet *packet)
@@ -110,7 +109,7 @@
     }
 }
 
-/* Route of a packet, or NULL when it was dropped for the lack of one. */
+/* Returns the route of a packet, or NULL after dropping it. */
 static const struct route *
 route_of(struct forwarder *forwarder, const struct relay_packet *packet)
 {
@@ -127,7 +126,7 @@
     return route;
 }
 
-/* Route of an address that isn't in the learned ones yet. */
+/* Adds a learned route. */
 static void
 learn_route(struct forwarder *forwarder, struct addr address, uint32_t service)
 {
@@ -136,7 +135,7 @@
     route->address = address;
     route->shares[route->share_count++] = (struct route_share){service, 1, 0};
     route->target_ms = LEARNED_TARGET_MS;
-    /* No two have the same address: each was looked for first. */
+    /* Can't fail: the address isn't in the table yet. */
     (void)routes_seal(&forwarder->learned);
 }
 
@@ -146,9 +145,9 @@
 {
     const struct agent_row *row = agents_find(&forwarder->agents, agent);
     uint32_t region = row != NULL ? row->region : 0;
-    bool differ = regions_differ(&forwarder->agents.regions);
+    bool multiple_regions = regions_differ(&forwarder->agents.regions);
 
-    if (forwarder->routes.version != 0 || (differ && region == 0)) {
+    if (forwarder->routes.version != 0 || (multiple_regions && region == 0)) {
         return;
     }
     for (unsigned i = 0; i < served->count; i++) {
@@ -157,7 +156,7 @@
         if (routes_find(&forwarder->learned, address) == NULL) {
             learn_route(forwarder, address, served->service);
         }
-        if (differ) {
+        if (multiple_regions) {
             struct route *route =
                 (struct route *)routes_find(&forwarder->learned, address);
 
@@ -166,8 +165,7 @@
     }
 }
 
-/* Whether a SYN can go somewhere, or will go nowhere for as long as it would
- * be kept. */
+/* Whether a SYN can be routed now, or queueing it can't help. */
 static bool
 can_route_syn(const struct forwarder *forwarder)
 {
@@ -177,7 +175,7 @@
     return forwarder->agents.list_complete || forwarder_ready(forwarder);
 }
 
-/* Sends what came early_syns; the youngest first, as the others are late. */
+/* Sends the queued SYNs, youngest request first. */
 static void
 send_early_syns(struct forwarder *forwarder, uint64_t now_us)
 {
@@ -196,10 +194,10 @@
 
 bool
 forwarder_evacuations(struct forwarder *forwarder,
-                      const struct evacuations *reported, bool first,
+                      const struct evacuations *reported, bool from_store,
                       uint64_t now_us)
 {
-    return agents_evacuate(&forwarder->agents, reported, first, now_us);
+    return agents_evacuate(&forwarder->agents, reported, from_store, now_us);
 }
 
 void
@@ -229,7 +227,7 @@
     }
     if (relay_packet_is_syn(packet)) {
         if (handle != FLOW_INDEX_NONE &&
-            (is_other_flow(&forwarder->pins[handle], packet) ||
+            (is_port_reused(&forwarder->pins[handle], packet) ||
              forwarder->pins[handle].proved_us != 0)) {
             forwarder_forget(forwarder, handle);
             handle = FLOW_INDEX_NONE;
@@ -300,7 +298,7 @@
     }
     agents_tick(&forwarder->agents, now_us);
     forwarder_orphans_tick(forwarder, now_us);
-    expire(forwarder, now_us);
+    forget_idle_flows(forwarder, now_us);
 }
 
 void
--- a/src/relay/forwarder/forwarder.h
+++ b/src/relay/forwarder/forwarder.h
@@ -1,15 +1,15 @@
 /**
- * DOC: forwarder - what a balancer does with each packet (decisions only)
+ * DOC: forwarder - a balancer's forwarding decisions
  *
- * A caller's SYN goes to the agent that seems best; the agent replies that
- * its endpoint holds the flow, and the balancer pins the flow to it. An
- * agent that doesn't answer within milliseconds costs one more try
- * elsewhere, long before the caller sends a copy. A packet of a flow that is
- * not pinned here (the fabric moved it) travels along the agents that may
- * hold it until one does, which then tells.
+ * A caller's SYN goes to the best agent. When the agent reports that its
+ * endpoint has accepted the flow, the balancer pins the flow to it. If no
+ * reply arrives within milliseconds, the SYN goes to another agent, before the
+ * caller retransmits it. A packet of a flow without a pin here (the network
+ * moved it from another balancer) is forwarded along the agents that may hold
+ * the flow, and the holder reports itself.
  *
- * Every output goes through struct forwarder_out; there is no socket and no
- * clock inside.
+ * The module opens no socket and reads no clock: outputs go through struct
+ * forwarder_out, and callers pass the time.
  */
 #ifndef SWIFTARCH_RELAY_FORWARDER_FORWARDER_H
 #define SWIFTARCH_RELAY_FORWARDER_FORWARDER_H
@@ -25,77 +25,84 @@
 #include "relay/forwarder/routes.h"
 #include "relay/forwarder/syn_queue.h"
 
-/* Endpoints that replied one SYN, at most: one for each try that was only
- * slow; more are not remembered. */
+/* Maximum acceptors remembered for a flow; several tries of a SYN may be
+ * accepted when replies are slow. */
 #define FORWARDER_ACCEPTORS_MAX 2
 
-/* Flows that a balancer remembers: hundreds of thousands at full size, 248
- * bytes each, and pages that were never used cost nothing. */
+/* Maximum pins; untouched pages of the table use no memory. */
 #define FORWARDER_FLOWS_MAX (1u << 18)
 
-/** enum forwarder_drop - why a packet wasn't carried */
+/** enum forwarder_drop - why a packet was dropped */
 enum forwarder_drop {
-    FORWARDER_DROP_MALFORMED, /* no packet, or one that no caller sends */
-    FORWARDER_DROP_NO_CONFIG, /* no configuration is known yet */
-    FORWARDER_DROP_NO_ROUTE,  /* nothing stands at that address */
-    FORWARDER_DROP_NO_AGENT,  /* its service has no agent that might take it */
+    FORWARDER_DROP_MALFORMED, /* malformed, or not from a caller */
+    FORWARDER_DROP_NO_CONFIG, /* no configuration yet */
+    FORWARDER_DROP_NO_ROUTE,  /* no route for its address */
+    FORWARDER_DROP_NO_AGENT,  /* no agent of its service can take it */
     FORWARDER_DROP_EVACUATED, /* all agents of its service are in evacuated
                                * data centres */
-    FORWARDER_DROP_FOREIGN,   /* a frame that is none of ours */
+    FORWARDER_DROP_FOREIGN,   /* not a valid frame of this system */
     FORWARDER_DROP_COUNT,
 };
 
-/** enum forwarder_decision - what became of a flow */
+/** enum forwarder_decision - decision on a flow */
 enum forwarder_decision {
-    FORWARDER_DECISION_SEND,      /* its SYN went to an agent */
-    FORWARDER_DECISION_ESTABLISH, /* an agent says that its endpoint holds it
-                                   */
-    FORWARDER_DECISION_RESET,     /* no endpoint holds it, and its caller is
-                                     reported */
-    FORWARDER_DECISION_LOOKUP, /* it is open, and not known where: agents are
-                                  queried */
+    FORWARDER_DECISION_SEND,      /* its SYN was sent to an agent */
+    FORWARDER_DECISION_ESTABLISH, /* an agent reported that its endpoint holds
+                                   * it */
+    FORWARDER_DECISION_RESET,     /* no endpoint holds it: its caller is
+                                   * reset */
+    FORWARDER_DECISION_LOOKUP, /* it is established with an unknown holder: its
+                                * packet goes to agents that may hold it */
 };
 
 struct forwarder_out;
 struct orphan_query;
 
-/** struct forwarder_out_ops - what a decision leads to */
+/** struct forwarder_out_ops - outputs of the forwarder */
 struct forwarder_out_ops {
     /** @forward: send a caller's packet to an agent */
     void (*forward)(struct forwarder_out *out, struct addr agent,
                     const struct frame_forward *frame);
-    /** @reset: tell a caller that its flow is over, or won't open; @seq: what
-     * it last acknowledged */
+    /**
+     * @reset: send a caller an RST for a flow that has ended or can't be
+     *     opened; @seq: the caller's last acknowledgement number
+     */
     void (*reset)(struct forwarder_out *out, struct relay_flow flow,
                   uint32_t seq);
-    /** @ping: query an agent for its word; @unlisted: tell it that the store
-     * doesn't name it any more */
+    /**
+     * @ping: request an agent's state; @unlisted: notify it that it was
+     *     removed from the store's list
+     */
     void (*ping)(struct forwarder_out *out, struct addr agent, bool unlisted);
-    /** @query: query an agent which of some flows its endpoint holds */
+    /** @query: send an orphan query to an agent */
     void (*query)(struct forwarder_out *out, struct addr agent,
                   const struct frame_query *query);
-    /** @confirm: query the store whether the list of agents is complete; the
-     * answer comes with forwarder_confirmed() */
+    /**
+     * @confirm: request the store to confirm that the list of agents is
+     *     complete; forwarder_confirmed() receives the reply
+     */
     void (*confirm)(struct forwarder_out *out, uint64_t now_us);
-    /** @newer_config: some balancer follows a newer configuration */
+    /** @newer_config: another balancer follows a newer configuration */
     void (*newer_config)(struct forwarder_out *out,
                          const struct frame_config_version *newer);
-    /** @readers: an agent tells who else reads the store's latest */
+    /** @readers: an agent reported how many other balancers read the store */
     void (*readers)(struct forwarder_out *out, struct frame_readers others);
     /** @dropped: a packet was dropped; @packet may be NULL */
     void (*dropped)(struct forwarder_out *out, enum forwarder_drop why,
                     const struct relay_packet *packet);
-    /** @decided: a new flow was sent, sent again, or placed */
-    void (*decided)(struct forwarder_out *out, enum forwarder_decision did,
-                    struct relay_flow flow, struct addr agent, unsigned tries,
-                    uint64_t age_us);
-    /** @concluded: a question about orphaned flows has ended; @over of them
-     * are queued by nobody */
+    /** @decided: a decision on a flow */
+    void (*decided)(struct forwarder_out *out,
+                    enum forwarder_decision decision, struct relay_flow flow,
+                    struct addr agent, unsigned tries, uint64_t age_us);
+    /**
+     * @concluded: an orphan query has ended; no endpoint holds @ended of its
+     *     flows
+     */
     void (*concluded)(struct forwarder_out *out,
-                      const struct orphan_query *query, unsigned over);
+                      const struct orphan_query *query, unsigned ended);
 };
 
-/** struct forwarder_out - where outputs go; the vtable comes first */
+/** struct forwarder_out - receiver of outputs; embed as the first member */
 struct forwarder_out {
     const struct forwarder_out_ops *ops;
 };
@@ -103,23 +110,23 @@
 struct forwarder_pin;
 struct forwarder_syn_timer;
 
-/* Agents that one question goes to at most: at 1 ms each, as many as can be
- * queried while a caller syn_timers for its flow. */
+/* Maximum agents of an orphan query: at GAP_PER_AGENT_US each, as many as fit
+ * into a caller's timeout. */
 #define FORWARDER_QUERY_AGENTS_MAX 1500
 
-/* Stands for all services; no service's hash is 0. */
+/* Selects all services; no service's hash is 0. */
 #define FORWARDER_ANY_SERVICE 0
 
-/* Flows that are waited for at a time; the next packet of one that found no
- * room brings it again. */
+/* Maximum orphaned flows; a flow without room is added again by its next
+ * packet. */
 #define FORWARDER_ORPHANS_MAX 1024
 
 /**
- * struct forwarder_orphan - a flow that its callers send on and no search
- * found
+ * struct forwarder_orphan - a flow with packets from its caller and no known
+ * holder
  * @handle: its pin
- * @flow: its key, as the pin may be another's by now
- * @since_us: when it was looked for first
+ * @flow: its key, to detect that the pin was reused
+ * @since_us: when its lookup began
  */
 struct forwarder_orphan {
     uint32_t handle;
@@ -128,23 +135,25 @@
 };
 
 /**
- * struct orphan_query - one question to all agents that may hold some flows
- * @number: names it
- * @open: it syn_timers for replies
- * @service: whose agents, FORWARDER_ANY_SERVICE for all
- * @started_us: when it was queried
- * @additions: of the agents until then: one that has come since wasn't queried
- * @confirmed: the list of agents was complete after that
- * @queries: agents that were queried
- * @replies: those that have replied
- * @queried: agents that were not silent before, or have replied
- * @missing: those of them that haven't replied
- * @unreachable: the others, and those whose endpoints are silent
- * @store_queried: the store is queried, or needn't be
- * @due_us: how long silent agents are waited for
- * @flows: what was queried for
- * @count: how many
- * @absent: a bit for each that nobody has claimed so far
+ * struct orphan_query - a query to all agents that may hold some flows
+ * @number: sequence number of the query
+ * @open: replies are awaited
+ * @service: whose agents are queried, FORWARDER_ANY_SERVICE for all
+ * @started_us: when it was sent
+ * @additions: agents.additions at that time, to detect agents added since
+ * @confirmed: the store confirmed the list of agents after @started_us
+ * @queries: agents that it was sent to
+ * @replies: agents that have replied
+ * @store_queried: the replies were evaluated: the store was asked to confirm
+ *     the list of agents if that allows a proof
+ * @due_us: deadline for agents whose reply is optional
+ * @queried: agents whose reply is required, and others with a usable reply
+ * @missing: agents whose required reply is missing
+ * @unreachable: agents without a usable reply: unreachable or down before, or
+ *     with a silent endpoint
+ * @flows: flows queried
+ * @count: number of @flows
+ * @absent: bit i is set while no agent has claimed @flows[i]
  */
 struct orphan_query {
     uint32_t number;
@@ -166,12 +175,12 @@
 };
 
 /**
- * struct forwarder_orphans - flows that may be queued by nobody
+ * struct forwarder_orphans - orphaned flows and the query for them
  * @flows: the flows
- * @count: how many
- * @query: the question that is open, or was last
- * @gap_us: pause between two queries
- * @next_us: when the next may be queried
+ * @count: number of @flows
+ * @query: the open query, or the last one
+ * @gap_us: minimum interval between two queries
+ * @next_us: when the next query may be sent
  */
 struct forwarder_orphans {
     struct forwarder_orphan flows[FORWARDER_ORPHANS_MAX];
@@ -182,8 +191,10 @@
 };
 
 /**
- * struct forwarder_slow_start - an endpoint that warms up may get in any
- * second its service's rate times @over, and @slack requests
+ * struct forwarder_slow_start - allowance above a service's slow-start rate: a
+ * cold endpoint may get rate * @over + @slack requests in a second
+ * @over: factor on the rate
+ * @slack: requests per second on top
  */
 struct forwarder_slow_start {
     double over;
@@ -192,22 +203,24 @@
 
 /**
  * struct forwarder - state of a balancer
- * @out: where outputs go
- * @self: address that agents answer to
- * @reader: this balancer's part in reading the store's latest
- * @slow_start: how far operators let the rate of a cold endpoint be passed
- * @current: no newer configuration can have been known to others for long
+ * @out: receiver of outputs
+ * @self: address to which agents reply
+ * @reader: whether this balancer reads the store
+ * @slow_start: allowance above slow-start rates
+ * @current: the configuration in force is the store's latest, as far as can be
+ *     known
  * @agents: the agents
  * @routes: configuration in force
- * @learned: what agents saw, used while there is no configuration
- * @flows: keys of the pins
- * @pins: a pin for each handle
- * @rtt_us: how long agents take to answer a new flow, the slower ones
- * @syn_timers: SYNs whose agent hasn't replied, in the order they fall due
- * @syn_timer_first: first of them
- * @syn_timer_count: how many
- * @early_syns: SYNs that came before anybody was known to take them
- * @orphaned: open flows that no search has found
+ * @learned: routes learned from agents, used while there is no configuration
+ * @flows: index from flow to pin
+ * @pins: pins by handle
+ * @rtt_us: moving average of agents' replies to SYNs, weighted towards slow
+ *     ones
+ * @syn_timers: ring of timers for SYNs without a reply, by deadline
+ * @syn_timer_first: index of the first timer
+ * @syn_timer_count: number of timers
+ * @early_syns: SYNs that arrived before they could be routed
+ * @orphaned: established flows with an unknown holder
  */
 struct forwarder {
     struct forwarder_out *out;
@@ -228,7 +241,7 @@
     struct forwarder_orphans orphaned;
 };
 
-/** forwarder_init() - nothing known yet; 0 or -ENOMEM */
+/** forwarder_init() - initialize an empty state; 0 or -ENOMEM */
 int
 forwarder_init(struct forwarder *forwarder, struct forwarder_out *out,
                struct addr self, const char *data_centre);
@@ -240,102 +253,107 @@
 /**
  * forwarder_routes() - follow a configuration
  *
- * Takes over @routes. One that is not newer is freed and additions nothing: a
- * process never goes back. Open flows stay where they are.
+ * Takes ownership of @routes. An older or equal version is freed and ignored.
+ * Established flows stay with their endpoints.
  *
- * Return: whether it is in force now.
+ * Return: whether @routes is in force now.
  */
 bool
 forwarder_routes(struct forwarder *forwarder, struct routes *routes,
                  uint64_t now_us);
 
 /**
- * forwarder_served() - an agent's endpoint serves addresses
+ * forwarder_served() - learn routes from the addresses that an agent's
+ * endpoint serves
  *
- * Where data centres lie in several regions, a learned address is served only
- * in those whose endpoints have served it before: it may have region_affinity.
+ * Ignored once a configuration is in force. Learned routes let balancers serve
+ * callers after a restart of all hosts while the store is unreachable.
  *
- * Counts only while no configuration is known: callers of a site that orphaned
- * every process while the store is away are served all the same.
+ * When data centres are in several regions, a learned route is limited to the
+ * regions that reported it, as its configuration may have region affinity.
  */
 void
 forwarder_served(struct forwarder *forwarder, struct addr agent,
                  const struct frame_served *served);
 
-/** forwarder_store_view() - how this balancer keeps up with the store, for
- * frames */
+/** forwarder_store_view() - this balancer's view of the store, for frames */
 struct frame_store_view
 forwarder_store_view(const struct forwarder *forwarder);
 
-/** forwarder_ping_witnesses() - tell and query agents who reads the store */
+/**
+ * forwarder_ping_witnesses() - exchange with agents which balancers read the
+ * store
+ */
 void
 forwarder_ping_witnesses(struct forwarder *forwarder);
 
 /**
- * forwarder_evacuations() - which data centres take no new flow
- * @first: reported by the store, not by another host: the agents there may not
- * know it yet and are reported
+ * forwarder_evacuations() - update the evacuated data centres
+ * @from_store: read from the store by this balancer: agents there may not have
+ *     received the change and are pinged
  *
- * Return: whether that has changed.
+ * Return: whether the set has changed.
  */
 bool
 forwarder_evacuations(struct forwarder *forwarder,
-                      const struct evacuations *reported, bool first,
+                      const struct evacuations *reported, bool from_store,
                       uint64_t now_us);
 
-/** forwarder_packet() - a caller's packet came */
+/** forwarder_packet() - handle a caller's packet */
 void
 forwarder_packet(struct forwarder *forwarder,
                  const struct relay_packet *packet, uint64_t now_us);
 
-/** forwarder_status() - an agent's word came */
+/** forwarder_status() - handle an agent's status frame */
 void
 forwarder_status(struct forwarder *forwarder, struct addr agent,
                  const struct frame_status *status, uint64_t now_us);
 
-/** forwarder_query_reply() - an agent replied which flows its endpoint doesn't
- * hold */
+/** forwarder_query_reply() - handle an agent's reply to an orphan query */
 void
 forwarder_query_reply(struct forwarder *forwarder, struct addr agent,
                       const struct frame_query_reply *absent, uint64_t now_us);
 
-/** forwarder_confirmed() - the store, queried at @asked_us, says that the list
- * of agents is complete */
+/**
+ * forwarder_confirmed() - the store, asked at @asked_us, has confirmed that
+ * the list of agents is complete
+ */
 void
 forwarder_confirmed(struct forwarder *forwarder, uint64_t asked_us,
                     uint64_t now_us);
 
-/** forwarder_tick() - do what is due; call it at forwarder_next_us() or later
- */
+/** forwarder_tick() - run due timers; call at forwarder_next_us() or later */
 void
 forwarder_tick(struct forwarder *forwarder, uint64_t now_us);
 
-/** forwarder_next_us() - when forwarder_tick() is due next; UINT64_MAX for
- * never */
+/** forwarder_next_us() - when forwarder_tick() is due, UINT64_MAX for never */
 uint64_t
 forwarder_next_us(const struct forwarder *forwarder);
 
-/** forwarder_ready() - whether callers are served: a configuration is known,
- * and an agent for at least one service in it */
+/**
+ * forwarder_ready() - whether callers can be served: there are routes, and an
+ * agent for at least one of their services
+ */
 bool
 forwarder_ready(const struct forwarder *forwarder);
 
 /**
- * struct forwarder_explanation - what is known of one flow
- * @route: its route, NULL for none; valid until the next configuration
+ * struct forwarder_explanation - state of one flow, for operators
+ * @route: its route, or NULL; valid until the next configuration
  * @service: service that it goes to
- * @known: its packets came here, or an agent reported of it
+ * @known: it has a pin
  * @opened: its caller has sent more than its SYN
- * @queued: its SYN syn_timers at @holder until a slot is free
- * @holder: agent that had its packets last; address 0 for none
+ * @queued: its SYN is queued at @holder until a slot is free
+ * @holder: agent that last received its SYN; address 0 for none
  * @tries: agents that its SYN was sent to
- * @lookups: how often it was looked for
- * @age_us: since it is known
- * @acceptors: agents whose endpoints replied its SYN
- * @acceptor_count: how many
- * @evacuated: all agents of its service are in evacuated data centres: a new
- *             flow is refused
- * @next: agents that a new flow of the same ends would go to, best first
+ * @lookups: number of lookups for its holder
+ * @age_us: age of the pin
+ * @acceptors: agents whose endpoints accepted its SYN
+ * @acceptor_count: number of @acceptors
+ * @evacuated: a new flow would be refused, as all agents of its service are in
+ *     evacuated data centres
+ * @next: agents that a new flow with the same addresses would go to, best
+ *     first
  */
 struct forwarder_explanation {
     const struct route *route;
@@ -353,9 +371,9 @@
     struct agents_choice next;
 };
 
-/** forwarder_explain() - tell what is known of a flow; additions nothing */
+/** forwarder_explain() - report the state of a flow without changing it */
 void
 forwarder_explain(const struct forwarder *forwarder, struct relay_flow flow,
-                  uint64_t now_us, struct forwarder_explanation *reported);
+                  uint64_t now_us, struct forwarder_explanation *explanation);
 
 #endif
--- a/src/relay/forwarder/forwarder_established.c
+++ b/src/relay/forwarder/forwarder_established.c
@@ -6,22 +6,19 @@
 
 #include "base/clock.h"
 
-/* Chains of agents that a packet of a flow without a acceptor goes along at
- * once, 64 agents in all. One after another, each costs a retransmission of
- * the caller's: 0.2 s, then 0.4 s more. The first packet goes along one: the
- * holder is nearly always among the 16 that rank highest, and whoever else
- * holds the flow says so when all are queried for orphaned flows, 10 ms later.
- * With four, a day of total loss at 46 agents had 140,000 datagrams a second
- * on the way, and earned 0.004 less. */
+/* Lookup paths of a packet without a known acceptor, each with up to 16
+ * agents: the first packet takes one, as the holder is most likely among the
+ * 16 best-ranked agents, and an orphan query to all agents follows within 10
+ * ms. Later packets take four, as each further packet costs the caller a
+ * retransmission timeout. */
 #define LOOKUP_PATHS_FIRST 1
 #define LOOKUP_PATHS 4
 
-/* How long a proof that nobody holds a flow is believed: while its caller
- * still sends what was on its way. Later its port may be used again, for a
- * flow that was opened through another balancer. */
+/* How long a proof that a flow has no holder is valid. Later the port may
+ * belong to a new flow, opened through another balancer. */
 #define PROOF_VALID_US (1 * USEC_PER_SEC)
 
-/* Place whose bytes the packet acknowledges, or NULL. */
+/* Acceptor whose data the packet acknowledges, or NULL. */
 static const struct forwarder_acceptor *
 acceptor_of(const struct forwarder_pin *pin, const struct relay_packet *packet)
 {
@@ -38,7 +35,7 @@
 
 /* Moves an agent of the choice to its front. */
 static void
-put_first(struct agents_choice *choice, struct addr agent)
+move_to_front(struct agents_choice *choice, struct addr agent)
 {
     for (unsigned i = 0; i < choice->count; i++) {
         if (addr_equal(choice->addrs[i], agent)) {
@@ -61,9 +58,9 @@
     }
 }
 
-/* A chain ends at an agent that is dead, and nobody tells. So every second
- * search of a flow goes the other way query, and the third and fourth begin
- * in the middle: one dead agent hides a flow for one packet, not for good. */
+/* A lookup path ends silently at a dead agent. Every second lookup reverses
+ * the path, and the third and fourth of each four begin in the middle, so that
+ * a dead agent hides the holder from one packet only. */
 static void
 vary_order(struct agents_choice *choice, unsigned lookups)
 {
@@ -79,8 +76,8 @@
     }
 }
 
-/* Sends a packet along one chain of a service's agents that rank below
- * @below; false when there are no more. */
+/* Forwards a packet along one path of a service's agents that rank below
+ * @below; false when there are none. */
 static bool
 lookup_along_path(struct forwarder *forwarder, const struct forwarder_pin *pin,
                   const struct relay_packet *packet, uint32_t service,
@@ -98,7 +95,7 @@
                                 below, &choice)) {
         return false;
     }
-    put_first(&choice, pin->holder);
+    move_to_front(&choice, pin->holder);
     vary_order(&choice, pin->lookups);
     frame = forwarder_frame(forwarder, service, &choice, 1, packet->bytes,
                             packet->size);
@@ -106,8 +103,7 @@
     return true;
 }
 
-/* Sends a packet along up to @max_paths paths of a service's agents; how many
- * there were. */
+/* Forwards a packet along up to @max_paths paths and returns their number. */
 static unsigned
 lookup_along_paths(struct forwarder *forwarder,
                    const struct forwarder_pin *pin,
@@ -123,7 +119,7 @@
     return paths;
 }
 
-/* Sends a packet along the agents of the flow's own service. */
+/* Forwards a packet along the agents of the flow's own service. */
 static unsigned
 lookup_own_service(struct forwarder *forwarder, struct forwarder_pin *pin,
                    const struct relay_packet *packet)
@@ -138,13 +134,10 @@
                               &pin->lookup_end);
 }
 
-/*
- * Sends a packet along the agents of another service, the next one with each
- * search: an address that has gone to another service leaves its open flows
- * where they are. Agents that know of the flow answer the question to all of
- * them before that; this is for those that have started beside an endpoint
- * that holds it.
- */
+/* Forwards a packet along the agents of one other service, the next one in
+ * each lookup: a flow stays with its endpoint when its address moves to
+ * another service. Usually the holder answers the orphan query first; this
+ * finds endpoints whose agents have restarted and don't track the flow. */
 static void
 lookup_other_service(struct forwarder *forwarder, struct forwarder_pin *pin,
                      const struct relay_packet *packet, uint64_t now_us)
@@ -166,7 +159,6 @@
     }
 }
 
-/* Sends a packet of an open flow along the agents that may hold it. */
 void
 forwarder_lookup(struct forwarder *forwarder, uint32_t handle,
                  const struct relay_packet *packet, uint64_t now_us)
@@ -175,7 +167,7 @@
     unsigned paths = lookup_own_service(forwarder, pin, packet);
 
     if (paths == 0 && pin->lookup_below != AGENTS_ALL) {
-        /* All were queried: some may know better by now. */
+        /* All agents were tried: start again. */
         pin->lookup_below = AGENTS_ALL;
         paths = lookup_own_service(forwarder, pin, packet);
     }
@@ -191,8 +183,8 @@
                                  pin->lookups, now_us - pin->since_us);
 }
 
-/* An agent doesn't hold a flow that was placed there: its next packet looks
- * for it. False when it wasn't placed there. */
+/* Removes an acceptor that doesn't hold its flow, so that the next packet
+ * starts a lookup; false if the agent wasn't an acceptor. */
 static bool
 acceptor_remove(struct forwarder_pin *pin, struct addr agent)
 {
@@ -205,9 +197,9 @@
     return false;
 }
 
-/* Whether the flow was open at its one acceptor for certain: its caller has
- * acknowledged that endpoint's number, or the endpoint has sent packets of
- * it. */
+/* Whether the flow is established at its only acceptor for certain: its caller
+ * has acknowledged that endpoint's sequence number, or the endpoint has sent
+ * packets of the flow. */
 static bool
 is_certain_acceptor(const struct forwarder_pin *pin)
 {
@@ -222,8 +214,6 @@
     struct forwarder_pin *pin = &forwarder->pins[handle];
     struct relay_flow flow = flow_index_flow(&forwarder->flows, handle);
 
-    /* Its caller learns it at once instead of by its timeout, and may try
-     * anew. */
     forwarder->out->ops->reset(forwarder->out, flow, pin->last_ack);
     forwarder->out->ops->decided(forwarder->out, FORWARDER_DECISION_RESET,
                                  flow, pin->acceptors[0].agent, 0,
@@ -231,7 +221,7 @@
 }
 
 static bool
-has_ended(const struct forwarder *forwarder, struct addr agent)
+is_endpoint_gone(const struct forwarder *forwarder, struct addr agent)
 {
     const struct agent_row *row = agents_find(&forwarder->agents, agent);
 
@@ -254,7 +244,7 @@
     }
     pin->proved_us = 0;
     if (is_certain_acceptor(pin) &&
-        has_ended(forwarder, pin->acceptors[0].agent)) {
+        is_endpoint_gone(forwarder, pin->acceptors[0].agent)) {
         forwarder_reset(forwarder, handle, now_us);
     }
     else if (acceptor != NULL) {
@@ -292,14 +282,14 @@
     struct forwarder_pin *pin;
 
     if (handle == FLOW_INDEX_NONE) {
-        /* Its packets came here, or the agent wouldn't tell. */
+        /* Agents only report flows whose packets passed through here. */
         handle = forwarder_remember(forwarder, status->flow,
                                     status->health.service, now_us);
     }
     pin = &forwarder->pins[handle];
     forwarder_update_rtt(forwarder, pin, agent, now_us);
     acceptor_add(pin, agent, status->seq);
-    /* Its address may have gone to another service since it was opened. */
+    /* The address may have moved to another service since. */
     pin->service = status->health.service;
     pin->denied = false;
     pin->proved_us = 0;
@@ -308,7 +298,6 @@
                                  now_us - pin->since_us);
 }
 
-/* An agent sent a flow on, or let go of it: then it is tried at once. */
 void
 forwarder_redirected(struct forwarder *forwarder, struct addr agent,
                      const struct frame_status *status, uint64_t now_us)
@@ -332,14 +321,14 @@
         return;
     }
     if (status->reason == FRAME_REASON_BUSY) {
-        /* No room for what is late anyway; the caller's next copy may find
-         * some. */
+        /* No endpoint had room for this late SYN: leave it at this agent; the
+         * caller's next copy may find room. */
         pin->queued = true;
         pin->holder = agent;
         return;
     }
     if (pin->opened) {
-        /* A chain ended without finding it: the next search asks others. */
+        /* A path ended without finding it: continue with the next agents. */
         pin->lookup_below = pin->lookup_end;
     }
     else if (pin->acceptor_count == 0) {
--- a/src/relay/forwarder/forwarder_open.c
+++ b/src/relay/forwarder/forwarder_open.c
@@ -6,18 +6,17 @@
 
 #include "base/clock.h"
 
-/* How long an agent may take to answer a SYN: 2 ms on the way at most
- * between data centres, under 1 ms at the endpoint, and the rest for a host
- * that has a twentieth of a core. */
+/* Minimum timeout for an agent's reply to a SYN: up to 2 ms of network delay,
+ * 1 ms at the endpoint, and scheduling delay on a busy host. */
 #define ANSWER_TIMEOUT_US (15 * USEC_PER_MSEC)
 
-/* Where agents are further away, so many times their usual trip; and at most
- * this long, when it is they that are slow. */
+/* Timeout for more distant agents, as a multiple of the average round trip,
+ * and its upper bound. */
 #define ANSWER_RTTS 2
 #define ANSWER_MAX_US (60 * USEC_PER_MSEC)
 
-/* Weight of a trip that is longer than usual, and of one that is shorter: the
- * slower agents tell how long to syn_timer. */
+/* Divisors of the moving average for round trips above and below it: it
+ * follows the slower agents. */
 #define RTT_UP_WEIGHT 4
 #define RTT_DOWN_WEIGHT 64
 
@@ -54,7 +53,7 @@
     struct forwarder_syn_timer *syn_timer;
 
     if (forwarder->syn_timer_count == FORWARDER_SYN_TIMERS_MAX) {
-        /* The caller's own copy takes the place of the try. */
+        /* The caller's retransmission replaces the next try. */
         return;
     }
     syn_timer = &forwarder->syn_timers[(forwarder->syn_timer_first +
@@ -76,7 +75,7 @@
     return false;
 }
 
-/* Drops from @choice whom the SYN was sent to. */
+/* Removes agents from @choice that have received the SYN. */
 static void
 skip_tried(const struct forwarder_pin *pin, struct agents_choice *choice)
 {
@@ -90,8 +89,7 @@
     choice->count = kept;
 }
 
-/* Requests that an endpoint may get in a second until it is warm, 0 for any
- * number. */
+/* Requests per second that a cold endpoint may get, 0 for no limit. */
 static uint16_t
 slow_start_limit(const struct forwarder *forwarder, struct addr address,
                  uint32_t service)
@@ -110,7 +108,8 @@
     return (uint16_t)CLAMP(limit, 1, UINT16_MAX);
 }
 
-/* A SYN's frame that may go on along @choice, from @from on. */
+/* Builds a frame for a SYN; agents of @choice from index @from on are its
+ * further stops. */
 static struct frame_forward
 syn_frame(const struct forwarder *forwarder, uint32_t handle,
           const struct agents_choice *choice, unsigned from,
@@ -130,7 +129,6 @@
     return frame;
 }
 
-/* Sends a SYN to the best agent that it was not sent to. */
 bool
 forwarder_try_next(struct forwarder *forwarder, uint32_t handle,
                    const uint8_t *bytes, size_t size, uint64_t now_us)
@@ -142,8 +140,8 @@
     struct agents_choice choice;
     struct frame_forward frame;
 
-    /* The configuration may have dropped the route since the SYN came, or
-     * given it to another service. */
+    /* The route may have been removed or moved to another service since the
+     * SYN arrived. */
     if (pin->try_count == FORWARDER_TRIES_MAX || route == NULL ||
         route_share_of(route, pin->service) == NULL) {
         return false;
@@ -185,8 +183,8 @@
                        : 0);
 }
 
-/* Another copy of a SYN that an agent holds goes there too: the agent learns
- * how long the caller still syn_timers, and whether it lives shows. */
+/* Forwards another copy of a queued SYN to the agent that queued it, which
+ * updates the caller timeout there and checks that the agent is alive. */
 static void
 resend_to_holder(struct forwarder *forwarder, uint32_t handle,
                  const struct relay_packet *packet, uint64_t now_us)
@@ -225,8 +223,7 @@
 
         forwarder_forget(forwarder, handle);
         if (evacuated) {
-            /* Operators want nothing sent there: it is hopeless until they
-             * say otherwise. */
+            /* It stays hopeless until operators end the evacuation. */
             forwarder_refuse(forwarder, FORWARDER_DROP_EVACUATED, packet);
         }
         else {
@@ -235,8 +232,8 @@
     }
 }
 
-/* Another copy of a SYN that an endpoint has replied goes there: the answer
- * was orphaned. */
+/* Forwards another copy of an accepted SYN to its acceptor: the SYN+ACK may
+ * have been lost. */
 static void
 resend_to_acceptor(struct forwarder *forwarder, uint32_t handle,
                    const struct relay_packet *packet)
@@ -249,8 +246,9 @@
         forwarder->out, forwarder->pins[handle].acceptors[0].agent, &frame);
 }
 
-/* Another copy of a SYN whose route has gone to another service since. What
- * the first came to may answer still: the caller says whose answer counts. */
+/* Forwards another copy of a SYN whose route has moved to another service.
+ * Both endpoints may accept it; the caller's acknowledgement shows which one
+ * counts. */
 static void
 open_at_other_service(struct forwarder *forwarder, uint32_t handle,
                       const struct relay_packet *packet,
@@ -268,7 +266,6 @@
     }
 }
 
-/* The caller sent its SYN again: an answer was orphaned, or none came. */
 void
 forwarder_open_again(struct forwarder *forwarder, uint32_t handle,
                      const struct relay_packet *packet,
@@ -278,7 +275,7 @@
 
     update_timeouts(pin, packet, route);
     if (pin->opened && pin->acceptor_count == 0) {
-        /* A copy that was queued up on its way: the flow is open. */
+        /* A delayed copy: the flow is established. */
         return;
     }
     if (route_share_of(route, pin->service) == NULL) {
@@ -299,7 +296,7 @@
                            now_us)) {
         return;
     }
-    /* All were tried, and some may be back since. */
+    /* All agents were tried; some may be available again. */
     pin->try_count = 0;
     if (!forwarder_try_next(forwarder, handle, packet->bytes, packet->size,
                             now_us)) {
--- a/src/relay/forwarder/forwarder_orphan_proof.c
+++ b/src/relay/forwarder/forwarder_orphan_proof.c
@@ -2,9 +2,8 @@
 
 #include <glib.h>
 
-/* Agents out of reach leave too much doubt when they are more than one in so
- * many. */
-#define UNREACHABLE_PARTS 3
+/* A proof needs at least 1 - 1/UNREACHABLE_DIVISOR of the agents. */
+#define UNREACHABLE_DIVISOR 3
 
 static const struct route *
 route_of(const struct forwarder *forwarder, struct relay_flow flow)
@@ -31,9 +30,10 @@
            forwarder_is_settled(route, now_us);
 }
 
-/* Whether a third of a service's agents or more are out of reach. */
+/* Whether more than 1/UNREACHABLE_DIVISOR of a service's agents gave no usable
+ * reply. */
 static bool
-is_out_of_reach(const struct forwarder *forwarder, uint32_t service)
+is_service_unreachable(const struct forwarder *forwarder, uint32_t service)
 {
     const GPtrArray *rows = agents_of_service(&forwarder->agents, service);
     uint32_t number = forwarder->orphaned.query.number;
@@ -46,23 +46,24 @@
         queried += row->queried == number;
         inconclusive += row->queried == number && row->inconclusive;
     }
-    return UNREACHABLE_PARTS * inconclusive > queried;
+    return UNREACHABLE_DIVISOR * inconclusive > queried;
 }
 
-/* Whether agents that can't be queried matter little enough for a flow of
- * @route: they are few, also among those of its services. */
+/* Whether a flow of @route may count as ended although some agents are
+ * unreachable: its requests are idempotent, and the unreachable are few in
+ * total and in each of its services. */
 static bool
-is_doubt_acceptable(const struct forwarder *forwarder,
-                    const struct route *route)
+may_ignore_unreachable(const struct forwarder *forwarder,
+                       const struct route *route)
 {
     const struct orphan_query *query = &forwarder->orphaned.query;
 
     if (!route->idempotent ||
-        UNREACHABLE_PARTS * query->unreachable > query->queries) {
+        UNREACHABLE_DIVISOR * query->unreachable > query->queries) {
         return false;
     }
     for (unsigned i = 0; i < route->share_count; i++) {
-        if (is_out_of_reach(forwarder, route->shares[i].service)) {
+        if (is_service_unreachable(forwarder, route->shares[i].service)) {
             return false;
         }
     }
@@ -86,5 +87,5 @@
         return false;
     }
     return query->unreachable == 0 ||
-           is_doubt_acceptable(forwarder, route_of(forwarder, flow));
+           may_ignore_unreachable(forwarder, route_of(forwarder, flow));
 }
--- a/src/relay/forwarder/forwarder_orphans.c
+++ b/src/relay/forwarder/forwarder_orphans.c
@@ -6,34 +6,32 @@
 
 #include "base/clock.h"
 
-/* A flow that lives is found by its search within a few hops of 1 ms; only
- * then is it queried for. */
+/* A flow is queried for only after its lookup has had time for a few hops of 1
+ * ms. */
 #define QUERY_AFTER_US (6 * USEC_PER_MSEC)
 
-/* How long agents and the store may take to answer: as long as a SYN's answer
- * takes where they are slow. */
+/* Timeout for the replies of agents and store together. */
 #define REPLY_TIMEOUT_US (60 * USEC_PER_MSEC)
 
-/* What agents that have been silent for long are given to answer, once all
- * others have: ten times a trip. */
+/* Timeout for optional replies, when all required ones have arrived. */
 #define SILENT_REPLY_TIMEOUT_US (15 * USEC_PER_MSEC)
 
-/* A tick that comes later than this is the balancer's own delay: replies may
- * lie unread, and the silent are given as long again. */
+/* A tick later than this shows that the balancer itself was delayed: replies
+ * may be unread, and the timeout for optional replies starts again. */
 #define TICK_LATE_US (20 * USEC_PER_MSEC)
 
-/* Pause between two queries. A question costs two datagrams an agent: at
- * most 2,000 a second, however many flows are orphaned and agents there are.
- * One that proved nothing is repeated at half the pace, and so on. */
+/* Minimum interval between two queries, which bounds them to 1,000 query
+ * frames and as many replies per second. It doubles after each query that
+ * proved nothing, up to GAP_GROWTH_MAX times. */
 #define GAP_MIN_US (20 * USEC_PER_MSEC)
 #define GAP_PER_AGENT_US (1 * USEC_PER_MSEC)
 #define GAP_GROWTH_MAX 8
 
-/* A flow is queried for while its caller may still syn_timer: it sends again
- * after 0.2, 0.6 and 1.4 s. */
+/* How long after a caller's last packet its flow is queried for: callers
+ * retransmit after 0.2, 0.6 and 1.4 s. */
 #define CALLER_TIMEOUT_US (1500 * USEC_PER_MSEC)
 
-/* The flow's pin, NULL when it has none any more. */
+/* Pin of a flow, or NULL when it was removed. */
 static struct forwarder_pin *
 pin_of(const struct forwarder *forwarder, const struct forwarder_orphan *flow)
 {
@@ -43,7 +41,7 @@
     return &forwarder->pins[flow->handle];
 }
 
-/* Agents that the last question went to; NULL for none. */
+/* Rows of the agents of the last query; NULL for none. */
 static const GPtrArray *
 queried_rows(const struct forwarder *forwarder)
 {
@@ -54,16 +52,16 @@
                : agents_of_service(&forwarder->agents, service);
 }
 
-/* Whether a flow still syn_timers for a proof. */
+/* Whether a flow still needs its holder found or its end proven. */
 static bool
-is_waiting(const struct forwarder_pin *pin, uint64_t now_us)
+needs_proof(const struct forwarder_pin *pin, uint64_t now_us)
 {
     return pin != NULL && pin->opened && pin->acceptor_count == 0 &&
            pin->proved_us == 0 && now_us - pin->sent_us < CALLER_TIMEOUT_US;
 }
 
 static void
-drop_settled(struct forwarder *forwarder, uint64_t now_us)
+drop_resolved(struct forwarder *forwarder, uint64_t now_us)
 {
     struct forwarder_orphans *orphaned = &forwarder->orphaned;
     unsigned kept = 0;
@@ -71,7 +69,7 @@
     for (unsigned i = 0; i < orphaned->count; i++) {
         struct forwarder_pin *pin = pin_of(forwarder, &orphaned->flows[i]);
 
-        if (is_waiting(pin, now_us)) {
+        if (needs_proof(pin, now_us)) {
             orphaned->flows[kept++] = orphaned->flows[i];
         }
         else if (pin != NULL) {
@@ -81,8 +79,8 @@
     orphaned->count = kept;
 }
 
-/* Takes up to FRAME_QUERY_MAX flows that the same agents may hold, those that
- * have waited longest since they were queried for. */
+/* Fills the query with up to FRAME_QUERY_MAX flows that the same agents may
+ * hold, and moves these to the end of the list. */
 static void
 take_flows(struct forwarder *forwarder, uint64_t now_us)
 {
@@ -134,12 +132,9 @@
         if (row->health.state == ENDPOINT_GONE) {
             continue;
         }
-        /* They are queried all the same: it is by this question that one is
-         * out of reach. A balancer that has been slow itself may take many
-         * for silent that are not. One whose endpoint wasn't there at its last
-         * word, and that vanishes then, is a host that is taken away: waited
-         * for a second each, ten of them after a loss cost 340 of 3,300
-         * requests in 2 s of a day. */
+        /* Unreachable agents are queried too, in case the balancer itself was
+         * slow. An agent that last reported its endpoint's process down is
+         * likely on a host being removed: its reply is optional at once. */
         row->reply_optional = row->down || agent_is_unreachable(row, now_us);
         row->inconclusive = row->reply_optional;
         query->unreachable += row->reply_optional;
@@ -159,7 +154,7 @@
 
     take_flows(forwarder, now_us);
     if (query->count == 0) {
-        /* Those that syn_timer can't be queried for, or not yet. */
+        /* No flow can be queried for, or none is due yet. */
         forwarder->orphaned.next_us = now_us + GAP_MIN_US;
         return;
     }
@@ -178,8 +173,8 @@
     query_all(forwarder, now_us);
 }
 
-/* Flows that nobody has claimed aren't sent along agents any more that have
- * replied for certain; who hasn't answered hasn't. */
+/* Excludes agents that replied with certainty from further lookups of the
+ * query's flows. Agents that didn't reply aren't excluded. */
 static void
 mark_denied(struct forwarder *forwarder)
 {
@@ -200,19 +195,19 @@
     }
 }
 
-/* A question that more than a fourth of the agents left unanswered says
- * nothing about them. */
-#define MISSING_PARTS 4
+/* If more than 1/MISSING_DIVISOR of the agents didn't reply, none of them
+ * becomes suspect. */
+#define MISSING_DIVISOR 4
 
-/* Agents that didn't answer are suspected. */
+/* Marks agents that didn't reply as suspect. */
 static void
 mark_missing(struct forwarder *forwarder, uint64_t now_us)
 {
     const struct orphan_query *query = &forwarder->orphaned.query;
     const GPtrArray *rows = queried_rows(forwarder);
 
-    if (MISSING_PARTS * query->missing > query->queried) {
-        /* So many don't fail at once: the balancer reads late. */
+    if (MISSING_DIVISOR * query->missing > query->queried) {
+        /* It is more likely that the balancer itself was slow. */
         return;
     }
     for (guint i = 0; rows != NULL && i < rows->len; i++) {
@@ -232,7 +227,7 @@
     struct orphan_query *query = &orphaned->query;
     uint64_t gap_us =
         MAX(GAP_MIN_US, (uint64_t)query->queried * GAP_PER_AGENT_US);
-    unsigned over = 0;
+    unsigned ended = 0;
 
     query->open = false;
     mark_missing(forwarder, now_us);
@@ -240,35 +235,33 @@
     for (unsigned i = 0; i < query->count; i++) {
         struct forwarder_pin *pin = pin_of(forwarder, &query->flows[i]);
 
-        if (query->confirmed && is_waiting(pin, now_us) &&
+        if (query->confirmed && needs_proof(pin, now_us) &&
             forwarder_is_orphan_proven(forwarder, i, now_us)) {
             pin->proved_us = now_us;
             forwarder_reset(forwarder, query->flows[i].handle, now_us);
-            over++;
+            ended++;
         }
     }
-    forwarder->out->ops->concluded(forwarder->out, query, over);
-    orphaned->gap_us = over > 0 ? gap_us
-                                : CLAMP(2 * orphaned->gap_us, gap_us,
-                                        GAP_GROWTH_MAX * gap_us);
+    forwarder->out->ops->concluded(forwarder->out, query, ended);
+    orphaned->gap_us = ended > 0 ? gap_us
+                                 : CLAMP(2 * orphaned->gap_us, gap_us,
+                                         GAP_GROWTH_MAX * gap_us);
     orphaned->next_us = query->started_us + orphaned->gap_us;
 }
 
-/* All have replied: the store is queried only if that tells something about
- * any of the flows. Most queries of a loss fail before that, and a call is
- * worth a fifth of a request: of 2,902 calls that 81 hosts made on a day of
- * total loss, 1,908 were left. */
+/* Evaluates the replies. The store is asked only if its confirmation would
+ * prove the end of a flow, which spares it most calls. */
 static void
-on_all_replies(struct forwarder *forwarder, uint64_t now_us)
+evaluate_replies(struct forwarder *forwarder, uint64_t now_us)
 {
     const struct orphan_query *query = &forwarder->orphaned.query;
-    bool any = false;
+    bool provable = false;
 
-    for (unsigned i = 0; i < query->count && !any; i++) {
-        any = forwarder_is_orphan_proven(forwarder, i, now_us);
+    for (unsigned i = 0; i < query->count && !provable; i++) {
+        provable = forwarder_is_orphan_proven(forwarder, i, now_us);
     }
     forwarder->orphaned.query.store_queried = true;
-    if (any) {
+    if (provable) {
         forwarder->out->ops->confirm(forwarder->out, now_us);
     }
     else {
@@ -276,7 +269,7 @@
     }
 }
 
-/* Whether every agent that was queried has replied, the silent ones too. */
+/* Whether every agent has replied, including those whose reply is optional. */
 static bool
 all_replied(const struct forwarder *forwarder)
 {
@@ -285,9 +278,9 @@
     return query->replies == query->queries;
 }
 
-/* Whether only agents that have been silent for long still owe an answer. */
+/* Whether only optional replies are missing. */
 static bool
-awaits_silent_only(const struct orphan_query *query)
+awaits_optional_only(const struct orphan_query *query)
 {
     return query->missing == 0 && !query->store_queried;
 }
@@ -300,12 +293,12 @@
     if (now_us - query->started_us >= REPLY_TIMEOUT_US) {
         end_query(forwarder, now_us);
     }
-    else if (awaits_silent_only(query) &&
+    else if (awaits_optional_only(query) &&
              now_us >= query->due_us + TICK_LATE_US) {
         query->due_us = now_us + SILENT_REPLY_TIMEOUT_US;
     }
-    else if (awaits_silent_only(query) && now_us >= query->due_us) {
-        on_all_replies(forwarder, now_us);
+    else if (awaits_optional_only(query) && now_us >= query->due_us) {
+        evaluate_replies(forwarder, now_us);
     }
 }
 
@@ -318,7 +311,7 @@
 
     pin->sent_us = now_us;
     if (!pin->orphaned && orphaned->count == FORWARDER_ORPHANS_MAX) {
-        drop_settled(forwarder, now_us);
+        drop_resolved(forwarder, now_us);
     }
     if (pin->orphaned || orphaned->count == FORWARDER_ORPHANS_MAX) {
         return;
@@ -363,7 +356,7 @@
         }
     }
     if (!query->store_queried && all_replied(forwarder)) {
-        on_all_replies(forwarder, now_us);
+        evaluate_replies(forwarder, now_us);
     }
 }
 
@@ -391,7 +384,7 @@
     if (orphaned->count == 0 || now_us < orphaned->next_us) {
         return;
     }
-    drop_settled(forwarder, now_us);
+    drop_resolved(forwarder, now_us);
     start_query(forwarder, now_us);
 }
 
@@ -402,7 +395,7 @@
     uint64_t due_us = UINT64_MAX;
 
     if (orphaned->query.open) {
-        return awaits_silent_only(&orphaned->query)
+        return awaits_optional_only(&orphaned->query)
                    ? orphaned->query.due_us
                    : orphaned->query.started_us + REPLY_TIMEOUT_US;
     }
--- a/src/relay/forwarder/forwarder_pin.c
+++ b/src/relay/forwarder/forwarder_pin.c
@@ -42,7 +42,6 @@
                                      (uint8_t)forwarder->reader};
 }
 
-/* A frame for @packet that may go on along @choice from @from on. */
 struct frame_forward
 forwarder_frame(const struct forwarder *forwarder, uint32_t service,
                 const struct agents_choice *choice, unsigned from,
@@ -76,7 +75,6 @@
     return now_us - route->since_us >= FORWARDER_FLOW_MAX_US;
 }
 
-/* Sends a packet to an agent that holds its flow or will know who does. */
 void
 forwarder_forward_to(struct forwarder *forwarder,
                      const struct forwarder_pin *pin, struct addr agent,
--- a/src/relay/forwarder/forwarder_private.h
+++ b/src/relay/forwarder/forwarder_private.h
@@ -1,10 +1,10 @@
 /**
- * DOC: steer_private - what the parts of forwarder share
+ * DOC: forwarder_private - interface between the parts of the forwarder
  *
- * forwarder_pin keeps what is known of flows, steer_open decides on SYNs,
- * steer_known on packets of open flows and on what agents say of them,
- * forwarder_orphans on flows that nobody may hold any more, steer_proof on
- * whether that is certain.
+ * forwarder_pin.c keeps the pins and builds frames, forwarder_open.c decides
+ * on SYNs, forwarder_established.c on packets of established flows and on
+ * agents' reports of them, forwarder_orphans.c queries agents for orphaned
+ * flows, forwarder_orphan_proof.c decides whether such a flow has no holder.
  */
 #ifndef SWIFTARCH_RELAY_FORWARDER_FORWARDER_PRIVATE_H
 #define SWIFTARCH_RELAY_FORWARDER_FORWARDER_PRIVATE_H
@@ -12,24 +12,25 @@
 #include "base/clock.h"
 #include "relay/forwarder/forwarder.h"
 
-/* Agents that one SYN is sent to: with more, the caller's own copy after
- * 200 ms would meet the same flow in too many acceptors. */
+/* Maximum agents that one SYN is sent to. More would let the caller's
+ * retransmission after 200 ms meet the flow at too many acceptors. */
 #define FORWARDER_TRIES_MAX 4
 
-/* Beyond this distance an acknowledgement is not of that endpoint's bytes:
- * 64 packets of 1,200 bytes may be on their way. */
+/* Maximum distance in bytes between an acceptor's sequence number and an
+ * acknowledgement of its data. */
 #define FORWARDER_SEQ_WINDOW 76802u
 
 #define FORWARDER_SYN_TIMERS_MAX 8192u
 
 #define FORWARDER_SYN_MAX 64
 
-/* No flow lives longer. */
+/* Maximum lifetime of a flow. */
 #define FORWARDER_FLOW_MAX_US (60 * USEC_PER_SEC)
 
-/** struct forwarder_acceptor - an endpoint that replied a flow's SYN
- * @agent: agent beside it
- * @seq: sequence number of its SYN+ACK
+/**
+ * struct forwarder_acceptor - an endpoint that accepted a flow's SYN
+ * @agent: its agent
+ * @seq: sequence number of its SYN+ACK, 0 when its agent has not seen it
  */
 struct forwarder_acceptor {
     struct addr agent;
@@ -37,35 +38,34 @@
 };
 
 /**
- * struct forwarder_pin - what is known of a flow
+ * struct forwarder_pin - state of a flow
  * @service: service that it was sent to
- * @priority: of its route
- * @target_ms: how soon after the last copy of its SYN its request should be
- *             replied, 0 when that is late already
- * @caller_timeout_ms: how long the caller syn_timers for an answer to that
- * copy
- * @request_timeout_ms: how long its request may take from that copy on
- * @acceptors: endpoints that replied
- * @acceptor_count: how many
+ * @priority: priority of its route
+ * @target_ms: response target, counted from the last copy of its SYN; 0 when
+ *     it has passed
+ * @caller_timeout_ms: how long the caller waits for a reply to that copy
+ * @request_timeout_ms: request timeout, counted from that copy
+ * @acceptors: endpoints that accepted it
+ * @acceptor_count: number of @acceptors
  * @tried: agents that the SYN was sent to
- * @try_count: how many
- * @holder: agent that has the SYN now, as far as is known
- * @queued: it said that it keeps it until a slot is free
- * @opened: the caller has sent more than its SYN: that is never sent again
- * @orphaned: it syn_timers among the flows that no search has found
- * @denied: all agents were queried for it, and none claimed it
- * @sent_us: last packet of its caller while it does
- * @proved_us: when it was proved that no endpoint holds it, 0 for not
- * @last_ack: what the caller acknowledged last
- * @lookup_below: agents that rank below this for the flow are queried next
- * @lookup_end: rank of the last agent that the last search named
- * @lookups: how often it was looked for
- * @lookup_service: the service that was looked through last beside its own
- * @syn_seq: sequence number of the SYN; another one is another flow
- * @since_us: when the first SYN came
- * @tried_us: when the last try was sent
- * @syn_size: size of @syn, 0 when it is too large to keep
- * @syn: the SYN, to send it again
+ * @try_count: number of @tried
+ * @holder: agent that last received the SYN
+ * @queued: @holder has queued the SYN until a slot is free
+ * @opened: the caller has sent more than its SYN, which isn't sent again
+ * @orphaned: it is in forwarder.orphaned
+ * @denied: an orphan query to all agents found no holder
+ * @sent_us: the caller's last packet while orphaned
+ * @proved_us: when it was proven that no endpoint holds it, 0 for not
+ * @lookups: number of lookups
+ * @lookup_service: service of the last lookup outside @service
+ * @lookup_below: the next lookup starts at agents that rank below this
+ * @lookup_end: rank of the last agent in the last lookup
+ * @last_ack: the caller's last acknowledgement number
+ * @syn_size: size of @syn, 0 when the SYN was too large to store
+ * @syn_seq: sequence number of the SYN, to detect reuse of the port
+ * @since_us: when its first packet arrived
+ * @tried_us: when the SYN was last sent to an agent
+ * @syn: the SYN, to send it to other agents
  */
 struct forwarder_pin {
     uint32_t service;
@@ -96,11 +96,11 @@
     uint8_t syn[FORWARDER_SYN_MAX];
 };
 
-/** struct forwarder_syn_timer - look at a flow when its agent should have
- * replied
- * @due_us: when
- * @handle: the flow
- * @tried_us: the try that is waited for; another one since then voids this
+/**
+ * struct forwarder_syn_timer - deadline of an agent's reply to a SYN
+ * @due_us: the deadline
+ * @handle: pin of the flow
+ * @tried_us: the try it belongs to; stale when the pin has a newer one
  */
 struct forwarder_syn_timer {
     uint64_t due_us;
@@ -108,91 +108,109 @@
     uint64_t tried_us;
 };
 
-/** forwarder_try_next() - send a SYN to the best agent that it was not sent
- * to; false when there is none */
+/**
+ * forwarder_try_next() - send a SYN to the best agent that hasn't received it;
+ * false when there is none
+ */
 bool
 forwarder_try_next(struct forwarder *forwarder, uint32_t handle,
                    const uint8_t *bytes, size_t size, uint64_t now_us);
 
-/** forwarder_open_flow() - a SYN of a flow that isn't known */
+/** forwarder_open_flow() - handle the SYN of a flow without a pin */
 void
 forwarder_open_flow(struct forwarder *forwarder,
                     const struct relay_packet *packet,
                     const struct route *route, uint64_t now_us);
 
-/** forwarder_open_again() - the caller sent its SYN again */
+/** forwarder_open_again() - handle another copy of a flow's SYN */
 void
 forwarder_open_again(struct forwarder *forwarder, uint32_t handle,
                      const struct relay_packet *packet,
                      const struct route *route, uint64_t now_us);
 
-/** forwarder_queued() - an agent keeps the SYN until a slot is free */
+/** forwarder_queued() - an agent reported that it has queued a SYN */
 void
 forwarder_queued(struct forwarder *forwarder, struct addr agent,
                  const struct frame_status *status);
 
-/** forwarder_syn_timeout() - a SYN's answer is due */
+/** forwarder_syn_timeout() - handle an expired SYN timer */
 void
 forwarder_syn_timeout(struct forwarder *forwarder,
                       const struct forwarder_syn_timer *syn_timer,
                       uint64_t now_us);
 
-/** forwarder_lookup() - send a packet of an open flow along all agents that
- * may hold it */
+/**
+ * forwarder_lookup() - forward a packet of an established flow along the
+ * agents that may hold it
+ */
 void
 forwarder_lookup(struct forwarder *forwarder, uint32_t handle,
                  const struct relay_packet *packet, uint64_t now_us);
 
-/** forwarder_forward_established() - a packet of a flow that is known */
+/**
+ * forwarder_forward_established() - handle a packet of an established flow
+ * that has a pin
+ */
 void
 forwarder_forward_established(struct forwarder *forwarder, uint32_t handle,
                               const struct relay_packet *packet,
                               uint64_t now_us);
 
-/** forwarder_update_rtt() - the agent that a flow's SYN was sent to replied */
+/**
+ * forwarder_update_rtt() - update the average round trip if @agent replied to
+ * the flow's last try
+ */
 void
 forwarder_update_rtt(struct forwarder *forwarder,
                      const struct forwarder_pin *pin, struct addr agent,
                      uint64_t now_us);
 
-/** forwarder_established() - an agent's endpoint holds the flow */
+/**
+ * forwarder_established() - an agent reported that its endpoint holds a flow
+ */
 void
 forwarder_established(struct forwarder *forwarder, struct addr agent,
                       const struct frame_status *status, uint64_t now_us);
 
-/** forwarder_redirected() - an agent sent a flow on, or let go of it */
+/**
+ * forwarder_redirected() - an agent reported that it redirected or abandoned a
+ * flow
+ */
 void
 forwarder_redirected(struct forwarder *forwarder, struct addr agent,
                      const struct frame_status *status, uint64_t now_us);
 
-/** forwarder_reset() - no endpoint holds the flow: its caller is reported */
+/** forwarder_reset() - reset the caller of a flow that no endpoint holds */
 void
 forwarder_reset(struct forwarder *forwarder, uint32_t handle, uint64_t now_us);
 
-/** forwarder_is_settled() - whether no open flow of @route can be older than
- * its services are known to be the same */
+/**
+ * forwarder_is_settled() - whether @route has had the same services for longer
+ * than any flow lives
+ */
 bool
 forwarder_is_settled(const struct route *route, uint64_t now_us);
 
-/** forwarder_orphans_add() - a packet of a flow whose place isn't known came
+/**
+ * forwarder_orphans_add() - record a packet of a flow without a known holder,
+ * and query agents for the flow soon
  */
 void
 forwarder_orphans_add(struct forwarder *forwarder, uint32_t handle,
                       uint64_t now_us);
 
 /**
- * forwarder_find_holders() - whose agents may hold a flow
- * @service: FORWARDER_ANY_SERVICE, or the service
+ * forwarder_find_holders() - which service's agents may hold a flow
+ * @service: set to the service, or to FORWARDER_ANY_SERVICE
  *
- * Those of any service: an open flow stays where it is when its address goes
- * to another service, and a balancer that has started since, or that follows
- * an older configuration, doesn't know of that service.
+ * Agents of any service may: a flow stays with its endpoint when its address
+ * moves to another service, and a balancer that has restarted or follows an
+ * older configuration can't tell which service it was.
  *
- * Where there are too many agents to ask while a caller syn_timers, it is
- * those of the route's service, once no flow can be older than what this
- * balancer has seen of the route.
+ * With more than FORWARDER_QUERY_AGENTS_MAX agents it is the route's only
+ * service, provided that the route is settled and the configuration current.
  *
- * Return: whether that can be reported.
+ * Return: false when the service can't be determined.
  */
 bool
 forwarder_find_holders(const struct forwarder *forwarder,
@@ -200,70 +218,82 @@
                        uint32_t *service);
 
 /**
- * forwarder_is_orphan_proven() - whether a flow of the last question is queued
- * by nobody, if the list of agents is complete
- * @at: which of the question's flows
+ * forwarder_is_orphan_proven() - whether no endpoint holds a flow of the last
+ * query, provided that the list of agents is complete
+ * @at: index of the flow in the query
  *
- * A flow whose caller has sent more than its SYN is queued by an endpoint that
- * replied it, and by that start of it alone. Each agent was listed in the
- * store before its endpoint was given the first SYN; the list was complete
- * after the flow's packet had come; and each agent that may hold it has said
- * since that its endpoint doesn't. Then none does, and none will: only a SYN
- * opens a flow.
+ * A flow whose caller has sent more than its SYN can only be held by the
+ * endpoint incarnation that accepted the SYN. An agent is in the store's list
+ * before its endpoint gets the first SYN. So the flow has no holder if the
+ * list was complete after the flow's packet arrived, and all listed agents
+ * replied since that their endpoints don't hold it.
  *
- * A store that has come back older may have orphaned agents' objects, and
- * names all of them again only after a while.
+ * After the store came back from an older copy, the list may lack agents until
+ * they have registered again: nothing is proven until then.
  *
- * Agents that can't be queried leave a doubt: the flow may live there, out of
- * reach. Where requests may run twice the caller is better off with another
- * endpoint; where not, it syn_timers. A balancer that reaches less than two
- * thirds of the agents has to doubt itself.
+ * Unreachable agents may still hold the flow. If its requests are idempotent
+ * and few agents are unreachable, the flow counts as ended, so that its caller
+ * can retry. Otherwise it doesn't: a balancer that can't reach a third of the
+ * agents may be cut off itself.
  */
 bool
 forwarder_is_orphan_proven(const struct forwarder *forwarder, unsigned at,
                            uint64_t now_us);
 
-/** forwarder_orphans_tick() - ask, or conclude, when it is time */
+/** forwarder_orphans_tick() - start or end an orphan query when due */
 void
 forwarder_orphans_tick(struct forwarder *forwarder, uint64_t now_us);
 
-/** forwarder_orphans_next_us() - when that is, UINT64_MAX for never */
+/**
+ * forwarder_orphans_next_us() - when forwarder_orphans_tick() is due,
+ * UINT64_MAX for never
+ */
 uint64_t
 forwarder_orphans_next_us(const struct forwarder *forwarder);
 
-/** forwarder_drop_packet() - a packet ends here */
+/** forwarder_drop_packet() - report a dropped packet */
 void
 forwarder_drop_packet(struct forwarder *forwarder, enum forwarder_drop why,
                       const struct relay_packet *packet);
 
-/** forwarder_refuse() - the same, and its caller is reported if it would open
- * a flow and this balancer can be sure */
+/**
+ * forwarder_refuse() - drop a packet that can't be forwarded, and reset its
+ * caller if it is the first SYN of a flow and the configuration is current
+ */
 void
 forwarder_refuse(struct forwarder *forwarder, enum forwarder_drop why,
                  const struct relay_packet *packet);
 
-/** forwarder_forget() - give up a flow's pin */
+/** forwarder_forget() - remove a flow's pin */
 void
 forwarder_forget(struct forwarder *forwarder, uint32_t handle);
 
-/** forwarder_remember() - a pin for a flow that has none */
+/**
+ * forwarder_remember() - add a pin for a flow that has none; removes the least
+ * recently used one when the table is full
+ */
 uint32_t
 forwarder_remember(struct forwarder *forwarder, struct relay_flow flow,
                    uint32_t service, uint64_t now_us);
 
-/** forwarder_frame() - a frame for a packet that may go on along @choice, from
- * @from on */
+/**
+ * forwarder_frame() - build a frame for a packet; the agents of @choice from
+ * index @from on are its further stops
+ */
 struct frame_forward
 forwarder_frame(const struct forwarder *forwarder, uint32_t service,
                 const struct agents_choice *choice, unsigned from,
                 const uint8_t *bytes, size_t size);
 
-/** forwarder_routes_in_force() - the configuration's routes, or what was
- * learned without one */
+/**
+ * forwarder_routes_in_force() - routes of the configuration, or the learned
+ * ones while there is none
+ */
 const struct routes *
 forwarder_routes_in_force(const struct forwarder *forwarder);
 
-/** forwarder_forward_to() - send a packet to one agent, and to nobody after it
+/**
+ * forwarder_forward_to() - forward a packet to one agent without further stops
  */
 void
 forwarder_forward_to(struct forwarder *forwarder,
--- a/src/relay/forwarder/region_affinity.h
+++ b/src/relay/forwarder/region_affinity.h
@@ -7,46 +7,46 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Regions that one route may name: twice what the system is designed for. */
+/* Maximum regions of a route. */
 #define REGION_AFFINITY_MAX 16
 
-/* Data centres of which the region is known: twice what the system is designed
- * for. */
+/* Maximum data centres with a region. */
 #define REGIONS_MAX 64
 
 /**
- * struct region_affinity - regions that a route names
+ * struct region_affinity - regions allowed for a route
  * @regions: region_key() of each
- * @count: how many, 0 for all regions
+ * @count: number of @regions, 0 to allow all
  */
 struct region_affinity {
     uint32_t regions[REGION_AFFINITY_MAX];
     unsigned count;
 };
 
-/** struct region - which region a data centre lies in, both as hashes of their
- * names */
+/** struct region - region of a data centre, both as hashes of their names */
 struct region {
     uint32_t data_centre;
     uint32_t region;
 };
 
-/** struct regions - those of all data centres */
+/** struct regions - region of each data centre */
 struct regions {
     struct region items[REGIONS_MAX];
     unsigned count;
 };
 
-/** region_key() - what stands for a region; never 0 */
+/** region_key() - hash of a region's name; never 0 */
 uint32_t
 region_key(const char *region);
 
-/** region_affinity_add() - one more region; false when there is no room */
+/** region_affinity_add() - allow a region; false when the set is full */
 bool
 region_affinity_add(struct region_affinity *region_affinity, uint32_t region);
 
-/** region_affinity_allows() - whether requests may be served in a region, 0
- * for one that isn't known */
+/**
+ * region_affinity_allows() - whether requests may be served in a region, 0 for
+ * an unknown one
+ */
 bool
 region_affinity_allows(const struct region_affinity *region_affinity,
                        uint32_t region);
@@ -55,7 +55,7 @@
 bool
 regions_differ(const struct regions *regions);
 
-/** regions_find() - region of a data centre, 0 when it isn't known */
+/** regions_find() - region of a data centre, 0 when unknown */
 uint32_t
 regions_find(const struct regions *regions, uint32_t data_centre);
 
--- a/src/relay/forwarder/routes.c
+++ b/src/relay/forwarder/routes.c
@@ -6,8 +6,7 @@
 
 #include <glib.h>
 
-/* How long a flow may be quiet when the configuration doesn't say: callers
- * give up well before. */
+/* Default idle timeout; callers abandon a flow well before. */
 #define IDLE_TIMEOUT_DEFAULT_MS 60000
 #define ROUTES_CAPACITY_INITIAL 32
 
--- a/src/relay/forwarder/routes.h
+++ b/src/relay/forwarder/routes.h
@@ -1,5 +1,5 @@
 /**
- * DOC: routes - which service an address and port stand for
+ * DOC: routes - the service of each address and port
  *
  * One immutable table for each version of the configuration.
  */
@@ -15,15 +15,15 @@
 #include "relay/wire/packet.h"
 
 #define ROUTES_NAME_MAX 64
-/* Services that one route shares its flows among. */
+/* Maximum services of a route. */
 #define ROUTE_SHARES_MAX 8
 
 /**
- * struct route_share - part of a route's flows
+ * struct route_share - a service that takes part of a route's flows
  * @service: hash_service() of the service's name
- * @weight: its part, of the sum of all weights of the route
- * @slow_start_per_s: requests a second that its endpoints bear until they are
- *                 warm, 0 for any number
+ * @weight: its share, relative to the sum of the route's weights
+ * @slow_start_per_s: requests per second that a cold endpoint may get, 0 for
+ *     no limit
  */
 struct route_share {
     uint32_t service;
@@ -32,15 +32,15 @@
 };
 
 /**
- * struct route - what callers open
- * @name: the operators' name for it
+ * struct route - an address that callers connect to
+ * @name: name set by operators
  * @address: address and port
  * @shares: services that take its new flows
- * @share_count: at least one
- * @since_us: how long it has had the same services, as far as is known
+ * @share_count: number of @shares, at least 1
+ * @since_us: since when it is known to have the same services
  * @region_affinity: regions in which its requests may be served
- * @timeout_ms: how long a request may take
- * @target_ms: how soon a request should be replied
+ * @timeout_ms: maximum duration of a request
+ * @target_ms: response target of a request
  * @priority: 0 is most urgent
  * @idempotent: its requests may run twice
  */
@@ -58,12 +58,12 @@
 };
 
 /**
- * struct routes - a configuration
+ * struct routes - routes of one configuration
  * @version: grows with each change, 0 for none
- * @idle_timeout_ms: a flow that is quiet for longer may be forgotten
- * @items: routes, sorted by address once routes_seal() was called
- * @count: how many
- * @capacity: allocated
+ * @idle_timeout_ms: a flow idle for longer may be forgotten
+ * @items: routes, sorted by address after routes_seal()
+ * @count: number of @items
+ * @capacity: number of @items allocated
  */
 struct routes {
     uint64_t version;
@@ -73,7 +73,7 @@
     size_t capacity;
 };
 
-/** routes_init() - an empty table of version 0 */
+/** routes_init() - initialize an empty table of version 0 */
 void
 routes_init(struct routes *routes);
 
@@ -81,11 +81,15 @@
 void
 routes_finish(struct routes *routes);
 
-/** routes_add() - a route to fill, zeroed; valid until the next call */
+/**
+ * routes_add() - append a zeroed route to fill in; valid until the next call
+ */
 struct route *
 routes_add(struct routes *routes);
 
-/** routes_seal() - sort; -EEXIST when two routes share an address */
+/**
+ * routes_seal() - sort by address; -EEXIST when two routes share an address
+ */
 int
 routes_seal(struct routes *routes);
 
@@ -93,18 +97,22 @@
 const struct route *
 routes_find(const struct routes *routes, struct addr address);
 
-/** routes_inherit_since() - routes whose services are as in @before have had
- * them for as long as there, the others since @now_us */
+/**
+ * routes_inherit_since() - set since_us of each route: kept from @before if
+ * its services are the same there, otherwise @now_us
+ */
 void
 routes_inherit_since(struct routes *routes, const struct routes *before,
                      uint64_t now_us);
 
-/** route_share_of() - the part of @route that goes to @service, or NULL */
+/** route_share_of() - share of @service in @route, or NULL */
 const struct route_share *
 route_share_of(const struct route *route, uint32_t service);
 
-/** route_service() - service that takes a flow of @route; the same on each
- * host as long as the shares are */
+/**
+ * route_service() - service that takes a flow of @route; depends only on the
+ * flow and the shares, so that all hosts agree
+ */
 uint32_t
 route_service(const struct route *route, struct relay_flow flow);
 
--- a/src/relay/forwarder/syn_queue.c
+++ b/src/relay/forwarder/syn_queue.c
@@ -6,8 +6,7 @@
 
 #include "base/clock.h"
 
-/* Then the caller's next copy has come, or will soon; the last one is waited
- * for no longer either, as the request is late by then. */
+/* The caller's next copy arrives by then, or the request misses its target. */
 #define SYN_MAX_AGE_US (400 * USEC_PER_MSEC)
 
 static bool
@@ -17,7 +16,7 @@
                             relay_flow_from_caller(b));
 }
 
-/* Moves one out of the queue. */
+/* Moves an item out of the queue. */
 static void
 dequeue(struct syn_queue *queue, unsigned at, struct relay_packet *packet)
 {
@@ -30,9 +29,10 @@
 static bool
 is_expired(const struct syn_queued *item, uint64_t now_us)
 {
-    uint64_t patience_us = item->packet.caller_timeout_ms * USEC_PER_MSEC;
+    uint64_t caller_timeout_us =
+        item->packet.caller_timeout_ms * USEC_PER_MSEC;
 
-    return now_us - item->since_us >= MIN(patience_us, SYN_MAX_AGE_US);
+    return now_us - item->since_us >= MIN(caller_timeout_us, SYN_MAX_AGE_US);
 }
 
 static uint64_t
@@ -41,9 +41,9 @@
     return now_us - item->since_us + item->packet.age_ms * USEC_PER_MSEC;
 }
 
-/* Where a SYN is to be put: the place of an earlier copy, or the end. */
+/* Index for a SYN: that of an earlier copy, or the end. */
 static unsigned
-slot_of(const struct syn_queue *queue, const struct relay_packet *packet)
+index_for(const struct syn_queue *queue, const struct relay_packet *packet)
 {
     unsigned at = 0;
 
@@ -57,7 +57,7 @@
 syn_queue_put(struct syn_queue *queue, const struct relay_packet *packet,
               uint64_t now_us)
 {
-    unsigned at = slot_of(queue, packet);
+    unsigned at = index_for(queue, packet);
 
     if (at == SYN_QUEUE_MAX || packet->size > SYN_QUEUE_BYTES) {
         return false;
--- a/src/relay/forwarder/syn_queue.h
+++ b/src/relay/forwarder/syn_queue.h
@@ -1,13 +1,11 @@
 /**
- * DOC: syn_queue - SYNs that came before a balancer knew where to send them
+ * DOC: syn_queue - SYNs that arrive before a balancer can route them
  *
- * After a loss of power a balancer receives packets some 100 ms before it has
- * read the configuration and the list of agents. Callers retransmit a dropped
- * SYN after 0.2, 0.4 and 0.8 s, which makes requests late that could have been
- * replied in time. The queue keeps one SYN for each flow, for 0.4 s at most,
- * and returns the one with the youngest request first, because the others are
- * late in any case. On days with a loss of all hosts this raises the share of
- * worth earned by up to 0.003 (nine days played, none lower).
+ * A balancer that starts receives packets before it has read the configuration
+ * and the list of agents. Dropping those SYNs would delay their requests until
+ * the callers retransmit. The queue keeps one SYN of each flow for up to 0.4 s
+ * and returns the one with the youngest request first, as older requests miss
+ * their response target anyway.
  */
 #ifndef SWIFTARCH_RELAY_FORWARDER_SYN_QUEUE_H
 #define SWIFTARCH_RELAY_FORWARDER_SYN_QUEUE_H
@@ -17,15 +15,14 @@
 
 #include "relay/wire/packet.h"
 
-/* SYNs that are kept: what the busiest host measured gets in the time that one
- * is kept is a tenth of it. */
+/* Maximum SYNs in the queue, and bytes of each. */
 #define SYN_QUEUE_MAX 512
 #define SYN_QUEUE_BYTES 64
 
 /**
- * struct syn_queued - a SYN
- * @packet: its head; @bytes is set when it is handed out
- * @since_us: when it came
+ * struct syn_queued - a queued SYN
+ * @packet: its headers; its bytes pointer is set when it is taken
+ * @since_us: when it arrived
  * @bytes: the packet
  */
 struct syn_queued {
@@ -35,10 +32,10 @@
 };
 
 /**
- * struct syn_queue - all of them
- * @items: in no order
- * @count: how many
- * @taken: the one that was handed out last
+ * struct syn_queue - queued SYNs
+ * @items: the SYNs, unordered
+ * @count: number of @items
+ * @taken: the SYN taken last
  */
 struct syn_queue {
     struct syn_queued items[SYN_QUEUE_MAX];
@@ -47,18 +44,16 @@
 };
 
 /**
- * syn_queue_put() - keep a SYN
+ * syn_queue_put() - add a SYN, or replace an earlier copy of it
  *
- * Another copy of its flow's SYN takes the place of the one before.
- *
- * Return: false when there is no room, or the packet is too large.
+ * Return: false when the queue is full or the packet is too large.
  */
 bool
 syn_queue_put(struct syn_queue *queue, const struct relay_packet *packet,
               uint64_t now_us);
 
 /**
- * syn_queue_take_expired() - hand out a SYN that was kept for too long
+ * syn_queue_take_expired() - take a SYN that was queued for too long
  *
  * Its bytes are valid until the next call.
  *
@@ -69,12 +64,13 @@
                        struct relay_packet *packet);
 
 /**
- * syn_queue_take() - hand out the SYN whose request is the youngest
+ * syn_queue_take() - take the SYN with the youngest request
  *
- * To be called when none has been kept for too long. Its age and its caller's
- * patience are as of now; its bytes are valid until the next call.
+ * Call syn_queue_take_expired() first until it returns false. The packet's age
+ * and caller timeout are adjusted to @now_us; its bytes are valid until the
+ * next call.
  *
- * Return: false when there is none.
+ * Return: false when the queue is empty.
  */
 bool
 syn_queue_take(struct syn_queue *queue, uint64_t now_us,
