--- a/src/relay/forwarder/forwarder.h
+++ b/src/relay/forwarder/forwarder.h
@@ -315,11 +315,11 @@
                       const struct frame_query_reply *absent, uint64_t now_us);
 
 /**
- * forwarder_confirmed() - the store, asked at @asked_us, has confirmed that
- * the list of agents is complete
+ * forwarder_confirmed() - the store, queried at @queried_us, has confirmed
+ * that the list of agents is complete
  */
 void
-forwarder_confirmed(struct forwarder *forwarder, uint64_t asked_us,
+forwarder_confirmed(struct forwarder *forwarder, uint64_t queried_us,
                     uint64_t now_us);
 
 /** forwarder_tick() - run due timers; call at forwarder_next_us() or later */
--- a/src/relay/forwarder/forwarder_orphans.c
+++ b/src/relay/forwarder/forwarder_orphans.c
@@ -361,12 +361,13 @@
 }
 
 void
-forwarder_confirmed(struct forwarder *forwarder, uint64_t asked_us,
+forwarder_confirmed(struct forwarder *forwarder, uint64_t queried_us,
                     uint64_t now_us)
 {
     struct orphan_query *query = &forwarder->orphaned.query;
 
-    if (query->open && query->missing == 0 && asked_us >= query->started_us) {
+    if (query->open && query->missing == 0 &&
+        queried_us >= query->started_us) {
         query->confirmed = true;
         end_query(forwarder, now_us);
     }
--- a/tests/relay/forwarder_data_centres_test.c
+++ b/tests/relay/forwarder_data_centres_test.c
@@ -3,25 +3,28 @@
 #include "lib/harness.h"
 #include "relay/forwarder_fixture.h"
 
-#define SUITE "/relay/steer_places"
+#define SUITE "/relay/forwarder_data_centres"
 
-/* Where new flows may go: evacuations, cold endpoints, region_affinity. */
+/* Which agents may take new flows: evacuations, cold endpoints, region
+ * affinity. */
 
 static void
 evacuate(struct fixture *fixture, uint64_t revision, const char *data_centre,
-         bool first)
+         bool from_store)
 {
-    struct evacuations told = {.revision = revision};
+    struct evacuations reported = {.revision = revision};
 
     if (data_centre != NULL) {
-        evacuations_add(&told, evacuations_key(data_centre));
+        evacuations_add(&reported, evacuations_key(data_centre));
     }
-    forwarder_evacuations(&fixture->forwarder, &told, first, fixture->now_us);
+    forwarder_evacuations(&fixture->forwarder, &reported, from_store,
+                          fixture->now_us);
 }
 
-/* Puts an agent into another data centre. */
+/* Lists an agent in another data centre. */
 static void
-move_to(struct fixture *fixture, unsigned number, const char *data_centre)
+set_data_centre(struct fixture *fixture, unsigned number,
+                const char *data_centre)
 {
     agents_list(&fixture->forwarder.agents, fixture_agent_addr(number),
                 hash_service("lots"), data_centre, fixture->now_us);
@@ -30,13 +33,13 @@
 TEST_F(fixture, new_flows_go_round_an_evacuated_data_centre, 6)
 {
     for (unsigned i = 1; i <= 3; i++) {
-        move_to(fixture, i, "east");
+        set_data_centre(fixture, i, "east");
     }
     evacuate(fixture, 5, "here", false);
     for (unsigned flow = 1; flow <= 20; flow++) {
         fixture_receive(fixture, fixture_from_caller(fixture_flow(flow),
                                                      RELAY_SYN, 9, 0, 0));
-        /* At once: no agent there is asked first, or named for later. */
+        /* Agents there are neither tried first nor listed as further stops. */
         g_assert_cmpuint(fixture->frame.next_count, ==, 2);
     }
     for (unsigned i = 4; i <= 6; i++) {
@@ -48,7 +51,7 @@
     g_assert_cmpuint(fixture->frame.next_count, ==, 5);
 }
 
-TEST_F(fixture, flows_in_an_evacuated_data_centre_go_on, 2)
+TEST_F(fixture, established_flows_in_an_evacuated_data_centre_continue, 2)
 {
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
@@ -66,18 +69,19 @@
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     fixture_expect(fixture->record, "drop 4", "reset 1001 at 0", NULL);
-    g_assert_cmpuint(fixture->carried, ==, 0);
-    /* Not by a balancer that may not have heard of its end. */
+    g_assert_cmpuint(fixture->forwarded, ==, 0);
+    /* A balancer with an outdated view doesn't refuse: the evacuation may have
+     * ended. */
     fixture->forwarder.current = false;
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(2), RELAY_SYN, 9, 0, 0));
     fixture_expect(fixture->record, "drop 4", NULL);
 }
 
-/* The other data centre's endpoints may take it soon. */
+/* Draining endpoints may be replaced soon. */
 TEST_F(fixture, callers_are_not_refused_while_another_data_centre_drains, 3)
 {
-    move_to(fixture, 3, "east");
+    set_data_centre(fixture, 3, "east");
     fixture_report(fixture, 3,
                    (struct frame_status){.type = FRAME_STATE,
                                          .health.state = ENDPOINT_DRAINING});
@@ -88,39 +92,41 @@
     fixture_expect(fixture->record, "drop 3", NULL);
 }
 
-TEST_F(fixture, an_agent_that_comes_later_is_evacuated_too, 2)
+TEST_F(fixture, an_agent_added_later_is_evacuated_too, 2)
 {
     evacuate(fixture, 5, "east", false);
-    move_to(fixture, 1, "east");
+    set_data_centre(fixture, 1, "east");
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     g_assert_true(addr_equal(fixture->sent, fixture_agent_addr(2)));
     g_assert_cmpuint(fixture->frame.next_count, ==, 0);
 }
 
-/* The store tells that two data centres are evacuated. */
+/* Evacuates two data centres, as read from the store. */
 static void
 evacuate_two(struct fixture *fixture, uint64_t revision, const char *one,
              const char *other)
 {
-    struct evacuations told = {.revision = revision};
+    struct evacuations reported = {.revision = revision};
 
-    evacuations_add(&told, evacuations_key(one));
-    evacuations_add(&told, evacuations_key(other));
-    forwarder_evacuations(&fixture->forwarder, &told, true, fixture->now_us);
+    evacuations_add(&reported, evacuations_key(one));
+    evacuations_add(&reported, evacuations_key(other));
+    forwarder_evacuations(&fixture->forwarder, &reported, true,
+                          fixture->now_us);
 }
 
-TEST_F(fixture, who_reads_of_an_evacuation_tells_the_agents_there, 6)
+TEST_F(fixture, agents_are_notified_of_an_evacuation_read_from_the_store, 6)
 {
     for (unsigned i = 1; i <= 4; i++) {
-        move_to(fixture, i, "east");
+        set_data_centre(fixture, i, "east");
     }
     fixture_advance_ms(fixture, 1);
     fixture->pings = 0;
     evacuate(fixture, 5, "east", true);
     fixture_advance_ms(fixture, 1);
     g_assert_cmpuint(fixture->pings, ==, 4);
-    /* Others may have heard that the first was back in between. */
+    /* Agents of "east" may have received an end of its evacuation in
+     * between. */
     fixture->pings = 0;
     for (unsigned i = 1; i <= 6; i++) {
         fixture_report(fixture, i, (struct frame_status){.type = FRAME_STATE});
@@ -128,7 +134,7 @@
     evacuate_two(fixture, 9, "east", "here");
     fixture_advance_ms(fixture, 1);
     g_assert_cmpuint(fixture->pings, ==, 6);
-    /* Whoever is told by others leaves that to them. */
+    /* Sets received from other hosts aren't passed on. */
     fixture->pings = 0;
     evacuate(fixture, 10, "here", false);
     for (unsigned i = 1; i <= 6; i++) {
@@ -138,7 +144,7 @@
     g_assert_cmpuint(fixture->pings, ==, 0);
 }
 
-TEST_F(fixture, a_syn_says_how_much_a_cold_endpoint_bears, 2)
+TEST_F(fixture, syns_carry_the_slow_start_limit, 2)
 {
     struct routes routes;
 
@@ -153,7 +159,7 @@
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     g_assert_cmpuint(fixture->frame.slow_start_limit, ==, 12);
-    /* Each copy: the agent that held the flow may have forgotten it. */
+    /* Each copy carries it, as the agent may have forgotten the flow. */
     fixture_report(
         fixture, 1,
         (struct frame_status){.type = FRAME_QUEUED, .flow = fixture_flow(1)});
@@ -168,7 +174,7 @@
     g_assert_cmpuint(fixture->frame.slow_start_limit, ==, 12);
 }
 
-/* Lays agents 1 to 3 into one region and the others into another. */
+/* Puts agents 1 to 3 into one region and the others into another. */
 static void
 split_regions(struct fixture *fixture, unsigned agents)
 {
@@ -180,12 +186,12 @@
 
     agents_set_regions(&fixture->forwarder.agents, &regions);
     for (unsigned i = 1; i <= agents; i++) {
-        move_to(fixture, i, i <= 3 ? "here" : "east");
+        set_data_centre(fixture, i, i <= 3 ? "here" : "east");
     }
 }
 
 static void
-set_home(struct fixture *fixture, const char *region)
+set_affinity(struct fixture *fixture, const char *region)
 {
     struct routes routes;
 
@@ -197,16 +203,16 @@
     forwarder_routes(&fixture->forwarder, &routes, fixture->now_us);
 }
 
-TEST_F(fixture, flows_of_a_route_with_homes_stay_in_them, 6)
+TEST_F(fixture, flows_stay_in_the_regions_of_their_route, 6)
 {
     split_regions(fixture, 6);
-    set_home(fixture, "inland");
+    set_affinity(fixture, "inland");
     for (unsigned flow = 1; flow <= 20; flow++) {
         fixture_receive(fixture, fixture_from_caller(fixture_flow(flow),
                                                      RELAY_SYN, 9, 0, 0));
         g_assert_cmpuint(fixture->frame.next_count, ==, 2);
     }
-    /* Nor is it looked for elsewhere: the packet holds the request. */
+    /* Lookups stay there too, as their packets contain the request. */
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(30), RELAY_ACK, 9, 77, 40));
     for (unsigned i = 1; i <= 3; i++) {
@@ -215,11 +221,11 @@
     g_assert_cmpuint(fixture->lookups, ==, 1);
 }
 
-TEST_F(fixture, an_agent_of_an_unknown_region_is_at_no_home, 6)
+TEST_F(fixture, an_agent_of_an_unknown_region_is_in_no_affinity, 6)
 {
     split_regions(fixture, 6);
-    move_to(fixture, 5, "nowhere");
-    set_home(fixture, "inland");
+    set_data_centre(fixture, 5, "nowhere");
+    set_affinity(fixture, "inland");
     for (unsigned flow = 1; flow <= 20; flow++) {
         fixture_receive(fixture, fixture_from_caller(fixture_flow(flow),
                                                      RELAY_SYN, 9, 0, 0));
@@ -228,7 +234,7 @@
     g_assert_true(fixture->named[4]);
 }
 
-TEST_F(fixture, what_is_learned_is_served_where_it_was_served, 6)
+TEST_F(fixture, learned_routes_are_limited_to_their_reported_regions, 6)
 {
     struct frame_served served = {
         .service = hash_service("lots"),
@@ -246,20 +252,21 @@
     for (unsigned i = 4; i <= 6; i++) {
         g_assert_false(fixture->named[i]);
     }
-    /* Nor anywhere while nobody knows where it was. */
+    /* Nothing is learned from an agent of an unknown region. */
     served.addrs[0] = fixture_addr("198.18.0.7:443");
     forwarder_served(&fixture->forwarder, fixture_agent_addr(9), &served);
     g_assert_cmpuint(fixture->forwarder.learned.count, ==, 1);
     served.addrs[0] = fixture_addr("198.18.0.1:443");
-    /* Another region's endpoint tells of it too. */
+    /* Another region's endpoint reports the address too. */
     forwarder_served(&fixture->forwarder, fixture_agent_addr(5), &served);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(21), RELAY_SYN, 9, 0, 0));
     g_assert_cmpuint(fixture->frame.next_count, ==, 5);
 }
 
-/* After a loss of all hosts while the store is away no list names them. */
-TEST_F(fixture, an_agent_says_itself_where_it_stands, 1)
+/* After a restart of all hosts with the store unreachable no list has the
+ * agents' data centres. */
+TEST_F(fixture, agents_report_their_data_centre, 1)
 {
     const struct agent_row *row;
     struct frame_status status = {
--- a/tests/relay/forwarder_fixture.c
+++ b/tests/relay/forwarder_fixture.c
@@ -14,7 +14,7 @@
 
     fixture->sent = agent;
     fixture->frame = *frame;
-    fixture->carried++;
+    fixture->forwarded++;
     fixture->named[agent.ip - FIXTURE_AGENTS_NET] = true;
     for (unsigned i = 0; i < frame->next_count; i++) {
         fixture->named[frame->next[i].ip - FIXTURE_AGENTS_NET] = true;
@@ -36,13 +36,13 @@
 }
 
 static void
-ask(struct forwarder_out *out, struct addr agent,
-    const struct frame_query *ask)
+query(struct forwarder_out *out, struct addr agent,
+      const struct frame_query *query)
 {
     struct fixture *fixture = (struct fixture *)out;
 
-    fixture->asked++;
-    fixture->ask = *ask;
+    fixture->queries++;
+    fixture->query = *query;
 }
 
 static void
@@ -52,10 +52,11 @@
 }
 
 static void
-behind(struct forwarder_out *out, const struct frame_config_version *newer)
+newer_config(struct forwarder_out *out,
+             const struct frame_config_version *newer)
 {
     fixture_record(((struct fixture *)out)->record,
-                   "behind %" G_GUINT64_FORMAT, newer->version);
+                   "newer config %" G_GUINT64_FORMAT, newer->version);
 }
 
 static void
@@ -72,22 +73,22 @@
 }
 
 static void
-decided(struct forwarder_out *out, enum forwarder_decision did,
+decided(struct forwarder_out *out, enum forwarder_decision decision,
         struct relay_flow flow, struct addr agent, unsigned tries,
         uint64_t age_us)
 {
-    ((struct fixture *)out)->lookups += did == FORWARDER_DECISION_LOOKUP;
+    ((struct fixture *)out)->lookups += decision == FORWARDER_DECISION_LOOKUP;
 }
 
 static void
 concluded(struct forwarder_out *out, const struct orphan_query *query,
-          unsigned over)
+          unsigned ended)
 {
 }
 
 static const struct forwarder_out_ops ops = {
-    forward, reset,   ping,    ask,     confirm,
-    behind,  readers, dropped, decided, concluded};
+    forward,      reset,   ping,    query,   confirm,
+    newer_config, readers, dropped, decided, concluded};
 
 void
 fixture_add_route(struct routes *routes, const char *address,
--- a/tests/relay/forwarder_orphans_test.c
+++ b/tests/relay/forwarder_orphans_test.c
@@ -1,3 +1,5 @@
+/* Guards against resetting a flow that an endpoint holds, and against
+ * callers that wait for a flow that no endpoint holds. */
 #include <string.h>
 
 #include "base/clock.h"
@@ -6,32 +8,34 @@
 #include "relay/relay_fixture.h"
 #include "relay/forwarder/forwarder.h"
 
-#define SUITE "/relay/steer_lost"
+#define SUITE "/relay/forwarder_orphans"
 #define AGENTS 7
-#define ROUND_MS 70
+#define QUERY_MS 70
 #define ALL 0xffffffffu
 
 /**
- * struct fixture - a balancer that has just started, and seven agents
- * @asked: agents that the last question went to
- * @questions: datagrams with a question
- * @carried_to: agent that the last packet went to
- * @carried: packets that went to some agent
- * @named: agents that the last packet's frame names beside that
- * @rounds: questions that have ended
+ * struct fixture - a balancer that has just started, with recorded outputs
+ * @queried: agents that received a query
+ * @query: last query frame
+ * @queries: number of query frames
+ * @forwarded_to: agent that the last packet was forwarded to
+ * @forwarded: number of packets forwarded
+ * @next_count: further stops in the last packet's frame
+ * @ended_queries: number of queries that have ended
+ * @confirm_us: when the store was last asked to confirm the list, 0 for never
  */
 struct fixture {
     struct forwarder_out out;
     struct forwarder forwarder;
     GString *record;
     uint64_t now_us;
-    bool asked[AGENTS + 1];
-    struct frame_query ask;
-    unsigned questions;
-    unsigned carried_to;
-    unsigned carried;
-    unsigned named;
-    unsigned rounds;
+    bool queried[AGENTS + 1];
+    struct frame_query query;
+    unsigned queries;
+    unsigned forwarded_to;
+    unsigned forwarded;
+    unsigned next_count;
+    unsigned ended_queries;
     uint64_t confirm_us;
 };
 
@@ -42,14 +46,14 @@
 }
 
 static void
-carry(struct forwarder_out *out, struct addr agent,
-      const struct frame_forward *frame)
+forward(struct forwarder_out *out, struct addr agent,
+        const struct frame_forward *frame)
 {
     struct fixture *fixture = (struct fixture *)out;
 
-    fixture->carried_to = agent.ip - 0x0a000000;
-    fixture->carried++;
-    fixture->named = frame->next_count;
+    fixture->forwarded_to = agent.ip - 0x0a000000;
+    fixture->forwarded++;
+    fixture->next_count = frame->next_count;
 }
 
 static void
@@ -65,14 +69,14 @@
 }
 
 static void
-ask(struct forwarder_out *out, struct addr agent,
-    const struct frame_query *ask)
+query(struct forwarder_out *out, struct addr agent,
+      const struct frame_query *query)
 {
     struct fixture *fixture = (struct fixture *)out;
 
-    fixture->asked[agent.ip - 0x0a000000] = true;
-    fixture->ask = *ask;
-    fixture->questions++;
+    fixture->queried[agent.ip - 0x0a000000] = true;
+    fixture->query = *query;
+    fixture->queries++;
 }
 
 static void
@@ -82,7 +86,8 @@
 }
 
 static void
-behind(struct forwarder_out *out, const struct frame_config_version *newer)
+newer_config(struct forwarder_out *out,
+             const struct frame_config_version *newer)
 {
 }
 
@@ -98,7 +103,7 @@
 }
 
 static void
-decided(struct forwarder_out *out, enum forwarder_decision did,
+decided(struct forwarder_out *out, enum forwarder_decision decision,
         struct relay_flow flow, struct addr agent, unsigned tries,
         uint64_t age_us)
 {
@@ -106,18 +111,18 @@
 
 static void
 concluded(struct forwarder_out *out, const struct orphan_query *query,
-          unsigned over)
+          unsigned ended)
 {
-    ((struct fixture *)out)->rounds++;
+    ((struct fixture *)out)->ended_queries++;
 }
 
 static const struct forwarder_out_ops ops = {
-    carry,  reset,   ping,    ask,     confirm,
-    behind, readers, dropped, decided, concluded};
+    forward,      reset,   ping,    query,   confirm,
+    newer_config, readers, dropped, decided, concluded};
 
 static void
-hear_of(struct fixture *fixture, unsigned number, enum endpoint_state state,
-        const char *service)
+report_health_of(struct fixture *fixture, unsigned number,
+                 enum endpoint_state state, const char *service)
 {
     struct frame_status status = {
         .type = FRAME_STATE,
@@ -131,9 +136,10 @@
 }
 
 static void
-hear(struct fixture *fixture, unsigned number, enum endpoint_state state)
+report_health(struct fixture *fixture, unsigned number,
+              enum endpoint_state state)
 {
-    hear_of(fixture, number, state, "lots");
+    report_health_of(fixture, number, state, "lots");
 }
 
 static void
@@ -160,7 +166,7 @@
     for (unsigned i = 1; i <= AGENTS; i++) {
         agents_list(&fixture->forwarder.agents, agent_addr(i),
                     hash_service("lots"), "here", fixture->now_us);
-        hear(fixture, i, ENDPOINT_READY);
+        report_health(fixture, i, ENDPOINT_READY);
     }
     agents_list_complete(&fixture->forwarder.agents);
 }
@@ -173,15 +179,15 @@
 }
 
 static void
-pass_ms(struct fixture *fixture, unsigned ms)
+advance_ms(struct fixture *fixture, unsigned ms)
 {
     fixture->now_us += ms * USEC_PER_MSEC;
     forwarder_tick(&fixture->forwarder, fixture->now_us);
 }
 
-/* A packet of a flow that was opened before this balancer's start. */
+/* Sends a packet of a flow that was opened before this balancer started. */
 static void
-send_on(struct fixture *fixture, unsigned flow)
+send_established(struct fixture *fixture, unsigned flow)
 {
     struct relay_packet packet =
         fixture_from_caller(fixture_flow(flow), RELAY_ACK, 101, 501, 40);
@@ -190,10 +196,10 @@
 }
 
 static void
-answer(struct fixture *fixture, unsigned agent, uint32_t absent, bool silent)
+reply(struct fixture *fixture, unsigned agent, uint32_t absent, bool silent)
 {
     struct frame_query_reply frame = {
-        .query = fixture->ask.query, .silent = silent, .absent = {absent}};
+        .query = fixture->query.query, .silent = silent, .absent = {absent}};
 
     forwarder_query_reply(&fixture->forwarder, agent_addr(agent), &frame,
                           fixture->now_us);
@@ -206,100 +212,101 @@
                         fixture->now_us);
 }
 
-/* All agents but the first @but say that they lack the flows. */
+/* All agents after the first @except reply that they don't hold the flows. */
 static void
-answer_all_but(struct fixture *fixture, unsigned but)
+reply_all_except(struct fixture *fixture, unsigned except)
 {
-    for (unsigned i = but + 1; i <= AGENTS; i++) {
-        answer(fixture, i, ALL, false);
+    for (unsigned i = except + 1; i <= AGENTS; i++) {
+        reply(fixture, i, ALL, false);
     }
 }
 
 static void
-open_question(struct fixture *fixture)
+start_query(struct fixture *fixture)
 {
-    send_on(fixture, 1);
-    pass_ms(fixture, 10);
-    g_assert_cmpuint(fixture->questions, ==, AGENTS);
-    g_assert_cmpuint(fixture->ask.count, ==, 1);
+    send_established(fixture, 1);
+    advance_ms(fixture, 10);
+    g_assert_cmpuint(fixture->queries, ==, AGENTS);
+    g_assert_cmpuint(fixture->query.count, ==, 1);
 }
 
-TEST_F(fixture, a_caller_is_told_once_every_agent_says_no, false)
+TEST_F(fixture, a_caller_is_reset_once_every_agent_denies_its_flow, false)
 {
-    open_question(fixture);
-    answer_all_but(fixture, 0);
+    start_query(fixture);
+    reply_all_except(fixture, 0);
     fixture_expect(fixture->record, NULL);
     confirmed(fixture);
     fixture_expect(fixture->record, "reset 1001 at 501", NULL);
-    /* What was on its way is told the same. */
-    send_on(fixture, 1);
+    /* Further packets of the flow get the same reply. */
+    send_established(fixture, 1);
     fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
-TEST_F(fixture, the_order_of_the_answers_does_not_matter, false)
+TEST_F(fixture, the_order_of_replies_does_not_matter, false)
 {
-    open_question(fixture);
-    answer(fixture, 3, ALL, false);
-    answer(fixture, 3, ALL, false);
-    answer_all_but(fixture, 1);
+    start_query(fixture);
+    reply(fixture, 3, ALL, false);
+    reply(fixture, 3, ALL, false);
+    reply_all_except(fixture, 1);
     g_assert_cmpuint(fixture->confirm_us, ==, 0);
-    answer(fixture, 1, ALL, false);
+    reply(fixture, 1, ALL, false);
     confirmed(fixture);
     fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
-TEST_F(fixture, without_the_list_nobody_is_told, true)
+TEST_F(fixture, no_caller_is_reset_without_a_confirmed_list, true)
 {
-    open_question(fixture);
-    answer_all_but(fixture, 0);
-    pass_ms(fixture, ROUND_MS);
+    start_query(fixture);
+    reply_all_except(fixture, 0);
+    advance_ms(fixture, QUERY_MS);
     fixture_expect(fixture->record, NULL);
 }
 
-/* The store answers what it was asked before the flow's packet came. */
-TEST_F(fixture, a_list_of_before_says_nothing, true)
+/* The store's reply to a request from before the flow's packet isn't
+ * accepted. */
+TEST_F(fixture, a_list_from_before_the_packet_proves_nothing, true)
 {
     uint64_t before_us = fixture->now_us;
 
-    pass_ms(fixture, 1);
-    open_question(fixture);
-    answer_all_but(fixture, 0);
+    advance_ms(fixture, 1);
+    start_query(fixture);
+    reply_all_except(fixture, 0);
     forwarder_confirmed(&fixture->forwarder, before_us, fixture->now_us);
-    pass_ms(fixture, ROUND_MS);
+    advance_ms(fixture, QUERY_MS);
     fixture_expect(fixture->record, NULL);
 }
 
-TEST_F(fixture, one_agent_that_is_not_sure_is_enough_for_silence, true)
+TEST_F(fixture, one_uncertain_agent_prevents_a_reset, true)
 {
-    open_question(fixture);
-    answer_all_but(fixture, 1);
-    answer(fixture, 1, 0, false);
-    /* The store needn't be asked either. */
+    start_query(fixture);
+    reply_all_except(fixture, 1);
+    reply(fixture, 1, 0, false);
+    /* The store isn't asked either. */
     g_assert_cmpuint(fixture->confirm_us, ==, 0);
     confirmed(fixture);
     fixture_expect(fixture->record, NULL);
 }
 
-TEST_F(fixture, an_answer_to_an_earlier_question_does_not_count, true)
+TEST_F(fixture, a_reply_to_an_earlier_query_does_not_count, true)
 {
     struct frame_query_reply late = {.absent = {ALL}};
 
-    open_question(fixture);
-    late.query = fixture->ask.query;
-    answer_all_but(fixture, 1);
-    pass_ms(fixture, ROUND_MS);
-    pass_ms(fixture, ROUND_MS);
-    g_assert_cmpuint(fixture->ask.query, !=, late.query);
-    answer_all_but(fixture, 1);
+    start_query(fixture);
+    late.query = fixture->query.query;
+    reply_all_except(fixture, 1);
+    advance_ms(fixture, QUERY_MS);
+    advance_ms(fixture, QUERY_MS);
+    g_assert_cmpuint(fixture->query.query, !=, late.query);
+    reply_all_except(fixture, 1);
     forwarder_query_reply(&fixture->forwarder, agent_addr(1), &late,
                           fixture->now_us);
     confirmed(fixture);
     fixture_expect(fixture->record, NULL);
 }
 
-TEST_F(fixture, a_flow_that_was_found_is_not_asked_for, false)
+TEST_F(fixture, a_found_flow_is_not_queried_for, false)
 {
-    struct frame_status placed = {
+    struct frame_status established = {
         .type = FRAME_ESTABLISHED,
         .flow = fixture_flow(1),
         .seq = 500,
@@ -308,159 +315,159 @@
                    .state = ENDPOINT_READY},
     };
 
-    send_on(fixture, 1);
-    forwarder_status(&fixture->forwarder, agent_addr(4), &placed,
+    send_established(fixture, 1);
+    forwarder_status(&fixture->forwarder, agent_addr(4), &established,
                      fixture->now_us);
-    pass_ms(fixture, 10);
-    g_assert_cmpuint(fixture->questions, ==, 0);
+    advance_ms(fixture, 10);
+    g_assert_cmpuint(fixture->queries, ==, 0);
 }
 
-/* All agents but the first @but answer pings. */
+/* All agents after the first @except report that they are ready. */
 static void
-others_speak(struct fixture *fixture, unsigned but)
+report_others_ready(struct fixture *fixture, unsigned except)
 {
-    for (unsigned i = but + 1; i <= AGENTS; i++) {
-        hear(fixture, i, ENDPOINT_READY);
+    for (unsigned i = except + 1; i <= AGENTS; i++) {
+        report_health(fixture, i, ENDPOINT_READY);
     }
 }
 
-/* Two seconds in which all agents but the first @but answer, and the store
- * too, while the caller sends on. */
+/* Runs for two seconds in which all agents after the first @except and the
+ * store reply, while the caller keeps sending. */
 static void
-run(struct fixture *fixture, unsigned but)
+run_2_s(struct fixture *fixture, unsigned except)
 {
-    uint32_t answered = fixture->ask.query;
+    uint32_t replied = fixture->query.query;
 
     for (unsigned ms = 0; ms < 2000; ms += 5) {
         if (ms % 100 == 0) {
-            others_speak(fixture, but);
-            send_on(fixture, 1);
+            report_others_ready(fixture, except);
+            send_established(fixture, 1);
         }
-        pass_ms(fixture, 5);
-        if (fixture->ask.query != answered) {
-            answered = fixture->ask.query;
-            answer_all_but(fixture, but);
+        advance_ms(fixture, 5);
+        if (fixture->query.query != replied) {
+            replied = fixture->query.query;
+            reply_all_except(fixture, except);
         }
         confirmed(fixture);
     }
 }
 
-/* Agent 1 answers nothing: where requests may run twice, callers are told once
- * it has been silent for a second. */
+/* Agent 1 stays silent: for idempotent requests callers are reset after a
+ * second. */
 static void
-one_is_silent(struct fixture *fixture)
+run_with_one_silent(struct fixture *fixture)
 {
-    run(fixture, 1);
+    run_2_s(fixture, 1);
 }
 
-TEST_F(fixture, an_idempotent_caller_does_not_wait_for_a_silent_agent, true)
+TEST_F(fixture, idempotent_requests_do_not_wait_for_a_silent_agent, true)
 {
-    open_question(fixture);
-    pass_ms(fixture, 600);
+    start_query(fixture);
+    advance_ms(fixture, 600);
     fixture_expect(fixture->record, NULL);
-    one_is_silent(fixture);
+    run_with_one_silent(fixture);
     g_assert_nonnull(strstr(fixture->record->str, "reset 1001"));
 }
 
-TEST_F(fixture, another_caller_does, false)
+TEST_F(fixture, other_requests_wait_for_a_silent_agent, false)
 {
-    open_question(fixture);
-    pass_ms(fixture, 600);
-    one_is_silent(fixture);
+    start_query(fixture);
+    advance_ms(fixture, 600);
+    run_with_one_silent(fixture);
     fixture_expect(fixture->record, NULL);
 }
 
 /* It may be in a planned restart. */
-TEST_F(fixture, one_that_said_that_it_closes_is_waited_for, true)
+TEST_F(fixture, a_draining_agent_is_waited_for, true)
 {
-    hear(fixture, 1, ENDPOINT_DRAINING);
-    open_question(fixture);
-    pass_ms(fixture, 600);
-    one_is_silent(fixture);
+    report_health(fixture, 1, ENDPOINT_DRAINING);
+    start_query(fixture);
+    advance_ms(fixture, 600);
+    run_with_one_silent(fixture);
     fixture_expect(fixture->record, NULL);
 }
 
-/* The balancer is cut off, or most hosts are: it can't tell which. */
-TEST_F(fixture, a_balancer_that_reaches_few_doubts_itself, true)
+/* The balancer may be cut off, or most hosts may have failed. */
+TEST_F(fixture, a_balancer_that_reaches_few_agents_proves_nothing, true)
 {
-    open_question(fixture);
-    pass_ms(fixture, 600);
-    /* Three of seven are too many, also one by one. */
-    run(fixture, 1);
+    start_query(fixture);
+    advance_ms(fixture, 600);
+    /* Three of seven are too many, even one by one. */
+    run_2_s(fixture, 1);
     g_string_truncate(fixture->record, 0);
-    pass_ms(fixture, 1100);
-    for (unsigned but = 1; but <= 3; but++) {
-        agents_mark_unanswered(&fixture->forwarder.agents, agent_addr(but),
+    advance_ms(fixture, 1100);
+    for (unsigned except = 1; except <= 3; except++) {
+        agents_mark_unanswered(&fixture->forwarder.agents, agent_addr(except),
                                fixture->now_us, fixture->now_us);
     }
-    pass_ms(fixture, 1100);
-    run(fixture, 3);
+    advance_ms(fixture, 1100);
+    run_2_s(fixture, 3);
     fixture_expect(fixture->record, NULL);
 }
 
-TEST_F(fixture, an_endpoint_that_is_silent_is_like_a_silent_agent, false)
+TEST_F(fixture, a_silent_endpoint_counts_as_a_silent_agent, false)
 {
-    open_question(fixture);
-    answer_all_but(fixture, 1);
-    answer(fixture, 1, ALL, true);
+    start_query(fixture);
+    reply_all_except(fixture, 1);
+    reply(fixture, 1, ALL, true);
     confirmed(fixture);
     fixture_expect(fixture->record, NULL);
 }
 
-TEST_F(fixture, who_has_gone_is_not_asked, false)
+TEST_F(fixture, an_agent_with_an_ended_endpoint_is_not_queried, false)
 {
-    hear(fixture, 1, ENDPOINT_GONE);
-    send_on(fixture, 1);
-    pass_ms(fixture, 10);
-    g_assert_cmpuint(fixture->questions, ==, AGENTS - 1);
-    g_assert_false(fixture->asked[1]);
-    answer_all_but(fixture, 1);
+    report_health(fixture, 1, ENDPOINT_GONE);
+    send_established(fixture, 1);
+    advance_ms(fixture, 10);
+    g_assert_cmpuint(fixture->queries, ==, AGENTS - 1);
+    g_assert_false(fixture->queried[1]);
+    reply_all_except(fixture, 1);
     confirmed(fixture);
     fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
-TEST_F(fixture, a_port_that_is_used_again_is_a_new_flow, false)
+TEST_F(fixture, a_reused_port_is_a_new_flow, false)
 {
     struct relay_packet syn =
         fixture_from_caller(fixture_flow(1), RELAY_SYN, 900, 0, 0);
 
-    open_question(fixture);
-    answer_all_but(fixture, 0);
+    start_query(fixture);
+    reply_all_except(fixture, 0);
     confirmed(fixture);
     g_string_truncate(fixture->record, 0);
     forwarder_packet(&fixture->forwarder, &syn, fixture->now_us);
-    send_on(fixture, 1);
+    send_established(fixture, 1);
     fixture_expect(fixture->record, NULL);
 }
 
-TEST_F(fixture, a_proof_is_not_believed_for_long, false)
+TEST_F(fixture, a_proof_expires, false)
 {
-    open_question(fixture);
-    answer_all_but(fixture, 0);
+    start_query(fixture);
+    reply_all_except(fixture, 0);
     confirmed(fixture);
     g_string_truncate(fixture->record, 0);
-    pass_ms(fixture, 1100);
-    send_on(fixture, 1);
+    advance_ms(fixture, 1100);
+    send_established(fixture, 1);
     fixture_expect(fixture->record, NULL);
 }
 
-/* What a loss of all hosts costs: the questions of a second are bounded by
- * the agents, not by the flows. */
-TEST_F(fixture, many_flows_share_a_question, false)
+/* After a loss of all hosts the number of queries must be bounded by the
+ * agents, not by the flows. */
+TEST_F(fixture, many_flows_share_a_query, false)
 {
     for (unsigned ms = 0; ms < 1000; ms += 10) {
         for (unsigned flow = 0; flow < 800; flow++) {
             if (flow % 20 == ms / 10 % 20) {
-                send_on(fixture, flow);
+                send_established(fixture, flow);
             }
         }
-        pass_ms(fixture, 10);
-        answer_all_but(fixture, 0);
+        advance_ms(fixture, 10);
+        reply_all_except(fixture, 0);
         confirmed(fixture);
     }
-    /* Every one of them is told; 20 ms between two questions. */
-    g_assert_cmpuint(fixture->rounds, <=, 50);
-    g_assert_cmpuint(fixture->questions, <=, 50 * AGENTS);
+    /* Every caller is reset, with at least 20 ms between two queries. */
+    g_assert_cmpuint(fixture->ended_queries, <=, 50);
+    g_assert_cmpuint(fixture->queries, <=, 50 * AGENTS);
     for (unsigned flow = 0; flow < 800; flow++) {
         char line[32];
 
@@ -478,48 +485,48 @@
     forwarder_packet(&fixture->forwarder, &syn, fixture->now_us);
 }
 
-/* Whoever reads the list later must find there who may hold the flow. */
-TEST_F(fixture, new_flows_go_to_agents_in_the_list, false)
+/* Other balancers must find the holder of each flow in the list. */
+TEST_F(fixture, new_flows_go_to_listed_agents, false)
 {
-    hear(fixture, 9, ENDPOINT_READY);
+    report_health(fixture, 9, ENDPOINT_READY);
     for (unsigned flow = 1; flow <= 200; flow++) {
         open_flow(fixture, flow);
-        g_assert_cmpuint(fixture->carried_to, <=, AGENTS);
+        g_assert_cmpuint(fixture->forwarded_to, <=, AGENTS);
     }
-    /* Without any they are served all the same. */
+    /* Without listed agents, others take new flows. */
     for (unsigned i = 1; i <= AGENTS; i++) {
         agents_unlist(&fixture->forwarder.agents, agent_addr(i),
                       fixture->now_us);
-        hear(fixture, i, ENDPOINT_GONE);
+        report_health(fixture, i, ENDPOINT_GONE);
     }
     open_flow(fixture, 300);
-    g_assert_cmpuint(fixture->carried_to, ==, 9);
+    g_assert_cmpuint(fixture->forwarded_to, ==, 9);
 }
 
-/* A frame of whoever has the address now, or had it before: which of the two
- * the store says. */
-TEST_F(fixture, an_agent_whose_service_is_in_doubt_is_asked, false)
+/* The frame may be from the previous or the next host with the address; the
+ * store's list decides. */
+TEST_F(fixture, an_agent_with_a_conflicting_service_is_queried, false)
 {
-    hear_of(fixture, 1, ENDPOINT_READY, "albums");
-    send_on(fixture, 1);
-    pass_ms(fixture, 10);
-    g_assert_cmpuint(fixture->questions, ==, AGENTS);
-    g_assert_true(fixture->asked[1]);
+    report_health_of(fixture, 1, ENDPOINT_READY, "albums");
+    send_established(fixture, 1);
+    advance_ms(fixture, 10);
+    g_assert_cmpuint(fixture->queries, ==, AGENTS);
+    g_assert_true(fixture->queried[1]);
 }
 
-/* The store's answer names it too, but it wasn't asked. */
-TEST_F(fixture, an_agent_that_comes_meanwhile_may_hold_the_flow, false)
+/* The confirmed list contains it, but it wasn't queried. */
+TEST_F(fixture, an_agent_added_during_a_query_may_hold_the_flow, false)
 {
-    open_question(fixture);
-    answer_all_but(fixture, 0);
+    start_query(fixture);
+    reply_all_except(fixture, 0);
     agents_list(&fixture->forwarder.agents, agent_addr(8),
                 hash_service("lots"), "here", fixture->now_us);
     confirmed(fixture);
     fixture_expect(fixture->record, NULL);
 }
 
-/* One that resets requests is chosen when the others have four more on each
- * slot, not before. */
+/* An endpoint that resets requests is chosen only if the others have four more
+ * requests on each slot. */
 TEST_F(fixture, a_failing_endpoint_is_chosen_last, false)
 {
     struct frame_status status = {
@@ -534,7 +541,7 @@
                      fixture->now_us);
     for (unsigned flow = 1; flow <= 40; flow++) {
         open_flow(fixture, flow);
-        g_assert_cmpuint(fixture->carried_to, !=, 2);
+        g_assert_cmpuint(fixture->forwarded_to, !=, 2);
     }
     for (unsigned i = 1; i <= AGENTS; i++) {
         status.health.failing = i == 2;
@@ -543,105 +550,106 @@
                          fixture->now_us);
     }
     open_flow(fixture, 41);
-    g_assert_cmpuint(fixture->carried_to, ==, 2);
+    g_assert_cmpuint(fixture->forwarded_to, ==, 2);
 }
 
-/* Its host is taken away: it needn't be silent for a second first. */
-TEST_F(fixture, who_had_no_endpoint_and_vanishes_is_not_waited_for, true)
+/* Its host is being removed: its reply is optional before it has been silent
+ * for a second. */
+TEST_F(fixture, a_silent_agent_without_an_endpoint_is_not_waited_for, true)
 {
     struct frame_query_reply down = {.down = true, .absent = {ALL}};
 
-    open_question(fixture);
-    down.query = fixture->ask.query;
+    start_query(fixture);
+    down.query = fixture->query.query;
     forwarder_query_reply(&fixture->forwarder, agent_addr(1), &down,
                           fixture->now_us);
-    answer_all_but(fixture, 1);
+    reply_all_except(fixture, 1);
     confirmed(fixture);
     fixture_expect(fixture->record, "reset 1001 at 501", NULL);
-    send_on(fixture, 2);
-    pass_ms(fixture, 30);
-    answer_all_but(fixture, 1);
-    pass_ms(fixture, 16);
+    send_established(fixture, 2);
+    advance_ms(fixture, 30);
+    reply_all_except(fixture, 1);
+    advance_ms(fixture, 16);
     confirmed(fixture);
     fixture_expect(fixture->record, "reset 1002 at 501", NULL);
 }
 
-TEST_F(fixture, unsafe_callers_wait_for_it_all_the_same, false)
+TEST_F(fixture, other_requests_wait_for_an_agent_without_an_endpoint, false)
 {
     struct frame_query_reply down = {.down = true, .absent = {ALL}};
 
-    open_question(fixture);
-    down.query = fixture->ask.query;
+    start_query(fixture);
+    down.query = fixture->query.query;
     forwarder_query_reply(&fixture->forwarder, agent_addr(1), &down,
                           fixture->now_us);
-    answer_all_but(fixture, 1);
+    reply_all_except(fixture, 1);
     confirmed(fixture);
     g_string_truncate(fixture->record, 0);
-    send_on(fixture, 2);
-    pass_ms(fixture, 30);
-    answer_all_but(fixture, 1);
-    pass_ms(fixture, 16);
+    send_established(fixture, 2);
+    advance_ms(fixture, 30);
+    reply_all_except(fixture, 1);
+    advance_ms(fixture, 16);
     confirmed(fixture);
     fixture_expect(fixture->record, NULL);
 }
 
 /* A balancer that was slow for a second takes all agents for silent; they
- * answer, and one of them holds the flow. */
-TEST_F(fixture, who_seemed_silent_and_answers_is_believed, true)
+ * reply, and one of them holds the flow. */
+TEST_F(fixture, a_reply_from_a_seemingly_silent_agent_counts, true)
 {
     for (unsigned i = 1; i <= AGENTS; i++) {
         agents_mark_unanswered(&fixture->forwarder.agents, agent_addr(i),
                                fixture->now_us + 1, fixture->now_us + 1);
     }
-    pass_ms(fixture, 1200);
-    others_speak(fixture, 2);
-    send_on(fixture, 1);
-    pass_ms(fixture, 10);
-    answer_all_but(fixture, 2);
-    answer(fixture, 1, 0, false);
-    pass_ms(fixture, 16);
+    advance_ms(fixture, 1200);
+    report_others_ready(fixture, 2);
+    send_established(fixture, 1);
+    advance_ms(fixture, 10);
+    reply_all_except(fixture, 2);
+    reply(fixture, 1, 0, false);
+    advance_ms(fixture, 16);
     confirmed(fixture);
     fixture_expect(fixture->record, NULL);
 }
 
-/* The end of its question comes late: answers may lie unread, and it waits for
- * them once more. */
+/* The tick is late: replies may be unread, so that the balancer waits for them
+ * once more. */
 TEST_F(fixture, a_slow_balancer_does_not_conclude_at_once, true)
 {
     agents_mark_unanswered(&fixture->forwarder.agents, agent_addr(1),
                            fixture->now_us + 1, fixture->now_us + 1);
-    pass_ms(fixture, 1200);
-    others_speak(fixture, 1);
-    send_on(fixture, 1);
-    pass_ms(fixture, 10);
-    answer_all_but(fixture, 1);
-    pass_ms(fixture, 40);
+    advance_ms(fixture, 1200);
+    report_others_ready(fixture, 1);
+    send_established(fixture, 1);
+    advance_ms(fixture, 10);
+    reply_all_except(fixture, 1);
+    advance_ms(fixture, 40);
     confirmed(fixture);
     fixture_expect(fixture->record, NULL);
-    pass_ms(fixture, 15);
+    advance_ms(fixture, 15);
     confirmed(fixture);
     fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
-/* It is the balancer that reads late when many agents seem to be. */
-TEST_F(fixture, a_question_that_few_answer_makes_nobody_suspect, true)
+/* When many agents seem silent, the balancer itself is slow. */
+TEST_F(fixture, a_query_with_few_replies_makes_no_agent_suspect, true)
 {
-    open_question(fixture);
-    answer_all_but(fixture, 3);
-    pass_ms(fixture, ROUND_MS);
+    start_query(fixture);
+    reply_all_except(fixture, 3);
+    advance_ms(fixture, QUERY_MS);
     for (unsigned i = 1; i <= AGENTS; i++) {
         g_assert_false(
             agents_find(&fixture->forwarder.agents, agent_addr(i))->suspect);
     }
-    send_on(fixture, 1);
-    pass_ms(fixture, ROUND_MS);
-    answer_all_but(fixture, 1);
-    pass_ms(fixture, ROUND_MS);
+    send_established(fixture, 1);
+    advance_ms(fixture, QUERY_MS);
+    reply_all_except(fixture, 1);
+    advance_ms(fixture, QUERY_MS);
     g_assert_true(
         agents_find(&fixture->forwarder.agents, agent_addr(1))->suspect);
 }
 
-/* The store came back older: its list may lack agents that live. */
+/* The store came back from an older copy: its list may lack live agents. */
 TEST_F(fixture, nothing_is_proved_until_all_can_be_listed_again, true)
 {
     struct evacuations first = {.epoch = 1, .revision = 90};
@@ -649,95 +657,96 @@
 
     forwarder_evacuations(&fixture->forwarder, &first, false, fixture->now_us);
     forwarder_evacuations(&fixture->forwarder, &later, false, fixture->now_us);
-    open_question(fixture);
-    answer_all_but(fixture, 0);
+    start_query(fixture);
+    reply_all_except(fixture, 0);
     confirmed(fixture);
-    pass_ms(fixture, ROUND_MS);
+    advance_ms(fixture, QUERY_MS);
     fixture_expect(fixture->record, NULL);
     for (unsigned ms = 0; ms < 30000; ms += 100) {
-        pass_ms(fixture, 100);
+        advance_ms(fixture, 100);
     }
-    fixture->questions = 0;
-    open_question(fixture);
-    answer_all_but(fixture, 0);
+    fixture->queries = 0;
+    start_query(fixture);
+    reply_all_except(fixture, 0);
     confirmed(fixture);
     fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
-/* Its own first word of the store is of that epoch already. */
-TEST_F(fixture, who_has_started_since_is_told_of_it, true)
+/* The balancer's first reading of the store is of the new epoch. */
+TEST_F(fixture, a_balancer_started_after_a_rollback_proves_nothing, true)
 {
-    struct evacuations told = {.epoch = 2, .recovery_s = 7};
+    struct evacuations reported = {.epoch = 2, .recovery_s = 7};
 
-    forwarder_evacuations(&fixture->forwarder, &told, false, fixture->now_us);
-    open_question(fixture);
-    answer_all_but(fixture, 0);
+    forwarder_evacuations(&fixture->forwarder, &reported, false,
+                          fixture->now_us);
+    start_query(fixture);
+    reply_all_except(fixture, 0);
     confirmed(fixture);
-    pass_ms(fixture, ROUND_MS);
+    advance_ms(fixture, QUERY_MS);
     fixture_expect(fixture->record, NULL);
 }
 
-/* An agent that has started beside its endpoint doesn't know all flows there:
- * only their packets tell. The others have answered for certain. */
+/* An agent that has restarted doesn't track all flows of its endpoint and
+ * can't deny them. */
 static void
-answer_partly(struct fixture *fixture, unsigned agent)
+reply_partial(struct fixture *fixture, unsigned agent)
 {
-    struct frame_query_reply frame = {.query = fixture->ask.query,
+    struct frame_query_reply frame = {.query = fixture->query.query,
                                       .partial = true};
 
     forwarder_query_reply(&fixture->forwarder, agent_addr(agent), &frame,
                           fixture->now_us);
 }
 
-TEST_F(fixture, who_has_denied_a_flow_gets_no_packet_of_it, true)
+TEST_F(fixture, an_agent_that_denied_a_flow_gets_no_packet_of_it, true)
 {
-    open_question(fixture);
-    answer_partly(fixture, 3);
-    answer_all_but(fixture, 3);
+    start_query(fixture);
+    reply_partial(fixture, 3);
+    reply_all_except(fixture, 3);
     for (unsigned i = 1; i < 3; i++) {
-        answer(fixture, i, ALL, false);
+        reply(fixture, i, ALL, false);
     }
-    fixture->carried = 0;
-    send_on(fixture, 1);
-    g_assert_cmpuint(fixture->carried, ==, 1);
-    g_assert_cmpuint(fixture->carried_to, ==, 3);
-    g_assert_cmpuint(fixture->named, ==, 0);
-}
-
-TEST_F(fixture, who_has_not_answered_has_not_denied_it, true)
-{
-    open_question(fixture);
-    answer_all_but(fixture, 2);
-    pass_ms(fixture, ROUND_MS);
-    fixture->carried = 0;
-    send_on(fixture, 1);
-    g_assert_cmpuint(fixture->carried, ==, 1);
-    g_assert_cmpuint(fixture->carried_to, <=, 2);
-    g_assert_cmpuint(fixture->named, ==, 1);
-}
-
-/* It waits for the proof, and costs nothing meanwhile. */
-TEST_F(fixture, a_flow_that_all_have_denied_goes_nowhere, true)
-{
-    open_question(fixture);
-    answer_all_but(fixture, 0);
-    pass_ms(fixture, ROUND_MS);
-    fixture->carried = 0;
-    send_on(fixture, 1);
-    g_assert_cmpuint(fixture->carried, ==, 0);
-    pass_ms(fixture, ROUND_MS);
-    answer_all_but(fixture, 0);
+    fixture->forwarded = 0;
+    send_established(fixture, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
+    g_assert_cmpuint(fixture->forwarded_to, ==, 3);
+    g_assert_cmpuint(fixture->next_count, ==, 0);
+}
+
+TEST_F(fixture, an_agent_that_did_not_reply_still_gets_packets, true)
+{
+    start_query(fixture);
+    reply_all_except(fixture, 2);
+    advance_ms(fixture, QUERY_MS);
+    fixture->forwarded = 0;
+    send_established(fixture, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
+    g_assert_cmpuint(fixture->forwarded_to, <=, 2);
+    g_assert_cmpuint(fixture->next_count, ==, 1);
+}
+
+/* Only the orphan query decides on it. */
+TEST_F(fixture, a_flow_denied_by_all_agents_is_not_forwarded, true)
+{
+    start_query(fixture);
+    reply_all_except(fixture, 0);
+    advance_ms(fixture, QUERY_MS);
+    fixture->forwarded = 0;
+    send_established(fixture, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 0);
+    advance_ms(fixture, QUERY_MS);
+    reply_all_except(fixture, 0);
     confirmed(fixture);
     fixture_expect(fixture->record, "reset 1001 at 501", NULL);
 }
 
-TEST_F(fixture, a_search_begins_at_those_that_cannot_answer, true)
+TEST_F(fixture, a_lookup_begins_at_partial_agents, true)
 {
-    open_question(fixture);
-    answer_partly(fixture, 5);
+    start_query(fixture);
+    reply_partial(fixture, 5);
     for (unsigned flow = 2; flow <= 9; flow++) {
-        send_on(fixture, flow);
-        g_assert_cmpuint(fixture->carried_to, ==, 5);
-        g_assert_cmpuint(fixture->named, ==, AGENTS - 1);
+        send_established(fixture, flow);
+        g_assert_cmpuint(fixture->forwarded_to, ==, 5);
+        g_assert_cmpuint(fixture->next_count, ==, AGENTS - 1);
     }
 }
--- a/tests/relay/forwarder_test.c
+++ b/tests/relay/forwarder_test.c
@@ -1,3 +1,5 @@
+/* A balancer's decisions on SYNs, packets of established flows, pings and
+ * configurations. */
 #include <string.h>
 
 #include "base/clock.h"
@@ -5,14 +7,14 @@
 #include "lib/harness.h"
 #include "relay/forwarder_fixture.h"
 
-#define SUITE "/relay/steer"
+#define SUITE "/relay/forwarder"
 
-TEST_F(fixture, a_flow_stays_where_it_was_placed, 4)
+TEST_F(fixture, an_established_flow_stays_with_its_agent, 4)
 {
     struct relay_flow flow = fixture_flow(1);
 
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_SYN, 9, 0, 0));
-    g_assert_cmpuint(fixture->carried, ==, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
     g_assert_cmpuint(fixture->frame.next_count, ==, 3);
     fixture_established(fixture, fixture_agent_addr(3), 1, 500);
     fixture_receive(fixture,
@@ -21,7 +23,7 @@
     g_assert_cmpuint(fixture->frame.next_count, ==, 0);
 }
 
-TEST_F(fixture, an_agent_that_does_not_answer_costs_15_ms_once, 3)
+TEST_F(fixture, an_unanswered_syn_goes_to_another_agent_after_15_ms, 3)
 {
     struct addr first;
 
@@ -29,9 +31,9 @@
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     first = fixture->sent;
     fixture_advance_ms(fixture, 14);
-    g_assert_cmpuint(fixture->carried, ==, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
     fixture_advance_ms(fixture, 1);
-    g_assert_cmpuint(fixture->carried, ==, 2);
+    g_assert_cmpuint(fixture->forwarded, ==, 2);
     g_assert_false(addr_equal(fixture->sent, first));
     g_assert_false(fixture_path_names(fixture, first));
     for (unsigned i = 2; i < 30; i++) {
@@ -41,9 +43,9 @@
     }
 }
 
-TEST_F(fixture, far_agents_are_given_time_to_answer, 3)
+TEST_F(fixture, the_reply_timeout_follows_distant_agents, 3)
 {
-    /* They take 18 ms each time. */
+    /* Each takes 18 ms. */
     for (unsigned i = 1; i <= 40; i++) {
         fixture_receive(
             fixture, fixture_from_caller(fixture_flow(i), RELAY_SYN, 9, 0, 0));
@@ -51,18 +53,18 @@
         fixture_established(fixture, fixture->sent, i, 500);
     }
     fixture_advance_ms(fixture, 100);
-    fixture->carried = 0;
+    fixture->forwarded = 0;
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(90), RELAY_SYN, 9, 0, 0));
     fixture_advance_ms(fixture, 30);
-    g_assert_cmpuint(fixture->carried, ==, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
     fixture_advance_ms(fixture, 10);
-    g_assert_cmpuint(fixture->carried, ==, 2);
+    g_assert_cmpuint(fixture->forwarded, ==, 2);
 }
 
-TEST_F(fixture, whoever_has_the_syn_last_is_blamed, 3)
+TEST_F(fixture, the_last_agent_with_the_syn_becomes_suspect, 3)
 {
-    struct frame_status passed = {
+    struct frame_status redirected = {
         .type = FRAME_REDIRECTED,
         .reason = FRAME_REASON_BUSY,
         .flow = fixture_flow(1),
@@ -74,17 +76,17 @@
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     first = fixture->sent;
     second = fixture->frame.next[0];
-    passed.target = second;
-    fixture_report(fixture, first.ip - 0x0a000000, passed);
+    redirected.target = second;
+    fixture_report(fixture, first.ip - 0x0a000000, redirected);
     fixture_advance_ms(fixture, 15);
-    g_assert_cmpuint(fixture->carried, ==, 2);
+    g_assert_cmpuint(fixture->forwarded, ==, 2);
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(2), RELAY_SYN, 9, 0, 0));
     g_assert_false(fixture_path_names(fixture, second));
     g_assert_true(fixture_path_names(fixture, first));
 }
 
-TEST_F(fixture, an_agent_that_never_spoke_ends_no_chain, 2)
+TEST_F(fixture, paths_exclude_agents_that_never_replied, 2)
 {
     agents_list(&fixture->forwarder.agents, fixture_agent_addr(9),
                 hash_service("lots"), "here", fixture->now_us);
@@ -95,7 +97,7 @@
     }
 }
 
-TEST_F(fixture, an_agent_that_answers_is_pinged_no_more, 3)
+TEST_F(fixture, a_reply_ends_the_pings, 3)
 {
     agents_list(&fixture->forwarder.agents, fixture_agent_addr(9),
                 hash_service("lots"), "here", fixture->now_us);
@@ -111,14 +113,14 @@
     g_assert_cmpuint(forwarder_next_us(&fixture->forwarder), ==, UINT64_MAX);
 }
 
-TEST_F(fixture, an_agent_whose_object_is_gone_is_told, 3)
+TEST_F(fixture, an_unlisted_agent_is_notified, 3)
 {
     agents_unlist(&fixture->forwarder.agents, fixture_agent_addr(2),
                   fixture->now_us);
     fixture_advance_ms(fixture, 1);
     g_assert_cmpuint(fixture->pings, ==, 1);
     g_assert_true(fixture->unlisted);
-    /* It serves on while it answers. */
+    /* It takes new flows as long as it replies. */
     fixture_report(fixture, 2,
                    (struct frame_status){.type = FRAME_STATE,
                                          .health.state = ENDPOINT_READY});
@@ -127,8 +129,9 @@
     g_assert_true(fixture_path_names(fixture, fixture_agent_addr(2)));
 }
 
-/* Its answers to callers' packets may come before it was told. */
-TEST_F(fixture, an_agent_that_speaks_meanwhile_is_told_all_the_same, 3)
+/* Frames that the agent sent before it received the notice must not cancel
+ * it. */
+TEST_F(fixture, an_unlisted_agent_is_notified_after_other_frames, 3)
 {
     struct frame_status ready = {.type = FRAME_STATE,
                                  .health.state = ENDPOINT_READY};
@@ -139,7 +142,8 @@
     fixture_advance_ms(fixture, 1);
     g_assert_cmpuint(fixture->pings, ==, 1);
     g_assert_true(fixture->unlisted);
-    /* And once more, as a datagram may be lost, until the store names it. */
+    /* The notice is repeated until the agent is listed again, as datagrams may
+     * be lost. */
     fixture_report(fixture, 2, ready);
     fixture_advance_ms(fixture, 100);
     g_assert_cmpuint(fixture->pings, ==, 2);
@@ -150,8 +154,8 @@
     g_assert_cmpuint(fixture->pings, ==, 2);
 }
 
-/* One that has ended isn't to write its object again. */
-TEST_F(fixture, an_agent_without_an_endpoint_is_not_told_again_and_again, 3)
+/* An agent whose endpoint has ended must not register again. */
+TEST_F(fixture, an_unlisted_agent_without_an_endpoint_gets_few_pings, 3)
 {
     agents_unlist(&fixture->forwarder.agents, fixture_agent_addr(2),
                   fixture->now_us);
@@ -164,7 +168,7 @@
     g_assert_cmpuint(fixture->pings, <=, 5);
 }
 
-TEST_F(fixture, a_silent_agent_is_pinged_more_and_more_rarely, 3)
+TEST_F(fixture, a_silent_agent_is_pinged_at_growing_intervals, 3)
 {
     agents_list(&fixture->forwarder.agents, fixture_agent_addr(9),
                 hash_service("lots"), "here", fixture->now_us);
@@ -175,9 +179,9 @@
     g_assert_cmpuint(fixture->pings, <=, 16);
 }
 
-/* Thousands of hosts are lost for good each day, and all balancers ping them.
- */
-TEST_F(fixture, a_host_that_is_gone_for_good_costs_next_to_nothing, 3)
+/* Guards against traffic that grows with the number of lost hosts, as all
+ * balancers ping them. */
+TEST_F(fixture, pings_to_a_lost_host_are_bounded, 3)
 {
     agents_list(&fixture->forwarder.agents, fixture_agent_addr(9),
                 hash_service("lots"), "here", fixture->now_us);
@@ -188,9 +192,9 @@
     g_assert_cmpuint(fixture->pings, <=, 80);
 }
 
-TEST_F(fixture, an_agent_that_lets_go_is_followed_by_the_next, 2)
+TEST_F(fixture, an_abandoned_syn_goes_to_another_agent, 2)
 {
-    struct frame_status passed = {
+    struct frame_status redirected = {
         .type = FRAME_REDIRECTED,
         .reason = FRAME_REASON_LEAVING,
         .flow = fixture_flow(1),
@@ -201,12 +205,12 @@
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
     first = fixture->sent;
-    fixture_report(fixture, first.ip - 0x0a000000, passed);
-    g_assert_cmpuint(fixture->carried, ==, 2);
+    fixture_report(fixture, first.ip - 0x0a000000, redirected);
+    g_assert_cmpuint(fixture->forwarded, ==, 2);
     g_assert_false(addr_equal(fixture->sent, first));
 }
 
-TEST_F(fixture, a_flow_of_another_balancer_is_looked_for, 4)
+TEST_F(fixture, a_flow_of_another_balancer_is_looked_up, 4)
 {
     struct relay_flow flow = fixture_flow(1);
 
@@ -218,7 +222,7 @@
     g_assert_true(addr_equal(fixture->sent, fixture_agent_addr(2)));
 }
 
-TEST_F(fixture, a_search_names_every_agent_that_may_hold_the_flow, 16)
+TEST_F(fixture, a_lookup_lists_every_agent_that_may_hold_the_flow, 16)
 {
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_ACK, 10, 501, 20));
@@ -227,59 +231,59 @@
     }
 }
 
-/* The first packet goes to the likeliest; before the caller sends again every
- * agent is asked, and who holds the flow says so. */
-TEST_F(fixture, every_agent_is_asked_before_the_second_packet, 100)
+/* The first packet goes to the 16 best-ranked agents; the orphan query follows
+ * before the caller retransmits. */
+TEST_F(fixture, every_agent_is_queried_before_the_second_packet, 100)
 {
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_ACK, 10, 501, 20));
-    g_assert_cmpuint(fixture->carried, ==, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
     g_assert_cmpuint(fixture_named_count(fixture), ==, 16);
     g_assert_cmpuint(fixture->lookups, ==, 1);
     fixture_advance_ms(fixture, 10);
-    g_assert_cmpuint(fixture->asked, ==, 100);
+    g_assert_cmpuint(fixture->queries, ==, 100);
 }
 
-TEST_F(fixture, a_second_search_goes_to_64_agents_at_once, 64)
+TEST_F(fixture, a_second_lookup_goes_to_64_agents, 64)
 {
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_ACK, 10, 501, 20));
-    fixture->carried = 0;
+    fixture->forwarded = 0;
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_ACK, 10, 501, 20));
-    g_assert_cmpuint(fixture->carried, ==, 4);
+    g_assert_cmpuint(fixture->forwarded, ==, 4);
     g_assert_cmpuint(fixture_named_count(fixture), ==, 64);
     g_assert_cmpuint(fixture->lookups, ==, 2);
 }
 
-TEST_F(fixture, a_search_that_ends_goes_on_with_the_others, 100)
+TEST_F(fixture, a_lookup_continues_with_the_next_agents, 100)
 {
     for (unsigned packet = 0; packet < 3; packet++) {
         fixture_receive(fixture, fixture_from_caller(fixture_flow(1),
                                                      RELAY_ACK, 10, 501, 20));
-        for (unsigned chain = 1; chain <= 4; chain++) {
-            fixture_abandon(fixture, chain, 1);
+        for (unsigned path = 1; path <= 4; path++) {
+            fixture_abandon(fixture, path, 1);
         }
     }
     g_assert_cmpuint(fixture_named_count(fixture), ==, 100);
 }
 
-TEST_F(fixture, two_packets_of_a_search_skip_no_agents, 100)
+TEST_F(fixture, two_packets_of_a_lookup_skip_no_agents, 100)
 {
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_ACK, 10, 501, 0));
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_FIN, 10, 501, 0));
-    for (unsigned chain = 1; chain <= 8; chain++) {
-        fixture_abandon(fixture, chain, 1);
+    for (unsigned path = 1; path <= 8; path++) {
+        fixture_abandon(fixture, path, 1);
     }
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_FIN, 10, 501, 0));
     g_assert_cmpuint(fixture_named_count(fixture), ==, 100);
 }
 
-/* An agent that is dead ends each chain that comes to it. */
-TEST_F(fixture, the_next_search_goes_the_other_way, 4)
+/* A dead agent ends each path that reaches it. */
+TEST_F(fixture, the_next_lookup_reverses_the_path, 4)
 {
     struct frame_forward frame;
     struct addr first;
@@ -295,7 +299,7 @@
     g_assert_true(addr_equal(fixture->frame.next[2], first));
 }
 
-TEST_F(fixture, an_open_flow_without_a_place_is_looked_for, 4)
+TEST_F(fixture, an_established_flow_without_an_acceptor_is_looked_up, 4)
 {
     struct relay_flow flow = fixture_flow(1);
     struct frame_status refused = {
@@ -306,7 +310,7 @@
     };
     struct addr first;
 
-    /* This balancer was cut off; the flow opened through another one. */
+    /* The flow was opened through another balancer. */
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_SYN, 9, 0, 0));
     first = fixture->sent;
     fixture->now_us += 4 * USEC_PER_SEC;
@@ -314,27 +318,27 @@
                     fixture_from_caller(flow, RELAY_ACK, 10, 501, 20));
     g_assert_true(addr_equal(fixture->sent, first));
     g_assert_cmpuint(fixture->frame.next_count, ==, 3);
-    /* Its SYN is history, whatever the agents say. */
-    fixture->carried = 0;
+    /* Its SYN isn't sent again, whatever the agents report. */
+    fixture->forwarded = 0;
     fixture_report(fixture, first.ip - 0x0a000000, refused);
     fixture_advance_ms(fixture, 50);
-    g_assert_cmpuint(fixture->carried, ==, 0);
+    g_assert_cmpuint(fixture->forwarded, ==, 0);
 }
 
-TEST_F(fixture, a_late_copy_of_an_open_flows_syn_goes_nowhere, 4)
+TEST_F(fixture, a_late_syn_of_an_established_flow_is_not_forwarded, 4)
 {
     struct relay_flow flow = fixture_flow(1);
 
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_SYN, 9, 0, 0));
     fixture_receive(fixture,
                     fixture_from_caller(flow, RELAY_ACK, 10, 501, 20));
-    fixture->carried = 0;
+    fixture->forwarded = 0;
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_SYN, 9, 1, 0));
     fixture_advance_ms(fixture, 50);
-    g_assert_cmpuint(fixture->carried, ==, 0);
+    g_assert_cmpuint(fixture->forwarded, ==, 0);
 }
 
-TEST_F(fixture, a_lost_place_is_looked_for_again, 4)
+TEST_F(fixture, a_flow_denied_by_its_acceptor_is_looked_up, 4)
 {
     struct relay_flow flow = fixture_flow(1);
 
@@ -349,7 +353,7 @@
     g_assert_cmpuint(fixture->frame.next_count, ==, 3);
 }
 
-TEST_F(fixture, a_flow_whose_endpoint_is_no_more_is_reset, 4)
+TEST_F(fixture, a_flow_whose_endpoint_has_ended_is_reset, 4)
 {
     struct frame_status refused = {
         .type = FRAME_REDIRECTED,
@@ -366,7 +370,7 @@
     fixture_established(fixture, fixture_agent_addr(2), 1, 500);
     fixture_receive(
         fixture, fixture_from_caller(fixture_flow(1), RELAY_ACK, 10, 501, 20));
-    /* Another agent doesn't hold it: that says nothing. */
+    /* A denial from another agent proves nothing. */
     fixture_report(fixture, 3, refused);
     fixture_expect(fixture->record, NULL);
     fixture_report(fixture, 2, refused);
@@ -382,7 +386,7 @@
     fixture_expect(fixture->record, "reset 1002 at 777", NULL);
 }
 
-TEST_F(fixture, two_answers_to_a_syn_are_told_apart, 4)
+TEST_F(fixture, the_acknowledgement_selects_between_two_acceptors, 4)
 {
     struct relay_flow flow = fixture_flow(1);
 
@@ -400,31 +404,34 @@
 TEST_F(fixture, a_flow_is_explained, 4)
 {
     struct relay_flow flow = fixture_flow(1);
-    struct forwarder_explanation told;
-
-    forwarder_explain(&fixture->forwarder, flow, fixture->now_us, &told);
-    g_assert_false(told.known);
-    g_assert_nonnull(told.route);
-    g_assert_cmpuint(told.service, ==, hash_service("lots"));
-    g_assert_cmpuint(told.next.count, ==, 4);
+    struct forwarder_explanation explanation;
+
+    forwarder_explain(&fixture->forwarder, flow, fixture->now_us,
+                      &explanation);
+    g_assert_false(explanation.known);
+    g_assert_nonnull(explanation.route);
+    g_assert_cmpuint(explanation.service, ==, hash_service("lots"));
+    g_assert_cmpuint(explanation.next.count, ==, 4);
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_SYN, 9, 0, 0));
-    g_assert_true(addr_equal(fixture->sent, told.next.addrs[0]));
+    g_assert_true(addr_equal(fixture->sent, explanation.next.addrs[0]));
     fixture_established(fixture, fixture->sent, 1, 500);
     fixture_advance_ms(fixture, 7);
-    forwarder_explain(&fixture->forwarder, flow, fixture->now_us, &told);
-    g_assert_true(told.known);
-    g_assert_false(told.opened);
-    g_assert_cmpuint(told.tries, ==, 1);
-    g_assert_cmpuint(told.age_us, ==, 7 * USEC_PER_MSEC);
-    g_assert_cmpuint(told.acceptor_count, ==, 1);
-    g_assert_true(addr_equal(told.acceptors[0], fixture->sent));
+    forwarder_explain(&fixture->forwarder, flow, fixture->now_us,
+                      &explanation);
+    g_assert_true(explanation.known);
+    g_assert_false(explanation.opened);
+    g_assert_cmpuint(explanation.tries, ==, 1);
+    g_assert_cmpuint(explanation.age_us, ==, 7 * USEC_PER_MSEC);
+    g_assert_cmpuint(explanation.acceptor_count, ==, 1);
+    g_assert_true(addr_equal(explanation.acceptors[0], fixture->sent));
     flow.service.port++;
-    forwarder_explain(&fixture->forwarder, flow, fixture->now_us, &told);
-    g_assert_null(told.route);
-    g_assert_cmpuint(told.next.count, ==, 0);
+    forwarder_explain(&fixture->forwarder, flow, fixture->now_us,
+                      &explanation);
+    g_assert_null(explanation.route);
+    g_assert_cmpuint(explanation.next.count, ==, 0);
 }
 
-TEST_F(fixture, a_port_used_again_is_another_flow, 4)
+TEST_F(fixture, a_reused_port_is_a_new_flow, 4)
 {
     fixture_receive(fixture,
                     fixture_from_caller(fixture_flow(1), RELAY_SYN, 9, 0, 0));
@@ -437,7 +444,7 @@
     g_assert_cmpuint(fixture->frame.next_count, ==, 3);
 }
 
-TEST_F(fixture, configuration_never_goes_back, 2)
+TEST_F(fixture, an_older_configuration_is_ignored, 2)
 {
     struct relay_flow flow = fixture_flow(1);
 
@@ -449,7 +456,7 @@
     fixture_expect(fixture->record, "drop 2", NULL);
 }
 
-TEST_F(fixture, without_configuration_agents_tell_what_they_serve, 2)
+TEST_F(fixture, routes_are_learned_while_there_is_no_configuration, 2)
 {
     struct frame_served served = {
         .service = hash_service("lots"),
@@ -471,8 +478,8 @@
     g_assert_true(forwarder_ready(&fixture->forwarder));
     g_assert_cmpuint(fixture->forwarder.learned.count, ==, 1);
     fixture_receive(fixture, syn);
-    g_assert_cmpuint(fixture->carried, ==, 1);
-    /* A configuration replaces all of it. */
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
+    /* A configuration replaces the learned routes. */
     fixture_set_routes(fixture, 3, false);
     g_assert_cmpuint(fixture->forwarder.learned.count, ==, 0);
     served.addrs[0] = fixture_addr("198.18.0.9:443");
@@ -480,7 +487,7 @@
     g_assert_cmpuint(fixture->forwarder.learned.count, ==, 0);
 }
 
-/* A host that starts takes packets before it has read the configuration. */
+/* A host receives packets before it has read the configuration. */
 TEST_F(fixture, early_syns_are_sent_once_a_configuration_is_known, 2)
 {
     struct relay_packet syn =
@@ -492,17 +499,17 @@
     syn.caller_timeout_ms = 1400;
     fixture_receive(fixture, syn);
     fixture_receive(fixture, ack);
-    /* Only an endpoint can say what becomes of a flow that is open. */
+    /* Packets of established flows aren't queued. */
     fixture_expect(fixture->record, "drop 1", NULL);
     fixture->now_us += 50 * USEC_PER_MSEC;
     forwarder_tick(&fixture->forwarder, fixture->now_us);
-    g_assert_cmpuint(fixture->carried, ==, 0);
+    g_assert_cmpuint(fixture->forwarded, ==, 0);
     fixture_set_routes(fixture, 3, false);
     forwarder_tick(&fixture->forwarder, fixture->now_us);
-    g_assert_cmpuint(fixture->carried, ==, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
     g_assert_cmpuint(fixture->frame.caller_timeout_ms, ==, 1350);
     forwarder_tick(&fixture->forwarder, fixture->now_us);
-    g_assert_cmpuint(fixture->carried, ==, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
 }
 
 TEST_F(fixture, early_syns_wait_for_the_list_of_agents_too, 0)
@@ -517,7 +524,7 @@
     agents_list(&fixture->forwarder.agents, fixture_agent_addr(1),
                 hash_service("lots"), "here", fixture->now_us);
     forwarder_tick(&fixture->forwarder, fixture->now_us);
-    g_assert_cmpuint(fixture->carried, ==, 1);
+    g_assert_cmpuint(fixture->forwarded, ==, 1);
 }
 
 TEST_F(fixture, callers_of_an_address_without_a_route_are_refused_at_once, 2)
@@ -533,27 +540,27 @@
     fixture->forwarder.current = true;
     fixture_receive(fixture, syn);
     fixture_expect(fixture->record, "drop 2", "reset 1001 at 0", NULL);
-    /* The first copy may have found an endpoint through another balancer. */
+    /* Another balancer may have forwarded the first copy. */
     syn.age_ms = 200;
     fixture_receive(fixture, syn);
     fixture_expect(fixture->record, "drop 2", NULL);
-    /* A flow that is open may be of a route that was here. */
+    /* An established flow may belong to a removed route. */
     fixture_receive(fixture, fixture_from_caller(flow, RELAY_ACK, 9, 77, 40));
     fixture_expect(fixture->record, "drop 2", NULL);
 }
 
-TEST_F(fixture, a_newer_configuration_elsewhere_is_told, 2)
+TEST_F(fixture, a_newer_configuration_elsewhere_is_reported, 2)
 {
     fixture_report(
         fixture, 1,
         (struct frame_status){.type = FRAME_STATE,
                               .health.state = ENDPOINT_READY,
                               .heard = {7, fixture_addr("10.9.0.2:8166")}});
-    fixture_expect(fixture->record, "behind 7", NULL);
+    fixture_expect(fixture->record, "newer config 7", NULL);
 }
 
-/* A list may be older than the object of an agent that has just started. */
-TEST_F(fixture, an_agent_that_the_store_never_named_is_not_told_so, 2)
+/* The list may be older than the object of an agent that has just started. */
+TEST_F(fixture, a_never_listed_agent_is_not_notified, 2)
 {
     struct addr fresh = fixture_agent_addr(7);
 
@@ -567,7 +574,7 @@
     g_assert_false(fixture->unlisted);
 }
 
-TEST_F(fixture, how_many_others_read_the_store_is_told, 2)
+TEST_F(fixture, the_number_of_other_store_readers_is_reported, 2)
 {
     fixture_report(fixture, 1,
                    (struct frame_status){.type = FRAME_STATE,
@@ -578,26 +585,27 @@
 
 TEST_F(fixture, witnesses_are_the_same_for_all_balancers, 20)
 {
-    struct agents_choice here;
-    struct agents_choice there;
-    struct agents_choice again;
-
-    agents_witnesses(&fixture->forwarder.agents, &here);
-    g_assert_cmpuint(here.count, ==, AGENTS_WITNESSES_MAX);
-    agents_witnesses(&fixture->forwarder.agents, &again);
-    g_assert_cmpmem(&here.addrs, sizeof(here.addrs[0]) * here.count,
-                    &again.addrs, sizeof(again.addrs[0]) * again.count);
-    /* One that doesn't answer is replaced, and the others stay. */
-    agents_mark_unanswered(&fixture->forwarder.agents, here.addrs[0],
+    struct agents_choice witnesses;
+    struct agents_choice replaced;
+    struct agents_choice repeated;
+
+    agents_witnesses(&fixture->forwarder.agents, &witnesses);
+    g_assert_cmpuint(witnesses.count, ==, AGENTS_WITNESSES_MAX);
+    agents_witnesses(&fixture->forwarder.agents, &repeated);
+    g_assert_cmpmem(
+        &witnesses.addrs, sizeof(witnesses.addrs[0]) * witnesses.count,
+        &repeated.addrs, sizeof(repeated.addrs[0]) * repeated.count);
+    /* A suspect witness is replaced, and the others stay. */
+    agents_mark_unanswered(&fixture->forwarder.agents, witnesses.addrs[0],
                            fixture->now_us, fixture->now_us);
-    agents_witnesses(&fixture->forwarder.agents, &there);
-    g_assert_true(addr_equal(there.addrs[0], here.addrs[1]));
-    g_assert_true(addr_equal(there.addrs[1], here.addrs[2]));
+    agents_witnesses(&fixture->forwarder.agents, &replaced);
+    g_assert_true(addr_equal(replaced.addrs[0], witnesses.addrs[1]));
+    g_assert_true(addr_equal(replaced.addrs[1], witnesses.addrs[2]));
     forwarder_ping_witnesses(&fixture->forwarder);
     g_assert_cmpuint(fixture->pings, ==, AGENTS_WITNESSES_MAX);
 }
 
-TEST_F(fixture, frames_say_how_the_balancer_keeps_up_with_the_store, 2)
+TEST_F(fixture, frames_carry_the_view_of_the_store, 2)
 {
     fixture->forwarder.reader = FRAME_READER_READING;
     fixture_receive(
@@ -607,7 +615,7 @@
                      fixture->forwarder.routes.version);
 }
 
-TEST_F(fixture, what_no_caller_sends_is_dropped, 2)
+TEST_F(fixture, packets_not_from_callers_are_dropped, 2)
 {
     fixture_receive(
         fixture,
@@ -615,5 +623,5 @@
     fixture_receive(fixture, fixture_bounced(fixture_from_caller(
                                  fixture_flow(1), RELAY_SYN, 9, 0, 0)));
     fixture_expect(fixture->record, "drop 0", "drop 0", NULL);
-    g_assert_cmpuint(fixture->carried, ==, 0);
+    g_assert_cmpuint(fixture->forwarded, ==, 0);
 }
--- a/tests/relay/syn_queue_test.c
+++ b/tests/relay/syn_queue_test.c
@@ -1,5 +1,5 @@
-/* Load: after a loss of all hosts, callers' first SYNs and copies come to
- * balancers that have yet to read the configuration. */
+/* Guards against dropping the SYNs that arrive before a balancer has read the
+ * configuration. */
 #include "base/clock.h"
 #include "lib/harness.h"
 #include "relay/relay_fixture.h"
@@ -30,7 +30,7 @@
     return syn_queue_put(&queue, &packet, now_us);
 }
 
-/* Port of the caller whose SYN is handed out, 0 for none. */
+/* Takes a SYN and returns its caller's port, 0 for none. */
 static unsigned
 take(uint64_t now_us, struct relay_packet *packet)
 {
@@ -60,7 +60,7 @@
     g_assert_cmpuint(take(START_US + 100 * MS, &packet), ==, 0);
 }
 
-TEST(a_copy_takes_the_place_of_the_one_before)
+TEST(a_copy_replaces_the_earlier_one)
 {
     struct relay_packet packet;
 
@@ -73,7 +73,7 @@
     g_assert_cmpuint(take(START_US + 250 * MS, &packet), ==, 0);
 }
 
-TEST(none_is_kept_for_long_or_beyond_its_callers_patience)
+TEST(syns_expire_after_400_ms_or_the_caller_timeout)
 {
     struct relay_packet packet;
 
