--- a/bench/packet/bench_forward.c
+++ b/bench/packet/bench_forward.c
@@ -1,9 +1,9 @@
 /**
- * DOC: bench_forward - the balancer's workers against a bare forwarder
+ * DOC: bench_forward - the balancer's workers against a baseline forwarder
  *
  * Each round fills the sockets of the forwarder with a fixed number of
  * packets over loopback while it stands still, starts it, and takes the
- * time until it has passed on all of them. Rounds of the bare forwarder
+ * time until it has passed on all of them. Rounds of the baseline forwarder
  * and of the balancer take turns, with the same packets, sockets, batch
  * and destinations. The destinations are sockets that nobody reads, so
  * what is compared is the forwarder and not its receivers; with less work
@@ -31,7 +31,7 @@
 #define ENDPOINTS 10
 #define LOOPBACK 0x7f000001u
 #define PAYLOAD "GET /lots/4711 HTTP/1.1\r\nHost: lots\r\nAccept: */*\r\n\r\n"
-#define PER_WORKER 4000
+#define PACKETS_PER_WORKER 4000
 #define ROUNDS_MAX 1000
 #define ROUND_LIMIT_S 10.0
 #define FLOW_COUNT 400000
@@ -46,8 +46,8 @@
     uint32_t next_caller;
 };
 
-/** struct bare - one thread of the bare forwarder */
-struct bare {
+/** struct baseline - one thread of the baseline forwarder */
+struct baseline {
     const struct bench *bench;
     int fd;
     int *stopping;
@@ -159,7 +159,7 @@
 
 /* Packets of distinct flows; one flow in eight opens. */
 static void
-fill(struct bench *bench, struct addr to, size_t count)
+send_packets(struct bench *bench, struct addr to, size_t count)
 {
     struct worker_batch *batch = bench->batch;
     struct sockaddr_in sin = addr_to_sockaddr(to);
@@ -189,52 +189,53 @@
 }
 
 static void
-bare_batch(struct bare *bare, unsigned count)
+baseline_forward_batch(struct baseline *baseline, unsigned count)
 {
-    struct worker_batch *batch = bare->batch;
+    struct worker_batch *batch = baseline->batch;
 
     for (unsigned i = 0; i < count; i++) {
         batch->out_iov[i].iov_base = batch->in_iov[i].iov_base;
         batch->out_iov[i].iov_len = batch->in[i].msg_len;
-        batch->out_to[i] = addr_to_sockaddr(bare->bench->to[i % ENDPOINTS]);
+        batch->out_to[i] =
+            addr_to_sockaddr(baseline->bench->to[i % ENDPOINTS]);
     }
     for (unsigned sent = 0; sent < count;) {
-        int n = sendmmsg(bare->fd, batch->out + sent, count - sent, 0);
+        int n = sendmmsg(baseline->fd, batch->out + sent, count - sent, 0);
         if (n <= 0)
             g_error("The bare forwarder can't send.");
         sent += (unsigned)n;
     }
-    __atomic_store_n(&bare->forwarded, bare->forwarded + count,
+    __atomic_store_n(&baseline->forwarded, baseline->forwarded + count,
                      __ATOMIC_RELAXED);
 }
 
 static void *
-bare_main(void *data)
+baseline_main(void *data)
 {
-    struct bare *bare = data;
+    struct baseline *baseline = data;
 
-    while (!__atomic_load_n(bare->stopping, __ATOMIC_RELAXED)) {
-        int n = recvmmsg(bare->fd, bare->batch->in, WORKER_BATCH,
+    while (!__atomic_load_n(baseline->stopping, __ATOMIC_RELAXED)) {
+        int n = recvmmsg(baseline->fd, baseline->batch->in, WORKER_BATCH,
                          MSG_WAITFORONE, NULL);
         if (n > 0)
-            bare_batch(bare, (unsigned)n);
+            baseline_forward_batch(baseline, (unsigned)n);
     }
     return NULL;
 }
 
 static uint64_t
-bare_forwarded(const struct bare *bare, unsigned workers)
+baseline_forwarded(const struct baseline *baseline, unsigned workers)
 {
     uint64_t sum = 0;
     for (unsigned i = 0; i < workers; i++)
-        sum += __atomic_load_n(&bare[i].forwarded, __ATOMIC_RELAXED);
+        sum += __atomic_load_n(&baseline[i].forwarded, __ATOMIC_RELAXED);
     return sum;
 }
 
 /* Note a round; g_error() when not all packets came through */
 static void
-note_round(struct result *result, const struct stopwatch *start,
-           uint64_t count, uint64_t done)
+record_result(struct result *result, const struct stopwatch *start,
+              uint64_t count, uint64_t done)
 {
     double wall = now_s() - start->wall;
     double workers = workers_s() - start->workers;
@@ -249,44 +250,44 @@
 }
 
 static void
-round_bare(struct bench *bench, struct result *result, unsigned workers,
-           size_t count)
+measure_baseline(struct bench *bench, struct result *result, unsigned workers,
+                 size_t count)
 {
-    struct bare bare[WORKERS_MAX] = {0};
+    struct baseline baseline[WORKERS_MAX] = {0};
     struct addr addr = {LOOPBACK, 0};
     struct error err;
     int stopping = 0;
 
     for (unsigned i = 0; i < workers; i++) {
-        bare[i].bench = bench;
-        bare[i].stopping = &stopping;
-        bare[i].fd = worker_socket_open(&addr, i == 0, &err);
-        bare[i].batch = aligned_alloc(64, sizeof(struct worker_batch));
-        worker_batch_init(bare[i].batch);
+        baseline[i].bench = bench;
+        baseline[i].stopping = &stopping;
+        baseline[i].fd = worker_socket_open(&addr, i == 0, &err);
+        baseline[i].batch = aligned_alloc(64, sizeof(struct worker_batch));
+        worker_batch_init(baseline[i].batch);
     }
     if (workers > 1)
-        worker_socket_spread(bare[0].fd, workers);
-    fill(bench, addr, count);
+        worker_socket_spread(baseline[0].fd, workers);
+    send_packets(bench, addr, count);
 
     struct stopwatch start = stopwatch_start();
     uint64_t done = 0;
     for (unsigned i = 0; i < workers; i++)
-        pthread_create(&bare[i].thread, NULL, bare_main, &bare[i]);
+        pthread_create(&baseline[i].thread, NULL, baseline_main, &baseline[i]);
     while (done < count && now_s() < start.wall + ROUND_LIMIT_S)
-        done = bare_forwarded(bare, workers);
-    note_round(result, &start, count, done);
+        done = baseline_forwarded(baseline, workers);
+    record_result(result, &start, count, done);
 
     __atomic_store_n(&stopping, 1, __ATOMIC_RELAXED);
     for (unsigned i = 0; i < workers; i++) {
-        pthread_join(bare[i].thread, NULL);
-        close(bare[i].fd);
-        free(bare[i].batch);
+        pthread_join(baseline[i].thread, NULL);
+        close(baseline[i].fd);
+        free(baseline[i].batch);
     }
 }
 
 static void
-round_balancer(struct bench *bench, struct result *result, unsigned workers,
-               size_t count)
+measure_balancer(struct bench *bench, struct result *result, unsigned workers,
+                 size_t count)
 {
     struct worker_owner owner = {0};
     struct worker_pool pool;
@@ -303,14 +304,14 @@
         route_table_new(bench->view, bench->text, NULL, &table) < 0)
         g_error("The balancer can't start.");
     worker_pool_publish(&pool, table);
-    fill(bench, pool.addr, count);
+    send_packets(bench, pool.addr, count);
 
     struct stopwatch start = stopwatch_start();
     uint64_t done = 0;
     worker_pool_start(&pool, &err);
     while (done < count && now_s() < start.wall + ROUND_LIMIT_S)
         done = counter_read(&counters, pool.forwarded);
-    note_round(result, &start, count, done);
+    record_result(result, &start, count, done);
 
     worker_pool_finish(&pool);
     counter_table_finish(&counters);
@@ -321,20 +322,20 @@
 compare(struct bench *bench, unsigned workers, size_t rounds, double *rate,
         double *cost_ratio)
 {
-    struct result bare = {0};
+    struct result baseline = {0};
     struct result balancer = {0};
-    size_t count = (size_t)PER_WORKER * workers;
+    size_t count = (size_t)PACKETS_PER_WORKER * workers;
 
-    round_bare(bench, &bare, workers, count);
-    round_balancer(bench, &balancer, workers, count);
-    bare.count = 0;
+    measure_baseline(bench, &baseline, workers, count);
+    measure_balancer(bench, &balancer, workers, count);
+    baseline.count = 0;
     balancer.count = 0;
     for (size_t i = 0; i < rounds; i++) {
-        round_bare(bench, &bare, workers, count);
-        round_balancer(bench, &balancer, workers, count);
+        measure_baseline(bench, &baseline, workers, count);
+        measure_balancer(bench, &balancer, workers, count);
     }
-    double bare_rate = median(bare.rates, rounds);
-    double bare_cost = median(bare.costs, rounds);
+    double bare_rate = median(baseline.rates, rounds);
+    double bare_cost = median(baseline.costs, rounds);
     double cost = median(balancer.costs, rounds);
     *rate = median(balancer.rates, rounds);
     printf("%7u %10.0f %10.0f %6.3f  %9.0f..%-9.0f %8.0f %8.0f %6.3f\n",
@@ -386,9 +387,9 @@
     worker_pool_start(&pool, &err);
 
     long before = 0;
-    while (sent < FLOW_COUNT + PER_WORKER) {
-        fill(bench, pool.addr, PER_WORKER);
-        sent += PER_WORKER;
+    while (sent < FLOW_COUNT + PACKETS_PER_WORKER) {
+        send_packets(bench, pool.addr, PACKETS_PER_WORKER);
+        sent += PACKETS_PER_WORKER;
         double start = now_s();
         while (counter_read(&counters, pool.forwarded) < sent)
             if (now_s() > start + ROUND_LIMIT_S)
@@ -396,10 +397,10 @@
         if (before == 0) /* after the first use of all buffers */
             before = resident_bytes();
     }
-    long grown = resident_bytes() - before;
+    long growth = resident_bytes() - before;
     worker_pool_finish(&pool);
     counter_table_finish(&counters);
-    return grown;
+    return growth;
 }
 
 static void
@@ -413,7 +414,7 @@
     bench_open(&bench);
     printf("%d endpoints, batches of %d, %d packets a worker and round, "
            "%zu rounds each, medians\n",
-           ENDPOINTS, WORKER_BATCH, PER_WORKER, rounds);
+           ENDPOINTS, WORKER_BATCH, PACKETS_PER_WORKER, rounds);
     printf("             packets/s                                    ns of "
            "processor\n"
            "workers       bare   balancer  ratio  balancer p10..p90      "
@@ -431,14 +432,14 @@
         g_string_append_printf(json, ", \"growth_%u\": %.2f", workers,
                                rate / first);
     }
-    long grown = measure_flows(&bench);
-    printf("resident memory grew by %ld bytes over %d distinct flows\n", grown,
-           FLOW_COUNT);
+    long growth = measure_flows(&bench);
+    printf("resident memory grew by %ld bytes over %d distinct flows\n",
+           growth, FLOW_COUNT);
     printf("{\"packets_per_s\": %.0f, \"ratio\": %.3f, "
            "\"processor_ratio\": %.3f%s, "
            "\"flow_bytes\": %.3f}\n",
            first, first_ratio, first_cost_ratio, json->str,
-           (double)grown / FLOW_COUNT);
+           (double)growth / FLOW_COUNT);
     g_string_free(json, TRUE);
     bench_close(&bench);
 }
--- a/bench/packet/bench_lookup.c
+++ b/bench/packet/bench_lookup.c
@@ -1,13 +1,13 @@
 /**
  * DOC: bench_lookup - cost of deciding about a packet, and of the tables
  *
- * All in one thread without sockets. A decision includes the check of the
+ * All in one thread view_without sockets. A decision includes the check of the
  * packet, as in a worker. The packets of FLOWS distinct flows are decided
  * about in turn, so that all rows of the table are used. "known" is a
  * packet that opens no flow, "open" one that does, "drain" the same while
  * one endpoint drains, "batch" a known one in a worker's batch, with its
  * encapsulation written. "busiest" is the first hops of flows: those of
- * the busiest endpoint over those of the mean one.
+ * the max_load_ratio endpoint over those of the mean one.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -21,7 +21,7 @@
 #include "scene.h"
 
 #define FLOWS 16384
-#define SLOT 64
+#define PACKET_SIZE_MAX 64
 #define PASSES 16
 #define REPEATS 9
 #define FLOW_COUNT 400000
@@ -29,22 +29,22 @@
 
 /** struct packets - one small packet of each flow */
 struct packets {
-    uint8_t bytes[FLOWS][SLOT];
+    uint8_t bytes[FLOWS][PACKET_SIZE_MAX];
     size_t lens[FLOWS];
 };
 
-/** struct figures - of one size; times of one packet or one table */
-struct figures {
+/** struct measurements - of one size; times of one packet or one table */
+struct measurements {
     size_t endpoints;
-    double known_ns;
+    double established_ns;
     double open_ns;
     double drain_ns;
     double batch_ns;
     double build_us;
     double join_us;
     double leave_us;
-    double same_us;
-    double busiest;
+    double unchanged_us;
+    double max_load_ratio;
     size_t bytes;
 };
 
@@ -66,7 +66,7 @@
 }
 
 static void
-fill(struct packets *packets, uint8_t flags)
+build_packets(struct packets *packets, uint8_t flags)
 {
     for (uint32_t i = 0; i < FLOWS; i++)
         packets->lens[i] =
@@ -74,7 +74,7 @@
 }
 
 static double
-pass_ns(const struct route_table *table, const struct packets *packets)
+decide_pass_ns(const struct route_table *table, const struct packets *packets)
 {
     struct route_decision decision;
     uint64_t sum = 0;
@@ -99,9 +99,9 @@
 {
     double times[REPEATS];
 
-    fill(packets, flags);
+    build_packets(packets, flags);
     for (int i = 0; i < REPEATS; i++)
-        times[i] = pass_ns(table, packets);
+        times[i] = decide_pass_ns(table, packets);
     qsort(times, REPEATS, sizeof(double), compare_doubles);
     return times[REPEATS / 2];
 }
@@ -114,7 +114,7 @@
     struct trace trace = {.fd = -1};
     double times[REPEATS];
 
-    fill(packets, PACKET_TCP_ACK);
+    build_packets(packets, PACKET_TCP_ACK);
     worker_batch_init(batch);
     for (int i = 0; i < REPEATS; i++) {
         double spent = 0;
@@ -169,66 +169,67 @@
     return times[REPEATS / 2];
 }
 
-/* The view without its member @index */
+/* The view view_without its member @index */
 static struct view *
-without(const struct view *view, size_t index)
+view_without(const struct view *view, size_t index)
 {
-    struct view *less = scene_view(view->count, "lots");
+    struct view *reduced = scene_view(view->count, "lots");
 
-    less->count--;
-    memmove(&less->members[index], &less->members[index + 1],
-            (less->count - index) * sizeof(less->members[0]));
-    return less;
+    reduced->count--;
+    memmove(&reduced->members[index], &reduced->members[index + 1],
+            (reduced->count - index) * sizeof(reduced->members[0]));
+    return reduced;
 }
 
-/* Flows of the busiest endpoint over those of the mean one */
+/* Flows of the max_load_ratio endpoint over those of the mean one */
 static double
-busiest(const struct route_table *table, struct packets *packets,
-        size_t endpoints)
+max_load_ratio(const struct route_table *table, struct packets *packets,
+               size_t endpoints)
 {
     GHashTable *first = g_hash_table_new(g_direct_hash, g_direct_equal);
     struct route_decision decision;
-    size_t most = 0;
+    size_t max_count = 0;
 
-    fill(packets, PACKET_TCP_SYN);
+    build_packets(packets, PACKET_TCP_SYN);
     for (size_t i = 0; i < FLOWS; i++) {
         route_decide(table, packets->bytes[i], packets->lens[i], NOW_US,
                      &decision);
         gpointer key = GSIZE_TO_POINTER(decision.gue.hops[0].member);
         size_t count = GPOINTER_TO_SIZE(g_hash_table_lookup(first, key)) + 1;
         g_hash_table_insert(first, key, GSIZE_TO_POINTER(count));
-        most = MAX(most, count);
+        max_count = MAX(max_count, count);
     }
     g_hash_table_destroy(first);
-    return (double)most * (double)endpoints / FLOWS;
+    return (double)max_count * (double)endpoints / FLOWS;
 }
 
 static void
-measure(struct figures *figures, const struct text *text,
+measure(struct measurements *measurements, const struct text *text,
         struct packets *packets)
 {
-    struct view *view = scene_view(figures->endpoints, "lots");
-    struct view *less = without(view, figures->endpoints / 2);
+    struct view *view = scene_view(measurements->endpoints, "lots");
+    struct view *reduced = view_without(view, measurements->endpoints / 2);
     struct route_table *table = build(view, text, NULL);
-    struct route_table *smaller = build(less, text, NULL);
+    struct route_table *smaller = build(reduced, text, NULL);
 
-    figures->known_ns = decide_ns(table, packets, PACKET_TCP_ACK);
-    figures->open_ns = decide_ns(table, packets, PACKET_TCP_SYN);
-    figures->batch_ns = batch_ns(table, packets);
-    figures->build_us = build_us(view, text, NULL);
-    figures->join_us = build_us(view, text, smaller);
-    figures->leave_us = build_us(less, text, table);
-    figures->same_us = build_us(view, text, table);
-    figures->bytes = route_table_bytes(table);
-    figures->busiest = busiest(table, packets, figures->endpoints);
+    measurements->established_ns = decide_ns(table, packets, PACKET_TCP_ACK);
+    measurements->open_ns = decide_ns(table, packets, PACKET_TCP_SYN);
+    measurements->batch_ns = batch_ns(table, packets);
+    measurements->build_us = build_us(view, text, NULL);
+    measurements->join_us = build_us(view, text, smaller);
+    measurements->leave_us = build_us(reduced, text, table);
+    measurements->unchanged_us = build_us(view, text, table);
+    measurements->bytes = route_table_bytes(table);
+    measurements->max_load_ratio =
+        max_load_ratio(table, packets, measurements->endpoints);
 
     view->members[0].state = MEMBER_DRAINING;
     struct route_table *draining = build(view, text, table);
-    figures->drain_ns = decide_ns(draining, packets, PACKET_TCP_SYN);
+    measurements->drain_ns = decide_ns(draining, packets, PACKET_TCP_SYN);
     route_table_free(draining);
     route_table_free(smaller);
     route_table_free(table);
-    free(less);
+    free(reduced);
     free(view);
 }
 
@@ -255,7 +256,7 @@
     struct view *view = scene_view(10, "lots");
     struct route_table *table = build(view, text, NULL);
     struct route_decision decision;
-    uint8_t buf[SLOT];
+    uint8_t buf[PACKET_SIZE_MAX];
     long before = 0;
 
     for (uint32_t i = 0; i <= FLOW_COUNT; i++) {
@@ -265,10 +266,10 @@
         if (i == 0)
             before = resident_bytes();
     }
-    long grown = resident_bytes() - before;
+    long growth = resident_bytes() - before;
     route_table_free(table);
     free(view);
-    return grown;
+    return growth;
 }
 
 int
@@ -284,21 +285,21 @@
         "endpoints  known   open  drain  batch      build     join    leave "
         "unchanged     bytes  busiest\n");
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-        struct figures f = {.endpoints = sizes[i]};
+        struct measurements f = {.endpoints = sizes[i]};
         measure(&f, text, packets);
         printf("%9zu %6.1f %6.1f %6.1f %6.1f %10.0f %8.0f %8.0f %9.0f "
                "%9zu %8.2f\n",
-               f.endpoints, f.known_ns, f.open_ns, f.drain_ns, f.batch_ns,
-               f.build_us, f.join_us, f.leave_us, f.same_us, f.bytes,
-               f.busiest);
+               f.endpoints, f.established_ns, f.open_ns, f.drain_ns,
+               f.batch_ns, f.build_us, f.join_us, f.leave_us, f.unchanged_us,
+               f.bytes, f.max_load_ratio);
         g_string_append_printf(json, "\"lookup_ns_%zu\": %.1f, ", sizes[i],
-                               f.known_ns);
+                               f.established_ns);
     }
-    long grown = measure_flows(text);
-    printf("resident memory grew by %ld bytes over %d distinct flows\n", grown,
-           FLOW_COUNT);
+    long growth = measure_flows(text);
+    printf("resident memory grew by %ld bytes over %d distinct flows\n",
+           growth, FLOW_COUNT);
     printf("{%s\"flow_bytes\": %.3f}\n", json->str,
-           (double)grown / FLOW_COUNT);
+           (double)growth / FLOW_COUNT);
     g_string_free(json, TRUE);
     text_free(text);
     g_free(packets);
--- a/src/agent/ingress.c
+++ b/src/agent/ingress.c
@@ -128,7 +128,7 @@
     if (sendmsg(agent->ingress.fd, &msg, MSG_DONTWAIT) < 0 &&
         (errno != ECONNREFUSED ||
          sendmsg(agent->ingress.fd, &msg, MSG_DONTWAIT) < 0)) {
-        count_drop(agent, PACKET_SEND);
+        count_drop(agent, PACKET_SEND_FAILED);
     }
 }
 
@@ -235,7 +235,7 @@
     int header = gue_decode(buf, len, &gue);
 
     if (header < 0 || gue.count == 0) {
-        count_drop(agent, PACKET_ENCAP);
+        count_drop(agent, PACKET_BAD_ENCAP);
         return;
     }
     buf += header;
@@ -288,7 +288,7 @@
     uint64_t now_us = agent_now(agent);
     for (int i = 0; i < count; i++) {
         if ((msgs[i].msg_hdr.msg_flags & MSG_TRUNC) != 0) {
-            count_drop(agent, PACKET_LONG);
+            count_drop(agent, PACKET_TOO_LONG);
             continue;
         }
         handle_packet(agent, buffers[i], msgs[i].msg_len, now_us);
--- a/src/agent/peer_links.c
+++ b/src/agent/peer_links.c
@@ -227,8 +227,8 @@
 }
 
 static void
-on_down(struct link_handler *handler, struct link_conn *conn, struct addr peer,
-        int reason)
+on_disconnect(struct link_handler *handler, struct link_conn *conn,
+              struct addr peer, int reason)
 {
     struct peer_links *links = (struct peer_links *)handler;
     guint64 key = addr_key(peer);
@@ -252,7 +252,7 @@
 
 static const struct link_ops link_ops = {
     .on_frame = on_frame,
-    .on_down = on_down,
+    .on_disconnect = on_disconnect,
 };
 
 int
--- a/src/balancer/route.c
+++ b/src/balancer/route.c
@@ -172,7 +172,7 @@
     const struct route_address *address =
         route_find_address(table, packet->dst, packet->dport, packet->proto);
     if (address == NULL)
-        return PACKET_SERVICE;
+        return PACKET_NO_SERVICE;
     const struct route_service *service = &table->services[address->service];
     if (service->count == 0)
         return PACKET_NO_ENDPOINT;
--- a/src/balancer/worker.c
+++ b/src/balancer/worker.c
@@ -132,7 +132,7 @@
         if (may_retry(error, ++tries))
             continue;
         tries = 0;
-        batch->drops[PACKET_SEND]++;
+        batch->drops[PACKET_SEND_FAILED]++;
         sent++;
     }
 }
--- a/src/balancer/worker_batch.c
+++ b/src/balancer/worker_batch.c
@@ -12,13 +12,13 @@
     struct gue gue;
 
     if (len < BATCH_BARE)
-        return PACKET_ENCAP;
+        return PACKET_BAD_ENCAP;
     if (forward_is_marked(buf, len))
         return PACKET_OK;
     if (buf[0] == 0) /* the usual case, without reading a hop list */
         return gue_decode(buf, len, &gue) == BATCH_BARE ? PACKET_OK
-                                                        : PACKET_ENCAP;
-    return PACKET_ENCAP;
+                                                        : PACKET_BAD_ENCAP;
+    return PACKET_BAD_ENCAP;
 }
 
 static void
@@ -38,7 +38,7 @@
 is_foreign(const struct worker_batch *batch, const struct packet *packet,
            enum packet_drop drop, bool marked)
 {
-    if (drop == PACKET_SERVICE)
+    if (drop == PACKET_NO_SERVICE)
         return true;
     return !marked && (drop == PACKET_OK || drop == PACKET_NO_ENDPOINT) &&
            forward_goes_before(batch->directory, packet);
--- a/src/base/auth.c
+++ b/src/base/auth.c
@@ -167,7 +167,7 @@
 
 /* Whether @seq of @peer is new; marks it as seen. */
 static bool
-window_take(struct auth_peer *peer, uint64_t seq)
+window_accept(struct auth_peer *peer, uint64_t seq)
 {
     uint64_t bit = UINT64_C(1) << seq % 64;
     uint64_t *word = &peer->seen[seq % AUTH_WINDOW / 64];
@@ -294,7 +294,7 @@
     peer = peer_find(auth->peers, *sender);
     if (peer == NULL)
         peer = peer_add(auth->peers, *sender, seq);
-    if (!window_take(peer, seq))
+    if (!window_accept(peer, seq))
         return -EALREADY;
     *body = msg + HEADER_LEN;
     *body_len = len - AUTH_OVERHEAD;
--- a/src/base/counter.c
+++ b/src/base/counter.c
@@ -24,8 +24,8 @@
 }
 
 static int
-register_any(struct counter_table *table, const char *name, const char *labels,
-             uint8_t gauge)
+register_metric(struct counter_table *table, const char *name,
+                const char *labels, uint8_t gauge)
 {
     size_t handle = table->count;
 
@@ -53,7 +53,7 @@
 }
 
 static void
-render_one(const struct counter_table *table, size_t handle, GString *text)
+render_sample(const struct counter_table *table, size_t handle, GString *text)
 {
     const char *labels = table->labels[handle];
 
@@ -72,7 +72,7 @@
                            table->gauge[first] ? "gauge" : "counter");
     for (size_t i = first; i < table->count; i++) {
         if (strcmp(table->names[i], table->names[first]) == 0)
-            render_one(table, i, text);
+            render_sample(table, i, text);
     }
 }
 
@@ -106,14 +106,14 @@
 counter_register(struct counter_table *table, const char *name,
                  const char *labels)
 {
-    return register_any(table, name, labels, 0);
+    return register_metric(table, name, labels, 0);
 }
 
 int
 counter_register_gauge(struct counter_table *table, const char *name,
                        const char *labels)
 {
-    return register_any(table, name, labels, 1);
+    return register_metric(table, name, labels, 1);
 }
 
 void
--- a/src/base/event_log.c
+++ b/src/base/event_log.c
@@ -13,24 +13,24 @@
 #define LINE_MAX_LEN 512
 
 /* Written early when this much waits, so that a burst finds room. */
-#define FLUSH_AT (EVENT_LOG_BUFFER / 2)
+#define FLUSH_THRESHOLD (EVENT_LOG_BUFFER_SIZE / 2)
 
 static void
 refill(struct event_log *log, uint64_t now_us)
 {
-    uint64_t due = (now_us - log->refilled_us) * log->per_s / USEC_PER_SEC;
+    uint64_t due = (now_us - log->refilled_us) * log->max_per_s / USEC_PER_SEC;
 
     if (due == 0) {
         return;
     }
-    log->tokens = (unsigned)MIN(log->tokens + due, log->per_s);
+    log->tokens = (unsigned)MIN(log->tokens + due, log->max_per_s);
     log->refilled_us = now_us;
 }
 
 /* The time of day is asked for once a line only when it is written. */
 static int
-write_head(struct event_log *log, char *line, uint64_t now_us,
-           const char *event)
+format_prefix(struct event_log *log, char *line, uint64_t now_us,
+              const char *event)
 {
     struct timespec wall = {0};
     struct tm tm;
@@ -49,12 +49,12 @@
 static void
 append(struct event_log *log, const char *line, size_t len)
 {
-    if (log->used + len > FLUSH_AT) {
+    if (log->used + len > FLUSH_THRESHOLD) {
         event_log_flush(log);
     }
     if (log->used + len > sizeof(log->buffer)) {
-        log->left_out++;
-        log->left_out_total++;
+        log->dropped++;
+        log->dropped_total++;
         return;
     }
     memcpy(log->buffer + log->used, line, len);
@@ -63,15 +63,15 @@
 
 void
 event_log_init(struct event_log *log, struct clock *clock, const char *host,
-               int fd, unsigned per_s)
+               int fd, unsigned max_per_s)
 {
     int flags = fd >= 0 ? fcntl(fd, F_GETFL) : -1;
 
     memset(log, 0, sizeof(*log));
     log->clock = clock;
     log->fd = fd;
-    log->per_s = per_s;
-    log->tokens = per_s;
+    log->max_per_s = max_per_s;
+    log->tokens = max_per_s;
     log->refilled_us = clock_now_us(clock);
     g_strlcpy(log->host, host, sizeof(log->host));
     if (flags >= 0) {
@@ -81,9 +81,9 @@
 }
 
 bool
-event_log_wants(struct event_log *log, enum event_weight weight)
+event_log_allow(struct event_log *log, enum event_limit limit)
 {
-    if (weight == EVENT_RARE) {
+    if (limit == EVENT_UNLIMITED) {
         return true;
     }
     if (log->tokens == 0) {
@@ -92,28 +92,28 @@
     if (log->tokens > 0) {
         return true;
     }
-    log->left_out++;
-    log->left_out_total++;
+    log->dropped++;
+    log->dropped_total++;
     return false;
 }
 
 void
-event_log_line(struct event_log *log, enum event_weight weight,
-               const char *event, const char *fmt, ...)
+event_log_write(struct event_log *log, enum event_limit limit,
+                const char *event, const char *fmt, ...)
 {
     uint64_t now_us = clock_now_us(log->clock);
     char line[LINE_MAX_LEN];
     size_t len;
     va_list args;
 
-    if (weight == EVENT_ROUTINE && log->tokens > 0) {
+    if (limit == EVENT_RATE_LIMITED && log->tokens > 0) {
         log->tokens--;
     }
-    len = (size_t)write_head(log, line, now_us, event);
-    if (log->left_out > 0 && len < sizeof(line)) {
+    len = (size_t)format_prefix(log, line, now_us, event);
+    if (log->dropped > 0 && len < sizeof(line)) {
         len += (size_t)g_snprintf(line + len, sizeof(line) - len,
-                                  " left_out=%" PRIu64, log->left_out);
-        log->left_out = 0;
+                                  " left_out=%" PRIu64, log->dropped);
+        log->dropped = 0;
     }
     if (fmt[0] != '\0' && len + 2 < sizeof(line)) {
         line[len++] = ' ';
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -16,13 +16,13 @@
 
 #include "base/clock.h"
 
-#define EVENT_LOG_BUFFER (1u << 14)
+#define EVENT_LOG_BUFFER_SIZE (1u << 14)
 #define EVENT_LOG_HOST_MAX 64
 
-/** enum event_weight - which lines the bound holds back */
-enum event_weight {
-    EVENT_ROUTINE, /* one of thousands: bounded */
-    EVENT_RARE,    /* start, stop, a dependency lost: always written */
+/** enum event_limit - which lines the bound holds back */
+enum event_limit {
+    EVENT_RATE_LIMITED, /* one of thousands: bounded */
+    EVENT_UNLIMITED,    /* start, stop, a dependency lost: always written */
 };
 
 /**
@@ -30,11 +30,11 @@
  * @clock: steady clock
  * @host: name of the process
  * @fd: where lines go, -1 for nowhere
- * @per_s: routine lines a second
+ * @max_per_s: routine lines a second
  * @tokens: routine lines that may be written now
  * @refilled_us: when @tokens was counted last
- * @left_out: lines not written since the last one that was
- * @left_out_total: lines not written at all
+ * @dropped: lines not written since the last one that was
+ * @dropped_total: lines not written at all
  * @used: bytes in @buffer
  * @buffer: lines that wait
  */
@@ -42,29 +42,29 @@
     struct clock *clock;
     char host[EVENT_LOG_HOST_MAX];
     int fd;
-    unsigned per_s;
+    unsigned max_per_s;
     unsigned tokens;
     uint64_t refilled_us;
-    uint64_t left_out;
-    uint64_t left_out_total;
+    uint64_t dropped;
+    uint64_t dropped_total;
     size_t used;
-    char buffer[EVENT_LOG_BUFFER];
+    char buffer[EVENT_LOG_BUFFER_SIZE];
 };
 
 /** event_log_init() - write to @fd, which is made non-blocking */
 void
 event_log_init(struct event_log *log, struct clock *clock, const char *host,
-               int fd, unsigned per_s);
+               int fd, unsigned max_per_s);
 
-/** event_log_wants() - whether a line of this weight would be written now;
+/** event_log_allow() - whether a line of this limit would be written now;
  * counts it as left out when not */
 bool
-event_log_wants(struct event_log *log, enum event_weight weight);
+event_log_allow(struct event_log *log, enum event_limit limit);
 
-/** event_log_line() - add a line; @event names it, the rest are its fields */
+/** event_log_write() - add a line; @event names it, the rest are its fields */
 void
-event_log_line(struct event_log *log, enum event_weight weight,
-               const char *event, const char *fmt, ...)
+event_log_write(struct event_log *log, enum event_limit limit,
+                const char *event, const char *fmt, ...)
     __attribute__((format(printf, 4, 5)));
 
 /** event_log_flush() - write what waits, as far as it can be taken */
--- a/src/base/httpc.c
+++ b/src/base/httpc.c
@@ -18,7 +18,7 @@
 /* Probes on a quiet connection: a peer that is cut off shows after 3 s,
  * while a waiting call may last much longer. */
 #define KEEPALIVE_IDLE_S 1
-#define KEEPALIVE_GAP_S 1
+#define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_COUNT 2
 
 /**
@@ -29,9 +29,9 @@
  * @body_max: longest answer, bytes
  * @connection: libevent's connection or NULL
  * @stale: a connection to be freed once libevent is done with it
- * @reaper: frees @stale
+ * @free_stale_event: frees @stale
  * @call: the open call or NULL
- * @wants: header of the answer that the open call wants, or NULL
+ * @reply_header: header of the answer that the open call reply_header, or NULL
  * @failure: errno of the open call's failure, 0 so far
  */
 struct httpc {
@@ -41,9 +41,9 @@
     size_t body_max;
     struct evhttp_connection *connection;
     struct evhttp_connection *stale;
-    struct event *reaper;
+    struct event *free_stale_event;
     struct httpc_call *call;
-    const char *wants;
+    const char *reply_header;
     int failure;
 };
 
@@ -55,7 +55,7 @@
 };
 
 static void
-reap(struct httpc *httpc)
+free_stale_connection(struct httpc *httpc)
 {
     if (httpc->stale != NULL) {
         evhttp_connection_free(httpc->stale);
@@ -64,22 +64,22 @@
 }
 
 static void
-on_reap(evutil_socket_t fd, short events, void *data)
+on_free_stale(evutil_socket_t fd, short events, void *data)
 {
-    reap(data);
+    free_stale_connection(data);
 }
 
 /* A connection can't be freed inside its own callback. */
 static void
-retire(struct httpc *httpc)
+drop_connection(struct httpc *httpc)
 {
     if (httpc->connection == NULL) {
         return;
     }
-    reap(httpc);
+    free_stale_connection(httpc);
     httpc->stale = httpc->connection;
     httpc->connection = NULL;
-    event_active(httpc->reaper, EV_TIMEOUT, 1);
+    event_active(httpc->free_stale_event, EV_TIMEOUT, 1);
 }
 
 static void
@@ -125,14 +125,15 @@
 
     if (status == 0) {
         reply.status = httpc->failure != 0 ? -httpc->failure : -ECONNREFUSED;
-        retire(httpc);
+        drop_connection(httpc);
         finish(httpc, &reply);
         return;
     }
     headers = evhttp_request_get_input_headers(request);
     reply.etag = evhttp_find_header(headers, "ETag");
-    if (httpc->wants != NULL) {
-        reply.wanted = evhttp_find_header(headers, httpc->wants);
+    if (httpc->reply_header != NULL) {
+        reply.reply_header_value =
+            evhttp_find_header(headers, httpc->reply_header);
     }
     input = evhttp_request_get_input_buffer(request);
     reply.len = evbuffer_get_length(input);
@@ -147,7 +148,7 @@
     evutil_socket_t fd = bufferevent_getfd(bev);
     int on = 1;
     int idle = KEEPALIVE_IDLE_S;
-    int gap = KEEPALIVE_GAP_S;
+    int gap = KEEPALIVE_INTERVAL_S;
     int count = KEEPALIVE_COUNT;
 
     if (fd < 0) {
@@ -177,7 +178,7 @@
         }
     }
     httpc->connection = evhttp_connection_base_bufferevent_new(
-        httpc->base, httpc->peer.names, bev, httpc->peer.host,
+        httpc->base, httpc->peer.dns_base, bev, httpc->peer.host,
         httpc->peer.port);
     if (httpc->connection == NULL) {
         return -ENOMEM;
@@ -198,8 +199,8 @@
     httpc->peer.host = g_strdup(peer->host);
     httpc->host = g_strdup_printf("%s:%u", peer->host, peer->port);
     httpc->body_max = body_max;
-    httpc->reaper = event_new(base, -1, 0, on_reap, httpc);
-    if (httpc->reaper == NULL) {
+    httpc->free_stale_event = event_new(base, -1, 0, on_free_stale, httpc);
+    if (httpc->free_stale_event == NULL) {
         httpc_free(httpc);
         return NULL;
     }
@@ -227,9 +228,9 @@
     if (httpc->connection != NULL) {
         evhttp_connection_free(httpc->connection);
     }
-    reap(httpc);
-    if (httpc->reaper != NULL) {
-        event_free(httpc->reaper);
+    free_stale_connection(httpc);
+    if (httpc->free_stale_event != NULL) {
+        event_free(httpc->free_stale_event);
     }
     g_free((char *)httpc->peer.host);
     g_free(httpc->host);
@@ -288,13 +289,13 @@
     }
     evhttp_connection_set_timeout_tv(httpc->connection, &timeout);
     httpc->failure = 0;
-    httpc->wants = request->wants;
+    httpc->reply_header = request->reply_header;
     httpc->call = call;
     if (evhttp_make_request(httpc->connection, made, commands[request->method],
                             request->target) != 0) {
         /* libevent has freed the request and may have told on_done(). */
         httpc->call = NULL;
-        retire(httpc);
+        drop_connection(httpc);
         return -ENOMEM;
     }
     set_keepalive(httpc->connection);
@@ -305,5 +306,5 @@
 httpc_cancel(struct httpc *httpc)
 {
     httpc->call = NULL;
-    retire(httpc);
+    drop_connection(httpc);
 }
--- a/src/base/httpc.h
+++ b/src/base/httpc.h
@@ -38,13 +38,13 @@
  * struct httpc_peer - whom a client calls
  * @host: its address or name
  * @port: its port
- * @names: looks names up, NULL where @host is an address
+ * @dns_base: looks dns_base up, NULL where @host is an address
  * @transport: NULL for TCP alone; outlives the client
  */
 struct httpc_peer {
     const char *host;
     uint16_t port;
-    struct evdns_base *names;
+    struct evdns_base *dns_base;
     struct httpc_transport *transport;
 };
 
@@ -52,14 +52,14 @@
  * struct httpc_reply - how a call ended
  * @status: HTTP status, or a negative errno when no whole answer came
  * @etag: the answer's ETag header, NULL for none
- * @wanted: the header that the request wants, NULL for none
+ * @reply_header_value: the header that the request reply_header, NULL for none
  * @body: the answer's body, valid during the callback
  * @len: its length in bytes
  */
 struct httpc_reply {
     int status;
     const char *etag;
-    const char *wanted;
+    const char *reply_header_value;
     const char *body;
     size_t len;
 };
@@ -83,8 +83,8 @@
  * @target: path and query
  * @header: name of a header of its own, or NULL
  * @value: that header's value
- * @wants: name of a header of the answer that is told, or NULL; outlives the
- *         call
+ * @reply_header: name of a header of the answer that is told, or NULL;
+ * outlives the call
  * @body: JSON, or NULL
  * @len: its length in bytes
  * @timeout_ms: silence after which the call fails with -ETIMEDOUT
@@ -94,7 +94,7 @@
     const char *target;
     const char *header;
     const char *value;
-    const char *wants;
+    const char *reply_header;
     const char *body;
     size_t len;
     unsigned timeout_ms;
@@ -111,7 +111,7 @@
     HTTPC_GONE = 410,
     HTTPC_PRECONDITION_FAILED = 412,
     HTTPC_TOO_LARGE = 413,
-    HTTPC_TOO_MANY = 429,
+    HTTPC_TOO_MANY_REQUESTS = 429,
     HTTPC_UNAVAILABLE = 503,
 };
 
--- a/src/base/httpd.c
+++ b/src/base/httpd.c
@@ -21,13 +21,13 @@
  * @event: libevent's request
  * @path: decoded path
  * @query: decoded query
- * @answered: httpd_respond() was called
+ * @responded: httpd_respond() was called
  */
 struct httpd_request {
     struct evhttp_request *event;
     char *path;
     struct evkeyvalq query;
-    bool answered;
+    bool responded;
 };
 
 static const struct {
@@ -41,7 +41,7 @@
 };
 
 static const char *
-reason_of(int status)
+reason_phrase(int status)
 {
     switch (status) {
     case 200:
@@ -71,7 +71,7 @@
 
 /* Path and query of the request; false when they can't be read. */
 static bool
-request_read(struct httpd_request *request)
+request_parse_uri(struct httpd_request *request)
 {
     const struct evhttp_uri *uri =
         evhttp_request_get_evhttp_uri(request->event);
@@ -96,11 +96,11 @@
     int ret = 0;
 
     request.query.tqh_last = &request.query.tqh_first;
-    if (request_read(&request))
+    if (request_parse_uri(&request))
         ret = httpd->handler->ops->on_request(httpd->handler, &request);
     else
         httpd_respond(&request, 400, "text/plain", "bad target\n", 11);
-    if (!request.answered) {
+    if (!request.responded) {
         char text[64];
         int len = snprintf(text, sizeof(text), "request failed: %s\n",
                            strerror(ret < 0 ? -ret : EIO));
@@ -254,11 +254,11 @@
 {
     struct evbuffer *output = evhttp_request_get_output_buffer(request->event);
 
-    if (request->answered)
+    if (request->responded)
         return;
-    request->answered = true;
+    request->responded = true;
     evhttp_add_header(evhttp_request_get_output_headers(request->event),
                       "Content-Type", content_type);
     evbuffer_add(output, body, len);
-    evhttp_send_reply(request->event, status, reason_of(status), output);
+    evhttp_send_reply(request->event, status, reason_phrase(status), output);
 }
--- a/src/base/json_scan.c
+++ b/src/base/json_scan.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static struct json_scan_frame *
-top(struct json_scan *scan)
+current_frame(struct json_scan *scan)
 {
     return scan->depth > 0 ? &scan->frames[scan->depth - 1] : NULL;
 }
@@ -26,7 +26,7 @@
 static bool
 open_frame(struct json_scan *scan, bool is_array)
 {
-    struct json_scan_frame *parent = top(scan);
+    struct json_scan_frame *parent = current_frame(scan);
     struct json_scan_frame *frame;
 
     if (scan->depth == JSON_SCAN_DEPTH_MAX)
@@ -43,9 +43,9 @@
 }
 
 static void
-take_key(struct json_scan *scan, const char *name, size_t len)
+record_key(struct json_scan *scan, const char *name, size_t len)
 {
-    size_t path_len = top(scan)->path_len;
+    size_t path_len = current_frame(scan)->path_len;
 
     g_string_truncate(scan->path, path_len);
     if (path_len > 0)
@@ -55,7 +55,7 @@
 
 /* Whether the string at @scan->at is a key: only keys precede colons. */
 static bool
-take_string(struct json_scan *scan)
+scan_string_or_key(struct json_scan *scan)
 {
     const char *start = scan->at;
     const char *end = string_end(start);
@@ -63,9 +63,9 @@
 
     scan->at = *end == '"' ? end + 1 : end;
     after = scan->at + strspn(scan->at, " \t\r\n");
-    if (*after != ':' || top(scan) == NULL)
+    if (*after != ':' || current_frame(scan) == NULL)
         return false;
-    take_key(scan, start + 1, (size_t)(end - start - 1));
+    record_key(scan, start + 1, (size_t)(end - start - 1));
     return true;
 }
 
@@ -90,7 +90,7 @@
     for (; *scan->at != '\0'; scan->at++) {
         switch (*scan->at) {
         case '"':
-            if (take_string(scan))
+            if (scan_string_or_key(scan))
                 return true;
             scan->at--;
             break;
@@ -105,8 +105,8 @@
                 scan->depth--;
             break;
         case ',':
-            if (top(scan) != NULL)
-                top(scan)->index++;
+            if (current_frame(scan) != NULL)
+                current_frame(scan)->index++;
             break;
         case '\n':
             scan->line++;
--- a/src/base/link.c
+++ b/src/base/link.c
@@ -20,12 +20,12 @@
     {                                                                         \
         .tv_usec = LINK_CONNECT_TIMEOUT_MS * 1000                             \
     }
-#define PROOF_TIMEOUT                                                         \
+#define AUTH_TIMEOUT                                                          \
     {                                                                         \
         .tv_sec = 2                                                           \
     }
-#define UNACKED_TIMEOUT_MS 10000
-#define UNPROVEN_MAX 256
+#define USER_TIMEOUT_MS 10000
+#define UNAUTHENTICATED_MAX 256
 
 /**
  * struct link_conn - one connection
@@ -35,10 +35,10 @@
  * @event: libevent's side of it
  * @peer: remote address
  * @key: the same as one number
- * @opened: we opened it
+ * @outbound: we outbound it
  * @wire: nonces and sequences
  * @pending: frames to send once the peer's nonce is known
- * @proven: the peer showed that it holds the key
+ * @authenticated: the peer showed that it holds the key
  */
 struct link_conn {
     struct link_hub *hub;
@@ -47,10 +47,10 @@
     struct bufferevent *event;
     struct addr peer;
     uint64_t key;
-    bool opened;
+    bool outbound;
     struct link_wire wire;
     struct evbuffer *pending;
-    bool proven;
+    bool authenticated;
 };
 
 static uint64_t
@@ -69,10 +69,10 @@
     if (conn->next != NULL)
         conn->next->prev_next = &conn->next;
     hub->conns = conn;
-    if (conn->opened)
-        g_hash_table_insert(hub->opened, &conn->key, conn);
+    if (conn->outbound)
+        g_hash_table_insert(hub->outbound, &conn->key, conn);
     else
-        hub->unproven++;
+        hub->unauthenticated++;
 }
 
 static void
@@ -84,10 +84,10 @@
     if (conn->next != NULL)
         conn->next->prev_next = conn->prev_next;
     conn->prev_next = NULL;
-    if (conn->opened)
-        g_hash_table_remove(conn->hub->opened, &conn->key);
-    else if (!conn->proven)
-        conn->hub->unproven--;
+    if (conn->outbound)
+        g_hash_table_remove(conn->hub->outbound, &conn->key);
+    else if (!conn->authenticated)
+        conn->hub->unauthenticated--;
 }
 
 static void
@@ -103,7 +103,7 @@
 
 /* The owner may answer a loss by sending again, which opens a new one. */
 static void
-conn_down(struct link_conn *conn, int reason)
+conn_disconnect(struct link_conn *conn, int reason)
 {
     struct link_hub *hub = conn->hub;
     char text[ADDR_TEXT_MAX];
@@ -111,16 +111,17 @@
     g_debug("The link with %s ended: %s.", addr_format(conn->peer, text),
             g_strerror(-reason));
     conn_detach(conn);
-    if (hub->handler->ops->on_down != NULL)
-        hub->handler->ops->on_down(hub->handler, conn, conn->peer, reason);
+    if (hub->handler->ops->on_disconnect != NULL)
+        hub->handler->ops->on_disconnect(hub->handler, conn, conn->peer,
+                                         reason);
     conn_free(conn);
 }
 
 static int
-conn_put(struct link_conn *conn, uint16_t type, const uint8_t *body,
-         size_t len)
+conn_write_frame(struct link_conn *conn, uint16_t type, const uint8_t *body,
+                 size_t len)
 {
-    uint8_t head[LINK_WIRE_HEAD];
+    uint8_t head[LINK_WIRE_HEADER_LEN];
     uint8_t tag[AUTH_TAG_LEN];
     struct evbuffer *out = bufferevent_get_output(conn->event);
 
@@ -137,8 +138,8 @@
 
 /* Until the peer's nonce comes frames wait as type (2), length (4), body. */
 static int
-conn_hold(struct link_conn *conn, uint16_t type, const uint8_t *body,
-          size_t len)
+conn_queue_pending(struct link_conn *conn, uint16_t type, const uint8_t *body,
+                   size_t len)
 {
     uint32_t size = (uint32_t)len;
 
@@ -152,7 +153,7 @@
 }
 
 static int
-conn_release_held(struct link_conn *conn)
+conn_flush_pending(struct link_conn *conn)
 {
     while (evbuffer_get_length(conn->pending) > 0) {
         uint16_t type;
@@ -164,7 +165,7 @@
         evbuffer_remove(conn->pending, &size, sizeof(size));
         if (size > 0)
             body = evbuffer_pullup(conn->pending, size);
-        ret = conn_put(conn, type, body, size);
+        ret = conn_write_frame(conn, type, body, size);
         if (ret < 0)
             return ret;
         evbuffer_drain(conn->pending, size);
@@ -183,45 +184,45 @@
 conn_send(struct link_conn *conn, uint16_t type, const uint8_t *body,
           size_t len)
 {
-    assert(type != LINK_WIRE_PROOF);
+    assert(type != LINK_WIRE_AUTH);
     if (len > LINK_FRAME_MAX - LINK_WIRE_OVERHEAD)
         return -EMSGSIZE;
     if (conn_queued(conn) + len > LINK_QUEUE_MAX)
         return -ENOBUFS;
     if (!conn->wire.ready)
-        return conn_hold(conn, type, body, len);
-    return conn_put(conn, type, body, len);
+        return conn_queue_pending(conn, type, body, len);
+    return conn_write_frame(conn, type, body, len);
 }
 
 /* The peer's nonce: from here on our frames can be bound to it. */
 static int
-conn_take_hello(struct link_conn *conn, struct evbuffer *in)
+conn_read_hello(struct link_conn *conn, struct evbuffer *in)
 {
-    uint8_t hello[LINK_WIRE_HELLO];
+    uint8_t hello[LINK_WIRE_HELLO_LEN];
     int ret;
 
     if (evbuffer_remove(in, hello, sizeof(hello)) != sizeof(hello))
         return -EBADMSG;
-    ret = link_wire_take_hello(&conn->wire, hello);
+    ret = link_wire_read_hello(&conn->wire, hello);
     if (ret < 0)
         return ret;
-    ret = conn_put(conn, LINK_WIRE_PROOF, NULL, 0);
+    ret = conn_write_frame(conn, LINK_WIRE_AUTH, NULL, 0);
     if (ret < 0)
         return ret;
-    return conn_release_held(conn);
+    return conn_flush_pending(conn);
 }
 
 static void
-conn_proved(struct link_conn *conn)
+conn_set_authenticated(struct link_conn *conn)
 {
-    if (!conn->proven && !conn->opened)
-        conn->hub->unproven--;
-    conn->proven = true;
+    if (!conn->authenticated && !conn->outbound)
+        conn->hub->unauthenticated--;
+    conn->authenticated = true;
     bufferevent_set_timeouts(conn->event, NULL, NULL);
 }
 
 static int
-conn_take_frame(struct link_conn *conn, struct evbuffer *in, size_t size)
+conn_read_frame(struct link_conn *conn, struct evbuffer *in, size_t size)
 {
     struct link_hub *hub = conn->hub;
     struct link_frame frame;
@@ -234,9 +235,9 @@
     if (ret < 0)
         return ret;
     hub->received_bytes += size;
-    if (frame.type == LINK_WIRE_PROOF)
-        conn_proved(conn);
-    else if (!conn->proven)
+    if (frame.type == LINK_WIRE_AUTH)
+        conn_set_authenticated(conn);
+    else if (!conn->authenticated)
         return -EBADMSG;
     else
         hub->handler->ops->on_frame(hub->handler, conn, frame.sender,
@@ -247,15 +248,16 @@
 
 /* Size of the next whole frame, 0 when more bytes have to come. */
 static int
-conn_next_size(const struct link_conn *conn, struct evbuffer *in, size_t *size)
+conn_next_frame_size(const struct link_conn *conn, struct evbuffer *in,
+                     size_t *size)
 {
-    uint8_t length[LINK_WIRE_LENGTH];
-    size_t max = conn->proven ? LINK_FRAME_MAX : LINK_WIRE_OVERHEAD;
+    uint8_t length[LINK_WIRE_LENGTH_LEN];
+    size_t max = conn->authenticated ? LINK_FRAME_MAX : LINK_WIRE_OVERHEAD;
 
     *size = 0;
     if (evbuffer_copyout(in, length, sizeof(length)) < (int)sizeof(length))
         return 0;
-    *size = link_wire_length(length);
+    *size = link_wire_frame_size(length);
     if (*size > max)
         return -EMSGSIZE;
     if (*size < LINK_WIRE_OVERHEAD)
@@ -273,46 +275,46 @@
     int ret = 0;
 
     if (!conn->wire.ready) {
-        if (evbuffer_get_length(in) < LINK_WIRE_HELLO)
+        if (evbuffer_get_length(in) < LINK_WIRE_HELLO_LEN)
             return;
-        ret = conn_take_hello(conn, in);
+        ret = conn_read_hello(conn, in);
     }
     while (ret == 0) {
         size_t size;
 
-        ret = conn_next_size(conn, in, &size);
+        ret = conn_next_frame_size(conn, in, &size);
         if (ret == 0 && size == 0)
             return;
         if (ret == 0)
-            ret = conn_take_frame(conn, in, size);
+            ret = conn_read_frame(conn, in, size);
     }
     conn->hub->rejected++;
-    conn_down(conn, ret);
+    conn_disconnect(conn, ret);
 }
 
 static void
 on_event(struct bufferevent *event, short what, void *data)
 {
     struct link_conn *conn = data;
-    const struct timeval proof = PROOF_TIMEOUT;
+    const struct timeval proof = AUTH_TIMEOUT;
     int code = EVUTIL_SOCKET_ERROR();
 
     (void)event;
     if (what & BEV_EVENT_CONNECTED)
         bufferevent_set_timeouts(conn->event, &proof, NULL);
     else if (what & BEV_EVENT_TIMEOUT)
-        conn_down(conn, -ETIMEDOUT);
+        conn_disconnect(conn, -ETIMEDOUT);
     else if (what & BEV_EVENT_EOF)
-        conn_down(conn, -ECONNRESET);
+        conn_disconnect(conn, -ECONNRESET);
     else if (what & BEV_EVENT_ERROR)
-        conn_down(conn, code != 0 ? -code : -EIO);
+        conn_disconnect(conn, code != 0 ? -code : -EIO);
 }
 
 static void
-tune_socket(evutil_socket_t fd)
+set_socket_options(evutil_socket_t fd)
 {
     int on = 1;
-    int unacked_ms = UNACKED_TIMEOUT_MS;
+    int unacked_ms = USER_TIMEOUT_MS;
 
     /* Both only shape latency; a socket without them still works. */
     (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
@@ -320,17 +322,17 @@
                      sizeof(unacked_ms));
 }
 
-/* A connection on @fd, which it takes over; -1 for one to be opened. */
+/* A connection on @fd, which it takes over; -1 for one to be outbound. */
 static struct link_conn *
 conn_new(struct link_hub *hub, evutil_socket_t fd, struct addr peer)
 {
     struct link_conn *conn = g_new0(struct link_conn, 1);
-    uint8_t hello[LINK_WIRE_HELLO];
+    uint8_t hello[LINK_WIRE_HELLO_LEN];
 
     conn->hub = hub;
     conn->peer = peer;
     conn->key = addr_key(peer);
-    conn->opened = fd < 0;
+    conn->outbound = fd < 0;
     if (link_wire_init(&conn->wire, hello) < 0)
         goto err;
     conn->pending = evbuffer_new();
@@ -370,7 +372,7 @@
         conn_free(conn);
         return code;
     }
-    tune_socket(bufferevent_getfd(conn->event));
+    set_socket_options(bufferevent_getfd(conn->event));
     conn_attach(conn);
     *out = conn;
     return 0;
@@ -381,18 +383,18 @@
           struct sockaddr *sa, int len, void *data)
 {
     struct link_hub *hub = data;
-    const struct timeval proof = PROOF_TIMEOUT;
+    const struct timeval proof = AUTH_TIMEOUT;
     struct link_conn *conn;
 
     (void)listener;
     (void)len;
     /* Strangers can't take all our descriptors and memory. */
-    if (hub->unproven >= UNPROVEN_MAX) {
+    if (hub->unauthenticated >= UNAUTHENTICATED_MAX) {
         hub->rejected++;
         evutil_closesocket(fd);
         return;
     }
-    tune_socket(fd);
+    set_socket_options(fd);
     conn = conn_new(hub, fd, addr_from_sockaddr((struct sockaddr_in *)sa));
     if (conn == NULL)
         return;
@@ -413,7 +415,7 @@
     hub->base = base;
     hub->auth = auth;
     hub->handler = handler;
-    hub->opened = g_hash_table_new(g_int64_hash, g_int64_equal);
+    hub->outbound = g_hash_table_new(g_int64_hash, g_int64_equal);
     if (listen.ip == 0 && listen.port == 0)
         return 0;
     errno = 0;
@@ -445,9 +447,9 @@
     if (hub->listener != NULL)
         evconnlistener_free(hub->listener);
     hub->listener = NULL;
-    if (hub->opened != NULL)
-        g_hash_table_destroy(hub->opened);
-    hub->opened = NULL;
+    if (hub->outbound != NULL)
+        g_hash_table_destroy(hub->outbound);
+    hub->outbound = NULL;
 }
 
 struct addr
@@ -467,7 +469,7 @@
           const uint8_t *body, size_t len)
 {
     uint64_t key = addr_key(to);
-    struct link_conn *conn = g_hash_table_lookup(hub->opened, &key);
+    struct link_conn *conn = g_hash_table_lookup(hub->outbound, &key);
 
     if (conn == NULL) {
         int ret = conn_open(hub, to, &conn);
--- a/src/base/link.h
+++ b/src/base/link.h
@@ -28,18 +28,18 @@
 struct link_ops {
     /**
      * @on_frame: a frame came. @conn may be answered with link_reply()
-     * until on_frame returns or, when kept, until on_down names it.
+     * until on_frame returns or, when kept, until on_disconnect names it.
      */
     void (*on_frame)(struct link_handler *handler, struct link_conn *conn,
                      uint64_t sender, uint16_t type, const uint8_t *body,
                      size_t len);
     /**
-     * @on_down: a connection ended. @peer is its remote address (for one
-     * we opened: as given to link_send()), @reason a negative errno value
+     * @on_disconnect: a connection ended. @peer is its remote address (for one
+     * we outbound: as given to link_send()), @reason a negative errno value
      * (-ECONNREFUSED proves that the process is gone).
      */
-    void (*on_down)(struct link_handler *handler, struct link_conn *conn,
-                    struct addr peer, int reason);
+    void (*on_disconnect)(struct link_handler *handler, struct link_conn *conn,
+                          struct addr peer, int reason);
 };
 
 /** struct link_handler - owner of a hub; the vtable comes first */
@@ -54,11 +54,11 @@
  * @handler: owner
  * @listener: listening socket, or NULL
  * @conns: all connections
- * @opened: those that we opened, by address
+ * @outbound: those that we outbound, by address
  * @sent_bytes: bytes of frames sent, overhead included
  * @received_bytes: bytes of frames that were accepted
  * @rejected: connections ended for bad frames or too many strangers
- * @unproven: accepted connections that haven't shown the site key yet
+ * @unauthenticated: accepted connections that haven't shown the site key yet
  */
 struct link_hub {
     struct event_base *base;
@@ -66,11 +66,11 @@
     struct link_handler *handler;
     struct evconnlistener *listener;
     struct link_conn *conns;
-    struct _GHashTable *opened;
+    struct _GHashTable *outbound;
     uint64_t sent_bytes;
     uint64_t received_bytes;
     uint64_t rejected;
-    unsigned unproven;
+    unsigned unauthenticated;
 };
 
 /** link_hub_init() - listen on @listen (port 0: the kernel picks one;
@@ -93,7 +93,7 @@
  *
  * Return: 0 (queued) or -ENOBUFS, -EMSGSIZE, -ENOMEM, or what connect(2)
  * said at once (-ENETUNREACH); then nothing was queued. A connection that
- * fails later is told by on_down; what was queued on it is lost.
+ * fails later is told by on_disconnect; what was queued on it is lost.
  */
 int
 link_send(struct link_hub *hub, struct addr to, uint16_t type,
--- a/src/base/link_wire.c
+++ b/src/base/link_wire.c
@@ -34,9 +34,10 @@
 {
     struct auth_part parts[] = {
         {magic, MAGIC_LEN},
-        {receiver, LINK_WIRE_NONCE},
-        {sender, LINK_WIRE_NONCE},
-        {head + LINK_WIRE_LENGTH, LINK_WIRE_HEAD - LINK_WIRE_LENGTH},
+        {receiver, LINK_WIRE_NONCE_LEN},
+        {sender, LINK_WIRE_NONCE_LEN},
+        {head + LINK_WIRE_LENGTH_LEN,
+         LINK_WIRE_HEADER_LEN - LINK_WIRE_LENGTH_LEN},
         {body, len},
     };
 
@@ -44,25 +45,26 @@
 }
 
 int
-link_wire_init(struct link_wire *wire, uint8_t hello[LINK_WIRE_HELLO])
+link_wire_init(struct link_wire *wire, uint8_t hello[LINK_WIRE_HELLO_LEN])
 {
     memset(wire, 0, sizeof(*wire));
-    if (getrandom(wire->own_nonce, LINK_WIRE_NONCE, 0) != LINK_WIRE_NONCE)
+    if (getrandom(wire->own_nonce, LINK_WIRE_NONCE_LEN, 0) !=
+        LINK_WIRE_NONCE_LEN)
         return -EIO;
     memcpy(hello, magic, MAGIC_LEN);
-    memcpy(hello + MAGIC_LEN, wire->own_nonce, LINK_WIRE_NONCE);
+    memcpy(hello + MAGIC_LEN, wire->own_nonce, LINK_WIRE_NONCE_LEN);
     return 0;
 }
 
 int
-link_wire_take_hello(struct link_wire *wire,
-                     const uint8_t hello[LINK_WIRE_HELLO])
+link_wire_read_hello(struct link_wire *wire,
+                     const uint8_t hello[LINK_WIRE_HELLO_LEN])
 {
     if (memcmp(hello, magic, MAGIC_LEN) != 0)
         return -EBADMSG;
-    memcpy(wire->peer_nonce, hello + MAGIC_LEN, LINK_WIRE_NONCE);
+    memcpy(wire->peer_nonce, hello + MAGIC_LEN, LINK_WIRE_NONCE_LEN);
     /* Our own hello thrown back would make our frames valid answers. */
-    if (memcmp(wire->peer_nonce, wire->own_nonce, LINK_WIRE_NONCE) == 0)
+    if (memcmp(wire->peer_nonce, wire->own_nonce, LINK_WIRE_NONCE_LEN) == 0)
         return -EBADMSG;
     wire->ready = true;
     return 0;
@@ -70,11 +72,11 @@
 
 void
 link_wire_seal(struct link_wire *wire, struct auth *auth, uint16_t type,
-               const uint8_t *body, size_t len, uint8_t head[LINK_WIRE_HEAD],
-               uint8_t tag[AUTH_TAG_LEN])
+               const uint8_t *body, size_t len,
+               uint8_t head[LINK_WIRE_HEADER_LEN], uint8_t tag[AUTH_TAG_LEN])
 {
     assert(wire->ready);
-    put_be(head, LINK_WIRE_OVERHEAD - LINK_WIRE_LENGTH + len, 4);
+    put_be(head, LINK_WIRE_OVERHEAD - LINK_WIRE_LENGTH_LEN + len, 4);
     put_be(head + 4, type, 2);
     put_be(head + 6, auth->self, 8);
     put_be(head + 14, wire->sent++, 8);
@@ -82,9 +84,9 @@
 }
 
 size_t
-link_wire_length(const uint8_t length[LINK_WIRE_LENGTH])
+link_wire_frame_size(const uint8_t length[LINK_WIRE_LENGTH_LEN])
 {
-    return LINK_WIRE_LENGTH + (size_t)get_be(length, LINK_WIRE_LENGTH);
+    return LINK_WIRE_LENGTH_LEN + (size_t)get_be(length, LINK_WIRE_LENGTH_LEN);
 }
 
 int
@@ -97,7 +99,7 @@
         return -EBADMSG;
     frame->type = (uint16_t)get_be(data + 4, 2);
     frame->sender = get_be(data + 6, 8);
-    frame->body = data + LINK_WIRE_HEAD;
+    frame->body = data + LINK_WIRE_HEADER_LEN;
     frame->len = len - LINK_WIRE_OVERHEAD;
     frame_tag(auth, wire->own_nonce, wire->peer_nonce, data, frame->body,
               frame->len, tag);
--- a/src/base/link_wire.h
+++ b/src/base/link_wire.h
@@ -18,12 +18,12 @@
 
 #include "base/auth.h"
 
-#define LINK_WIRE_NONCE 16
-#define LINK_WIRE_HELLO 20
-#define LINK_WIRE_LENGTH 4
-#define LINK_WIRE_HEAD 22
-#define LINK_WIRE_OVERHEAD (LINK_WIRE_HEAD + AUTH_TAG_LEN)
-#define LINK_WIRE_PROOF UINT16_MAX
+#define LINK_WIRE_NONCE_LEN 16
+#define LINK_WIRE_HELLO_LEN 20
+#define LINK_WIRE_LENGTH_LEN 4
+#define LINK_WIRE_HEADER_LEN 22
+#define LINK_WIRE_OVERHEAD (LINK_WIRE_HEADER_LEN + AUTH_TAG_LEN)
+#define LINK_WIRE_AUTH UINT16_MAX
 
 /**
  * struct link_wire - one side of a connection
@@ -35,8 +35,8 @@
  * @sender: who the peer is, 0 before its first frame
  */
 struct link_wire {
-    uint8_t own_nonce[LINK_WIRE_NONCE];
-    uint8_t peer_nonce[LINK_WIRE_NONCE];
+    uint8_t own_nonce[LINK_WIRE_NONCE_LEN];
+    uint8_t peer_nonce[LINK_WIRE_NONCE_LEN];
     bool ready;
     uint64_t sent;
     uint64_t received;
@@ -53,22 +53,23 @@
 
 /** link_wire_init() - pick a nonce and write the hello; 0 or -EIO */
 int
-link_wire_init(struct link_wire *wire, uint8_t hello[LINK_WIRE_HELLO]);
+link_wire_init(struct link_wire *wire, uint8_t hello[LINK_WIRE_HELLO_LEN]);
 
-/** link_wire_take_hello() - read the peer's hello; 0 or -EBADMSG */
+/** link_wire_read_hello() - read the peer's hello; 0 or -EBADMSG */
 int
-link_wire_take_hello(struct link_wire *wire,
-                     const uint8_t hello[LINK_WIRE_HELLO]);
+link_wire_read_hello(struct link_wire *wire,
+                     const uint8_t hello[LINK_WIRE_HELLO_LEN]);
 
 /** link_wire_seal() - what goes before and after @body; needs @ready */
 void
 link_wire_seal(struct link_wire *wire, struct auth *auth, uint16_t type,
-               const uint8_t *body, size_t len, uint8_t head[LINK_WIRE_HEAD],
-               uint8_t tag[AUTH_TAG_LEN]);
+               const uint8_t *body, size_t len,
+               uint8_t head[LINK_WIRE_HEADER_LEN], uint8_t tag[AUTH_TAG_LEN]);
 
-/** link_wire_length() - bytes of the whole frame that starts with @length */
+/** link_wire_frame_size() - bytes of the whole frame that starts with @length
+ */
 size_t
-link_wire_length(const uint8_t length[LINK_WIRE_LENGTH]);
+link_wire_frame_size(const uint8_t length[LINK_WIRE_LENGTH_LEN]);
 
 /**
  * link_wire_open() - check a whole frame of @len bytes
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -7,7 +7,7 @@
 
 #define PROCESS_MAX 64
 #define LINE_MAX_LEN 1024
-#define PART_PREFIX "swiftarch-"
+#define DOMAIN_PREFIX "swiftarch-"
 
 /** struct level_name - a level's name and all levels up to it */
 struct level_name {
@@ -23,7 +23,7 @@
 
 /* GLib keeps one writer for a process, so its settings are one as well. */
 static char process_name[PROCESS_MAX];
-static GLogLevelFlags lowest = G_LOG_LEVEL_MESSAGE;
+static GLogLevelFlags min_level = G_LOG_LEVEL_MESSAGE;
 static bool installed;
 
 static const char *
@@ -60,10 +60,10 @@
 
     (void)data;
     /* GLib's levels are bits; the higher the bit, the less it matters. */
-    if ((level & G_LOG_LEVEL_MASK) > lowest)
+    if ((level & G_LOG_LEVEL_MASK) > min_level)
         return G_LOG_WRITER_HANDLED;
-    if (g_str_has_prefix(part, PART_PREFIX))
-        part += strlen(PART_PREFIX);
+    if (g_str_has_prefix(part, DOMAIN_PREFIX))
+        part += strlen(DOMAIN_PREFIX);
     now = g_date_time_new_now_utc();
     stamp = g_date_time_format(now, "%Y-%m-%dT%H:%M:%S.%fZ");
     g_snprintf(line, sizeof(line), "%s %s %s %s: %s", stamp, level_text(level),
@@ -81,7 +81,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(levels); i++) {
         if (strcmp(level, levels[i].name) != 0)
             continue;
-        lowest = levels[i].up_to;
+        min_level = levels[i].up_to;
         g_strlcpy(process_name, process, sizeof(process_name));
         /* GLib aborts when the writer is set twice. */
         if (!installed)
--- a/src/cli/ask.c
+++ b/src/cli/ask.c
@@ -174,8 +174,8 @@
 }
 
 static void
-on_down(struct link_handler *handler, struct link_conn *conn, struct addr peer,
-        int reason)
+on_disconnect(struct link_handler *handler, struct link_conn *conn,
+              struct addr peer, int reason)
 {
     struct ask *ask = (struct ask *)handler;
     struct ask_process *process = find_addr(ask, peer);
@@ -188,7 +188,7 @@
 
 static const struct link_ops link_ops = {
     .on_frame = on_frame,
-    .on_down = on_down,
+    .on_disconnect = on_disconnect,
 };
 
 static void
--- a/src/cli/explain_packet.c
+++ b/src/cli/explain_packet.c
@@ -218,7 +218,7 @@
 print_dropped(const struct snapshot *snapshot, enum packet_drop drop,
               GString *out)
 {
-    const char *reason = drop == PACKET_SERVICE
+    const char *reason = drop == PACKET_NO_SERVICE
                              ? "no service of the text has this address, "
                                "port and protocol"
                              : "no live endpoint is announced for it";
@@ -256,7 +256,7 @@
     route_table_free(table);
     print_packet(spec, out);
     if (service == NULL) {
-        print_dropped(snapshot, PACKET_SERVICE, out);
+        print_dropped(snapshot, PACKET_NO_SERVICE, out);
         return 0;
     }
     print_service(service, retired, &decision.packet, out);
--- a/src/directory/forward.c
+++ b/src/directory/forward.c
@@ -72,13 +72,13 @@
     uint64_t turn;
 
     if (marked)
-        return PACKET_HOPS;
+        return PACKET_HOP_LIMIT;
     if (table == NULL)
-        return PACKET_SERVICE;
+        return PACKET_NO_SERVICE;
     cell =
         directory_table_find(table, packet->dst, packet->dport, packet->proto);
     if (cell == NULL)
-        return PACKET_SERVICE;
+        return PACKET_NO_SERVICE;
     /* The low bits of the hash choose among the gateway's own candidates. */
     turn = (packet_flow_hash(packet) >> 32) + now_us / FORWARD_TURN_US;
     *to = choose(cell, gone, turn, now_us);
--- a/src/directory/forward.h
+++ b/src/directory/forward.h
@@ -70,8 +70,8 @@
  *          what a silent one loses finds another when it is sent again
  * @to: the gateway
  *
- * Return: PACKET_OK, PACKET_SERVICE (nobody serves it) or PACKET_HOPS (it
- * was forwarded already).
+ * Return: PACKET_OK, PACKET_NO_SERVICE (nobody serves it) or PACKET_HOP_LIMIT
+ * (it was forwarded already).
  */
 enum packet_drop
 forward_decide(const struct directory_table *table,
--- a/src/flow/decide.c
+++ b/src/flow/decide.c
@@ -225,18 +225,18 @@
     bool settled = now_us >= table->members.joined_us + FLOW_SETTLE_US;
 
     if ((packet->flags & PACKET_TCP_RST) != 0 || is_open(packet)) {
-        return drop(PACKET_HOPS);
+        return drop(PACKET_HOP_LIMIT);
     }
     if ((walk->gue.flags & GUE_SUSPECTS) != 0 || table->members.suspects) {
-        return drop(PACKET_HOPS);
+        return drop(PACKET_HOP_LIMIT);
     }
     /* A newcomer may not have heard of all members yet. */
     if (now_us < table->hold_until_us && !settled) {
-        return drop(PACKET_HOPS);
+        return drop(PACKET_HOP_LIMIT);
     }
     /* Not all were asked: only pins tell that the others own nothing. */
     if (rest && !settled) {
-        return drop(PACKET_HOPS);
+        return drop(PACKET_HOP_LIMIT);
     }
     return take(FLOW_RESET);
 }
@@ -315,7 +315,7 @@
     struct walk walk;
 
     walk_begin(&walk, table, packet, gue, now_us);
-    return walk_step(&walk) ? pass_on(&walk) : drop(PACKET_SERVICE);
+    return walk_step(&walk) ? pass_on(&walk) : drop(PACKET_NO_SERVICE);
 }
 
 struct flow_decision
@@ -326,7 +326,7 @@
 
     table->now_us = now_us;
     if (gue->service == 0 || gue->count == 0) {
-        return drop(PACKET_SERVICE);
+        return drop(PACKET_NO_SERVICE);
     }
     if (entry != NULL && entry->service == gue->service &&
         take_known(table, entry, packet, now_us)) {
--- a/src/flow/gate.c
+++ b/src/flow/gate.c
@@ -14,7 +14,7 @@
     struct flow_decision decision = {.verdict = FLOW_PASS, .gue = *gue};
 
     if (gue->index + 1 >= gue->count) {
-        return drop(PACKET_SERVICE);
+        return drop(PACKET_NO_SERVICE);
     }
     decision.gue.index++;
     return decision;
@@ -69,7 +69,7 @@
 {
     struct flow_decision decision = decide_retired(table, packet, gue, now_us);
 
-    return decision.verdict == FLOW_RESET ? drop(PACKET_SERVICE) : decision;
+    return decision.verdict == FLOW_RESET ? drop(PACKET_NO_SERVICE) : decision;
 }
 
 struct flow_decision
--- a/src/packet/packet.c
+++ b/src/packet/packet.c
@@ -17,20 +17,20 @@
 
 static const char *const drop_names[PACKET_DROP_COUNT] = {
     [PACKET_OK] = "ok",
-    [PACKET_SHORT] = "short",
-    [PACKET_LONG] = "long",
-    [PACKET_VERSION] = "version",
-    [PACKET_HEADER] = "header",
+    [PACKET_TRUNCATED] = "short",
+    [PACKET_TOO_LONG] = "long",
+    [PACKET_BAD_VERSION] = "version",
+    [PACKET_BAD_HEADER] = "header",
     [PACKET_FRAGMENT] = "fragment",
-    [PACKET_IP_CHECKSUM] = "ip_checksum",
-    [PACKET_L4_CHECKSUM] = "l4_checksum",
-    [PACKET_PROTOCOL] = "protocol",
-    [PACKET_FLAGS] = "flags",
-    [PACKET_SERVICE] = "service",
-    [PACKET_ENCAP] = "encap",
+    [PACKET_BAD_IP_CHECKSUM] = "ip_checksum",
+    [PACKET_BAD_L4_CHECKSUM] = "l4_checksum",
+    [PACKET_BAD_PROTOCOL] = "protocol",
+    [PACKET_BAD_FLAGS] = "flags",
+    [PACKET_NO_SERVICE] = "service",
+    [PACKET_BAD_ENCAP] = "encap",
     [PACKET_NO_ENDPOINT] = "no_endpoint",
-    [PACKET_HOPS] = "hops",
-    [PACKET_SEND] = "send",
+    [PACKET_HOP_LIMIT] = "hops",
+    [PACKET_SEND_FAILED] = "send",
 };
 
 static uint16_t
@@ -129,21 +129,21 @@
 parse_ip(const uint8_t *buf, size_t len, size_t *header_len)
 {
     if (len > PACKET_MAX)
-        return PACKET_LONG;
+        return PACKET_TOO_LONG;
     if (len < 1)
-        return PACKET_SHORT;
+        return PACKET_TRUNCATED;
     if (buf[0] >> 4 != 4)
-        return PACKET_VERSION;
+        return PACKET_BAD_VERSION;
     if (len < IP_HEADER_MIN)
-        return PACKET_SHORT;
+        return PACKET_TRUNCATED;
 
     *header_len = (size_t)(buf[0] & 0x0f) * 4;
     if (*header_len < IP_HEADER_MIN)
-        return PACKET_HEADER;
+        return PACKET_BAD_HEADER;
     if (len < *header_len || read16(buf + 2) != len)
-        return PACKET_SHORT;
+        return PACKET_TRUNCATED;
     if (packet_checksum(buf, *header_len) != 0)
-        return PACKET_IP_CHECKSUM;
+        return PACKET_BAD_IP_CHECKSUM;
     if ((read16(buf + 6) & IP_FRAGMENT_MASK) != 0)
         return PACKET_FRAGMENT;
     return PACKET_OK;
@@ -154,25 +154,25 @@
           size_t *header_len)
 {
     if (len < TCP_HEADER_MIN)
-        return PACKET_SHORT;
+        return PACKET_TRUNCATED;
 
     *header_len = (size_t)(segment[12] >> 4) * 4;
     if (*header_len < TCP_HEADER_MIN)
-        return PACKET_HEADER;
+        return PACKET_BAD_HEADER;
     if (*header_len > len)
-        return PACKET_SHORT;
+        return PACKET_TRUNCATED;
 
     packet->flags = segment[13];
     packet->seq = read32(segment + 4);
     packet->ack = read32(segment + 8);
-    return flags_valid(packet->flags) ? PACKET_OK : PACKET_FLAGS;
+    return flags_valid(packet->flags) ? PACKET_OK : PACKET_BAD_FLAGS;
 }
 
 static enum packet_drop
 parse_udp(const uint8_t *segment, size_t len, size_t *header_len)
 {
     if (len < UDP_HEADER || read16(segment + 4) != len)
-        return PACKET_SHORT;
+        return PACKET_TRUNCATED;
 
     *header_len = UDP_HEADER;
     return PACKET_OK;
@@ -224,11 +224,11 @@
     else if (packet->proto == PROTO_UDP)
         drop = parse_udp(segment, segment_len, &l4_len);
     else
-        drop = PACKET_PROTOCOL;
+        drop = PACKET_BAD_PROTOCOL;
     if (drop != PACKET_OK)
         return drop;
     if (verify_l4 && !l4_checksum_valid(buf, segment, segment_len))
-        return PACKET_L4_CHECKSUM;
+        return PACKET_BAD_L4_CHECKSUM;
 
     packet->src = read32(buf + 12);
     packet->dst = read32(buf + 16);
--- a/src/packet/packet.h
+++ b/src/packet/packet.h
@@ -16,20 +16,20 @@
 /** enum packet_drop - why a packet was dropped, one counter each */
 enum packet_drop {
     PACKET_OK,
-    PACKET_SHORT,       /* cut: lengths disagree with what came */
-    PACKET_LONG,        /* longer than PACKET_MAX */
-    PACKET_VERSION,     /* not IPv4 */
-    PACKET_HEADER,      /* header length impossible */
-    PACKET_FRAGMENT,    /* fragments carry no ports */
-    PACKET_IP_CHECKSUM, /* wrong header checksum */
-    PACKET_L4_CHECKSUM, /* wrong TCP or UDP checksum */
-    PACKET_PROTOCOL,    /* neither TCP nor UDP */
-    PACKET_FLAGS,       /* TCP flags that no stack sends */
-    PACKET_SERVICE,     /* address and port of no service */
-    PACKET_ENCAP,       /* malformed encapsulation */
-    PACKET_NO_ENDPOINT, /* service without a usable endpoint */
-    PACKET_HOPS,        /* passed on too often */
-    PACKET_SEND,        /* the socket refused it */
+    PACKET_TRUNCATED,       /* cut: lengths disagree with what came */
+    PACKET_TOO_LONG,        /* longer than PACKET_MAX */
+    PACKET_BAD_VERSION,     /* not IPv4 */
+    PACKET_BAD_HEADER,      /* header length impossible */
+    PACKET_FRAGMENT,        /* fragments carry no ports */
+    PACKET_BAD_IP_CHECKSUM, /* wrong header checksum */
+    PACKET_BAD_L4_CHECKSUM, /* wrong TCP or UDP checksum */
+    PACKET_BAD_PROTOCOL,    /* neither TCP nor UDP */
+    PACKET_BAD_FLAGS,       /* TCP flags that no stack sends */
+    PACKET_NO_SERVICE,      /* address and port of no service */
+    PACKET_BAD_ENCAP,       /* malformed encapsulation */
+    PACKET_NO_ENDPOINT,     /* service without a usable endpoint */
+    PACKET_HOP_LIMIT,       /* passed on too often */
+    PACKET_SEND_FAILED,     /* the socket refused it */
     PACKET_DROP_COUNT
 };
 
--- a/src/packet/rank.c
+++ b/src/packet/rank.c
@@ -12,7 +12,7 @@
 #define MEMBERS_MAX 65534
 
 /* Above this share of newcomers a fresh build is cheaper than a patch. */
-#define FRESH_SHARE 4
+#define FULL_REBUILD_RATIO 4
 
 _Static_assert(RANK_BUCKETS == 1 << BUCKET_BITS, "bucket bits");
 
@@ -30,12 +30,12 @@
 
 /**
  * struct change - how the members differ from those of an earlier table
- * @moved: new handle of each earlier one, RANK_NONE if it left
+ * @new_handles: new handle of each earlier one, RANK_NONE if it left
  * @joined: handles of the newcomers
  * @joined_count: how many
  */
 struct change {
-    uint16_t *moved;
+    uint16_t *new_handles;
     uint16_t *joined;
     size_t joined_count;
 };
@@ -108,8 +108,8 @@
 }
 
 static void
-join_row(struct rank *rank, uint32_t bucket, const struct change *change,
-         const uint16_t *handles, size_t count)
+merge_joined(struct rank *rank, uint32_t bucket, const struct change *change,
+             const uint16_t *handles, size_t count)
 {
     uint16_t *out = &rank->table[(size_t)bucket * RANK_DEPTH];
     struct row row = {0};
@@ -152,7 +152,7 @@
     bool lost = false;
 
     for (size_t i = 0; i < RANK_DEPTH && old[i] != RANK_NONE; i++) {
-        uint16_t handle = change->moved[old[i]];
+        uint16_t handle = change->new_handles[old[i]];
         if (handle == RANK_NONE)
             lost = true;
         else
@@ -161,7 +161,7 @@
     if (lost && previous->count > RANK_DEPTH)
         build_row(rank, bucket);
     else
-        join_row(rank, bucket, change, handles, count);
+        merge_joined(rank, bucket, change, handles, count);
 }
 
 static int
@@ -169,10 +169,11 @@
             const struct rank *previous)
 {
     change->joined_count = 0;
-    change->moved = calloc((size_t)previous->count + 1, sizeof(uint16_t));
+    change->new_handles =
+        calloc((size_t)previous->count + 1, sizeof(uint16_t));
     change->joined = calloc((size_t)rank->count + 1, sizeof(uint16_t));
-    if (change->moved == NULL || change->joined == NULL) {
-        free(change->moved);
+    if (change->new_handles == NULL || change->joined == NULL) {
+        free(change->new_handles);
         free(change->joined);
         return -ENOMEM;
     }
@@ -182,12 +183,12 @@
     while (i < previous->count || j < rank->count) {
         if (j == rank->count ||
             (i < previous->count && previous->members[i] < rank->members[j]))
-            change->moved[i++] = RANK_NONE;
+            change->new_handles[i++] = RANK_NONE;
         else if (i == previous->count ||
                  rank->members[j] < previous->members[i])
             change->joined[change->joined_count++] = (uint16_t)j++;
         else
-            change->moved[i++] = (uint16_t)j++;
+            change->new_handles[i++] = (uint16_t)j++;
     }
     return 0;
 }
@@ -195,20 +196,20 @@
 static void
 change_finish(struct change *change)
 {
-    free(change->moved);
+    free(change->new_handles);
     free(change->joined);
 }
 
 static size_t
 sort_unique(uint64_t *members, size_t count)
 {
-    size_t kept = 0;
+    size_t unique_count = 0;
     if (count > 0)
         qsort(members, count, sizeof(*members), compare_members);
     for (size_t i = 0; i < count; i++)
-        if (i == 0 || members[i] != members[kept - 1])
-            members[kept++] = members[i];
-    return kept;
+        if (i == 0 || members[i] != members[unique_count - 1])
+            members[unique_count++] = members[i];
+    return unique_count;
 }
 
 static int
@@ -221,7 +222,7 @@
         int result = change_init(&change, rank, previous);
         if (result < 0)
             return result;
-        patch = change.joined_count * FRESH_SHARE <= rank->count;
+        patch = change.joined_count * FULL_REBUILD_RATIO <= rank->count;
     }
     for (uint32_t bucket = 0; bucket < RANK_BUCKETS; bucket++) {
         if (patch)
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -87,7 +87,7 @@
         return -ESTALE;
     case HTTPC_TOO_LARGE:
         return -EMSGSIZE;
-    case HTTPC_TOO_MANY:
+    case HTTPC_TOO_MANY_REQUESTS:
     case HTTPC_UNAVAILABLE:
         return -EBUSY;
     default:
@@ -278,10 +278,10 @@
         evhttp_uri_free(uri);
     }
     if (ret == 0 && !g_hostname_is_ip_address(platform->host)) {
-        platform->peer.names = evdns_base_new(
+        platform->peer.dns_base = evdns_base_new(
             platform->base, EVDNS_BASE_INITIALIZE_NAMESERVERS |
                                 EVDNS_BASE_DISABLE_WHEN_INACTIVE);
-        ret = platform->peer.names != NULL ? 0 : -ENOENT;
+        ret = platform->peer.dns_base != NULL ? 0 : -ENOENT;
     }
     return ret;
 }
@@ -314,8 +314,8 @@
         return;
     }
     g_ptr_array_free(platform->transfers, TRUE);
-    if (platform->peer.names != NULL) {
-        evdns_base_free(platform->peer.names, 0);
+    if (platform->peer.dns_base != NULL) {
+        evdns_base_free(platform->peer.dns_base, 0);
     }
     if (platform->tls.context != NULL) {
         tls_finish(&platform->tls);
--- a/src/relay/program/relay_agent.c
+++ b/src/relay/program/relay_agent.c
@@ -52,13 +52,14 @@
     int ret = settings_file_reload(&agent->file, &agent->settings, report,
                                    sizeof(report));
 
-    agent->log.per_s = agent->settings.log_per_s;
+    agent->log.max_per_s = agent->settings.log_per_s;
     apply_peers(agent);
-    event_log_line(&agent->log, EVENT_RARE, "reload",
-                   "result=%s peers=%zu log_per_s=%u stop_ms=%u "
-                   "reason=\"%s\"",
-                   ret == 0 ? "taken" : "refused", agent->settings.peer_count,
-                   agent->settings.log_per_s, agent->settings.stop_ms, report);
+    event_log_write(&agent->log, EVENT_UNLIMITED, "reload",
+                    "result=%s peers=%zu log_per_s=%u stop_ms=%u "
+                    "reason=\"%s\"",
+                    ret == 0 ? "taken" : "refused", agent->settings.peer_count,
+                    agent->settings.log_per_s, agent->settings.stop_ms,
+                    report);
 }
 
 /* Hands the store's epoch, as seen by the registration's calls, to admission,
@@ -78,8 +79,8 @@
 {
     if (agent->admission.unlisted &&
         agent->admission.endpoint.state != ENDPOINT_GONE) {
-        event_log_line(
-            &agent->log, EVENT_RARE, "unlisted", "endpoint=%s",
+        event_log_write(
+            &agent->log, EVENT_UNLIMITED, "unlisted", "endpoint=%s",
             relay_agent_state_names[agent->admission.endpoint.state]);
         registration_writer_restore(&agent->registration, now_us);
     }
@@ -125,9 +126,9 @@
         return;
     }
     agent->stop_us = now_us;
-    event_log_line(&agent->log, EVENT_RARE, "stopping", "busy=%u endpoint=%s",
-                   agent->admission.busy_count,
-                   relay_agent_state_names[agent->admission.endpoint.state]);
+    event_log_write(&agent->log, EVENT_UNLIMITED, "stopping",
+                    "busy=%u endpoint=%s", agent->admission.busy_count,
+                    relay_agent_state_names[agent->admission.endpoint.state]);
     if (agent->admission.endpoint.state == ENDPOINT_GONE) {
         registration_writer_remove(&agent->registration, now_us);
     }
@@ -226,9 +227,9 @@
     probe_init(&agent->probe, &relay_agent_probe_ops, agent->loop.base,
                agent->settings.upstream);
     apply_peers(agent);
-    event_log_line(&agent->log, EVENT_RARE, "started",
-                   "role=agent data_centre=%s service=%s",
-                   agent->settings.data_centre, agent->settings.service);
+    event_log_write(&agent->log, EVENT_UNLIMITED, "started",
+                    "role=agent data_centre=%s service=%s",
+                    agent->settings.data_centre, agent->settings.service);
     return 0;
 }
 
@@ -267,8 +268,8 @@
     }
     else {
         loop_run(&agent->loop);
-        event_log_line(&agent->log, EVENT_RARE, "stopped", "flows=%" PRIu64,
-                       agent->counts.established);
+        event_log_write(&agent->log, EVENT_UNLIMITED, "stopped",
+                        "flows=%" PRIu64, agent->counts.established);
         event_log_flush(&agent->log);
     }
     finish(agent);
--- a/src/relay/program/relay_agent_http.c
+++ b/src/relay/program/relay_agent_http.c
@@ -15,11 +15,11 @@
 static void
 log_endpoint(struct relay_agent *agent, const char *id, const char *cause)
 {
-    event_log_line(&agent->log, EVENT_RARE, "endpoint",
-                   "id=%s state=%s slots=%u busy=%u cause=%s", id,
-                   relay_agent_state_names[agent->admission.endpoint.state],
-                   agent->admission.endpoint.slots,
-                   agent->admission.busy_count, cause);
+    event_log_write(&agent->log, EVENT_UNLIMITED, "endpoint",
+                    "id=%s state=%s slots=%u busy=%u cause=%s", id,
+                    relay_agent_state_names[agent->admission.endpoint.state],
+                    agent->admission.endpoint.slots,
+                    agent->admission.busy_count, cause);
 }
 
 /* Names in metrics and log lines. */
@@ -52,9 +52,9 @@
         return;
     }
     agent->last_refusal = why;
-    event_log_line(&agent->log, EVENT_RARE, "heartbeat_refused",
-                   "cause=%s reason=\"%s\"", refusal_names[why],
-                   error_format(err, line, sizeof(line)));
+    event_log_write(&agent->log, EVENT_UNLIMITED, "heartbeat_refused",
+                    "cause=%s reason=\"%s\"", refusal_names[why],
+                    error_format(err, line, sizeof(line)));
 }
 
 static int
@@ -162,7 +162,7 @@
         agent->counts.queued, agent->admission.queue_count,
         agent->counts.resets, agent->counts.orphan_queries,
         agent->admission.busy_count, agent->admission.table.used,
-        (int)agent->admission.endpoint.state, agent->log.left_out_total);
+        (int)agent->admission.endpoint.state, agent->log.dropped_total);
     for (size_t i = 0; i < HEARTBEAT_ACCEPTED; i++) {
         g_string_append_printf(
             text,
--- a/src/relay/program/relay_agent_out.c
+++ b/src/relay/program/relay_agent_out.c
@@ -113,8 +113,8 @@
                                       dgram_buffer(&agent->frames));
 
     dgram_queue(&agent->frames, balancer, size);
-    event_log_line(&agent->log, EVENT_ROUTINE, "told_served", "addresses=%u",
-                   served->count);
+    event_log_write(&agent->log, EVENT_RATE_LIMITED, "told_served",
+                    "addresses=%u", served->count);
 }
 
 static void
@@ -141,9 +141,9 @@
 {
     struct relay_agent *agent = container_of(probe, struct relay_agent, probe);
 
-    event_log_line(&agent->log, EVENT_ROUTINE, "endpoint_probed",
-                   "listens=%d state=%s", !refused,
-                   relay_agent_state_names[agent->admission.endpoint.state]);
+    event_log_write(&agent->log, EVENT_RATE_LIMITED, "endpoint_probed",
+                    "listens=%d state=%s", !refused,
+                    relay_agent_state_names[agent->admission.endpoint.state]);
     if (refused) {
         admission_endpoint_down(&agent->admission, loop_now_us(&agent->loop));
         relay_agent_flush(agent);
@@ -188,11 +188,11 @@
     char service[ADDR_TEXT_MAX];
 
     count_decision(agent, decision, why);
-    if (!event_log_wants(&agent->log, EVENT_ROUTINE)) {
+    if (!event_log_allow(&agent->log, EVENT_RATE_LIMITED)) {
         return;
     }
-    event_log_line(
-        &agent->log, EVENT_ROUTINE, decision_names[decision],
+    event_log_write(
+        &agent->log, EVENT_RATE_LIMITED, decision_names[decision],
         "caller=%s service=%s reason=%s endpoint=%s busy=%u "
         "slots=%u held=%u target_ms=%u forced=%d hops=%u",
         addr_format(flow.caller, caller), addr_format(flow.service, service),
@@ -245,17 +245,17 @@
     frame_evacuations_decode(bytes, &latest);
     if (registration_writer_set_epoch(&agent->registration, latest.epoch,
                                       now_us)) {
-        event_log_line(&agent->log, EVENT_RARE, "store_older",
-                       "era=%u from=%s", latest.epoch,
-                       addr_format(from, text));
+        event_log_write(&agent->log, EVENT_UNLIMITED, "store_older",
+                        "era=%u from=%s", latest.epoch,
+                        addr_format(from, text));
     }
     if (admission_handle_evacuations(&agent->admission, &latest, now_us)) {
-        event_log_line(&agent->log, EVENT_RARE,
-                       admission_is_evacuated(&agent->admission) ? "evacuated"
-                                                                 : "returned",
-                       "data_centre=%s revision=%" PRIu64 " from=%s",
-                       agent->settings.data_centre, latest.revision,
-                       addr_format(from, text));
+        event_log_write(&agent->log, EVENT_UNLIMITED,
+                        admission_is_evacuated(&agent->admission) ? "evacuated"
+                                                                  : "returned",
+                        "data_centre=%s revision=%" PRIu64 " from=%s",
+                        agent->settings.data_centre, latest.revision,
+                        addr_format(from, text));
     }
 }
 
--- a/src/relay/program/relay_balancer.c
+++ b/src/relay/program/relay_balancer.c
@@ -88,11 +88,11 @@
     const struct store_reader *reader = &balancer->reader;
 
     if (reader->reading != was_reading) {
-        event_log_line(&balancer->log, EVENT_RARE,
-                       reader->reading ? "reader_started" : "reader_stopped",
-                       "others=%u trying=%u config=%" PRIu64,
-                       reader->reported.reading, reader->reported.trying,
-                       balancer->forwarder.routes.version);
+        event_log_write(&balancer->log, EVENT_UNLIMITED,
+                        reader->reading ? "reader_started" : "reader_stopped",
+                        "others=%u trying=%u config=%" PRIu64,
+                        reader->reported.reading, reader->reported.trying,
+                        balancer->forwarder.routes.version);
     }
 }
 
@@ -181,17 +181,17 @@
     int ret = settings_file_reload(&balancer->file, &balancer->settings,
                                    report, sizeof(report));
 
-    balancer->log.per_s = balancer->settings.log_per_s;
+    balancer->log.max_per_s = balancer->settings.log_per_s;
     balancer->forwarder.slow_start = balancer->settings.slow_start;
     agents_set_regions(&balancer->forwarder.agents,
                        &balancer->settings.regions);
     apply_peers(balancer);
-    event_log_line(&balancer->log, EVENT_RARE, "reload",
-                   "result=%s peers=%zu log_per_s=%u stop_ms=%u "
-                   "reason=\"%s\"",
-                   ret == 0 ? "taken" : "refused",
-                   balancer->settings.peer_count, balancer->settings.log_per_s,
-                   balancer->settings.stop_ms, report);
+    event_log_write(
+        &balancer->log, EVENT_UNLIMITED, "reload",
+        "result=%s peers=%zu log_per_s=%u stop_ms=%u "
+        "reason=\"%s\"",
+        ret == 0 ? "taken" : "refused", balancer->settings.peer_count,
+        balancer->settings.log_per_s, balancer->settings.stop_ms, report);
 }
 
 static uint64_t
@@ -241,8 +241,8 @@
         return;
     }
     balancer->stop_us = now_us;
-    event_log_line(&balancer->log, EVENT_RARE, "stopping", "flows=%u",
-                   balancer->forwarder.flows.used);
+    event_log_write(&balancer->log, EVENT_UNLIMITED, "stopping", "flows=%u",
+                    balancer->forwarder.flows.used);
 }
 
 static void
@@ -360,9 +360,9 @@
     balancer->forwarder.slow_start = balancer->settings.slow_start;
     agents_set_regions(&balancer->forwarder.agents,
                        &balancer->settings.regions);
-    event_log_line(&balancer->log, EVENT_RARE, "started",
-                   "role=balancer data_centre=%s",
-                   balancer->settings.data_centre);
+    event_log_write(&balancer->log, EVENT_UNLIMITED, "started",
+                    "role=balancer data_centre=%s",
+                    balancer->settings.data_centre);
     return 0;
 }
 
@@ -409,8 +409,8 @@
     }
     else {
         loop_run(&balancer->loop);
-        event_log_line(&balancer->log, EVENT_RARE, "stopped",
-                       "packets=%" PRIu64, balancer->counts.packets);
+        event_log_write(&balancer->log, EVENT_UNLIMITED, "stopped",
+                        "packets=%" PRIu64, balancer->counts.packets);
         event_log_flush(&balancer->log);
     }
     finish(balancer);
--- a/src/relay/program/relay_balancer_evacuations.c
+++ b/src/relay/program/relay_balancer_evacuations.c
@@ -83,8 +83,8 @@
     watcher_set_epoch(&balancer->agents_watcher, epoch);
     watcher_set_epoch(&balancer->evacuations_watcher, epoch);
     if (store->rollback_us != 0) {
-        event_log_line(&balancer->log, EVENT_RARE, "store_older",
-                       "era=%u source=%s", epoch, source);
+        event_log_write(&balancer->log, EVENT_UNLIMITED, "store_older",
+                        "era=%u source=%s", epoch, source);
     }
 }
 
@@ -106,11 +106,11 @@
         return;
     }
     list_evacuated_names(&balancer->forwarder.agents, names, sizeof(names));
-    event_log_line(&balancer->log, EVENT_RARE, "evacuations",
-                   "data_centres=%u with_agents=%s era=%u revision=%" PRIu64
-                   " source=%s",
-                   latest->count, names[0] != '\0' ? names : "-",
-                   latest->epoch, latest->revision, source);
+    event_log_write(&balancer->log, EVENT_UNLIMITED, "evacuations",
+                    "data_centres=%u with_agents=%s era=%u revision=%" PRIu64
+                    " source=%s",
+                    latest->count, names[0] != '\0' ? names : "-",
+                    latest->epoch, latest->revision, source);
 }
 
 static void
@@ -154,9 +154,10 @@
     g_hash_table_iter_init(&names, balancer->evacuated);
     while (g_hash_table_iter_next(&names, &name, NULL)) {
         if (!evacuations_add(&latest, evacuations_key(name))) {
-            event_log_line(&balancer->log, EVENT_RARE, "evacuation_refused",
-                           "data_centre=%s reason=\"more than %d\"",
-                           (const char *)name, EVACUATIONS_MAX);
+            event_log_write(&balancer->log, EVENT_UNLIMITED,
+                            "evacuation_refused",
+                            "data_centre=%s reason=\"more than %d\"",
+                            (const char *)name, EVACUATIONS_MAX);
         }
     }
     relay_balancer_apply_evacuations(balancer, &latest, "store");
--- a/src/relay/program/relay_balancer_http.c
+++ b/src/relay/program/relay_balancer_http.c
@@ -55,7 +55,7 @@
         balancer->counts.orphan_queries, forwarder->flows.used,
         agents_count(&forwarder->agents), forwarder->routes.version,
         forwarder->agents.store.latest.epoch,
-        balancer->counts.agent_objects_refused, balancer->log.left_out_total);
+        balancer->counts.agent_objects_refused, balancer->log.dropped_total);
     for (size_t i = 0; i < FORWARDER_DROP_COUNT; i++) {
         g_string_append_printf(
             text, "swiftarch_dropped_total{reason=\"%s\"} %" PRIu64 "\n",
--- a/src/relay/program/relay_balancer_out.c
+++ b/src/relay/program/relay_balancer_out.c
@@ -124,17 +124,17 @@
     char service[ADDR_TEXT_MAX] = "-";
 
     balancer->counts.dropped[why]++;
-    if (!event_log_wants(&balancer->log, EVENT_ROUTINE)) {
+    if (!event_log_allow(&balancer->log, EVENT_RATE_LIMITED)) {
         return;
     }
     if (packet != NULL) {
         addr_format(packet->from, caller);
         addr_format(packet->to, service);
     }
-    event_log_line(&balancer->log, EVENT_ROUTINE, "dropped",
-                   "caller=%s service=%s reason=%s config=%" PRIu64, caller,
-                   service, relay_balancer_drop_names[why],
-                   balancer->forwarder.routes.version);
+    event_log_write(&balancer->log, EVENT_RATE_LIMITED, "dropped",
+                    "caller=%s service=%s reason=%s config=%" PRIu64, caller,
+                    service, relay_balancer_drop_names[why],
+                    balancer->forwarder.routes.version);
 }
 
 static void
@@ -155,16 +155,16 @@
     balancer->counts.flows_retried += sent && tries > 1;
     /* The first try gets no line: the line of its outcome covers it. */
     if ((sent && tries == 1) ||
-        !event_log_wants(&balancer->log, EVENT_ROUTINE)) {
+        !event_log_allow(&balancer->log, EVENT_RATE_LIMITED)) {
         return;
     }
-    event_log_line(&balancer->log, EVENT_ROUTINE, decision_names[decision],
-                   "caller=%s service=%s agent=%s tries=%u age_us=%" PRIu64
-                   " config=%" PRIu64,
-                   addr_format(flow.caller, caller),
-                   addr_format(flow.service, service),
-                   addr_format(agent, peer), tries, age_us,
-                   balancer->forwarder.routes.version);
+    event_log_write(
+        &balancer->log, EVENT_RATE_LIMITED, decision_names[decision],
+        "caller=%s service=%s agent=%s tries=%u age_us=%" PRIu64
+        " config=%" PRIu64,
+        addr_format(flow.caller, caller), addr_format(flow.service, service),
+        addr_format(agent, peer), tries, age_us,
+        balancer->forwarder.routes.version);
 }
 
 static void
@@ -173,15 +173,15 @@
 {
     struct relay_balancer *balancer = balancer_of_out(out);
 
-    if (!event_log_wants(&balancer->log, EVENT_ROUTINE)) {
+    if (!event_log_allow(&balancer->log, EVENT_RATE_LIMITED)) {
         return;
     }
-    event_log_line(&balancer->log, EVENT_ROUTINE, "lost_flows",
-                   "asked_for=%u over=%u agents=%u missing=%u "
-                   "unreachable=%u list_whole=%d took_us=%" PRIu64,
-                   query->count, ended, query->queried, query->missing,
-                   query->unreachable, query->confirmed,
-                   loop_now_us(&balancer->loop) - query->started_us);
+    event_log_write(&balancer->log, EVENT_RATE_LIMITED, "lost_flows",
+                    "asked_for=%u over=%u agents=%u missing=%u "
+                    "unreachable=%u list_whole=%d took_us=%" PRIu64,
+                    query->count, ended, query->queried, query->missing,
+                    query->unreachable, query->confirmed,
+                    loop_now_us(&balancer->loop) - query->started_us);
 }
 
 const struct forwarder_out_ops relay_balancer_out_ops = {
@@ -224,10 +224,10 @@
 
     forwarder_served(&balancer->forwarder, agent, served);
     if (balancer->forwarder.learned.count > before) {
-        event_log_line(&balancer->log, EVENT_RARE, "route_learned",
-                       "agent=%s service=%08x routes=%zu",
-                       addr_format(agent, text), served->service,
-                       balancer->forwarder.learned.count);
+        event_log_write(&balancer->log, EVENT_UNLIMITED, "route_learned",
+                        "agent=%s service=%08x routes=%zu",
+                        addr_format(agent, text), served->service,
+                        balancer->forwarder.learned.count);
     }
 }
 
--- a/src/relay/program/relay_balancer_store.c
+++ b/src/relay/program/relay_balancer_store.c
@@ -20,11 +20,12 @@
     }
     balancer->was_ready = ready;
     balancer->ready_us = loop_now_us(&balancer->loop);
-    event_log_line(&balancer->log, EVENT_RARE, ready ? "ready" : "not_ready",
-                   "config=%" PRIu64 " agents=%zu since_start_us=%" PRIu64,
-                   balancer->forwarder.routes.version,
-                   agents_count(&balancer->forwarder.agents),
-                   loop_now_us(&balancer->loop) - balancer->started_us);
+    event_log_write(&balancer->log, EVENT_UNLIMITED,
+                    ready ? "ready" : "not_ready",
+                    "config=%" PRIu64 " agents=%zu since_start_us=%" PRIu64,
+                    balancer->forwarder.routes.version,
+                    agents_count(&balancer->forwarder.agents),
+                    loop_now_us(&balancer->loop) - balancer->started_us);
 }
 
 /* Configuration. */
@@ -38,9 +39,9 @@
     char line[512];
 
     if (config_format_decode(json, &routes, &err) < 0) {
-        event_log_line(&balancer->log, EVENT_RARE, "config_refused",
-                       "source=%s reason=\"%s\"", source,
-                       error_format(&err, line, sizeof(line)));
+        event_log_write(&balancer->log, EVENT_UNLIMITED, "config_refused",
+                        "source=%s reason=\"%s\"", source,
+                        error_format(&err, line, sizeof(line)));
         return;
     }
     bool newer = forwarder_routes(&balancer->forwarder, &routes,
@@ -53,10 +54,10 @@
     }
     json_object_put(balancer->config);
     balancer->config = json_object_get(json);
-    event_log_line(&balancer->log, EVENT_RARE, "config",
-                   "version=%" PRIu64 " routes=%zu source=%s",
-                   balancer->forwarder.routes.version,
-                   balancer->forwarder.routes.count, source);
+    event_log_write(&balancer->log, EVENT_UNLIMITED, "config",
+                    "version=%" PRIu64 " routes=%zu source=%s",
+                    balancer->forwarder.routes.version,
+                    balancer->forwarder.routes.count, source);
 }
 
 static void
@@ -89,10 +90,11 @@
     if (!changed) {
         return;
     }
-    event_log_line(&balancer->log, EVENT_RARE,
-                   status == 0 ? "store_reached" : "store_lost",
-                   "kind=%s revision=%" PRIu64 " reason=\"%s\"", watcher->kind,
-                   watcher->revision, status == 0 ? "" : strerror(-status));
+    event_log_write(&balancer->log, EVENT_UNLIMITED,
+                    status == 0 ? "store_reached" : "store_lost",
+                    "kind=%s revision=%" PRIu64 " reason=\"%s\"",
+                    watcher->kind, watcher->revision,
+                    status == 0 ? "" : strerror(-status));
 }
 
 static void
@@ -157,8 +159,8 @@
     track_malformed_object(balancer, object->name, malformed);
     if (malformed) {
         balancer->counts.agent_objects_refused++;
-        event_log_line(&balancer->log, EVENT_RARE, "agent_refused",
-                       "object=%s reason=\"it can't be read\"", object->name);
+        event_log_write(&balancer->log, EVENT_UNLIMITED, "agent_refused",
+                        "object=%s reason=\"it can't be read\"", object->name);
     }
     if (object->removed || malformed) {
         /* A running agent writes its object again once it is notified. */
@@ -173,10 +175,10 @@
     /* A complete list is logged as one line: a line for each agent would
      * delay the start. */
     if (watcher->state == WATCHER_WATCH) {
-        event_log_line(&balancer->log, EVENT_ROUTINE, "agent_listed",
-                       "agent=%s service=%s data_centre=%s revision=%" PRIu64,
-                       object->name, registration.service,
-                       registration.data_centre, object->revision);
+        event_log_write(&balancer->log, EVENT_RATE_LIMITED, "agent_listed",
+                        "agent=%s service=%s data_centre=%s revision=%" PRIu64,
+                        object->name, registration.service,
+                        registration.data_centre, object->revision);
     }
 }
 
@@ -189,9 +191,9 @@
     uint64_t now_us = loop_now_us(&balancer->loop);
 
     agents_list_complete(agents);
-    event_log_line(&balancer->log, EVENT_RARE, "agents_listed",
-                   "agents=%zu revision=%" PRIu64, agents_count(agents),
-                   watcher->revision);
+    event_log_write(&balancer->log, EVENT_UNLIMITED, "agents_listed",
+                    "agents=%zu revision=%" PRIu64, agents_count(agents),
+                    watcher->revision);
     /* Iterate backwards: a removal moves the last row into the gap. */
     for (size_t i = agents_count(agents); i-- > 0;) {
         if (!agents_at(agents, i)->listed) {
@@ -264,10 +266,11 @@
         container_of(config_peer, struct relay_balancer, config_peer);
     char text[ADDR_TEXT_MAX];
 
-    event_log_line(&balancer->log, EVENT_ROUTINE, "peer_asked",
-                   "peer=%s config=%" PRIu64 " reason=\"%s\"",
-                   addr_format(peer, text), balancer->forwarder.routes.version,
-                   status == 0 ? "" : strerror(-status));
+    event_log_write(&balancer->log, EVENT_RATE_LIMITED, "peer_asked",
+                    "peer=%s config=%" PRIu64 " reason=\"%s\"",
+                    addr_format(peer, text),
+                    balancer->forwarder.routes.version,
+                    status == 0 ? "" : strerror(-status));
 }
 
 const struct config_peer_ops relay_balancer_config_peer_ops = {
--- a/src/relay/program/relay_settings.c
+++ b/src/relay/program/relay_settings.c
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-#include "base/keys.h"
+#include "base/json_file.h"
 
 /* The platform allows 6 s for a planned stop. */
 #define STOP_DEFAULT_MS 5000
@@ -24,13 +24,13 @@
 #define BALANCER BIT(RELAY_BALANCER)
 #define AGENT BIT(RELAY_AGENT)
 #define BOTH (BALANCER | AGENT)
-#define FIELD(member) KEYS_FIELD(struct relay_settings, member)
+#define FIELD(member) JSON_FILE_FIELD(struct relay_settings, member)
 
 static const char *const role_names[] = {"a relay balancer", "a relay agent"};
 
 static void
-read_peers(struct keys *keys, const struct key_rule *rule, json_object *value,
-           void *field)
+read_peers(struct json_file *json_file, const struct json_key_rule *rule,
+           json_object *value, void *field)
 {
     const char *expected = "an array of at most 8 addresses such as "
                            "[\"127.0.0.1:4000\"]";
@@ -42,10 +42,10 @@
         count = json_object_array_length(value);
     }
     else {
-        keys_fault_value(keys, rule->name, value, expected);
+        json_file_fault_value(json_file, rule->name, value, expected);
     }
     if (count > RELAY_PEERS_MAX) {
-        keys_fault_value(keys, rule->name, value, expected);
+        json_file_fault_value(json_file, rule->name, value, expected);
         return;
     }
     for (size_t i = 0; i < count; i++) {
@@ -54,7 +54,7 @@
         if (!json_object_is_type(item, json_type_string) ||
             addr_parse(json_object_get_string(item), &settings->peers[i]) <
                 0) {
-            keys_fault_value(keys, rule->name, value, expected);
+            json_file_fault_value(json_file, rule->name, value, expected);
             return;
         }
         settings->peer_count = i + 1;
@@ -62,7 +62,7 @@
 }
 
 static void
-read_regions(struct keys *keys, const struct key_rule *rule,
+read_regions(struct json_file *json_file, const struct json_key_rule *rule,
              json_object *value, void *field)
 {
     const char *expected = "an object of at most 64 data centres such as "
@@ -71,13 +71,13 @@
 
     if (!json_object_is_type(value, json_type_object) ||
         json_object_object_length(value) > REGIONS_MAX) {
-        keys_fault_value(keys, rule->name, value, expected);
+        json_file_fault_value(json_file, rule->name, value, expected);
         return;
     }
     json_object_object_foreach(value, data_centre, region)
     {
         if (!json_object_is_type(region, json_type_string)) {
-            keys_fault_value(keys, rule->name, value, expected);
+            json_file_fault_value(json_file, rule->name, value, expected);
             return;
         }
         regions->items[regions->count++] =
@@ -86,33 +86,33 @@
     }
 }
 
-static const struct key_rule rules[] = {
-    {"name", BOTH, BOTH, keys_read_name, FIELD(name)},
-    {"data_centre", BOTH, BOTH, keys_read_name, FIELD(data_centre)},
-    {"data", BOTH, BOTH, keys_read_addr, FIELD(data)},
-    {"frames", BALANCER, BALANCER, keys_read_addr, FIELD(frames)},
-    {"ready", BOTH, BOTH, keys_read_addr, FIELD(ready)},
-    {"metrics", 0, BOTH, keys_read_addr, FIELD(metrics)},
-    {"share", BALANCER, BALANCER, keys_read_addr, FIELD(config_peer)},
-    {"upstream", AGENT, AGENT, keys_read_addr, FIELD(upstream)},
-    {"outbound", AGENT, AGENT, keys_read_addr, FIELD(outbound)},
-    {"heartbeats", AGENT, AGENT, keys_read_addr, FIELD(heartbeats)},
-    {"service", AGENT, AGENT, keys_read_text, FIELD(service)},
-    {"callers_port", 0, AGENT, keys_read_number, FIELD(callers_port), .min = 1,
-     .max = PORT_MAX},
-    {"frames_port", 0, AGENT, keys_read_number, FIELD(frames_port), .min = 1,
-     .max = PORT_MAX},
-    {"store", BOTH, BOTH, keys_read_addr, FIELD(store)},
+static const struct json_key_rule rules[] = {
+    {"name", BOTH, BOTH, json_file_read_name, FIELD(name)},
+    {"data_centre", BOTH, BOTH, json_file_read_name, FIELD(data_centre)},
+    {"data", BOTH, BOTH, json_file_read_addr, FIELD(data)},
+    {"frames", BALANCER, BALANCER, json_file_read_addr, FIELD(frames)},
+    {"ready", BOTH, BOTH, json_file_read_addr, FIELD(ready)},
+    {"metrics", 0, BOTH, json_file_read_addr, FIELD(metrics)},
+    {"share", BALANCER, BALANCER, json_file_read_addr, FIELD(config_peer)},
+    {"upstream", AGENT, AGENT, json_file_read_addr, FIELD(upstream)},
+    {"outbound", AGENT, AGENT, json_file_read_addr, FIELD(outbound)},
+    {"heartbeats", AGENT, AGENT, json_file_read_addr, FIELD(heartbeats)},
+    {"service", AGENT, AGENT, json_file_read_string, FIELD(service)},
+    {"callers_port", 0, AGENT, json_file_read_unsigned, FIELD(callers_port),
+     .min = 1, .max = PORT_MAX},
+    {"frames_port", 0, AGENT, json_file_read_unsigned, FIELD(frames_port),
+     .min = 1, .max = PORT_MAX},
+    {"store", BOTH, BOTH, json_file_read_addr, FIELD(store)},
     {"peers", 0, BOTH, read_peers, FIELD(peers)},
     {"regions", 0, BALANCER, read_regions, FIELD(regions)},
-    {"evacuations", 0, BALANCER, keys_read_bool, FIELD(evacuations)},
-    {"warming_over", 0, BALANCER, keys_read_real, FIELD(slow_start.over),
-     .min = 0, .max = SLOW_START_OVER_MAX},
-    {"warming_slack", 0, BALANCER, keys_read_number, FIELD(slow_start.slack),
-     .min = 0, .max = SLOW_START_SLACK_MAX},
-    {"stop_ms", 0, BOTH, keys_read_number, FIELD(stop_ms), .min = 0,
+    {"evacuations", 0, BALANCER, json_file_read_bool, FIELD(evacuations)},
+    {"warming_over", 0, BALANCER, json_file_read_double,
+     FIELD(slow_start.over), .min = 0, .max = SLOW_START_OVER_MAX},
+    {"warming_slack", 0, BALANCER, json_file_read_unsigned,
+     FIELD(slow_start.slack), .min = 0, .max = SLOW_START_SLACK_MAX},
+    {"stop_ms", 0, BOTH, json_file_read_unsigned, FIELD(stop_ms), .min = 0,
      .max = STOP_MAX_MS},
-    {"log_per_s", 0, BOTH, keys_read_number, FIELD(log_per_s), .min = 0,
+    {"log_per_s", 0, BOTH, json_file_read_unsigned, FIELD(log_per_s), .min = 0,
      .max = LOG_MAX_PER_S},
 };
 
@@ -120,7 +120,7 @@
 relay_settings_load(struct relay_settings *settings, enum relay_role role,
                     const char *path, char **report, struct error *err)
 {
-    struct keys keys;
+    struct json_file json_file;
     int ret;
 
     memset(settings, 0, sizeof(*settings));
@@ -129,12 +129,13 @@
     settings->stop_ms = STOP_DEFAULT_MS;
     settings->log_per_s = LOG_DEFAULT_PER_S;
     *report = NULL;
-    ret = keys_open(&keys, path, BIT(role), role_names[role], err);
+    ret = json_file_open(&json_file, path, BIT(role), role_names[role], err);
     if (ret < 0) {
         return ret;
     }
-    if (keys.root != NULL) {
-        keys_read(&keys, keys.root, rules, G_N_ELEMENTS(rules), settings);
+    if (json_file.root != NULL) {
+        json_file_read(&json_file, json_file.root, rules, G_N_ELEMENTS(rules),
+                       settings);
     }
     for (size_t i = 0; settings->frames_port != 0 && i < settings->peer_count;
          i++) {
@@ -143,7 +144,7 @@
     if (settings->callers_port == 0) {
         settings->callers_port = settings->data.port;
     }
-    return keys_close(&keys, report, err);
+    return json_file_close(&json_file, report, err);
 }
 
 int
--- a/tests/agent/test_ingress.c
+++ b/tests/agent/test_ingress.c
@@ -191,7 +191,7 @@
     send_to_agent(world, "lots", GUE_OPEN, theirs, TCP_LEN);
     send_to_agent(world, "albums", GUE_OPEN, theirs, TCP_LEN);
     g_assert_cmpuint(world->taken, ==, 0);
-    g_assert_cmpuint(drops(world, PACKET_SERVICE), ==, 3);
+    g_assert_cmpuint(drops(world, PACKET_NO_SERVICE), ==, 3);
     send_to_agent(world, "lots", GUE_OPEN, ours, TCP_LEN);
     g_assert_cmpuint(world->taken, ==, 1);
     /* The host now serves another service at the same address and port. */
@@ -201,7 +201,7 @@
     world->agent.service_known = false;
     send_to_agent(world, "albums", GUE_OPEN, ours, TCP_LEN);
     g_assert_cmpuint(world->taken, ==, 1);
-    g_assert_cmpuint(drops(world, PACKET_SERVICE), ==, 5);
+    g_assert_cmpuint(drops(world, PACKET_NO_SERVICE), ==, 5);
 }
 
 /* Sends a packet whose list goes on behind us; whether it was passed on. */
@@ -298,15 +298,15 @@
 
     build_tcp(good, SERVICE_IP, 5000, PACKET_TCP_SYN);
     send_to_agent(world, NULL, 0, good, TCP_LEN);
-    g_assert_cmpuint(drops(world, PACKET_ENCAP), ==, 1);
+    g_assert_cmpuint(drops(world, PACKET_BAD_ENCAP), ==, 1);
     send_to_agent(world, "lots", GUE_OPEN, good, TCP_LEN - 1);
-    g_assert_cmpuint(drops(world, PACKET_SHORT), ==, 1);
+    g_assert_cmpuint(drops(world, PACKET_TRUNCATED), ==, 1);
     send_to_agent(world, "lots", GUE_OPEN, good, PACKET_BUF);
-    g_assert_cmpuint(drops(world, PACKET_LONG), ==, 1);
+    g_assert_cmpuint(drops(world, PACKET_TOO_LONG), ==, 1);
     memcpy(bad, good, TCP_LEN);
     bad[25] ^= 1;
     send_to_agent(world, "lots", GUE_OPEN, bad, TCP_LEN);
-    g_assert_cmpuint(drops(world, PACKET_L4_CHECKSUM), ==, 1);
+    g_assert_cmpuint(drops(world, PACKET_BAD_L4_CHECKSUM), ==, 1);
     g_assert_cmpuint(world->taken, ==, 0);
 }
 
--- a/tests/balancer/route_test.c
+++ b/tests/balancer/route_test.c
@@ -155,16 +155,16 @@
     scene_build(scene);
     size_t len = scene_tcp(buf, 0x0a640009, 1, PACKET_TCP_SYN, "");
     g_assert_cmpint(route_decide(scene->table, buf, len, 0, &decision), ==,
-                    PACKET_SERVICE);
+                    PACKET_NO_SERVICE);
     len = scene_tcp(buf, SCENE_ALBUMS_IP, 1, PACKET_TCP_SYN, "");
     g_assert_cmpint(route_decide(scene->table, buf, len, 0, &decision), ==,
                     PACKET_NO_ENDPOINT);
     len = scene_udp(buf, SCENE_ALBUMS_IP, 1);
     g_assert_cmpint(route_decide(scene->table, buf, len, 0, &decision), ==,
-                    PACKET_SERVICE);
+                    PACKET_NO_SERVICE);
     len = scene_tcp(buf, SCENE_LOTS_IP, 1, PACKET_TCP_SYN, "x");
     g_assert_cmpint(route_decide(scene->table, buf, len - 1, 0, &decision), ==,
-                    PACKET_SHORT);
+                    PACKET_TRUNCATED);
 }
 
 /* One address and port, two transports, two services with endpoints each */
--- a/tests/balancer/worker_test.c
+++ b/tests/balancer/worker_test.c
@@ -156,7 +156,7 @@
     g_assert_cmpint(recv(setup->endpoint, got, sizeof(got), 0), >, PACKET_MAX);
     send_raw(setup, bytes, len + 1);
     send_raw(setup, bytes, sizeof(bytes));
-    wait_for_value(setup, setup->pool.dropped[PACKET_LONG], 2);
+    wait_for_value(setup, setup->pool.dropped[PACKET_TOO_LONG], 2);
 }
 
 TEST_F(setup, drops, 2)
@@ -171,18 +171,18 @@
     size_t header = gue_encode(&gue, bytes); /* only the bare form may come */
     len = scene_tcp(bytes + header, SCENE_LOTS_IP, 1, PACKET_TCP_ACK, "");
     send_raw(setup, bytes, header + len);
-    wait_for_value(setup, setup->pool.dropped[PACKET_ENCAP], 3);
+    wait_for_value(setup, setup->pool.dropped[PACKET_BAD_ENCAP], 3);
 
     len = make_packet(bytes, 1, "abc");
     send_raw(setup, bytes, len - 1);
-    wait_for_value(setup, setup->pool.dropped[PACKET_SHORT], 1);
+    wait_for_value(setup, setup->pool.dropped[PACKET_TRUNCATED], 1);
     bytes[BATCH_BARE + 8] ^= 1;
     send_raw(setup, bytes, len);
-    wait_for_value(setup, setup->pool.dropped[PACKET_IP_CHECKSUM], 1);
+    wait_for_value(setup, setup->pool.dropped[PACKET_BAD_IP_CHECKSUM], 1);
     wait_for_value(setup, setup->pool.received, 5);
     g_assert_cmpuint(counter_read(&setup->counters, setup->pool.forwarded), ==,
                      0);
-    g_assert_cmpuint(dropped(setup, PACKET_SEND), ==, 0);
+    g_assert_cmpuint(dropped(setup, PACKET_SEND_FAILED), ==, 0);
 }
 
 /* Whatever comes, each packet is forwarded or counted under one reason. */
@@ -268,7 +268,7 @@
     worker_pool_publish(&setup->pool, table);
     for (uint32_t i = 0; i < 3; i++)
         send_raw(setup, bytes, make_packet(bytes, i, ""));
-    wait_for_value(setup, setup->pool.dropped[PACKET_SEND], 3);
+    wait_for_value(setup, setup->pool.dropped[PACKET_SEND_FAILED], 3);
 
     setup->view->members[0].data = good;
     route_table_new(setup->view, setup->text, setup->pool.table, &table);
--- a/tests/base/test_event_log.c
+++ b/tests/base/test_event_log.c
@@ -9,8 +9,8 @@
 
 #define SUITE "/base/event_log"
 
-/** struct rig - a log into a pipe, on a paused clock */
-struct rig {
+/** struct event_log_fixture - a log into a pipe, on a paused clock */
+struct event_log_fixture {
     struct clock_manual clock;
     struct event_log log;
     int fds[2];
@@ -18,31 +18,35 @@
 };
 
 static void
-rig_init(struct rig *rig, unsigned per_s)
+event_log_fixture_init(struct event_log_fixture *event_log_fixture,
+                       unsigned max_per_s)
 {
-    g_assert_cmpint(pipe(rig->fds), ==, 0);
-    g_assert_cmpint(fcntl(rig->fds[0], F_SETFL, O_NONBLOCK), ==, 0);
-    clock_manual_init(&rig->clock, 12345678);
-    event_log_init(&rig->log, &rig->clock.base, "h-1", rig->fds[1], per_s);
+    g_assert_cmpint(pipe(event_log_fixture->fds), ==, 0);
+    g_assert_cmpint(fcntl(event_log_fixture->fds[0], F_SETFL, O_NONBLOCK), ==,
+                    0);
+    clock_manual_init(&event_log_fixture->clock, 12345678);
+    event_log_init(&event_log_fixture->log, &event_log_fixture->clock.base,
+                   "h-1", event_log_fixture->fds[1], max_per_s);
 }
 
 static void
-rig_finish(struct rig *rig)
+event_log_fixture_finish(struct event_log_fixture *event_log_fixture)
 {
-    close(rig->fds[0]);
-    close(rig->fds[1]);
+    close(event_log_fixture->fds[0]);
+    close(event_log_fixture->fds[1]);
 }
 
 /* What came out since the last look. */
 static const char *
-read_all(struct rig *rig)
+read_all(struct event_log_fixture *event_log_fixture)
 {
     ssize_t len;
 
-    event_log_flush(&rig->log);
-    len = read(rig->fds[0], rig->text, sizeof(rig->text) - 1);
-    rig->text[MAX(len, 0)] = '\0';
-    return rig->text;
+    event_log_flush(&event_log_fixture->log);
+    len = read(event_log_fixture->fds[0], event_log_fixture->text,
+               sizeof(event_log_fixture->text) - 1);
+    event_log_fixture->text[MAX(len, 0)] = '\0';
+    return event_log_fixture->text;
 }
 
 static unsigned
@@ -56,49 +60,55 @@
     return lines;
 }
 
-TEST_F(rig, a_line_names_time_host_and_event, 10)
+TEST_F(event_log_fixture, line_has_time_host_and_event, 10)
 {
-    event_log_line(&rig->log, EVENT_RARE, "started", "role=%s", "agent");
-    g_assert_nonnull(
-        strstr(read_all(rig), " up=12.345 host=h-1 event=started role=agent"));
+    event_log_write(&event_log_fixture->log, EVENT_UNLIMITED, "started",
+                    "role=%s", "agent");
+    g_assert_nonnull(strstr(read_all(event_log_fixture),
+                            " up=12.345 host=h-1 event=started role=agent"));
 }
 
-TEST_F(rig, routine_lines_are_bounded_and_counted, 10)
+TEST_F(event_log_fixture, dropped_lines_are_counted, 10)
 {
     for (unsigned i = 0; i < 100; i++) {
-        if (event_log_wants(&rig->log, EVENT_ROUTINE)) {
-            event_log_line(&rig->log, EVENT_ROUTINE, "placed", "n=%u", i);
+        if (event_log_allow(&event_log_fixture->log, EVENT_RATE_LIMITED)) {
+            event_log_write(&event_log_fixture->log, EVENT_RATE_LIMITED,
+                            "placed", "n=%u", i);
         }
     }
-    g_assert_cmpuint(count_lines(read_all(rig)), ==, 10);
-    g_assert_true(event_log_wants(&rig->log, EVENT_RARE));
-    clock_manual_advance(&rig->clock, USEC_PER_SEC);
-    g_assert_true(event_log_wants(&rig->log, EVENT_ROUTINE));
-    event_log_line(&rig->log, EVENT_ROUTINE, "placed", "n=100");
-    g_assert_nonnull(strstr(read_all(rig), "left_out=90 n=100"));
-    g_assert_cmpuint(rig->log.left_out_total, ==, 90);
+    g_assert_cmpuint(count_lines(read_all(event_log_fixture)), ==, 10);
+    g_assert_true(event_log_allow(&event_log_fixture->log, EVENT_UNLIMITED));
+    clock_manual_advance(&event_log_fixture->clock, USEC_PER_SEC);
+    g_assert_true(
+        event_log_allow(&event_log_fixture->log, EVENT_RATE_LIMITED));
+    event_log_write(&event_log_fixture->log, EVENT_RATE_LIMITED, "placed",
+                    "n=100");
+    g_assert_nonnull(strstr(read_all(event_log_fixture), "left_out=90 n=100"));
+    g_assert_cmpuint(event_log_fixture->log.dropped_total, ==, 90);
 }
 
-TEST_F(rig, a_reader_that_stops_costs_lines_not_time, 1000000)
+TEST_F(event_log_fixture, slow_reader_drops_lines, 1000000)
 {
     uint64_t lines = 0;
 
     for (unsigned i = 0; i < 5000; i++) {
-        event_log_line(&rig->log, EVENT_RARE, "placed", "n=%u", i);
+        event_log_write(&event_log_fixture->log, EVENT_UNLIMITED, "placed",
+                        "n=%u", i);
     }
-    g_assert_cmpuint(rig->log.left_out_total, >, 0);
+    g_assert_cmpuint(event_log_fixture->log.dropped_total, >, 0);
     for (unsigned i = 0; i < 100; i++) {
-        lines += count_lines(read_all(rig));
+        lines += count_lines(read_all(event_log_fixture));
     }
-    g_assert_cmpuint(lines + rig->log.left_out_total, ==, 5000);
+    g_assert_cmpuint(lines + event_log_fixture->log.dropped_total, ==, 5000);
 }
 
-TEST_F(rig, a_long_line_is_cut, 10)
+TEST_F(event_log_fixture, long_line_is_truncated, 10)
 {
     char *text = g_strnfill(2000, 'x');
 
-    event_log_line(&rig->log, EVENT_RARE, "odd", "%s", text);
-    g_assert_cmpuint(count_lines(read_all(rig)), ==, 1);
-    g_assert_cmpuint(strlen(rig->text), <=, 512);
+    event_log_write(&event_log_fixture->log, EVENT_UNLIMITED, "odd", "%s",
+                    text);
+    g_assert_cmpuint(count_lines(read_all(event_log_fixture)), ==, 1);
+    g_assert_cmpuint(strlen(event_log_fixture->text), <=, 512);
     g_free(text);
 }
--- a/tests/base/test_httpd.c
+++ b/tests/base/test_httpd.c
@@ -72,13 +72,13 @@
 
 /* All that the listener sends back for @text. */
 static char *
-ask(struct echo *echo, const char *text)
+exchange(struct echo *echo, const char *text)
 {
     struct sockaddr_in sin = addr_to_sockaddr(echo->at);
     struct bufferevent *event =
         bufferevent_socket_new(echo->base, -1, BEV_OPT_CLOSE_ON_FREE);
     struct evbuffer *in = bufferevent_get_input(event);
-    char *answer;
+    char *response;
 
     bufferevent_setcb(event, NULL, NULL, on_client_event, echo->base);
     bufferevent_enable(event, EV_READ | EV_WRITE);
@@ -87,21 +87,21 @@
                                                sizeof(sin)),
                     ==, 0);
     event_base_dispatch(echo->base);
-    answer = g_strndup((const char *)evbuffer_pullup(in, -1),
-                       evbuffer_get_length(in));
+    response = g_strndup((const char *)evbuffer_pullup(in, -1),
+                         evbuffer_get_length(in));
     bufferevent_free(event);
-    return answer;
+    return response;
 }
 
 static void
 expect(struct echo *echo, const char *request, const char *start,
        const char *end)
 {
-    g_autofree char *answer = ask(echo, request);
+    g_autofree char *response = exchange(echo, request);
 
-    g_test_message("%s", answer);
-    g_assert_true(g_str_has_prefix(answer, start));
-    g_assert_true(g_str_has_suffix(answer, end));
+    g_test_message("%s", response);
+    g_assert_true(g_str_has_prefix(response, start));
+    g_assert_true(g_str_has_suffix(response, end));
 }
 
 TEST_F(echo, requests)
--- a/tests/base/test_link.c
+++ b/tests/base/test_link.c
@@ -1,5 +1,5 @@
 /**
- * DOC: test_link - frames between hubs, and strangers at a hub
+ * DOC: test_link - frames between hubs, and unauthenticated_peers at a hub
  */
 #include <errno.h>
 #include <event2/buffer.h>
@@ -26,9 +26,9 @@
     uint64_t sender;
     uint16_t type;
     GByteArray *bytes;
-    unsigned downs;
+    unsigned disconnects;
     int reason;
-    struct addr down_peer;
+    struct addr disconnected_peer;
 };
 
 static void
@@ -46,18 +46,18 @@
 }
 
 static void
-on_down(struct link_handler *handler, struct link_conn *conn, struct addr peer,
-        int reason)
+on_disconnect(struct link_handler *handler, struct link_conn *conn,
+              struct addr peer, int reason)
 {
     struct side *side = (struct side *)handler;
 
-    side->downs++;
+    side->disconnects++;
     side->reason = reason;
-    side->down_peer = peer;
+    side->disconnected_peer = peer;
 }
 
 static const struct link_ops side_ops = {.on_frame = on_frame,
-                                         .on_down = on_down};
+                                         .on_disconnect = on_disconnect};
 
 static void
 side_init(struct side *side, struct event_base *base, uint64_t self,
@@ -174,12 +174,12 @@
     to = link_hub_addr(&b.hub);
     side_finish(&b);
     g_assert_cmpint(link_send(&a.hub, to, 1, key, 4), ==, 0);
-    run_until(base, &a.downs, 1);
+    run_until(base, &a.disconnects, 1);
     g_assert_cmpint(a.reason, ==, -ECONNREFUSED);
-    g_assert_true(addr_equal(a.down_peer, to));
+    g_assert_true(addr_equal(a.disconnected_peer, to));
     /* The next send opens a new connection. */
     g_assert_cmpint(link_send(&a.hub, to, 1, key, 4), ==, 0);
-    run_until(base, &a.downs, 2);
+    run_until(base, &a.disconnects, 2);
     side_finish(&a);
     event_base_free(base);
 }
@@ -187,15 +187,15 @@
 TEST_F(sides, other_key, other_key)
 {
     link_send(&sides->a.hub, sides->to, 1, key, 4);
-    run_until(sides->base, &sides->b.downs, 1);
-    run_until(sides->base, &sides->a.downs, 1);
+    run_until(sides->base, &sides->b.disconnects, 1);
+    run_until(sides->base, &sides->a.disconnects, 1);
     g_assert_cmpuint(sides->b.frames, ==, 0);
     g_assert_cmpuint(sides->b.hub.rejected + sides->a.hub.rejected, >=, 1);
-    g_assert_cmpuint(sides->b.hub.unproven, ==, 0);
+    g_assert_cmpuint(sides->b.hub.unauthenticated, ==, 0);
 }
 
 static void
-on_stranger_event(struct bufferevent *event, short what, void *data)
+on_raw_client_event(struct bufferevent *event, short what, void *data)
 {
     if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
         ++*(unsigned *)data;
@@ -203,51 +203,51 @@
 
 /* Send @len bytes as a stranger; the hub must hang up. */
 static void
-expect_hang_up(struct event_base *base, struct side *b, const uint8_t *bytes,
-               size_t len)
+expect_disconnect(struct event_base *base, struct side *b,
+                  const uint8_t *bytes, size_t len)
 {
     struct sockaddr_in sin = addr_to_sockaddr(link_hub_addr(&b->hub));
     struct bufferevent *event =
         bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
     unsigned ended = 0;
 
-    bufferevent_setcb(event, NULL, NULL, on_stranger_event, &ended);
+    bufferevent_setcb(event, NULL, NULL, on_raw_client_event, &ended);
     bufferevent_enable(event, EV_READ | EV_WRITE);
     bufferevent_write(event, bytes, len);
     bufferevent_socket_connect(event, (struct sockaddr *)&sin, sizeof(sin));
     run_until(base, &ended, 1);
     bufferevent_free(event);
     g_assert_cmpuint(b->frames, ==, 0);
-    g_assert_cmpuint(b->hub.unproven, ==, 0);
+    g_assert_cmpuint(b->hub.unauthenticated, ==, 0);
 }
 
-TEST_F(sides, strangers, key)
+TEST_F(sides, unauthenticated_peers, key)
 {
-    uint8_t hello[LINK_WIRE_HELLO + LINK_WIRE_OVERHEAD] = "SAL1";
+    uint8_t hello[LINK_WIRE_HELLO_LEN + LINK_WIRE_OVERHEAD] = "SAL1";
 
     for (int i = 0; i < 100; i++) {
         uint8_t garbage[128];
 
         for (size_t at = 0; at < sizeof(garbage); at++)
             garbage[at] = (uint8_t)g_test_rand_int();
-        expect_hang_up(sides->base, &sides->b, garbage, sizeof(garbage));
+        expect_disconnect(sides->base, &sides->b, garbage, sizeof(garbage));
     }
     /* Before the proof no long frame is waited for. */
-    memset(hello + LINK_WIRE_HELLO, 0, LINK_WIRE_OVERHEAD);
-    hello[LINK_WIRE_HELLO + 1] = 0x10;
-    expect_hang_up(sides->base, &sides->b, hello,
-                   LINK_WIRE_HELLO + LINK_WIRE_LENGTH);
+    memset(hello + LINK_WIRE_HELLO_LEN, 0, LINK_WIRE_OVERHEAD);
+    hello[LINK_WIRE_HELLO_LEN + 1] = 0x10;
+    expect_disconnect(sides->base, &sides->b, hello,
+                      LINK_WIRE_HELLO_LEN + LINK_WIRE_LENGTH_LEN);
     g_assert_cmpint(sides->b.reason, ==, -EMSGSIZE);
     /* A proof of the right size with a wrong tag. */
-    hello[LINK_WIRE_HELLO + 1] = 0;
-    hello[LINK_WIRE_HELLO + 3] = LINK_WIRE_OVERHEAD - LINK_WIRE_LENGTH;
-    expect_hang_up(sides->base, &sides->b, hello, sizeof(hello));
+    hello[LINK_WIRE_HELLO_LEN + 1] = 0;
+    hello[LINK_WIRE_HELLO_LEN + 3] = LINK_WIRE_OVERHEAD - LINK_WIRE_LENGTH_LEN;
+    expect_disconnect(sides->base, &sides->b, hello, sizeof(hello));
     g_assert_cmpint(sides->b.reason, ==, -EBADMSG);
     /* A frame shorter than its own overhead. */
-    hello[LINK_WIRE_HELLO + 3] = 1;
-    expect_hang_up(sides->base, &sides->b, hello, sizeof(hello));
+    hello[LINK_WIRE_HELLO_LEN + 3] = 1;
+    expect_disconnect(sides->base, &sides->b, hello, sizeof(hello));
     /* Nothing at all, until the time for the proof is over. */
-    expect_hang_up(sides->base, &sides->b, hello, 3);
+    expect_disconnect(sides->base, &sides->b, hello, 3);
     g_assert_cmpint(sides->b.reason, ==, -ETIMEDOUT);
     g_assert_cmpuint(sides->b.hub.rejected, ==, 103);
 }
@@ -262,14 +262,14 @@
 static void
 pair_init(struct pair *pair)
 {
-    uint8_t hello_a[LINK_WIRE_HELLO], hello_b[LINK_WIRE_HELLO];
+    uint8_t hello_a[LINK_WIRE_HELLO_LEN], hello_b[LINK_WIRE_HELLO_LEN];
 
     g_assert_cmpint(auth_init(&pair->auth, key, sizeof(key), 11, 0), ==, 0);
     link_wire_init(&pair->a, hello_a);
     link_wire_init(&pair->b, hello_b);
-    g_assert_cmpint(link_wire_take_hello(&pair->a, hello_a), ==, -EBADMSG);
-    g_assert_cmpint(link_wire_take_hello(&pair->a, hello_b), ==, 0);
-    g_assert_cmpint(link_wire_take_hello(&pair->b, hello_a), ==, 0);
+    g_assert_cmpint(link_wire_read_hello(&pair->a, hello_a), ==, -EBADMSG);
+    g_assert_cmpint(link_wire_read_hello(&pair->a, hello_b), ==, 0);
+    g_assert_cmpint(link_wire_read_hello(&pair->b, hello_a), ==, 0);
 }
 
 #define BODY_LEN 9
@@ -280,9 +280,9 @@
 static void
 put_frame(struct pair *pair, uint8_t *frame)
 {
-    memcpy(frame + LINK_WIRE_HEAD, body_text, BODY_LEN);
-    link_wire_seal(&pair->a, &pair->auth, 3, frame + LINK_WIRE_HEAD, BODY_LEN,
-                   frame, frame + LINK_WIRE_HEAD + BODY_LEN);
+    memcpy(frame + LINK_WIRE_HEADER_LEN, body_text, BODY_LEN);
+    link_wire_seal(&pair->a, &pair->auth, 3, frame + LINK_WIRE_HEADER_LEN,
+                   BODY_LEN, frame, frame + LINK_WIRE_HEADER_LEN + BODY_LEN);
 }
 
 static void
@@ -303,9 +303,9 @@
     pair_init(&other);
     put_frame(&pair, first);
     put_frame(&pair, second);
-    g_assert_cmpuint(link_wire_length(first), ==, FRAME_LEN);
+    g_assert_cmpuint(link_wire_frame_size(first), ==, FRAME_LEN);
     /* The length itself isn't under the tag; it decides where the tag is. */
-    for (size_t bit = LINK_WIRE_LENGTH * 8; bit < FRAME_LEN * 8; bit++) {
+    for (size_t bit = LINK_WIRE_LENGTH_LEN * 8; bit < FRAME_LEN * 8; bit++) {
         first[bit / 8] ^= (uint8_t)(1 << bit % 8);
         expect_open(&pair.b, &pair.auth, first, FRAME_LEN, -EBADMSG, &frame);
         first[bit / 8] ^= (uint8_t)(1 << bit % 8);
--- a/tests/base/test_settings.c
+++ b/tests/base/test_settings.c
@@ -51,7 +51,7 @@
                          &fixture->report, &fixture->err);
 }
 
-static const char whole[] =
+static const char complete[] =
     "{\"name\": \"a1\", \"data_centre\": \"ubungo\", \"cell\": \"c1\",\n"
     "\"data\": \"127.0.0.1:1\", \"control\": \"127.0.0.1:2\",\n"
     "\"http\": \"127.0.0.1:0\", \"platform\": \"http://127.0.0.1:4\",\n"
@@ -59,9 +59,9 @@
     "\"site_key_file\": \"site.key\", \"fabric\": \"127.0.0.1:7\",\n"
     "\"drain_s\": 12, \"trace_file\": \"\", \"trace_sample\": 10}\n";
 
-TEST_F(fixture, whole)
+TEST_F(fixture, complete)
 {
-    g_assert_cmpint(load(fixture, SETTINGS_AGENT, whole), ==, 0);
+    g_assert_cmpint(load(fixture, SETTINGS_AGENT, complete), ==, 0);
     g_assert_null(fixture->report);
     g_assert_cmpstr(fixture->settings.name, ==, "a1");
     g_assert_cmpuint(fixture->settings.data.ip, ==, 0x7f000001);
@@ -82,7 +82,7 @@
                       "\"site_key_file\": \"site.key\"}";
 
     g_assert_cmpint(load(fixture, SETTINGS_OPERATOR, few), ==, 0);
-    g_assert_cmpint(load(fixture, SETTINGS_OPERATOR, whole), ==, 0);
+    g_assert_cmpint(load(fixture, SETTINGS_OPERATOR, complete), ==, 0);
     g_assert_cmpint(load(fixture, SETTINGS_BALANCER, few), ==, -EINVAL);
 }
 
@@ -166,19 +166,19 @@
                                   fixture->folder, NULL, &fixture->err),
                     ==, -EISDIR);
     g_assert_true(g_file_set_contents(fixture->key, "short\n", -1, NULL));
-    g_assert_cmpint(load(fixture, SETTINGS_AGENT, whole), ==, -EINVAL);
+    g_assert_cmpint(load(fixture, SETTINGS_AGENT, complete), ==, -EINVAL);
     g_assert_nonnull(
         strstr(fixture->report, "holds 5 bytes; expected 16 to 128"));
     g_unlink(fixture->key);
-    g_assert_cmpint(load(fixture, SETTINGS_AGENT, whole), ==, -EINVAL);
+    g_assert_cmpint(load(fixture, SETTINGS_AGENT, complete), ==, -EINVAL);
     g_assert_nonnull(strstr(fixture->report, ":5: key \"site_key_file\""));
 }
 
 /* A file cut or changed anywhere is refused or read, never worse. */
-TEST_F(fixture, random_damage)
+TEST_F(fixture, random_corruption)
 {
     for (int i = 0; i < 500; i++) {
-        g_autofree char *text = g_strdup(whole);
+        g_autofree char *text = g_strdup(complete);
         int at = g_test_rand_int_range(0, (int)strlen(text));
         int ret;
 
--- a/tests/cli/show_test.c
+++ b/tests/cli/show_test.c
@@ -103,12 +103,12 @@
 }
 
 static void
-on_down(struct link_handler *handler, struct link_conn *conn, struct addr peer,
-        int reason)
+on_disconnect(struct link_handler *handler, struct link_conn *conn,
+              struct addr peer, int reason)
 {
 }
 
-static const struct link_ops fake_ops = {on_frame, on_down};
+static const struct link_ops fake_ops = {on_frame, on_disconnect};
 
 static gpointer
 run_fake(gpointer data)
--- a/tests/control/test_control.c
+++ b/tests/control/test_control.c
@@ -378,14 +378,14 @@
 }
 
 static void
-on_down(struct link_handler *handler, struct link_conn *conn, struct addr peer,
-        int reason)
+on_disconnect(struct link_handler *handler, struct link_conn *conn,
+              struct addr peer, int reason)
 {
 }
 
 TEST_WITH(fixture, setup, teardown, show, 2, true)
 {
-    static const struct link_ops ops = {on_frame, on_down};
+    static const struct link_ops ops = {on_frame, on_disconnect};
     Swiftarch__ShowRequest request = SWIFTARCH__SHOW_REQUEST__INIT;
     struct asker asker = {.handler.ops = &ops};
     struct link_hub hub;
--- a/tests/directory/test_directory.c
+++ b/tests/directory/test_directory.c
@@ -184,12 +184,12 @@
     g_assert_cmpuint(to.ip, ==, IP);
     g_assert_cmpuint(to.port, ==, 4000);
     g_assert_cmpint(forward_decide(table, NULL, &packet, true, 0, &to), ==,
-                    PACKET_HOPS);
+                    PACKET_HOP_LIMIT);
     g_assert_cmpint(forward_decide(NULL, NULL, &packet, false, 0, &to), ==,
-                    PACKET_SERVICE);
+                    PACKET_NO_SERVICE);
     packet.dport = 81;
     g_assert_cmpint(forward_decide(table, NULL, &packet, false, 0, &to), ==,
-                    PACKET_SERVICE);
+                    PACKET_NO_SERVICE);
     directory_table_free(table);
     directory_core_finish(&core);
 }
--- a/tests/directory/test_site.c
+++ b/tests/directory/test_site.c
@@ -285,16 +285,16 @@
 
     decide(&second, none, directory, sent->iov_base, sent->iov_len);
     g_assert_cmpuint(second.batch->out_count, ==, 0);
-    g_assert_cmpuint(second.batch->drops[PACKET_HOPS], ==, 1);
+    g_assert_cmpuint(second.batch->drops[PACKET_HOP_LIMIT], ==, 1);
     free(second.batch);
     free(first.batch);
 
     /* An address that neither cell has, and a directory of other ones. */
     decide(&first, none, back, buf, len);
-    g_assert_cmpuint(first.batch->drops[PACKET_SERVICE], ==, 1);
+    g_assert_cmpuint(first.batch->drops[PACKET_NO_SERVICE], ==, 1);
     free(first.batch);
     decide(&first, none, NULL, buf, len);
-    g_assert_cmpuint(first.batch->drops[PACKET_SERVICE], ==, 1);
+    g_assert_cmpuint(first.batch->drops[PACKET_NO_SERVICE], ==, 1);
     free(first.batch);
 
     route_table_free(none);
--- a/tests/flow/test_flow.c
+++ b/tests/flow/test_flow.c
@@ -199,9 +199,9 @@
     struct packet ack = tcp(8, ACK, 501);
 
     establish(agent, 8);
-    EXPECT_DROP(PACKET_SERVICE, syn, other);
+    EXPECT_DROP(PACKET_NO_SERVICE, syn, other);
     /* Addresses of a flow that we know, but taken for another service. */
-    EXPECT_DROP(PACKET_SERVICE, ack, other);
+    EXPECT_DROP(PACKET_NO_SERVICE, ack, other);
     EXPECT(FLOW_PASS, syn, for_service(SERVICE + 1, HOPS(GUE_OPEN, SELF, 2)));
     /* We serve another now; flows of before go on, new ones don't. */
     g_assert_cmpint(flow_set_view(agent->table, agent->view, SERVICE + 1, true,
--- a/tests/fuzz/fuzz_base.c
+++ b/tests/fuzz/fuzz_base.c
@@ -114,7 +114,7 @@
 
     g_assert_cmpint(auth_init(&auth, key, sizeof(key) - 1, 2, WALL_MS), ==, 0);
     /* The hub opens what the length says, no more and no less. */
-    if (len < LINK_WIRE_LENGTH || link_wire_length(data) != len) {
+    if (len < LINK_WIRE_LENGTH_LEN || link_wire_frame_size(data) != len) {
         auth_finish(&auth);
         return;
     }
@@ -126,8 +126,8 @@
 TEST(link)
 {
     static const uint8_t body[] = "a frame";
-    uint8_t hello_a[LINK_WIRE_HELLO];
-    uint8_t hello_b[LINK_WIRE_HELLO];
+    uint8_t hello_a[LINK_WIRE_HELLO_LEN];
+    uint8_t hello_b[LINK_WIRE_HELLO_LEN];
     struct mutate_sample samples[1];
     struct link_wire sender;
     struct auth auth;
@@ -135,13 +135,13 @@
     g_assert_cmpint(auth_init(&auth, key, sizeof(key) - 1, 1, WALL_MS), ==, 0);
     g_assert_cmpint(link_wire_init(&sender, hello_a), ==, 0);
     g_assert_cmpint(link_wire_init(&receiver, hello_b), ==, 0);
-    g_assert_cmpint(link_wire_take_hello(&sender, hello_b), ==, 0);
-    g_assert_cmpint(link_wire_take_hello(&receiver, hello_a), ==, 0);
+    g_assert_cmpint(link_wire_read_hello(&sender, hello_b), ==, 0);
+    g_assert_cmpint(link_wire_read_hello(&receiver, hello_a), ==, 0);
     link_wire_seal(&sender, &auth, 7, body, sizeof(body), sealed,
-                   sealed + LINK_WIRE_HEAD + sizeof(body));
-    memcpy(sealed + LINK_WIRE_HEAD, body, sizeof(body));
+                   sealed + LINK_WIRE_HEADER_LEN + sizeof(body));
+    memcpy(sealed + LINK_WIRE_HEADER_LEN, body, sizeof(body));
     sealed_len = LINK_WIRE_OVERHEAD + sizeof(body);
-    g_assert_cmpuint(link_wire_length(sealed), ==, sealed_len);
+    g_assert_cmpuint(link_wire_frame_size(sealed), ==, sealed_len);
     auth_finish(&auth);
     samples[0] = (struct mutate_sample){sealed, sealed_len};
     MUTATE("link_wire_open", samples, RUNS, decode_frame);
--- a/tests/golden/scene_packet.c
+++ b/tests/golden/scene_packet.c
@@ -146,7 +146,7 @@
 {
     struct scene_host *host = &scene->hosts[i];
     struct route_decision decision;
-    enum packet_drop drop = PACKET_SERVICE;
+    enum packet_drop drop = PACKET_NO_SERVICE;
 
     if (host->table != NULL) {
         drop =
--- a/tests/packet/packet_test.c
+++ b/tests/packet/packet_test.c
@@ -121,35 +121,35 @@
 };
 
 static const struct patch patches[] = {
-    {"version 6", 0, 0x65, true, false, PACKET_VERSION},
-    {"header of 16", 0, 0x44, true, false, PACKET_HEADER},
-    {"total too large", 3, 54, true, false, PACKET_SHORT},
-    {"total too small", 3, 52, true, false, PACKET_SHORT},
+    {"version 6", 0, 0x65, true, false, PACKET_BAD_VERSION},
+    {"header of 16", 0, 0x44, true, false, PACKET_BAD_HEADER},
+    {"total too large", 3, 54, true, false, PACKET_TRUNCATED},
+    {"total too small", 3, 52, true, false, PACKET_TRUNCATED},
     {"more fragments", 6, 0x20, true, false, PACKET_FRAGMENT},
     {"last fragment", 7, 0x01, true, false, PACKET_FRAGMENT},
     {"do not fragment", 6, 0x40, true, false, PACKET_OK},
-    {"ip checksum", 8, 63, false, false, PACKET_IP_CHECKSUM},
-    {"tcp checksum", 45, 0xee, false, false, PACKET_L4_CHECKSUM},
-    {"icmp", 9, 1, true, false, PACKET_PROTOCOL},
-    {"sctp", 9, 132, true, false, PACKET_PROTOCOL},
-    {"tcp header of 16", 32, 0x40, false, true, PACKET_HEADER},
-    {"tcp header cut", 32, 0xf0, false, true, PACKET_SHORT},
-    {"no flags", 33, 0, false, true, PACKET_FLAGS},
+    {"ip checksum", 8, 63, false, false, PACKET_BAD_IP_CHECKSUM},
+    {"tcp checksum", 45, 0xee, false, false, PACKET_BAD_L4_CHECKSUM},
+    {"icmp", 9, 1, true, false, PACKET_BAD_PROTOCOL},
+    {"sctp", 9, 132, true, false, PACKET_BAD_PROTOCOL},
+    {"tcp header of 16", 32, 0x40, false, true, PACKET_BAD_HEADER},
+    {"tcp header cut", 32, 0xf0, false, true, PACKET_TRUNCATED},
+    {"no flags", 33, 0, false, true, PACKET_BAD_FLAGS},
     {"syn", 33, 0x02, false, true, PACKET_OK},
     {"syn ece cwr", 33, 0xc2, false, true, PACKET_OK},
     {"syn ack", 33, 0x12, false, true, PACKET_OK},
-    {"syn fin", 33, 0x03, false, true, PACKET_FLAGS},
-    {"syn rst", 33, 0x06, false, true, PACKET_FLAGS},
-    {"syn fin ack", 33, 0x13, false, true, PACKET_FLAGS},
-    {"fin alone", 33, 0x01, false, true, PACKET_FLAGS},
+    {"syn fin", 33, 0x03, false, true, PACKET_BAD_FLAGS},
+    {"syn rst", 33, 0x06, false, true, PACKET_BAD_FLAGS},
+    {"syn fin ack", 33, 0x13, false, true, PACKET_BAD_FLAGS},
+    {"fin alone", 33, 0x01, false, true, PACKET_BAD_FLAGS},
     {"fin ack", 33, 0x11, false, true, PACKET_OK},
-    {"fin rst", 33, 0x05, false, true, PACKET_FLAGS},
+    {"fin rst", 33, 0x05, false, true, PACKET_BAD_FLAGS},
     {"rst", 33, 0x04, false, true, PACKET_OK},
     {"rst ack", 33, 0x14, false, true, PACKET_OK},
-    {"psh alone", 33, 0x08, false, true, PACKET_FLAGS},
+    {"psh alone", 33, 0x08, false, true, PACKET_BAD_FLAGS},
     {"psh ack", 33, 0x18, false, true, PACKET_OK},
-    {"xmas", 33, 0x29, false, true, PACKET_FLAGS},
-    {"all flags", 33, 0xff, false, true, PACKET_FLAGS},
+    {"xmas", 33, 0x29, false, true, PACKET_BAD_FLAGS},
+    {"all flags", 33, 0xff, false, true, PACKET_BAD_FLAGS},
 };
 
 TEST(table)
@@ -178,18 +178,18 @@
 
     buf[25] = 16; /* says 16, holds 17 */
     set_l4_checksum(buf, len);
-    g_assert_cmpint(parse_exact(buf, len, &p), ==, PACKET_SHORT);
+    g_assert_cmpint(parse_exact(buf, len, &p), ==, PACKET_TRUNCATED);
 
     len = packet_build_udp(CALLER, 1, SERVICE, 2, zeros, 9, buf);
     buf[30] ^= 1;
-    g_assert_cmpint(parse_exact(buf, len, &p), ==, PACKET_L4_CHECKSUM);
+    g_assert_cmpint(parse_exact(buf, len, &p), ==, PACKET_BAD_L4_CHECKSUM);
     g_assert_cmpint(packet_parse(buf, len, 0, &p), ==, PACKET_OK);
     set16(buf + 26, 0);
     g_assert_cmpint(parse_exact(buf, len, &p), ==, PACKET_OK);
 
     g_assert_cmpuint(packet_build_udp(1, 1, 2, 2, zeros, 1472, buf), ==, 1500);
     g_assert_cmpuint(packet_build_udp(1, 1, 2, 2, zeros, 1473, buf), ==, 0);
-    g_assert_cmpint(parse_exact(buf, PACKET_MAX + 1, &p), ==, PACKET_LONG);
+    g_assert_cmpint(parse_exact(buf, PACKET_MAX + 1, &p), ==, PACKET_TOO_LONG);
 }
 
 /* A sum of 0 is sent as all ones, since 0 says that there is none. */
@@ -217,7 +217,7 @@
     size_t len = build_tcp(buf, PACKET_TCP_ACK, 60);
 
     for (size_t cut = 0; cut < len; cut++) {
-        g_assert_cmpint(parse_exact(buf, cut, &p), ==, PACKET_SHORT);
+        g_assert_cmpint(parse_exact(buf, cut, &p), ==, PACKET_TRUNCATED);
 
         /* The same with lengths and checksum that agree with the cut */
         uint8_t shorter[PACKET_MAX];
@@ -226,7 +226,7 @@
         set_ip_checksum(shorter);
         enum packet_drop drop = parse_exact(shorter, cut, &p);
         g_assert_cmpint(drop, ==,
-                        cut < 40 ? PACKET_SHORT : PACKET_L4_CHECKSUM);
+                        cut < 40 ? PACKET_TRUNCATED : PACKET_BAD_L4_CHECKSUM);
     }
 }
 
@@ -255,8 +255,8 @@
         if (drop == PACKET_OK)
             g_assert_cmpuint((size_t)p.payload + p.payload_len, ==, len);
     }
-    for (int i = PACKET_OK; i <= PACKET_FLAGS; i++)
-        if (i != PACKET_LONG)
+    for (int i = PACKET_OK; i <= PACKET_BAD_FLAGS; i++)
+        if (i != PACKET_TOO_LONG)
             g_assert_cmpuint(seen[i], >, 0);
 }
 
--- a/tests/packet/rank_test.c
+++ b/tests/packet/rank_test.c
@@ -27,19 +27,19 @@
 }
 
 static uint64_t
-member_at(const struct rank *rank, uint32_t bucket, size_t place)
+member_at(const struct rank *rank, uint32_t bucket, size_t position)
 {
-    uint16_t handle = rank->table[bucket * RANK_DEPTH + place];
+    uint16_t handle = rank->table[bucket * RANK_DEPTH + position];
     return handle == RANK_NONE ? 0 : rank->members[handle];
 }
 
 /* What the definition says, by sorting all scores of one bucket */
 static void
-check_against_definition(const struct rank *rank, uint32_t bucket)
+check_bucket_order(const struct rank *rank, uint32_t bucket)
 {
-    for (size_t place = 0; place < RANK_DEPTH; place++) {
-        uint64_t member = member_at(rank, bucket, place);
-        if (place >= rank->count) {
+    for (size_t position = 0; position < RANK_DEPTH; position++) {
+        uint64_t member = member_at(rank, bucket, position);
+        if (position >= rank->count) {
             g_assert_cmpuint(member, ==, 0);
             continue;
         }
@@ -47,7 +47,7 @@
         size_t better = 0;
         for (size_t i = 0; i < rank->count; i++)
             better += rank_score(rank->members[i], bucket) > score;
-        g_assert_cmpuint(better, ==, place);
+        g_assert_cmpuint(better, ==, position);
     }
 }
 
@@ -62,13 +62,13 @@
         struct rank rank;
         g_assert_cmpint(rank_init(&rank, ids, sizes[i], NULL), ==, 0);
         for (uint32_t bucket = 0; bucket < RANK_BUCKETS; bucket++)
-            check_against_definition(&rank, bucket);
+            check_bucket_order(&rank, bucket);
         rank_finish(&rank);
     }
 }
 
 /* Any sequence of joins and leaves ends in the table of a fresh build. */
-TEST(incremental_equals_fresh)
+TEST(incremental_equals_full_build)
 {
     uint64_t ids[64];
     size_t count = 0;
@@ -113,13 +113,14 @@
     size_t moved = 0;
 
     for (uint32_t bucket = 0; bucket < RANK_BUCKETS; bucket++) {
-        size_t place = 0;
+        size_t position = 0;
         if (member_at(with, bucket, 0) == member)
             moved++;
         for (size_t i = 0; i < RANK_DEPTH; i++) {
             uint64_t id = member_at(with, bucket, i);
             if (id != member)
-                g_assert_cmpuint(id, ==, member_at(without, bucket, place++));
+                g_assert_cmpuint(id, ==,
+                                 member_at(without, bucket, position++));
         }
     }
 
