--- a/src/agent/addresses.h
+++ b/src/agent/addresses.h
@@ -8,7 +8,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "flow/gate.h"
+#include "flow/flow_address.h"
 #include "text/text.h"
 #include "text/text_retire.h"
 
@@ -53,25 +53,25 @@
 /** addresses_find() - what an address is to @service as it is now; @now_ms
  * since 1970, which may differ from the publisher's clock by
  * TEXT_RETIRE_SKEW_MS */
-static inline enum gate_address
+static inline enum flow_address
 addresses_find(const struct addresses *addresses,
                const struct text_service *service, uint32_t ip, uint16_t port,
                uint8_t proto, uint64_t now_ms)
 {
     if (!addresses->removed && service->ip == ip && service->port == port &&
         (uint8_t)service->proto == proto) {
-        return GATE_CURRENT;
+        return FLOW_ADDRESS_CURRENT;
     }
     for (size_t i = 0; i < addresses->count; i++) {
         const struct address *item = &addresses->items[i];
 
         if (item->ip == ip && item->port == port && item->proto == proto) {
             return now_ms + TEXT_RETIRE_SKEW_MS < item->until_ms
-                       ? GATE_RETIRED
-                       : GATE_EXPIRED;
+                       ? FLOW_ADDRESS_RETIRED
+                       : FLOW_ADDRESS_EXPIRED;
         }
     }
-    return GATE_NONE;
+    return FLOW_ADDRESS_NONE;
 }
 
 #endif
--- a/src/agent/gauges.c
+++ b/src/agent/gauges.c
@@ -64,13 +64,13 @@
 {
     struct counter_table *counters = &agent->counters;
     const int *gauges = agent->gauges.handles;
-    size_t embryos = 0;
+    size_t half_open = 0;
 
     pthread_mutex_lock(&agent->flow_lock);
-    size_t flows = flow_count(agent->flows, &embryos);
+    size_t flows = flow_count(agent->flows, &half_open);
     pthread_mutex_unlock(&agent->flow_lock);
     counter_set(counters, gauges[GAUGE_FLOWS], flows);
-    counter_set(counters, gauges[GAUGE_EMBRYOS], embryos);
+    counter_set(counters, gauges[GAUGE_EMBRYOS], half_open);
     counter_set(counters, gauges[GAUGE_BUSY],
                 engine_busy(agent->requests.engine));
     counter_set(counters, gauges[GAUGE_WAITING],
--- a/src/agent/ingress.c
+++ b/src/agent/ingress.c
@@ -176,12 +176,12 @@
 
 /* What the packet's address is to the service served here, by the text in
  * force and not by what a balancer took it for. */
-static enum gate_address
+static enum flow_address
 address_of(const struct agent *agent, const struct gue *gue,
            const struct packet *packet)
 {
     if (gue->service != agent->service.id) {
-        return GATE_NONE;
+        return FLOW_ADDRESS_NONE;
     }
     return agent_address(agent, packet->dst, packet->dport, packet->proto);
 }
@@ -245,19 +245,19 @@
         count_drop(agent, drop);
         return;
     }
-    enum gate_address address = address_of(agent, &gue, &packet);
+    enum flow_address address = address_of(agent, &gue, &packet);
     pthread_mutex_lock(&agent->flow_lock);
     struct flow_decision decision =
-        gate_decide(agent->flows, address, &packet, &gue, now_us);
+        flow_address_decide(agent->flows, address, &packet, &gue, now_us);
     pthread_mutex_unlock(&agent->flow_lock);
     switch (decision.verdict) {
-    case FLOW_TAKE:
+    case FLOW_DELIVER:
         take_packet(agent, &packet, buf, len);
         break;
     case FLOW_OPEN:
         open_flow(agent, &packet, buf, len);
         break;
-    case FLOW_PASS:
+    case FLOW_FORWARD:
         pass_packet(agent, &decision.gue, buf, len);
         break;
     case FLOW_RESET:
--- a/src/agent/notice_wire.c
+++ b/src/agent/notice_wire.c
@@ -28,14 +28,14 @@
 }
 
 GByteArray *
-notice_wire_pack(const struct notice_message *message)
+notice_wire_pack(const struct orphan_message *message)
 {
     Swiftarch__PeerMessage raw = SWIFTARCH__PEER_MESSAGE__INIT;
     Swiftarch__PeerNotice notice = SWIFTARCH__PEER_NOTICE__INIT;
-    uint8_t callers[NOTICE_BATCH_MAX * CALLER_LEN];
+    uint8_t callers[ORPHAN_BATCH_MAX * CALLER_LEN];
     size_t count = message->opened + message->closed;
 
-    g_assert(count <= NOTICE_BATCH_MAX);
+    g_assert(count <= ORPHAN_BATCH_MAX);
     for (size_t i = 0; i < count; i++) {
         write_caller(callers + i * CALLER_LEN, message->callers[i]);
     }
@@ -58,11 +58,11 @@
 /* Appends the callers of @bytes; their count or -EBADMSG. */
 static int
 read_callers(const ProtobufCBinaryData *bytes, size_t used,
-             struct notice_message *message)
+             struct orphan_message *message)
 {
     size_t count = bytes->len / CALLER_LEN;
 
-    if (bytes->len % CALLER_LEN != 0 || count > NOTICE_BATCH_MAX - used) {
+    if (bytes->len % CALLER_LEN != 0 || count > ORPHAN_BATCH_MAX - used) {
         return -EBADMSG;
     }
     for (size_t i = 0; i < count; i++) {
@@ -72,15 +72,16 @@
 }
 
 int
-notice_wire_read(const struct peer_wire *wire, struct notice_message *message)
+notice_wire_read(const struct peer_wire *wire, struct orphan_message *message)
 {
     const Swiftarch__PeerNotice *raw = wire->raw->notice;
 
-    if (raw == NULL || raw->type > NOTICE_ACK || raw->port > UINT16_MAX) {
+    if (raw == NULL || raw->type > ORPHAN_MESSAGE_ACK ||
+        raw->port > UINT16_MAX) {
         return -EBADMSG;
     }
-    *message = (struct notice_message){
-        .type = (enum notice_type)raw->type,
+    *message = (struct orphan_message){
+        .type = (enum orphan_message_type)raw->type,
         .known = raw->known,
         .boot = raw->boot,
         .session = raw->session,
--- a/src/agent/notice_wire.h
+++ b/src/agent/notice_wire.h
@@ -7,14 +7,14 @@
 #include <glib.h>
 
 #include "agent/peer_wire.h"
-#include "notice/message.h"
+#include "orphans/message.h"
 
 /** notice_wire_pack() - bytes of a message */
 GByteArray *
-notice_wire_pack(const struct notice_message *message);
+notice_wire_pack(const struct orphan_message *message);
 
 /** notice_wire_read() - the message that @wire carries; 0 or -EBADMSG */
 int
-notice_wire_read(const struct peer_wire *wire, struct notice_message *message);
+notice_wire_read(const struct peer_wire *wire, struct orphan_message *message);
 
 #endif
--- a/src/agent/notices.c
+++ b/src/agent/notices.c
@@ -5,7 +5,7 @@
 #include "agent/notice_wire.h"
 #include "agent/program.h"
 #include "base/log.h"
-#include "notice/segment.h"
+#include "orphans/segment.h"
 
 #define PROBES_AT_ONCE 64
 
@@ -26,32 +26,32 @@
 void
 notices_init(struct agent *agent)
 {
-    notice_init(&agent->notices.core, (uint64_t)g_get_real_time());
+    orphan_init(&agent->notices.core, (uint64_t)g_get_real_time());
 }
 
 void
 notices_finish(struct agent *agent)
 {
-    notice_finish(&agent->notices.core);
+    orphan_finish(&agent->notices.core);
 }
 
 void
 notices_set_view(struct agent *agent, const struct view *view)
 {
-    notice_set_view(&agent->notices.core, view, agent_now(agent));
+    orphan_set_view(&agent->notices.core, view, agent_now(agent));
 }
 
 void
 notices_flow(struct agent *agent, const struct stack_conn *conn, bool open)
 {
-    struct notice *core = &agent->notices.core;
+    struct orphans *core = &agent->notices.core;
     struct addr caller = stack_conn_peer(conn);
     struct addr service = stack_conn_local(conn);
 
     if (!open) {
-        notice_closed(core, caller, service);
+        orphan_flow_closed(core, caller, service);
     }
-    else if (notice_opened(core, caller, service) < 0) {
+    else if (orphan_flow_opened(core, caller, service) < 0) {
         g_info("A flow is not told to a backup: no room.");
     }
 }
@@ -60,9 +60,9 @@
 notices_receive(struct agent *agent, uint64_t from,
                 const struct peer_wire *wire)
 {
-    struct notice *core = &agent->notices.core;
-    struct notice_message message;
-    struct notice_message reply;
+    struct orphans *core = &agent->notices.core;
+    struct orphan_message message;
+    struct orphan_message reply;
     bool answer = false;
 
     if (notice_wire_read(wire, &message) < 0) {
@@ -72,7 +72,7 @@
     rcu_read_lock();
     const struct view *view = board_view(&agent->board);
     if (view != NULL) {
-        answer = notice_receive(core, view, from, &message, agent_now(agent),
+        answer = orphan_receive(core, view, from, &message, agent_now(agent),
                                 &reply);
     }
     rcu_read_unlock();
@@ -85,10 +85,10 @@
 send_messages(struct agent *agent, uint64_t now_us)
 {
     struct notices *notices = &agent->notices;
-    struct notice_message message;
+    struct orphan_message message;
     uint64_t to;
 
-    while (notice_next(&notices->core, now_us, &to, &message)) {
+    while (orphan_next_message(&notices->core, now_us, &to, &message)) {
         /* What fails to be sent is sent again without an answer. */
         peer_links_send_notice(agent, to, &message);
         counter_add(&agent->counters, 0, notices->batches, 1);
@@ -96,11 +96,11 @@
 }
 
 static void
-send_probe(struct agent *agent, const struct notice_probe *probe)
+send_probe(struct agent *agent, const struct orphan_probe *probe)
 {
     uint8_t buf[SEGMENT_PROBE_LEN];
-    size_t len =
-        packet_build_probe(probe->service, probe->caller, g_random_int(), buf);
+    size_t len = segment_build_probe(probe->service, probe->caller,
+                                     g_random_int(), buf);
 
     egress_foreign(agent, buf, len);
 }
@@ -109,11 +109,12 @@
 send_probes(struct agent *agent, uint64_t now_us)
 {
     struct notices *notices = &agent->notices;
-    struct notice_probe probes[PROBES_AT_ONCE];
+    struct orphan_probe probes[PROBES_AT_ONCE];
     size_t count;
 
     do {
-        count = notice_probes(&notices->core, now_us, probes, PROBES_AT_ONCE);
+        count =
+            orphan_next_probes(&notices->core, now_us, probes, PROBES_AT_ONCE);
         for (size_t i = 0; i < count; i++) {
             send_probe(agent, &probes[i]);
         }
@@ -126,7 +127,7 @@
 {
     uint64_t now_us = agent_now(agent);
 
-    notice_tick(&agent->notices.core, now_us);
+    orphan_tick(&agent->notices.core, now_us);
     send_messages(agent, now_us);
     send_probes(agent, now_us);
 }
@@ -136,7 +137,8 @@
 {
     struct notices *notices = &agent->notices;
 
-    counter_set(&agent->counters, notices->held, notice_held(&notices->core));
+    counter_set(&agent->counters, notices->held,
+                orphan_replicated_flows(&notices->core));
     counter_set(&agent->counters, notices->refused,
                 notices->core.backup.refused);
 }
--- a/src/agent/notices.h
+++ b/src/agent/notices.h
@@ -1,5 +1,5 @@
 /**
- * DOC: notices - tells callers of other hosts' deaths, see src/notice
+ * DOC: notices - tells callers of other hosts' deaths, see src/orphans
  *
  * Hands flows and views to the core, sends its messages over the peer
  * links and its probes to the fabric. From the event loop only.
@@ -11,7 +11,7 @@
 #include <stdint.h>
 
 #include "control/view.h"
-#include "notice/notice.h"
+#include "orphans/orphans.h"
 #include "stack/stack.h"
 
 struct agent;
@@ -26,7 +26,7 @@
  * @refused: gauge handle, flows and owners there was no room for
  */
 struct notices {
-    struct notice core;
+    struct orphans core;
     int batches;
     int probes;
     int held;
--- a/src/agent/peer_links.c
+++ b/src/agent/peer_links.c
@@ -327,7 +327,7 @@
 
 int
 peer_links_send_notice(struct agent *agent, uint64_t member,
-                       const struct notice_message *message)
+                       const struct orphan_message *message)
 {
     GByteArray *body = notice_wire_pack(message);
     int ret = send_bytes(agent, member, body);
--- a/src/agent/peer_links.h
+++ b/src/agent/peer_links.h
@@ -13,7 +13,7 @@
 
 #include "base/auth.h"
 #include "base/link.h"
-#include "notice/message.h"
+#include "orphans/message.h"
 #include "request/engine.h"
 
 struct agent;
@@ -64,7 +64,7 @@
  * peer_links_send() */
 int
 peer_links_send_notice(struct agent *agent, uint64_t member,
-                       const struct notice_message *message);
+                       const struct orphan_message *message);
 
 /** peer_links_send_pins() - send the pins that are due; about once a second */
 void
--- a/src/agent/program.h
+++ b/src/agent/program.h
@@ -130,12 +130,12 @@
 
 /** agent_address() - what an address is to the service served here, by the
  * text in force */
-static inline enum gate_address
+static inline enum flow_address
 agent_address(const struct agent *agent, uint32_t ip, uint16_t port,
               uint8_t proto)
 {
     if (!agent->service_known) {
-        return GATE_NONE;
+        return FLOW_ADDRESS_NONE;
     }
     return addresses_find(&agent->addresses, &agent->service, ip, port, proto,
                           (uint64_t)g_get_real_time() / USEC_PER_MSEC);
--- a/src/agent/refresh.c
+++ b/src/agent/refresh.c
@@ -76,7 +76,8 @@
 static bool
 is_ours(const void *arg, struct addr local)
 {
-    return agent_address(arg, local.ip, local.port, TEXT_TCP) != GATE_NONE;
+    return agent_address(arg, local.ip, local.port, TEXT_TCP) !=
+           FLOW_ADDRESS_NONE;
 }
 
 /* Flows to an address that the text leaves to nobody or to others get no
--- a/src/agent/requests.c
+++ b/src/agent/requests.c
@@ -85,7 +85,8 @@
 static bool
 is_served(const struct agent *agent, struct addr local)
 {
-    return agent_address(agent, local.ip, local.port, TEXT_TCP) != GATE_NONE;
+    return agent_address(agent, local.ip, local.port, TEXT_TCP) !=
+           FLOW_ADDRESS_NONE;
 }
 
 static void
--- a/src/flow/decide.c
+++ b/src/flow/decide.c
@@ -1,23 +1,24 @@
 #include "flow/flow.h"
 
 #include "flow/flow_private.h"
-#include "flow/walk.h"
+#include "flow/hop_list.h"
 
 #define PROTO_TCP 6
 #define PROTO_UDP 17
 
 /* A flood of openings or of datagrams displaces only its own kind. */
-#define EMBRYO_SHARE 4
-#define DATAGRAM_SHARE 2
+#define HALF_OPEN_DIVISOR 4
+#define DATAGRAM_DIVISOR 2
 
 static struct flow_decision
-pass_on(const struct walk *walk)
+forward_to_hop(const struct hop_list *hop_list)
 {
-    return (struct flow_decision){.verdict = FLOW_PASS, .gue = walk->gue};
+    return (struct flow_decision){.verdict = FLOW_FORWARD,
+                                  .gue = hop_list->gue};
 }
 
 static struct flow_decision
-take(enum flow_verdict verdict)
+accept_packet(enum flow_verdict verdict)
 {
     return (struct flow_decision){.verdict = verdict};
 }
@@ -29,15 +30,16 @@
 }
 
 static void
-walk_begin(struct walk *walk, const struct flow_table *table,
-           const struct packet *packet, const struct gue *gue, uint64_t now_us)
+hop_list_begin(struct hop_list *hop_list, const struct flow_table *table,
+               const struct packet *packet, const struct gue *gue,
+               uint64_t now_us)
 {
-    walk->members = &table->members;
-    walk->pins = &table->pins;
-    walk->self = table->self;
-    walk->now_us = now_us;
-    walk->bucket = rank_bucket(packet_flow_hash(packet));
-    walk_init(walk, gue);
+    hop_list->members = &table->members;
+    hop_list->pins = &table->pins;
+    hop_list->self = table->self;
+    hop_list->now_us = now_us;
+    hop_list->bucket = rank_bucket(packet_flow_hash(packet));
+    hop_list_init(hop_list, gue);
 }
 
 static bool
@@ -49,14 +51,14 @@
 }
 
 /*
- * Whether an embryo's packet proves that the caller talks to us: another
- * agent may have answered the same SYN, with another sequence number.
+ * Whether an oldest's packet proves that the caller talks to us: another
+ * agent may have isn_known the same SYN, with another sequence number.
  */
 static bool
 acknowledges(const struct entry *entry, const struct packet *packet)
 {
     if ((packet->flags & PACKET_TCP_ACK) != 0) {
-        return entry->answered && packet->ack == entry->isn + 1;
+        return entry->isn_known && packet->ack == entry->isn + 1;
     }
     return (packet->flags & PACKET_TCP_RST) != 0 &&
            packet->seq == entry->caller_isn + 1;
@@ -64,62 +66,63 @@
 
 /* Whether a known flow takes the packet. */
 static bool
-take_known(struct flow_table *table, struct entry *entry,
-           const struct packet *packet, uint64_t now_us)
+accept_known(struct flow_table *table, struct entry *entry,
+             const struct packet *packet, uint64_t now_us)
 {
     switch (entry->state) {
     case ENTRY_ESTABLISHED:
         return true;
     case ENTRY_DATAGRAM:
-        entries_use(&table->entries, entry, ENTRY_DATAGRAM, now_us);
+        entries_touch(&table->entries, entry, ENTRY_DATAGRAM, now_us);
         return true;
     default:
         break;
     }
     if (is_open(packet)) {
-        entries_use(&table->entries, entry, ENTRY_EMBRYO, now_us);
+        entries_touch(&table->entries, entry, ENTRY_HALF_OPEN, now_us);
         return true;
     }
     if (!acknowledges(entry, packet)) {
         return false;
     }
     if ((packet->flags & PACKET_TCP_RST) == 0) {
-        entries_use(&table->entries, entry, ENTRY_ESTABLISHED, now_us);
+        entries_touch(&table->entries, entry, ENTRY_ESTABLISHED, now_us);
     }
     return true;
 }
 
 /* Makes room for one more entry of @state; false when there is none. */
 static bool
-make_room(struct flow_table *table, enum entry_state state)
+reserve_entry(struct flow_table *table, enum entry_state state)
 {
     struct entries *entries = &table->entries;
-    size_t share = state == ENTRY_EMBRYO ? EMBRYO_SHARE : DATAGRAM_SHARE;
-    size_t bound = (entries->capacity + share - 1) / share;
+    size_t divisor =
+        state == ENTRY_HALF_OPEN ? HALF_OPEN_DIVISOR : DATAGRAM_DIVISOR;
+    size_t bound = (entries->capacity + divisor - 1) / divisor;
 
     if (entries->lists[state].count >= bound) {
         entries_remove(entries, entries_oldest(entries, state));
     }
     else if (entries->used == entries->capacity) {
-        struct entry *embryo = entries_oldest(entries, ENTRY_EMBRYO);
+        struct entry *oldest = entries_oldest(entries, ENTRY_HALF_OPEN);
 
-        if (embryo == NULL) {
+        if (oldest == NULL) {
             return false;
         }
-        entries_remove(entries, embryo);
+        entries_remove(entries, oldest);
     }
     return true;
 }
 
 static struct flow_decision
-open_here(struct flow_table *table, const struct packet *packet,
-          uint64_t now_us)
+open_new_flow(struct flow_table *table, const struct packet *packet,
+              uint64_t now_us)
 {
     enum entry_state state =
-        packet->proto == PROTO_UDP ? ENTRY_DATAGRAM : ENTRY_EMBRYO;
+        packet->proto == PROTO_UDP ? ENTRY_DATAGRAM : ENTRY_HALF_OPEN;
     struct entry *entry = NULL;
 
-    if (make_room(table, state)) {
+    if (reserve_entry(table, state)) {
         entry = entries_add(&table->entries, packet, table->service, state,
                             now_us);
     }
@@ -127,7 +130,7 @@
         return drop(PACKET_NO_ENDPOINT);
     }
     registrar_mark(&table->registrar, entry->bucket);
-    return take(FLOW_OPEN);
+    return accept_packet(FLOW_OPEN);
 }
 
 static bool
@@ -143,7 +146,7 @@
 /* An older agent in whatever state: it may not have heard of us yet, and
  * reset what we own. At a cold start there is none. */
 static bool
-has_elder(const struct flow_table *table)
+has_older_agent(const struct flow_table *table)
 {
     const struct members *members = &table->members;
     const struct member_copy *self = members_find(members, table->self);
@@ -153,7 +156,7 @@
         const struct member_copy *member = &members->items[i];
 
         if (member->health != MEMBER_DEAD &&
-            member->incarnation + FLOW_HOLD_US < self->incarnation) {
+            member->incarnation + FLOW_START_DELAY_US < self->incarnation) {
             return true;
         }
     }
@@ -161,9 +164,9 @@
 }
 
 static bool
-is_held(const struct flow_table *table, uint64_t now_us)
+is_start_delayed(const struct flow_table *table, uint64_t now_us)
 {
-    return now_us < table->hold_until_us && has_elder(table);
+    return now_us < table->start_delay_until_us && has_older_agent(table);
 }
 
 /*
@@ -175,147 +178,154 @@
 decide_open(struct flow_table *table, const struct packet *packet,
             const struct gue *gue, uint64_t now_us)
 {
-    struct walk walk;
+    struct hop_list hop_list;
 
     if (may_open(table) && (gue->flags & GUE_OPEN) != 0 &&
-        !is_held(table, now_us)) {
-        return open_here(table, packet, now_us);
+        !is_start_delayed(table, now_us)) {
+        return open_new_flow(table, packet, now_us);
     }
-    walk_begin(&walk, table, packet, gue, now_us);
-    walk_keep_openers(&walk);
-    if (walk_step(&walk)) {
-        return pass_on(&walk);
+    hop_list_begin(&hop_list, table, packet, gue, now_us);
+    hop_list_keep_accepting(&hop_list);
+    if (hop_list_advance(&hop_list)) {
+        return forward_to_hop(&hop_list);
     }
-    walk_append(&walk, true);
-    if (walk_step(&walk)) {
-        return pass_on(&walk);
+    hop_list_append(&hop_list, true);
+    if (hop_list_advance(&hop_list)) {
+        return forward_to_hop(&hop_list);
     }
     return drop(PACKET_NO_ENDPOINT);
 }
 
 /* Continuations cost hops, and forged packets ask for them too. */
 static bool
-stage_allowed(struct flow_table *table, uint64_t now_us)
+may_continue_list(struct flow_table *table, uint64_t now_us)
 {
-    uint64_t filled =
-        (now_us - table->stages_us) * FLOW_STAGES_PER_S / USEC_PER_SEC;
+    uint64_t filled = (now_us - table->continuation_tokens_us) *
+                      FLOW_CONTINUATIONS_PER_S / USEC_PER_SEC;
 
-    if (now_us < table->stages_us) {
+    if (now_us < table->continuation_tokens_us) {
         return false;
     }
     if (filled > 0) {
-        table->stages += filled;
-        table->stages_us = now_us;
+        table->continuation_tokens += filled;
+        table->continuation_tokens_us = now_us;
     }
-    if (table->stages > FLOW_STAGES_PER_S) {
-        table->stages = FLOW_STAGES_PER_S;
+    if (table->continuation_tokens > FLOW_CONTINUATIONS_PER_S) {
+        table->continuation_tokens = FLOW_CONTINUATIONS_PER_S;
     }
-    if (table->stages == 0) {
+    if (table->continuation_tokens == 0) {
         return false;
     }
-    table->stages--;
+    table->continuation_tokens--;
     return true;
 }
 
 /* Nobody that was asked knows the flow. */
 static struct flow_decision
 decide_exhausted(const struct flow_table *table, const struct packet *packet,
-                 const struct walk *walk, bool rest, uint64_t now_us)
+                 const struct hop_list *hop_list, bool unlisted,
+                 uint64_t now_us)
 {
-    bool settled = now_us >= table->members.joined_us + FLOW_SETTLE_US;
+    bool pins_complete =
+        now_us >= table->members.joined_us + FLOW_JOIN_GRACE_US;
 
     if ((packet->flags & PACKET_TCP_RST) != 0 || is_open(packet)) {
         return drop(PACKET_HOP_LIMIT);
     }
-    if ((walk->gue.flags & GUE_SUSPECTS) != 0 || table->members.suspects) {
+    if ((hop_list->gue.flags & GUE_SUSPECTS) != 0 || table->members.suspects) {
         return drop(PACKET_HOP_LIMIT);
     }
     /* A newcomer may not have heard of all members yet. */
-    if (now_us < table->hold_until_us && !settled) {
+    if (now_us < table->start_delay_until_us && !pins_complete) {
         return drop(PACKET_HOP_LIMIT);
     }
     /* Not all were asked: only pins tell that the others own nothing. */
-    if (rest && !settled) {
+    if (unlisted && !pins_complete) {
         return drop(PACKET_HOP_LIMIT);
     }
-    return take(FLOW_RESET);
+    return accept_packet(FLOW_RESET);
 }
 
 static struct flow_decision
-decide_walk(struct flow_table *table, const struct packet *packet,
-            const struct gue *gue, uint64_t now_us)
+decide_existing(struct flow_table *table, const struct packet *packet,
+                const struct gue *gue, uint64_t now_us)
 {
-    struct walk walk;
-    bool rest;
-
-    walk_begin(&walk, table, packet, gue, now_us);
-    if (walk_stage(&walk) == 0) {
-        walk_merge(&walk);
-    }
-    if (walk_order(&walk) && walk_step(&walk)) {
-        return pass_on(&walk);
-    }
-    rest = walk_append(&walk, false);
-    if (walk_step(&walk)) {
-        return pass_on(&walk);
-    }
-    if (rest && walk_stage(&walk) < FLOW_STAGES_MAX &&
-        stage_allowed(table, now_us)) {
-        walk_continue(&walk);
-        if (walk_step(&walk)) {
-            return pass_on(&walk);
+    struct hop_list hop_list;
+    bool unlisted;
+
+    hop_list_begin(&hop_list, table, packet, gue, now_us);
+    if (hop_list_continuations(&hop_list) == 0) {
+        hop_list_merge(&hop_list);
+    }
+    if (hop_list_order(&hop_list) && hop_list_advance(&hop_list)) {
+        return forward_to_hop(&hop_list);
+    }
+    unlisted = hop_list_append(&hop_list, false);
+    if (hop_list_advance(&hop_list)) {
+        return forward_to_hop(&hop_list);
+    }
+    if (unlisted &&
+        hop_list_continuations(&hop_list) < FLOW_CONTINUATIONS_MAX &&
+        may_continue_list(table, now_us)) {
+        hop_list_continue(&hop_list);
+        if (hop_list_advance(&hop_list)) {
+            return forward_to_hop(&hop_list);
         }
     }
-    return decide_exhausted(table, packet, &walk, rest, now_us);
+    return decide_exhausted(table, packet, &hop_list, unlisted, now_us);
 }
 
-/* The second round of a datagram without an owner: the first to take it. */
+/* The second round of a datagram without an owner: the first to accept_packet
+ * it. */
 static struct flow_decision
 decide_datagram_open(struct flow_table *table, const struct packet *packet,
-                     struct walk *walk, uint64_t now_us)
+                     struct hop_list *hop_list, uint64_t now_us)
 {
     if (may_open(table)) {
-        return open_here(table, packet, now_us);
+        return open_new_flow(table, packet, now_us);
     }
-    walk_keep_openers(walk);
-    return walk_step(walk) ? pass_on(walk) : drop(PACKET_NO_ENDPOINT);
+    hop_list_keep_accepting(hop_list);
+    return hop_list_advance(hop_list) ? forward_to_hop(hop_list)
+                                      : drop(PACKET_NO_ENDPOINT);
 }
 
 static struct flow_decision
 decide_datagram(struct flow_table *table, const struct packet *packet,
                 const struct gue *gue, uint64_t now_us)
 {
-    struct walk walk;
+    struct hop_list hop_list;
 
-    walk_begin(&walk, table, packet, gue, now_us);
+    hop_list_begin(&hop_list, table, packet, gue, now_us);
     if ((gue->flags & FLOW_GUE_OPEN_NOW) != 0) {
-        return decide_datagram_open(table, packet, &walk, now_us);
+        return decide_datagram_open(table, packet, &hop_list, now_us);
     }
-    walk_merge(&walk);
-    if (walk_order(&walk) && walk_step(&walk)) {
-        return pass_on(&walk);
+    hop_list_merge(&hop_list);
+    if (hop_list_order(&hop_list) && hop_list_advance(&hop_list)) {
+        return forward_to_hop(&hop_list);
     }
-    walk_append(&walk, false);
-    if (walk_step(&walk)) {
-        return pass_on(&walk);
+    hop_list_append(&hop_list, false);
+    if (hop_list_advance(&hop_list)) {
+        return forward_to_hop(&hop_list);
     }
-    walk.gue.flags |= FLOW_GUE_OPEN_NOW;
-    walk.gue.index = 0;
-    if (walk.gue.hops[0].member == table->self) {
-        return decide_datagram_open(table, packet, &walk, now_us);
+    hop_list.gue.flags |= FLOW_GUE_OPEN_NOW;
+    hop_list.gue.index = 0;
+    if (hop_list.gue.hops[0].member == table->self) {
+        return decide_datagram_open(table, packet, &hop_list, now_us);
     }
-    return pass_on(&walk);
+    return forward_to_hop(&hop_list);
 }
 
 /* A packet for another service than ours is never taken here. */
 static struct flow_decision
-decide_foreign(const struct flow_table *table, const struct packet *packet,
-               const struct gue *gue, uint64_t now_us)
+decide_other_service(const struct flow_table *table,
+                     const struct packet *packet, const struct gue *gue,
+                     uint64_t now_us)
 {
-    struct walk walk;
+    struct hop_list hop_list;
 
-    walk_begin(&walk, table, packet, gue, now_us);
-    return walk_step(&walk) ? pass_on(&walk) : drop(PACKET_NO_SERVICE);
+    hop_list_begin(&hop_list, table, packet, gue, now_us);
+    return hop_list_advance(&hop_list) ? forward_to_hop(&hop_list)
+                                       : drop(PACKET_NO_SERVICE);
 }
 
 struct flow_decision
@@ -329,12 +339,12 @@
         return drop(PACKET_NO_SERVICE);
     }
     if (entry != NULL && entry->service == gue->service &&
-        take_known(table, entry, packet, now_us)) {
-        return take(FLOW_TAKE);
+        accept_known(table, entry, packet, now_us)) {
+        return accept_packet(FLOW_DELIVER);
     }
     if (gue->service != table->service ||
         (entry != NULL && entry->service != gue->service)) {
-        return decide_foreign(table, packet, gue, now_us);
+        return decide_other_service(table, packet, gue, now_us);
     }
     if (packet->proto == PROTO_UDP) {
         return decide_datagram(table, packet, gue, now_us);
@@ -342,5 +352,5 @@
     if (is_open(packet)) {
         return decide_open(table, packet, gue, now_us);
     }
-    return decide_walk(table, packet, gue, now_us);
+    return decide_existing(table, packet, gue, now_us);
 }
--- a/src/flow/entries.c
+++ b/src/flow/entries.c
@@ -34,7 +34,7 @@
 }
 
 static bool
-entry_is(const struct entry *entry, const struct packet *packet)
+entry_matches(const struct entry *entry, const struct packet *packet)
 {
     return entry->src == packet->src && entry->dst == packet->dst &&
            entry->sport == packet->sport && entry->dport == packet->dport &&
@@ -42,12 +42,13 @@
 }
 
 static void
-chain_all(struct entries *entries)
+entries_rehash(struct entries *entries)
 {
     uint32_t i;
 
-    /* Grown only when no entry is free, so all below @fresh are in use. */
-    for (i = 0; i < entries->fresh; i++) {
+    /* Grown only when no entry is free, so all below @next_unused are in use.
+     */
+    for (i = 0; i < entries->next_unused; i++) {
         struct entry *entry = &entries->items[i];
         size_t chain = chain_of(entries, hash_of(entry));
 
@@ -75,7 +76,7 @@
     free(entries->chains);
     entries->chains = chains;
     entries->allocated = allocated;
-    chain_all(entries);
+    entries_rehash(entries);
     return 0;
 }
 
@@ -124,7 +125,7 @@
     while (at != ENTRIES_NONE) {
         struct entry *entry = &entries->items[at];
 
-        if (entry_is(entry, packet)) {
+        if (entry_matches(entry, packet)) {
             return entry;
         }
         at = entry->chain;
@@ -174,7 +175,7 @@
 
 /* Index of an unused entry, or ENTRIES_NONE. */
 static uint32_t
-entry_take(struct entries *entries)
+entry_alloc(struct entries *entries)
 {
     uint32_t index = entries->free;
 
@@ -185,11 +186,11 @@
         entries->free = entries->items[index].chain;
         return index;
     }
-    if (entries->fresh == entries->allocated &&
+    if (entries->next_unused == entries->allocated &&
         entries_grow(entries, 2 * entries->allocated) < 0) {
         return ENTRIES_NONE;
     }
-    return entries->fresh++;
+    return entries->next_unused++;
 }
 
 struct entry *
@@ -197,7 +198,7 @@
             uint32_t service, enum entry_state state, uint64_t now_us)
 {
     uint64_t hash = packet_flow_hash(packet);
-    uint32_t index = entry_take(entries);
+    uint32_t index = entry_alloc(entries);
     struct entry *entry;
     size_t chain;
 
@@ -242,8 +243,8 @@
 }
 
 void
-entries_use(struct entries *entries, struct entry *entry,
-            enum entry_state state, uint64_t now_us)
+entries_touch(struct entries *entries, struct entry *entry,
+              enum entry_state state, uint64_t now_us)
 {
     list_remove(entries, entry);
     list_append(entries, entry, state);
--- a/src/flow/entries.h
+++ b/src/flow/entries.h
@@ -18,7 +18,7 @@
 
 /** enum entry_state - also names the list that an entry is on */
 enum entry_state {
-    ENTRY_EMBRYO,      /* SYN taken, our SYN-ACK not acknowledged yet */
+    ENTRY_HALF_OPEN,   /* SYN taken, our SYN-ACK not acknowledged yet */
     ENTRY_ESTABLISHED, /* acknowledged: ours until it is closed */
     ENTRY_DATAGRAM,    /* UDP, until it is idle for long */
     ENTRY_STATES
@@ -27,7 +27,7 @@
 /**
  * struct entry - a flow, by its caller's side
  * @state: enum entry_state
- * @answered: @isn is known
+ * @isn_known: @isn is known
  * @bucket: its rank bucket
  * @service: service it was opened for
  * @isn: sequence number of our SYN-ACK
@@ -43,7 +43,7 @@
     uint16_t dport;
     uint8_t proto;
     uint8_t state;
-    bool answered;
+    bool isn_known;
     uint16_t bucket;
     uint32_t service;
     uint32_t isn;
@@ -65,8 +65,8 @@
  * struct entries - all flows
  * @items: @allocated entries, grown up to @capacity
  * @chains: @allocated heads of the hash chains, a power of two
- * @fresh: entries from here on were never used
- * @free: first of the unused ones below @fresh
+ * @next_unused: entries from here on were never used
+ * @free: first of the unused ones below @next_unused
  * @buckets: flows in each of RANK_BUCKETS buckets
  */
 struct entries {
@@ -75,7 +75,7 @@
     uint32_t *buckets;
     size_t allocated;
     size_t capacity;
-    uint32_t fresh;
+    uint32_t next_unused;
     uint32_t free;
     size_t used;
     struct entry_list lists[ENTRY_STATES];
@@ -107,10 +107,10 @@
 void
 entries_remove(struct entries *entries, struct entry *entry);
 
-/** entries_use() - move @entry to the newest end of the list of @state */
+/** entries_touch() - move @entry to the newest end of the list of @state */
 void
-entries_use(struct entries *entries, struct entry *entry,
-            enum entry_state state, uint64_t now_us);
+entries_touch(struct entries *entries, struct entry *entry,
+              enum entry_state state, uint64_t now_us);
 
 /** entries_oldest() - the longest unused of @state, or NULL */
 struct entry *
--- a/src/flow/flow.c
+++ b/src/flow/flow.c
@@ -15,7 +15,7 @@
         return NULL;
     }
     table->self = self;
-    table->stages = FLOW_STAGES_PER_S;
+    table->continuation_tokens = FLOW_CONTINUATIONS_PER_S;
     if (entries_init(&table->entries, capacity) < 0) {
         goto err;
     }
@@ -59,7 +59,7 @@
         return rc;
     }
     if (service != table->service) {
-        table->hold_until_us = now_us + FLOW_HOLD_US;
+        table->start_delay_until_us = now_us + FLOW_START_DELAY_US;
     }
     table->service = service;
     table->accept = accept;
@@ -79,13 +79,13 @@
                          .proto = out->proto};
     struct entry *entry = entries_find(&table->entries, &key);
 
-    if (entry == NULL || entry->state != ENTRY_EMBRYO) {
+    if (entry == NULL || entry->state != ENTRY_HALF_OPEN) {
         return;
     }
     entry->isn = out->seq;
-    entry->answered = true;
+    entry->isn_known = true;
     /* Sent again: the handshake may still be finished. */
-    entries_use(&table->entries, entry, ENTRY_EMBRYO, table->now_us);
+    entries_touch(&table->entries, entry, ENTRY_HALF_OPEN, table->now_us);
 }
 
 void
@@ -99,10 +99,10 @@
 }
 
 size_t
-flow_count(const struct flow_table *table, size_t *embryos)
+flow_count(const struct flow_table *table, size_t *half_open)
 {
-    if (embryos != NULL) {
-        *embryos = table->entries.lists[ENTRY_EMBRYO].count;
+    if (half_open != NULL) {
+        *half_open = table->entries.lists[ENTRY_HALF_OPEN].count;
     }
     return table->entries.used;
 }
@@ -149,7 +149,7 @@
 flow_tick(struct flow_table *table, uint64_t now_us)
 {
     table->now_us = now_us;
-    expire(&table->entries, ENTRY_EMBRYO, FLOW_EMBRYO_TTL_US, now_us);
+    expire(&table->entries, ENTRY_HALF_OPEN, FLOW_HALF_OPEN_TTL_US, now_us);
     expire(&table->entries, ENTRY_DATAGRAM, FLOW_DATAGRAM_TTL_US, now_us);
     pins_expire(&table->pins, now_us);
 }
--- a/src/flow/flow.h
+++ b/src/flow/flow.h
@@ -9,7 +9,7 @@
  * acknowledge the sequence number we sent, so that a retransmitted SYN
  * that reached another agent cannot make two owners.
  *
- * An owner that its own view ranks past FLOW_REACH for a bucket registers
+ * An owner that its own view ranks past FLOW_CANDIDATES for a bucket registers
  * (a pin) with the first candidates of that bucket, which then put it on
  * the list of packets they do not know.
  */
@@ -29,11 +29,11 @@
 
 /** enum flow_verdict - what to do with a packet */
 enum flow_verdict {
-    FLOW_TAKE,  /* ours: hand it to the stack or the datagram relay */
-    FLOW_OPEN,  /* take it and open a flow */
-    FLOW_PASS,  /* send it to decision.gue.hops[decision.gue.index] */
-    FLOW_RESET, /* answer with a reset */
-    FLOW_DROP   /* drop, reason in decision.drop */
+    FLOW_DELIVER, /* ours: hand it to the stack or the datagram relay */
+    FLOW_OPEN,    /* take it and open a flow */
+    FLOW_FORWARD, /* send it to decision.gue.hops[decision.gue.index] */
+    FLOW_RESET,   /* answer with a reset */
+    FLOW_DROP     /* drop, reason in decision.drop */
 };
 
 /** struct flow_decision - verdict with its arguments */
@@ -68,7 +68,7 @@
 /**
  * flow_decide() - decide about a packet that came with @gue
  *
- * Changes the table: a FLOW_OPEN adds an embryonic flow; a FLOW_TAKE of the
+ * Changes the table: a FLOW_OPEN adds an embryonic flow; a FLOW_DELIVER of the
  * handshake's last packet establishes it.
  */
 struct flow_decision
@@ -83,9 +83,9 @@
 void
 flow_close(struct flow_table *table, const struct packet *key);
 
-/** flow_count() - flows held; @embryos of them not yet established */
+/** flow_count() - flows held; @half_open of them not yet established */
 size_t
-flow_count(const struct flow_table *table, size_t *embryos);
+flow_count(const struct flow_table *table, size_t *half_open);
 
 /**
  * flow_pins_due() - pins that this owner must send now
@@ -102,7 +102,7 @@
 flow_pin_add(struct flow_table *table, const struct flow_pin *pin,
              uint64_t now_us);
 
-/** flow_tick() - drop expired embryos and pins; call about once a second */
+/** flow_tick() - drop expired half_open and pins; call about once a second */
 void
 flow_tick(struct flow_table *table, uint64_t now_us);
 
--- a/src/flow/gate.c
+++ b/src/flow/flow_address.c
@@ -1,4 +1,4 @@
-#include "flow/gate.h"
+#include "flow/flow_address.h"
 
 #define PROTO_UDP 17
 
@@ -9,9 +9,9 @@
 }
 
 static struct flow_decision
-pass_along(const struct gue *gue)
+forward_to_next(const struct gue *gue)
 {
-    struct flow_decision decision = {.verdict = FLOW_PASS, .gue = *gue};
+    struct flow_decision decision = {.verdict = FLOW_FORWARD, .gue = *gue};
 
     if (gue->index + 1 >= gue->count) {
         return drop(PACKET_NO_SERVICE);
@@ -37,7 +37,7 @@
         flow_close(table, packet);
         return drop(PACKET_NO_ENDPOINT);
     }
-    if (decision->verdict == FLOW_PASS &&
+    if (decision->verdict == FLOW_FORWARD &&
         (decision->gue.flags & FLOW_GUE_OPEN_NOW) != 0 &&
         (gue->flags & FLOW_GUE_OPEN_NOW) == 0) {
         return drop(PACKET_NO_ENDPOINT);
@@ -73,18 +73,18 @@
 }
 
 struct flow_decision
-gate_decide(struct flow_table *table, enum gate_address address,
-            const struct packet *packet, const struct gue *gue,
-            uint64_t now_us)
+flow_address_decide(struct flow_table *table, enum flow_address address,
+                    const struct packet *packet, const struct gue *gue,
+                    uint64_t now_us)
 {
     switch (address) {
-    case GATE_CURRENT:
+    case FLOW_ADDRESS_CURRENT:
         return flow_decide(table, packet, gue, now_us);
-    case GATE_RETIRED:
+    case FLOW_ADDRESS_RETIRED:
         return decide_retired(table, packet, gue, now_us);
-    case GATE_EXPIRED:
+    case FLOW_ADDRESS_EXPIRED:
         return decide_expired(table, packet, gue, now_us);
     default:
-        return pass_along(gue);
+        return forward_to_next(gue);
     }
 }
--- a/src/flow/gate.h
+++ b/src/flow/flow_address.h
@@ -14,18 +14,23 @@
  *   along its list, and is dropped at the end. It is never taken, nor is its
  *   caller told anything.
  */
-#ifndef SWIFTARCH_FLOW_GATE_H
-#define SWIFTARCH_FLOW_GATE_H
+#ifndef SWIFTARCH_FLOW_FLOW_ADDRESS_H
+#define SWIFTARCH_FLOW_FLOW_ADDRESS_H
 
 #include "flow/flow.h"
 
-/** enum gate_address - what a packet's address is to the service served */
-enum gate_address { GATE_NONE, GATE_CURRENT, GATE_RETIRED, GATE_EXPIRED };
+/** enum flow_address - what a packet's address is to the service served */
+enum flow_address {
+    FLOW_ADDRESS_NONE,
+    FLOW_ADDRESS_CURRENT,
+    FLOW_ADDRESS_RETIRED,
+    FLOW_ADDRESS_EXPIRED
+};
 
-/** gate_decide() - flow_decide() for a packet to such an address */
+/** flow_address_decide() - flow_decide() for a packet to such an address */
 struct flow_decision
-gate_decide(struct flow_table *table, enum gate_address address,
-            const struct packet *packet, const struct gue *gue,
-            uint64_t now_us);
+flow_address_decide(struct flow_table *table, enum flow_address address,
+                    const struct packet *packet, const struct gue *gue,
+                    uint64_t now_us);
 
 #endif
--- a/src/flow/flow_private.h
+++ b/src/flow/flow_private.h
@@ -14,18 +14,18 @@
  * @self: own member id
  * @service: service served, 0 for none
  * @accept: whether new flows are taken
- * @hold_until_us: until when older agents are preferred for new flows
- * @stages: continuations that may be started now
- * @stages_us: when @stages was last filled
+ * @start_delay_until_us: until when older agents are preferred for new flows
+ * @continuation_tokens: continuations that may be started now
+ * @continuation_tokens_us: when @continuation_tokens was last filled
  * @now_us: latest time seen, for calls that tell none
  */
 struct flow_table {
     uint64_t self;
     uint32_t service;
     bool accept;
-    uint64_t hold_until_us;
-    uint64_t stages;
-    uint64_t stages_us;
+    uint64_t start_delay_until_us;
+    uint64_t continuation_tokens;
+    uint64_t continuation_tokens_us;
     uint64_t now_us;
     struct entries entries;
     struct members members;
--- a/src/flow/registrar.c
+++ b/src/flow/registrar.c
@@ -47,7 +47,7 @@
 find_targets(const struct members *members, uint64_t self, uint32_t bucket,
              const struct member_copy **targets)
 {
-    size_t count = members_top(members, bucket, targets, FLOW_REACH);
+    size_t count = members_top(members, bucket, targets, FLOW_CANDIDATES);
     size_t i;
 
     for (i = 0; i < count; i++) {
@@ -72,7 +72,7 @@
            const struct members *members, uint64_t self, struct flow_pin *pins,
            uint64_t *to, size_t max)
 {
-    const struct member_copy *targets[FLOW_REACH];
+    const struct member_copy *targets[FLOW_CANDIDATES];
     uint32_t bucket = registrar->cursor;
     size_t written = 0;
     size_t count = 0;
--- a/src/flow/registrar.h
+++ b/src/flow/registrar.h
@@ -1,8 +1,8 @@
 /**
  * DOC: registrar - which pins an owner has to send
  *
- * An owner that is ranked past FLOW_REACH in a bucket registers with the
- * first FLOW_REACH members of it: after each change of the view, with its
+ * An owner that is ranked past FLOW_CANDIDATES in a bucket registers with the
+ * first FLOW_CANDIDATES members of it: after each change of the view, with its
  * first flow there, and again every FLOW_PIN_REFRESH_US.
  */
 #ifndef SWIFTARCH_FLOW_REGISTRAR_H
--- a/src/notice/backup.h
+++ b/src/orphans/backup.h
@@ -13,8 +13,8 @@
  * What was probed is kept for a while: an owner that was thought dead and
  * comes back with the same process need not tell all again.
  */
-#ifndef SWIFTARCH_NOTICE_BACKUP_H
-#define SWIFTARCH_NOTICE_BACKUP_H
+#ifndef SWIFTARCH_ORPHANS_BACKUP_H
+#define SWIFTARCH_ORPHANS_BACKUP_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -22,68 +22,68 @@
 
 #include "base/clock.h"
 #include "control/view.h"
-#include "notice/caller_set.h"
-#include "notice/message.h"
-#include "notice/called.h"
+#include "orphans/caller_set.h"
+#include "orphans/message.h"
+#include "orphans/service_addrs.h"
 
 #define BACKUP_OWNERS_MAX 64
 #define BACKUP_FLOWS_MAX 262144
 #define BACKUP_ROUNDS 7
-#define BACKUP_ROUNDS_US (18 * USEC_PER_SEC) /* to the last one */
+#define BACKUP_LAST_ROUND_US (18 * USEC_PER_SEC) /* to the last one */
 #define BACKUP_EXTRA_ROUNDS 2
-#define BACKUP_EXTRA_GAP_US (300 * USEC_PER_MSEC)
+#define BACKUP_EXTRA_INTERVAL_US (300 * USEC_PER_MSEC)
 #define BACKUP_PROBES_PER_S 10000
 
 /* An owner that is alive and says nothing has chosen other backups. One
  * that is dead for so long will not come back. */
-#define BACKUP_SILENCE_US (60 * USEC_PER_SEC)
+#define BACKUP_EXPIRY_US (60 * USEC_PER_SEC)
 
-/** struct notice_probe - a flow whose caller is to be probed */
-struct notice_probe {
+/** struct orphan_probe - a flow whose caller is to be probed */
+struct orphan_probe {
     struct addr service;
     struct addr caller;
 };
 
 /**
- * struct held - the flows of one process of an owner
+ * struct replica - the flows of one process of an owner
  * @owner: its member id
  * @since_us: start of the process, by the view
  * @boot: the same as the owner tells it
  * @session: present transfer
  * @seq: last batch of it
- * @called: addresses called by @flows
- * @heard_us: when the owner last said something
+ * @service_addrs: addresses service_addrs by @flows
+ * @last_batch_us: when the owner last said something
  * @alive: what the last view said of it
  * @replaced: a later process of the owner has been heard
  * @dead: its flows are being probed
  * @dead_us: since when
- * @round: rounds done, at most BACKUP_ROUNDS
- * @extra: rounds to make besides
- * @extra_us: when the next of these begins
- * @cursor: where the present round has come to
+ * @rounds_done: rounds done, at most BACKUP_ROUNDS
+ * @extra_rounds: rounds to make besides
+ * @next_extra_us: when the next of these begins
+ * @cursor: where the present rounds_done has come to
  * @flows: callers
  */
-struct held {
+struct replica {
     uint64_t owner;
     uint64_t since_us;
     uint64_t boot;
     uint32_t session;
     uint32_t seq;
-    struct called called;
-    uint64_t heard_us;
+    struct service_addrs service_addrs;
+    uint64_t last_batch_us;
     bool alive;
     bool replaced;
     bool dead;
     uint64_t dead_us;
-    unsigned round;
-    unsigned extra;
-    uint64_t extra_us;
+    unsigned rounds_done;
+    unsigned extra_rounds;
+    uint64_t next_extra_us;
     size_t cursor;
     struct caller_set flows;
 };
 
 /**
- * struct backup - all that is held for others
+ * struct backup - all that is replica for others
  * @items: @count entries
  * @flows: flows in all of them
  * @suspects: the last view showed agents that are suspected
@@ -92,7 +92,7 @@
  * @tokens_us: when @tokens was last filled
  */
 struct backup {
-    struct held items[BACKUP_OWNERS_MAX];
+    struct replica items[BACKUP_OWNERS_MAX];
     size_t count;
     size_t flows;
     bool suspects;
@@ -123,13 +123,13 @@
  */
 bool
 backup_receive(struct backup *backup, const struct view *view, uint64_t from,
-               const struct notice_message *message, uint64_t now_us,
-               struct notice_message *reply);
+               const struct orphan_message *message, uint64_t now_us,
+               struct orphan_message *reply);
 
 /** backup_probes() - callers to probe now; their count, at most @max */
 size_t
 backup_probes(struct backup *backup, uint64_t now_us,
-              struct notice_probe *probes, size_t max);
+              struct orphan_probe *probes, size_t max);
 
 /** backup_tick() - drop what is no longer kept up; about once a second */
 void
--- a/src/notice/choose.c
+++ b/src/orphans/backup_choice.c
@@ -1,4 +1,4 @@
-#include "notice/choose.h"
+#include "orphans/backup_choice.h"
 
 #include <assert.h>
 #include <stdbool.h>
@@ -38,7 +38,8 @@
 }
 
 static const struct view_member *
-choose_one(const struct view *view, const struct view_member *first)
+backup_choice_select_one(const struct view *view,
+                         const struct view_member *first)
 {
     const struct view_member *self = &view->members[view->self];
     const struct view_member *best = NULL;
@@ -62,17 +63,18 @@
 }
 
 void
-choose_backups(const struct view *view, uint64_t *members, uint64_t *since_us,
-               size_t count)
+backup_choice_select(const struct view *view, uint64_t *members,
+                     uint64_t *since_us, size_t count)
 {
     const struct view_member *first = NULL;
     size_t i;
 
-    assert(count <= 2); /* choose_one() leaves out one only */
+    assert(count <= 2); /* backup_choice_select_one() leaves out one only */
     memset(members, 0, count * sizeof(members[0]));
     memset(since_us, 0, count * sizeof(since_us[0]));
     for (i = 0; i < count; i++) {
-        const struct view_member *chosen = choose_one(view, first);
+        const struct view_member *chosen =
+            backup_choice_select_one(view, first);
 
         if (chosen == NULL) {
             return;
--- a/src/notice/choose.h
+++ b/src/orphans/backup_choice.h
@@ -6,8 +6,8 @@
  * the backups and a join changes few. A suspect stays chosen: a backup
  * that comes back has kept what it was told.
  */
-#ifndef SWIFTARCH_NOTICE_CHOOSE_H
-#define SWIFTARCH_NOTICE_CHOOSE_H
+#ifndef SWIFTARCH_ORPHANS_BACKUP_CHOICE_H
+#define SWIFTARCH_ORPHANS_BACKUP_CHOICE_H
 
 #include <stddef.h>
 #include <stdint.h>
@@ -15,12 +15,12 @@
 #include "control/view.h"
 
 /**
- * choose_backups() - backups of the view's own member
+ * backup_choice_select() - backups of the view's own member
  * @members: @count places, 0 where there is none
  * @since_us: start of each, by the view
  */
 void
-choose_backups(const struct view *view, uint64_t *members, uint64_t *since_us,
-               size_t count);
+backup_choice_select(const struct view *view, uint64_t *members,
+                     uint64_t *since_us, size_t count);
 
 #endif
--- a/src/notice/caller_set.c
+++ b/src/orphans/caller_set.c
@@ -1,13 +1,13 @@
-#include "notice/caller_set.h"
+#include "orphans/caller_set.h"
 
 #include <errno.h>
 #include <stdlib.h>
 
 #include "base/hash.h"
 
-#define SLOTS_FIRST 16
+#define SLOTS_INITIAL 16
 #define SERVICE_SHIFT 48
-#define MARKS_SHIFT 56
+#define FLAGS_SHIFT 56
 
 static uint64_t
 key_of(struct caller caller)
@@ -19,20 +19,20 @@
 static uint64_t
 slot_key(uint64_t slot)
 {
-    return slot & ((UINT64_C(1) << MARKS_SHIFT) - 1);
+    return slot & ((UINT64_C(1) << FLAGS_SHIFT) - 1);
 }
 
 static size_t
-home_of(const struct caller_set *set, uint64_t key)
+home_slot(const struct caller_set *set, uint64_t key)
 {
     return (size_t)hash_pair(key, 0) & (set->allocated - 1);
 }
 
 /* The slot of @key, or the free one where it belongs. */
 static size_t
-slot_of(const struct caller_set *set, uint64_t key)
+find_slot(const struct caller_set *set, uint64_t key)
 {
-    size_t at = home_of(set, key);
+    size_t at = home_slot(set, key);
 
     while (set->slots[at] != 0 && slot_key(set->slots[at]) != key) {
         at = (at + 1) & (set->allocated - 1);
@@ -52,7 +52,7 @@
     }
     for (i = 0; i < set->allocated; i++) {
         if (set->slots[i] != 0) {
-            other.slots[slot_of(&other, slot_key(set->slots[i]))] =
+            other.slots[find_slot(&other, slot_key(set->slots[i]))] =
                 set->slots[i];
         }
     }
@@ -63,10 +63,10 @@
 
 /* Room for one more, at most three quarters full. */
 static int
-make_room(struct caller_set *set)
+reserve_slot(struct caller_set *set)
 {
     if (set->allocated == 0) {
-        return resize(set, SLOTS_FIRST);
+        return resize(set, SLOTS_INITIAL);
     }
     if ((set->used + 1) * 4 > set->allocated * 3) {
         return resize(set, set->allocated * 2);
@@ -88,26 +88,26 @@
 }
 
 bool
-caller_set_marks(const struct caller_set *set, struct caller caller,
-                 uint8_t *marks)
+caller_set_flags(const struct caller_set *set, struct caller caller,
+                 uint8_t *flags)
 {
     uint64_t slot;
 
     if (set->used == 0) {
         return false;
     }
-    slot = set->slots[slot_of(set, key_of(caller))];
+    slot = set->slots[find_slot(set, key_of(caller))];
     if (slot == 0) {
         return false;
     }
-    if (marks != NULL) {
-        *marks = (uint8_t)(slot >> MARKS_SHIFT);
+    if (flags != NULL) {
+        *flags = (uint8_t)(slot >> FLAGS_SHIFT);
     }
     return true;
 }
 
 int
-caller_set_put(struct caller_set *set, struct caller caller, uint8_t marks)
+caller_set_put(struct caller_set *set, struct caller caller, uint8_t flags)
 {
     uint64_t key = key_of(caller);
     size_t at;
@@ -116,21 +116,21 @@
     if (caller.addr.ip == 0 && caller.addr.port == 0) {
         return -EINVAL;
     }
-    if (!caller_set_marks(set, caller, NULL)) {
-        ret = make_room(set);
+    if (!caller_set_flags(set, caller, NULL)) {
+        ret = reserve_slot(set);
         if (ret < 0) {
             return ret;
         }
         set->used++;
     }
-    at = slot_of(set, key);
-    set->slots[at] = key | (uint64_t)marks << MARKS_SHIFT;
+    at = find_slot(set, key);
+    set->slots[at] = key | (uint64_t)flags << FLAGS_SHIFT;
     return 0;
 }
 
 /* Whether a member whose home is @home may not move from @at to @hole. */
 static bool
-stays(size_t home, size_t hole, size_t at)
+must_stay(size_t home, size_t hole, size_t at)
 {
     if (hole <= at) {
         return hole < home && home <= at;
@@ -151,7 +151,8 @@
             if (set->slots[at] == 0) {
                 return;
             }
-        } while (stays(home_of(set, slot_key(set->slots[at])), hole, at));
+        } while (
+            must_stay(home_slot(set, slot_key(set->slots[at])), hole, at));
         set->slots[hole] = set->slots[at];
         hole = at;
     }
@@ -165,7 +166,7 @@
     if (set->used == 0) {
         return;
     }
-    at = slot_of(set, key_of(caller));
+    at = find_slot(set, key_of(caller));
     if (set->slots[at] == 0) {
         return;
     }
@@ -174,7 +175,8 @@
     if (set->used == 0) {
         caller_set_finish(set);
     }
-    else if (set->allocated > SLOTS_FIRST && set->used * 8 < set->allocated) {
+    else if (set->allocated > SLOTS_INITIAL &&
+             set->used * 8 < set->allocated) {
         /* Failing to shrink harms nothing. */
         (void)resize(set, set->allocated / 2);
     }
--- a/src/notice/caller_set.h
+++ b/src/orphans/caller_set.h
@@ -2,12 +2,12 @@
  * DOC: caller_set - callers of flows, eight bytes each
  *
  * A hash table with open addressing. A slot holds the caller's address (48
- * bits), the index of the service's address (8 bits) and some marks (8
+ * bits), the index of the service's address (8 bits) and some flags (8
  * bits), and is 0 when free, for which reason a caller with address 0 and
  * port 0 can't be a member. It grows by doubling and shrinks when emptied.
  */
-#ifndef SWIFTARCH_NOTICE_CALLER_SET_H
-#define SWIFTARCH_NOTICE_CALLER_SET_H
+#ifndef SWIFTARCH_ORPHANS_CALLER_SET_H
+#define SWIFTARCH_ORPHANS_CALLER_SET_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -18,7 +18,8 @@
 /**
  * struct caller - the caller of a flow
  * @addr: its address
- * @service: index of the address that it called, see notice/called.h
+ * @service: index of the address that it service_addrs, see
+ * notice/service_addrs.h
  */
 struct caller {
     struct addr addr;
@@ -44,16 +45,16 @@
 void
 caller_set_finish(struct caller_set *set);
 
-/** caller_set_marks() - marks of a member; false when it is none. @marks may
+/** caller_set_flags() - flags of a member; false when it is none. @flags may
  * be NULL */
 bool
-caller_set_marks(const struct caller_set *set, struct caller caller,
-                 uint8_t *marks);
+caller_set_flags(const struct caller_set *set, struct caller caller,
+                 uint8_t *flags);
 
-/** caller_set_put() - add a member or change its marks; 0, -ENOMEM, or
+/** caller_set_put() - add a member or change its flags; 0, -ENOMEM, or
  * -EINVAL for address 0 port 0 */
 int
-caller_set_put(struct caller_set *set, struct caller caller, uint8_t marks);
+caller_set_put(struct caller_set *set, struct caller caller, uint8_t flags);
 
 /** caller_set_remove() - take a member out, if it is one */
 void
--- a/src/notice/message.h
+++ b/src/orphans/message.h
@@ -1,8 +1,8 @@
 /**
  * DOC: message - what owners and backups tell each other
  */
-#ifndef SWIFTARCH_NOTICE_MESSAGE_H
-#define SWIFTARCH_NOTICE_MESSAGE_H
+#ifndef SWIFTARCH_ORPHANS_MESSAGE_H
+#define SWIFTARCH_ORPHANS_MESSAGE_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -10,16 +10,17 @@
 
 #include "base/addr.h"
 
-#define NOTICE_BATCH_MAX 128
+#define ORPHAN_BATCH_MAX 128
 
-/** enum notice_type - kinds of messages */
-enum notice_type {
-    NOTICE_FLOWS, /* owner to backup: flows opened and closed */
-    NOTICE_ACK    /* backup to owner: all up to @seq is known, or nothing */
+/** enum orphan_message_type - kinds of messages */
+enum orphan_message_type {
+    ORPHAN_MESSAGE_FLOWS, /* owner to backup: flows opened and closed */
+    ORPHAN_MESSAGE_ACK /* backup to owner: all up to @seq is known, or nothing
+                        */
 };
 
 /**
- * struct notice_message - one message
+ * struct orphan_message - one message
  * @type: kind
  * @known: ACK: false asks for all flows anew
  * @boot: start of the owner's process; a later start has a greater one
@@ -30,8 +31,8 @@
  * @closed: flows closed, after them
  * @callers: the callers' addresses
  */
-struct notice_message {
-    enum notice_type type;
+struct orphan_message {
+    enum orphan_message_type type;
     bool known;
     uint64_t boot;
     uint32_t session;
@@ -39,7 +40,7 @@
     struct addr service;
     size_t opened;
     size_t closed;
-    struct addr callers[NOTICE_BATCH_MAX];
+    struct addr callers[ORPHAN_BATCH_MAX];
 };
 
 #endif
--- a/src/notice/owner.c
+++ b/src/orphans/owner.c
@@ -1,21 +1,22 @@
-#include "notice/owner.h"
+#include "orphans/owner.h"
 
 #include <assert.h>
 #include <errno.h>
 #include <stdlib.h>
 
-#define QUEUE_FIRST 16
+#define QUEUE_INITIAL_CAPACITY 16
 
-/* Marks of a flow: it is open; the backup was told so; it is queued for it. */
-#define MARK_LIVE 0x10
-#define MARK_TOLD(i) (uint8_t)(0x01 << (i))
-#define MARK_QUEUED(i) (uint8_t)(0x04 << (i))
+/* Marks of a flow: it is open; the backup was reported so; it is queued for
+ * it. */
+#define FLOW_FLAG_LIVE 0x10
+#define FLOW_FLAG_REPORTED(i) (uint8_t)(0x01 << (i))
+#define FLOW_FLAG_QUEUED(i) (uint8_t)(0x04 << (i))
 
 static int
 queue_grow(struct caller_queue *queue)
 {
     size_t allocated =
-        queue->allocated == 0 ? QUEUE_FIRST : queue->allocated * 2;
+        queue->allocated == 0 ? QUEUE_INITIAL_CAPACITY : queue->allocated * 2;
     struct caller *items = calloc(allocated, sizeof(items[0]));
     size_t i;
 
@@ -66,19 +67,19 @@
     return caller;
 }
 
-/* Stores the marks of a flow, and forgets it when nothing is left to say. */
+/* Stores the flags of a flow, and forgets it when nothing is left to say. */
 static int
-set_marks(struct owner *owner, struct caller caller, uint8_t marks)
+set_flow_flags(struct owner *owner, struct caller caller, uint8_t flags)
 {
-    size_t *flows = &owner->called.flows[caller.service];
+    size_t *flows = &owner->service_addrs.flows[caller.service];
     size_t before = owner->flows.used;
     int ret = 0;
 
-    if (marks == 0) {
+    if (flags == 0) {
         caller_set_remove(&owner->flows, caller);
     }
     else {
-        ret = caller_set_put(&owner->flows, caller, marks);
+        ret = caller_set_put(&owner->flows, caller, flags);
     }
     *flows = *flows + owner->flows.used - before;
     return ret;
@@ -86,71 +87,73 @@
 
 /* Queues a flow for each backup whose knowledge differs from the truth. */
 static uint8_t
-queue_flow(struct owner *owner, struct caller caller, uint8_t marks)
+queue_flow(struct owner *owner, struct caller caller, uint8_t flags)
 {
-    bool live = (marks & MARK_LIVE) != 0;
+    bool live = (flags & FLOW_FLAG_LIVE) != 0;
     size_t i;
 
     for (i = 0; i < OWNER_BACKUPS; i++) {
         struct owner_backup *backup = &owner->backups[i];
-        bool told = (marks & MARK_TOLD(i)) != 0;
+        bool reported = (flags & FLOW_FLAG_REPORTED(i)) != 0;
 
-        if (backup->member == 0 || told == live ||
-            (marks & MARK_QUEUED(i)) != 0) {
+        if (backup->member == 0 || reported == live ||
+            (flags & FLOW_FLAG_QUEUED(i)) != 0) {
             continue;
         }
         if (queue_push(&backup->queue, caller) == 0) {
-            marks |= MARK_QUEUED(i);
+            flags |= FLOW_FLAG_QUEUED(i);
         }
     }
-    return marks;
+    return flags;
 }
 
-/* Takes back what backup @i was told; flows to be told of are queued. */
+/* Takes back what backup @i was reported; flows to be reported of are queued.
+ */
 static void
-untell(struct owner *owner, size_t i)
+reset_reported(struct owner *owner, size_t i)
 {
     struct owner_backup *backup = &owner->backups[i];
     size_t cursor = 0;
     struct caller caller;
-    uint8_t marks = 0;
+    uint8_t flags = 0;
 
     queue_finish(&backup->queue);
     while (caller_set_next(&owner->flows, &cursor, &caller)) {
-        caller_set_marks(&owner->flows, caller, &marks);
-        marks &= (uint8_t) ~(MARK_TOLD(i) | MARK_QUEUED(i));
+        caller_set_flags(&owner->flows, caller, &flags);
+        flags &= (uint8_t) ~(FLOW_FLAG_REPORTED(i) | FLOW_FLAG_QUEUED(i));
         /* Ended ones too: they are forgotten when their turn comes. */
         if (backup->member != 0 && queue_push(&backup->queue, caller) == 0) {
-            marks |= MARK_QUEUED(i);
+            flags |= FLOW_FLAG_QUEUED(i);
         }
-        /* A flow without any mark is kept as it is until the sweep. */
-        caller_set_put(&owner->flows, caller, marks);
+        /* A flow without any mark is remaining as it is until the
+         * remove_ended. */
+        caller_set_put(&owner->flows, caller, flags);
     }
 }
 
 /* Forgets flows that have ended and of which no backup has to hear. */
 static void
-sweep(struct owner *owner)
+remove_ended(struct owner *owner)
 {
-    struct called called = owner->called;
-    struct caller_set kept = {0};
+    struct service_addrs service_addrs = owner->service_addrs;
+    struct caller_set remaining = {0};
     size_t cursor = 0;
     struct caller caller;
-    uint8_t marks = 0;
+    uint8_t flags = 0;
 
     while (caller_set_next(&owner->flows, &cursor, &caller)) {
-        caller_set_marks(&owner->flows, caller, &marks);
-        if (marks == 0) {
-            called.flows[caller.service]--;
+        caller_set_flags(&owner->flows, caller, &flags);
+        if (flags == 0) {
+            service_addrs.flows[caller.service]--;
         }
-        else if (caller_set_put(&kept, caller, marks) < 0) {
-            caller_set_finish(&kept);
+        else if (caller_set_put(&remaining, caller, flags) < 0) {
+            caller_set_finish(&remaining);
             return;
         }
     }
     caller_set_finish(&owner->flows);
-    owner->flows = kept;
-    owner->called = called;
+    owner->flows = remaining;
+    owner->service_addrs = service_addrs;
 }
 
 static void
@@ -159,11 +162,11 @@
     struct owner_backup *backup = &owner->backups[i];
 
     backup->session = ++owner->sessions;
-    backup->waiting = false;
-    backup->begun_us = now_us;
-    backup->more = false;
-    backup->last = (struct notice_message){0};
-    untell(owner, i);
+    backup->awaiting_ack = false;
+    backup->session_start_us = now_us;
+    backup->more_queued = false;
+    backup->last = (struct orphan_message){0};
+    reset_reported(owner, i);
 }
 
 void
@@ -184,48 +187,49 @@
 }
 
 int
-owner_opened(struct owner *owner, struct addr caller, struct addr service)
+owner_flow_opened(struct owner *owner, struct addr caller, struct addr service)
 {
-    int place = called_place(&owner->called, service);
-    struct caller flow = {caller, (uint8_t)place};
-    uint8_t marks = 0;
+    int index = service_addrs_add(&owner->service_addrs, service);
+    struct caller flow = {caller, (uint8_t)index};
+    uint8_t flags = 0;
     int ret;
 
-    if (place < 0) {
-        return place;
+    if (index < 0) {
+        return index;
     }
-    caller_set_marks(&owner->flows, flow, &marks);
-    if ((marks & MARK_LIVE) != 0) {
+    caller_set_flags(&owner->flows, flow, &flags);
+    if ((flags & FLOW_FLAG_LIVE) != 0) {
         return 0;
     }
     if (owner->live >= OWNER_FLOWS_MAX) {
         return -ENOSPC;
     }
-    ret = set_marks(owner, flow, marks | MARK_LIVE);
+    ret = set_flow_flags(owner, flow, flags | FLOW_FLAG_LIVE);
     if (ret < 0) {
         return ret;
     }
     owner->live++;
-    return set_marks(owner, flow, queue_flow(owner, flow, marks | MARK_LIVE));
+    return set_flow_flags(owner, flow,
+                          queue_flow(owner, flow, flags | FLOW_FLAG_LIVE));
 }
 
 void
-owner_closed(struct owner *owner, struct addr caller, struct addr service)
+owner_flow_closed(struct owner *owner, struct addr caller, struct addr service)
 {
-    int place = called_find(&owner->called, service);
-    struct caller flow = {caller, (uint8_t)place};
-    uint8_t marks = 0;
+    int index = service_addrs_find(&owner->service_addrs, service);
+    struct caller flow = {caller, (uint8_t)index};
+    uint8_t flags = 0;
 
-    if (place < 0) {
+    if (index < 0) {
         return;
     }
-    caller_set_marks(&owner->flows, flow, &marks);
-    if ((marks & MARK_LIVE) == 0) {
+    caller_set_flags(&owner->flows, flow, &flags);
+    if ((flags & FLOW_FLAG_LIVE) == 0) {
         return;
     }
     owner->live--;
-    marks = (uint8_t)(marks & ~MARK_LIVE);
-    set_marks(owner, flow, queue_flow(owner, flow, marks));
+    flags = (uint8_t)(flags & ~FLOW_FLAG_LIVE);
+    set_flow_flags(owner, flow, queue_flow(owner, flow, flags));
 }
 
 static bool
@@ -256,7 +260,7 @@
 }
 
 static void
-use_backup(struct owner *owner, uint64_t member, uint64_t since_us,
+add_backup(struct owner *owner, uint64_t member, uint64_t since_us,
            uint64_t now_us)
 {
     size_t i = 0;
@@ -282,17 +286,17 @@
 
         if (backup->member != 0 && !is_chosen(backup, members, since_us)) {
             backup->member = 0;
-            backup->waiting = false;
-            untell(owner, i);
+            backup->awaiting_ack = false;
+            reset_reported(owner, i);
             dropped = true;
         }
     }
     if (dropped) {
-        sweep(owner);
+        remove_ended(owner);
     }
     for (i = 0; i < OWNER_BACKUPS; i++) {
         if (members[i] != 0 && !has_backup(owner, members[i])) {
-            use_backup(owner, members[i], since_us[i], now_us);
+            add_backup(owner, members[i], since_us[i], now_us);
         }
     }
 }
@@ -300,60 +304,62 @@
 /* Takes the flow at the head of the queue into the batch, if there is
  * anything to say. A batch is of one address: others go back. */
 static void
-tell_one(struct owner *owner, size_t i, struct notice_message *message,
-         struct addr *closed)
+report_flow(struct owner *owner, size_t i, struct orphan_message *message,
+            struct addr *closed)
 {
     struct caller_queue *queue = &owner->backups[i].queue;
     struct caller caller = queue_pop(queue);
-    struct addr service = owner->called.items[caller.service];
-    uint8_t marks = 0;
+    struct addr service = owner->service_addrs.items[caller.service];
+    uint8_t flags = 0;
     bool live;
-    bool told;
+    bool reported;
 
-    if (!caller_set_marks(&owner->flows, caller, &marks)) {
+    if (!caller_set_flags(&owner->flows, caller, &flags)) {
         return;
     }
-    live = (marks & MARK_LIVE) != 0;
-    told = (marks & MARK_TOLD(i)) != 0;
-    if (live != told && message->opened + message->closed > 0 &&
+    live = (flags & FLOW_FLAG_LIVE) != 0;
+    reported = (flags & FLOW_FLAG_REPORTED(i)) != 0;
+    if (live != reported && message->opened + message->closed > 0 &&
         !addr_equal(message->service, service)) {
         if (queue_push(queue, caller) < 0) {
-            set_marks(owner, caller, marks & (uint8_t)~MARK_QUEUED(i));
+            set_flow_flags(owner, caller,
+                           flags & (uint8_t)~FLOW_FLAG_QUEUED(i));
         }
         return;
     }
-    marks &= (uint8_t) ~(MARK_QUEUED(i) | MARK_TOLD(i));
-    if (live && !told) {
+    flags &= (uint8_t) ~(FLOW_FLAG_QUEUED(i) | FLOW_FLAG_REPORTED(i));
+    if (live && !reported) {
         message->callers[message->opened++] = caller.addr;
     }
-    else if (told && !live) {
+    else if (reported && !live) {
         closed[message->closed++] = caller.addr;
     }
-    if (live != told) {
+    if (live != reported) {
         message->service = service;
     }
-    set_marks(owner, caller, live ? marks | MARK_TOLD(i) : marks);
+    set_flow_flags(owner, caller,
+                   live ? flags | FLOW_FLAG_REPORTED(i) : flags);
 }
 
 static void
-fill(struct owner *owner, size_t i, struct notice_message *message)
+fill_batch(struct owner *owner, size_t i, struct orphan_message *message)
 {
     struct owner_backup *backup = &owner->backups[i];
-    struct addr closed[NOTICE_BATCH_MAX];
+    struct addr closed[ORPHAN_BATCH_MAX];
     size_t left = backup->queue.count;
     size_t j;
 
-    *message = (struct notice_message){
-        .type = NOTICE_FLOWS,
+    *message = (struct orphan_message){
+        .type = ORPHAN_MESSAGE_FLOWS,
         .boot = owner->boot,
         .session = backup->session,
         .seq = backup->last.seq + 1,
     };
-    for (; left > 0 && message->opened + message->closed < NOTICE_BATCH_MAX;
+    for (; left > 0 && message->opened + message->closed < ORPHAN_BATCH_MAX;
          left--) {
-        tell_one(owner, i, message, closed);
+        report_flow(owner, i, message, closed);
     }
-    backup->more = backup->queue.count > 0;
+    backup->more_queued = backup->queue.count > 0;
     for (j = 0; j < message->closed; j++) {
         message->callers[message->opened + j] = closed[j];
     }
@@ -364,41 +370,42 @@
 {
     uint64_t gap_us = OWNER_KEEPALIVE_US;
 
-    if (backup->waiting) {
+    if (backup->awaiting_ack) {
         gap_us = OWNER_RESEND_US;
     }
     else if (backup->last.seq == 0) {
         gap_us = 0;
     }
-    else if (backup->more || backup->queue.count >= NOTICE_BATCH_MAX) {
-        gap_us = OWNER_FULL_GAP_US;
+    else if (backup->more_queued || backup->queue.count >= ORPHAN_BATCH_MAX) {
+        gap_us = OWNER_FULL_BATCH_INTERVAL_US;
     }
     else if (backup->queue.count > 0) {
-        gap_us = OWNER_GAP_US;
+        gap_us = OWNER_BATCH_INTERVAL_US;
     }
-    return now_us >= backup->begun_us && now_us >= backup->sent_us + gap_us;
+    return now_us >= backup->session_start_us &&
+           now_us >= backup->sent_us + gap_us;
 }
 
 /* A new batch; false when nothing has to be said after all. */
 static bool
-send_new(struct owner *owner, size_t i, uint64_t now_us)
+prepare_batch(struct owner *owner, size_t i, uint64_t now_us)
 {
     struct owner_backup *backup = &owner->backups[i];
     bool needed = backup->last.seq == 0 || backup->queue.count == 0;
-    struct notice_message message;
+    struct orphan_message message;
 
-    fill(owner, i, &message);
+    fill_batch(owner, i, &message);
     if (message.opened + message.closed == 0 && !needed) {
         return false;
     }
     backup->last = message;
-    backup->waiting = true;
+    backup->awaiting_ack = true;
     return true;
 }
 
 bool
-owner_next(struct owner *owner, uint64_t now_us, uint64_t *to,
-           struct notice_message *message)
+owner_next_batch(struct owner *owner, uint64_t now_us, uint64_t *to,
+                 struct orphan_message *message)
 {
     size_t i;
 
@@ -408,7 +415,7 @@
         if (backup->member == 0 || !is_due(backup, now_us)) {
             continue;
         }
-        if (!backup->waiting && !send_new(owner, i, now_us)) {
+        if (!backup->awaiting_ack && !prepare_batch(owner, i, now_us)) {
             continue;
         }
         backup->sent_us = now_us;
@@ -419,35 +426,35 @@
     return false;
 }
 
-/* A backup that refuses must not be told all again at once. */
+/* A backup that refuses must not be reported all again at once. */
 static uint64_t
-next_begin(const struct owner_backup *backup, uint64_t now_us)
+next_session_start(const struct owner_backup *backup, uint64_t now_us)
 {
-    uint64_t earliest_us = backup->begun_us + OWNER_RESEND_US;
+    uint64_t earliest_us = backup->session_start_us + OWNER_RESEND_US;
 
     return now_us > earliest_us ? now_us : earliest_us;
 }
 
 void
 owner_acknowledged(struct owner *owner, uint64_t from,
-                   const struct notice_message *message, uint64_t now_us)
+                   const struct orphan_message *message, uint64_t now_us)
 {
     size_t i;
 
     for (i = 0; i < OWNER_BACKUPS; i++) {
         struct owner_backup *backup = &owner->backups[i];
 
-        if (backup->member != from || !backup->waiting ||
+        if (backup->member != from || !backup->awaiting_ack ||
             message->boot != owner->boot ||
             message->session != backup->session ||
             message->seq != backup->last.seq) {
             continue;
         }
         if (message->known) {
-            backup->waiting = false;
+            backup->awaiting_ack = false;
         }
         else {
-            begin_session(owner, i, next_begin(backup, now_us));
+            begin_session(owner, i, next_session_start(backup, now_us));
         }
     }
 }
--- a/src/notice/segment.c
+++ b/src/orphans/segment.c
@@ -1,4 +1,4 @@
-#include "notice/segment.h"
+#include "orphans/segment.h"
 
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #define IP_HEADER 20
 #define TCP_HEADER 20
 #define IP_DONT_FRAGMENT 0x4000
-#define HOP_LIMIT 64
+#define PROBE_TTL 64
 #define PROTO_TCP 6
 #define PSEUDO_HEADER 12
 
@@ -31,18 +31,18 @@
 static uint16_t
 tcp_checksum(const uint8_t *ip, const uint8_t *segment)
 {
-    uint8_t whole[PSEUDO_HEADER + TCP_HEADER];
+    uint8_t pseudo[PSEUDO_HEADER + TCP_HEADER];
 
-    memcpy(whole, ip + 12, 8);
-    write16(whole + 8, PROTO_TCP);
-    write16(whole + 10, TCP_HEADER);
-    memcpy(whole + PSEUDO_HEADER, segment, TCP_HEADER);
-    return packet_checksum(whole, sizeof(whole));
+    memcpy(pseudo, ip + 12, 8);
+    write16(pseudo + 8, PROTO_TCP);
+    write16(pseudo + 10, TCP_HEADER);
+    memcpy(pseudo + PSEUDO_HEADER, segment, TCP_HEADER);
+    return packet_checksum(pseudo, sizeof(pseudo));
 }
 
 size_t
-packet_build_probe(struct addr service, struct addr caller, uint32_t number,
-                   uint8_t *buf)
+segment_build_probe(struct addr service, struct addr caller, uint32_t number,
+                    uint8_t *buf)
 {
     uint8_t *segment = buf + IP_HEADER;
 
@@ -50,7 +50,7 @@
     buf[0] = 0x45;
     write16(buf + 2, SEGMENT_PROBE_LEN);
     write16(buf + 6, IP_DONT_FRAGMENT);
-    buf[8] = HOP_LIMIT;
+    buf[8] = PROBE_TTL;
     buf[9] = PROTO_TCP;
     write32(buf + 12, service.ip);
     write32(buf + 16, caller.ip);
--- a/src/notice/segment.h
+++ b/src/orphans/segment.h
@@ -8,8 +8,8 @@
  * answered only where its number lies outside the caller's window, which
  * nobody but the dead owner knew: two of them would be needed.
  */
-#ifndef SWIFTARCH_NOTICE_SEGMENT_H
-#define SWIFTARCH_NOTICE_SEGMENT_H
+#ifndef SWIFTARCH_ORPHANS_SEGMENT_H
+#define SWIFTARCH_ORPHANS_SEGMENT_H
 
 #include <stddef.h>
 #include <stdint.h>
@@ -19,14 +19,14 @@
 #define SEGMENT_PROBE_LEN 40
 
 /**
- * packet_build_probe() - SYN-ACK from @service to @caller
+ * segment_build_probe() - SYN-ACK from @service to @caller
  * @number: sequence and acknowledgement number; any will do
  * @buf: SEGMENT_PROBE_LEN bytes
  *
  * Return: its length.
  */
 size_t
-packet_build_probe(struct addr service, struct addr caller, uint32_t number,
-                   uint8_t *buf);
+segment_build_probe(struct addr service, struct addr caller, uint32_t number,
+                    uint8_t *buf);
 
 #endif
--- a/src/stack/conn.c
+++ b/src/stack/conn.c
@@ -12,7 +12,7 @@
 #define FIN_WAIT_TICKS (60000 / TCP_SLOW_INTERVAL)
 
 static void
-conn_mark_locked(struct stack_conn *conn)
+conn_queue_event_locked(struct stack_conn *conn)
 {
     struct stack *stack = conn->stack;
     uint64_t one = 1;
@@ -34,12 +34,12 @@
 }
 
 static void
-conn_gone_locked(struct stack_conn *conn, int reason)
+conn_closed_locked(struct stack_conn *conn, int reason)
 {
     conn->pcb = NULL;
     conn->reason = reason;
     conn->closed_due = true;
-    conn_mark_locked(conn);
+    conn_queue_event_locked(conn);
 }
 
 /* Takes the connection back from lwIP, which finishes the rest alone. */
@@ -50,7 +50,7 @@
     tcp_recv(conn->pcb, NULL);
     tcp_sent(conn->pcb, NULL);
     tcp_err(conn->pcb, NULL);
-    conn_gone_locked(conn, reason);
+    conn_closed_locked(conn, reason);
 }
 
 static void
@@ -69,7 +69,7 @@
  * reset then says that the peer's TIME-WAIT is over (RFC 793, 3.9: no signal
  * to the user in LAST-ACK). lwIP calls before it frees the pcb. */
 static bool
-conn_was_whole(const struct stack_conn *conn)
+conn_all_data_acked(const struct stack_conn *conn)
 {
     const struct tcp_pcb *pcb = conn->pcb;
 
@@ -86,14 +86,14 @@
     }
     switch (err) {
     case ERR_CLSD:
-        conn_gone_locked(conn, 0);
+        conn_closed_locked(conn, 0);
         break;
     case ERR_RST:
-        conn_gone_locked(conn, conn_was_whole(conn) ? 0 : -ECONNRESET);
+        conn_closed_locked(conn, conn_all_data_acked(conn) ? 0 : -ECONNRESET);
         break;
     default:
         /* lwIP gave up retransmitting; our own aborts detach first. */
-        conn_gone_locked(conn, -ETIMEDOUT);
+        conn_closed_locked(conn, -ETIMEDOUT);
         break;
     }
 }
@@ -109,7 +109,7 @@
         if (conn->closing && pcb->state == TIME_WAIT) {
             conn_detach_locked(conn, 0);
         }
-        conn_mark_locked(conn);
+        conn_queue_event_locked(conn);
         return ERR_OK;
     }
     if (conn->closing) {
@@ -127,7 +127,7 @@
     }
     pbuf_free(p);
     if (!conn->paused) {
-        conn_mark_locked(conn);
+        conn_queue_event_locked(conn);
     }
     return ERR_OK;
 }
@@ -140,7 +140,7 @@
     if (conn->want_write && tcp_sndbuf(pcb) >= TCP_SND_BUF / 4) {
         conn->want_write = false;
         conn->writable_due = true;
-        conn_mark_locked(conn);
+        conn_queue_event_locked(conn);
     }
     return ERR_OK;
 }
@@ -151,7 +151,7 @@
     struct stack_conn *conn = arg;
 
     conn->open_due = true;
-    conn_mark_locked(conn);
+    conn_queue_event_locked(conn);
     return ERR_OK;
 }
 
@@ -214,7 +214,7 @@
     conn->peer.ip = lwip_ntohl(ip_addr_get_ip4_u32(&pcb->remote_ip));
     conn->peer.port = pcb->remote_port;
     conn->open_due = true;
-    conn_mark_locked(conn);
+    conn_queue_event_locked(conn);
     return ERR_OK;
 }
 
@@ -499,7 +499,7 @@
     LOCK_TCPIP_CORE();
     conn->paused = paused;
     if (!paused && (conn->in != NULL || conn->eof_due)) {
-        conn_mark_locked(conn);
+        conn_queue_event_locked(conn);
     }
     UNLOCK_TCPIP_CORE();
 }
--- a/src/stack/pcbs.c
+++ b/src/stack/pcbs.c
@@ -34,7 +34,7 @@
 }
 
 static bool
-pcb_is(const struct tcp_pcb *pcb, struct addr from, struct addr to)
+pcb_matches(const struct tcp_pcb *pcb, struct addr from, struct addr to)
 {
     return pcb->remote_port == from.port && pcb->local_port == to.port &&
            ip_addr_get_ip4_u32(&pcb->remote_ip) == lwip_htonl(from.ip) &&
@@ -42,12 +42,12 @@
 }
 
 void
-pcbs_forget_time_wait_locked(struct addr from, struct addr to)
+pcbs_abort_time_wait_locked(struct addr from, struct addr to)
 {
     struct tcp_pcb *pcb;
 
     for (pcb = tcp_tw_pcbs; pcb != NULL; pcb = pcb->next) {
-        if (pcb_is(pcb, from, to)) {
+        if (pcb_matches(pcb, from, to)) {
             tcp_abort(pcb);
             return;
         }
@@ -101,7 +101,7 @@
 }
 
 void
-pcbs_bound_half_open_locked(size_t *estimate)
+pcbs_limit_half_open_locked(size_t *estimate)
 {
     /* Counted in full only when the estimate reaches the bound. */
     if (*estimate < HALF_OPEN_MAX) {
--- a/src/stack/pcbs.h
+++ b/src/stack/pcbs.h
@@ -18,20 +18,20 @@
 void
 pcbs_sweep_time_wait_locked(void);
 
-/** pcbs_forget_time_wait_locked() - a caller that opens a flow anew has done
+/** pcbs_abort_time_wait_locked() - a caller that opens a flow anew has done
  * with the one in TIME-WAIT */
 void
-pcbs_forget_time_wait_locked(struct addr from, struct addr to);
+pcbs_abort_time_wait_locked(struct addr from, struct addr to);
 
 /** pcbs_half_open_locked() - connections in SYN-RECEIVED */
 size_t
 pcbs_half_open_locked(void);
 
 /**
- * pcbs_bound_half_open_locked() - make room for one more of these
+ * pcbs_limit_half_open_locked() - make room for one more of these
  * @estimate: their count or more; corrected when it reaches the bound
  */
 void
-pcbs_bound_half_open_locked(size_t *estimate);
+pcbs_limit_half_open_locked(size_t *estimate);
 
 #endif
--- a/src/stack/stack.c
+++ b/src/stack/stack.c
@@ -42,10 +42,10 @@
 };
 
 static pthread_once_t lwip_once = PTHREAD_ONCE_INIT;
-static struct stack *lwip_user; /* guarded by the core lock */
+static struct stack *active_stack; /* guarded by the core lock */
 
 static void
-lwip_ready(void *arg)
+on_lwip_ready(void *arg)
 {
     sys_sem_t *sem = arg;
 
@@ -60,7 +60,7 @@
     if (sys_sem_new(&sem, 0) != ERR_OK) {
         abort();
     }
-    tcpip_init(lwip_ready, &sem);
+    tcpip_init(on_lwip_ready, &sem);
     sys_sem_wait(&sem);
     sys_sem_free(&sem);
 }
@@ -144,14 +144,14 @@
 static bool
 stack_start_locked(struct stack *stack)
 {
-    if (lwip_user != NULL ||
+    if (active_stack != NULL ||
         !netif_open_locked(stack, &stack->out, STACK_DUMMY_ADDRESS)) {
         return false;
     }
     netif_set_link_up(&stack->out);
     netif_set_default(&stack->out);
     sys_timeout(STACK_SWEEP_MS, on_sweep, stack);
-    lwip_user = stack;
+    active_stack = stack;
     return true;
 }
 
@@ -226,7 +226,7 @@
         g_free(stack->addresses[i]);
     }
     netif_remove(&stack->out);
-    lwip_user = NULL;
+    active_stack = NULL;
     UNLOCK_TCPIP_CORE();
     close(stack->event_fd);
     g_free(stack);
@@ -409,8 +409,8 @@
     if (listener != NULL && listener->stopped) {
         return false;
     }
-    pcbs_forget_time_wait_locked(from, to);
-    pcbs_bound_half_open_locked(&stack->half_open);
+    pcbs_abort_time_wait_locked(from, to);
+    pcbs_limit_half_open_locked(&stack->half_open);
     stack->half_open++;
     return true;
 }
--- a/tests/balancer/retire_test.c
+++ b/tests/balancer/retire_test.c
@@ -16,12 +16,12 @@
 #define HOPS_MAX 40
 #define PROTO_UDP 17
 
-static enum gate_address
+static enum flow_address
 address_of(const struct site *site, const struct site_agent *agent,
            const struct packet *packet, const struct gue *gue)
 {
     if (agent->service == NULL || gue->service != agent->service->id)
-        return GATE_NONE;
+        return FLOW_ADDRESS_NONE;
     return addresses_find(&agent->addresses, agent->service, packet->dst,
                           packet->dport, packet->proto, site->now_ms);
 }
@@ -46,17 +46,17 @@
     for (int hops = 0; hops < HOPS_MAX; hops++) {
         *agent = agent_at(site, &gue);
         struct site_agent *at = &site->agents[*agent];
-        enum gate_address address = address_of(site, at, packet, &gue);
-        struct flow_decision decision =
-            gate_decide(at->flows, address, packet, &gue, site->now_us);
+        enum flow_address address = address_of(site, at, packet, &gue);
+        struct flow_decision decision = flow_address_decide(
+            at->flows, address, packet, &gue, site->now_us);
         if (decision.verdict == FLOW_OPEN)
-            g_assert_cmpint(address, ==, GATE_CURRENT);
-        if (decision.verdict == FLOW_TAKE || decision.verdict == FLOW_OPEN)
+            g_assert_cmpint(address, ==, FLOW_ADDRESS_CURRENT);
+        if (decision.verdict == FLOW_DELIVER || decision.verdict == FLOW_OPEN)
             g_assert_cmpuint(hash_service(site_names[at->name]), ==,
                              gue.service);
-        strange = strange || address == GATE_NONE;
-        site->helped += strange && decision.verdict == FLOW_TAKE;
-        if (decision.verdict != FLOW_PASS)
+        strange = strange || address == FLOW_ADDRESS_NONE;
+        site->helped += strange && decision.verdict == FLOW_DELIVER;
+        if (decision.verdict != FLOW_FORWARD)
             return decision;
         gue = decision.gue;
     }
@@ -121,7 +121,7 @@
         flow_sent_syn_ack(site->agents[agent].flows, &out);
         g_assert_true(send_one(site, balancer, &flow, PACKET_TCP_ACK, 71,
                                &decision, &agent));
-        g_assert_cmpint(decision.verdict, ==, FLOW_TAKE);
+        g_assert_cmpint(decision.verdict, ==, FLOW_DELIVER);
         g_assert_cmpuint(agent, ==, flow.agent);
     }
     site->flows[site->flow_count++] = flow;
@@ -167,7 +167,7 @@
             check_late(site, flow, i, NULL);
             continue;
         }
-        if (decision.verdict != FLOW_TAKE) {
+        if (decision.verdict != FLOW_DELIVER) {
             check_late(site, flow, i, &decision);
             continue;
         }
--- a/tests/flow/model.c
+++ b/tests/flow/model.c
@@ -24,7 +24,7 @@
     unsigned what = model_pick(m, 1000);
 
     m->now_us += model_pick(m, 20000);
-    model_hear_all(m, SKEW_US);
+    model_update_all_views(m, SKEW_US);
     if (what < 500) {
         model_deliver_any(m);
     }
@@ -32,8 +32,8 @@
         model_caller_act(m);
     }
     else if (what < 890) {
-        model_hear(m, model_pick(m, PROCESSES),
-                   model_pick(m, m->config.hosts));
+        model_update_view(m, model_pick(m, PROCESSES),
+                          model_pick(m, m->config.hosts));
     }
     else if (what < 970) {
         model_send_pins(m, model_pick(m, m->config.hosts));
@@ -133,7 +133,7 @@
 
 /* Silent hosts are suspected, stopped ones known to be dead. */
 static void
-judge_hosts(struct model *m)
+update_health(struct model *m)
 {
     for (unsigned i = 0; i < m->config.hosts; i++) {
         if (m->hosts[i].frozen && m->truth[i].health == MEMBER_ALIVE) {
@@ -164,16 +164,16 @@
 static void
 check_all(struct model *m)
 {
-    judge_hosts(m);
-    model_hear_all(m, 0);
+    update_health(m);
+    model_update_all_views(m, 0);
     deliver_pins(m);
     probe_live(m);
     refute_all(m);
-    model_hear_all(m, 0);
+    model_update_all_views(m, 0);
     deliver_pins(m);
     probe_live(m);
     /* Nobody joined lately, and registrations were renewed. */
-    m->now_us += FLOW_SETTLE_US + FLOW_PIN_REFRESH_US;
+    m->now_us += FLOW_JOIN_GRACE_US + FLOW_PIN_REFRESH_US;
     deliver_pins(m);
     probe_live(m);
     probe_dead(m);
@@ -194,8 +194,8 @@
     for (i = 0; i < config->first; i++) {
         model_host_start(m, i, 1 + i % config->services);
     }
-    model_hear_all(m, 0);
-    m->now_us += FLOW_SETTLE_US;
+    model_update_all_views(m, 0);
+    m->now_us += FLOW_JOIN_GRACE_US;
     for (i = 0; i < steps && m->result.failure == NULL; i++) {
         if (config->burst && i == steps / 2) {
             start_others(m);
--- a/tests/flow/model_hosts.c
+++ b/tests/flow/model_hosts.c
@@ -50,7 +50,7 @@
 }
 
 void
-model_hear(struct model *m, unsigned process, unsigned host)
+model_update_view(struct model *m, unsigned process, unsigned host)
 {
     struct knowledge *knows = &m->knows[process];
 
@@ -66,7 +66,7 @@
 }
 
 void
-model_hear_all(struct model *m, uint64_t older_us)
+model_update_all_views(struct model *m, uint64_t older_us)
 {
     for (unsigned p = 0; p < PROCESSES; p++) {
         for (unsigned h = 0; h < m->config.hosts; h++) {
@@ -74,7 +74,7 @@
 
             if (m->changed_us[h] + older_us <= m->now_us &&
                 (!knows->known[h] || knows->heard_us[h] <= m->changed_us[h])) {
-                model_hear(m, p, h);
+                model_update_view(m, p, h);
             }
         }
     }
@@ -84,7 +84,7 @@
 model_changed(struct model *m, unsigned host)
 {
     m->changed_us[host] = m->now_us;
-    model_hear(m, host, host);
+    model_update_view(m, host, host);
 }
 
 /* Hosts */
@@ -127,9 +127,9 @@
     const struct host *host = &m->hosts[caller->owner];
 
     return caller->phase == OPEN && host->epoch == caller->owner_epoch &&
-           host->given_up == caller->owner_given_up &&
+           host->declared_dead == caller->owner_declared_dead &&
            (caller->served ||
-            caller->answered_us + FLOW_EMBRYO_TTL_US > m->now_us);
+            caller->syn_ack_sent_us + FLOW_HALF_OPEN_TTL_US > m->now_us);
 }
 
 /* Changes */
@@ -171,7 +171,7 @@
     }
     else {
         truth->health++;
-        host->given_up += truth->health == MEMBER_DEAD;
+        host->declared_dead += truth->health == MEMBER_DEAD;
     }
     model_changed(m, i);
 }
--- a/tests/flow/model_packets.c
+++ b/tests/flow/model_packets.c
@@ -123,7 +123,7 @@
 }
 
 static void
-took(struct model *m, unsigned i, const struct message *message)
+packet_delivered(struct model *m, unsigned i, const struct message *message)
 {
     struct host *host = &m->hosts[i];
     struct caller *caller = &m->callers[message->flow];
@@ -147,7 +147,7 @@
 }
 
 static void
-arrive(struct model *m, struct message message);
+host_receive(struct model *m, struct message message);
 
 /* As it comes out of the encapsulation; no member is on a list twice. */
 static void
@@ -173,18 +173,18 @@
 
 /* Mostly at once: other events come between some hops. */
 static void
-pass(struct model *m, struct message message)
+forward_packet(struct model *m, struct message message)
 {
     if (model_pick(m, 10) == 0) {
         post_hop(m, message);
         return;
     }
     message.host = (unsigned)message.gue.hops[message.gue.index].member - 1;
-    arrive(m, message);
+    host_receive(m, message);
 }
 
 static void
-arrive(struct model *m, struct message message)
+host_receive(struct model *m, struct message message)
 {
     unsigned i = message.host;
     struct host *host = &m->hosts[i];
@@ -202,19 +202,19 @@
         if (message.packet.sport == m->callers[message.flow].key.sport) {
             host->isn[message.flow] = m->next_isn += 1000;
         }
-        took(m, i, &message);
+        packet_delivered(m, i, &message);
         break;
-    case FLOW_TAKE:
-        took(m, i, &message);
+    case FLOW_DELIVER:
+        packet_delivered(m, i, &message);
         break;
-    case FLOW_PASS:
+    case FLOW_FORWARD:
         message.gue = decision.gue;
         check_list(m, &message, i);
         if (++message.hops >= MODEL_HOPS_MAX) {
             model_fail(m, "passed on for ever", message.flow, i);
             break;
         }
-        pass(m, message);
+        forward_packet(m, message);
         break;
     case FLOW_RESET:
         reset_caller(m, i, &message);
@@ -225,7 +225,7 @@
 }
 
 static void
-arrive_at_caller(struct model *m, const struct message *message)
+caller_receive(struct model *m, const struct message *message)
 {
     struct caller *caller = &m->callers[message->flow];
 
@@ -238,8 +238,8 @@
         caller->peer_isn = message->packet.seq;
         caller->owner = message->host;
         caller->owner_epoch = message->epoch;
-        caller->owner_given_up = m->hosts[message->host].given_up;
-        caller->answered_us = message->sent_us;
+        caller->owner_declared_dead = m->hosts[message->host].declared_dead;
+        caller->syn_ack_sent_us = message->sent_us;
         caller->served = false;
         m->result.established++;
     }
@@ -254,10 +254,10 @@
 
     switch (message->kind) {
     case TO_HOST:
-        arrive(m, *message);
+        host_receive(m, *message);
         break;
     case TO_CALLER:
-        arrive_at_caller(m, message);
+        caller_receive(m, message);
         break;
     case PIN:
         if (host->running && !host->frozen) {
--- a/tests/flow/model_state.h
+++ b/tests/flow/model_state.h
@@ -29,19 +29,19 @@
     uint32_t peer_isn;
     unsigned owner;
     uint64_t owner_epoch;
-    unsigned owner_given_up;
-    uint64_t answered_us;
+    unsigned owner_declared_dead;
+    uint64_t syn_ack_sent_us;
     bool served; /* the owner has seen our acknowledgement */
 };
 
-/* A host; @epoch grows with each start of its process, @given_up each time
- * the others take it for dead. */
+/* A host; @epoch grows with each start of its process, @declared_dead each
+ * time the others take it for dead. */
 struct host {
     bool running;
     bool frozen;
     bool draining;
     uint64_t epoch;
-    unsigned given_up;
+    unsigned declared_dead;
     struct flow_table *table;
     uint32_t isn[FLOWS]; /* of our answer to the flow, 0 for none */
 };
@@ -84,13 +84,13 @@
     uint16_t next_port;
 };
 
-/** model_hear() - a process learns the truth about a host */
+/** model_update_view() - a process learns the truth about a host */
 void
-model_hear(struct model *m, unsigned process, unsigned host);
+model_update_view(struct model *m, unsigned process, unsigned host);
 
-/** model_hear_all() - all learn what changed at least @older_us ago */
+/** model_update_all_views() - all learn what changed at least @older_us ago */
 void
-model_hear_all(struct model *m, uint64_t older_us);
+model_update_all_views(struct model *m, uint64_t older_us);
 
 /** model_changed() - the truth about a host changed */
 void
--- a/tests/flow/test_flow.c
+++ b/tests/flow/test_flow.c
@@ -10,7 +10,7 @@
 #define SERVICE 7
 #define SELF 1
 #define START_US (100 * USEC_PER_SEC)
-#define SETTLED_US (START_US + FLOW_SETTLE_US)
+#define SETTLED_US (START_US + FLOW_JOIN_GRACE_US)
 #define SYN PACKET_TCP_SYN
 #define ACK PACKET_TCP_ACK
 #define RST PACKET_TCP_RST
@@ -151,41 +151,41 @@
 {
     EXPECT(FLOW_OPEN, tcp(port, SYN, 0), HOPS(GUE_OPEN, SELF));
     answer(agent, port, 500);
-    EXPECT(FLOW_TAKE, tcp(port, ACK, 501), HOPS(0, SELF));
+    EXPECT(FLOW_DELIVER, tcp(port, ACK, 501), HOPS(0, SELF));
 }
 
 /* Another agent answered the same SYN: only its number tells whose it is. */
-TEST_F(agent, embryo, 2, 16)
+TEST_F(agent, half_open, 2, 16)
 {
     struct gue open = HOPS(GUE_OPEN, SELF, 2);
     struct gue list = HOPS(0, SELF, 2);
 
     EXPECT(FLOW_OPEN, tcp(9, SYN, 0), open);
     /* Not answered yet, so nothing can acknowledge it. */
-    EXPECT(FLOW_PASS, tcp(9, ACK, 1), list);
+    EXPECT(FLOW_FORWARD, tcp(9, ACK, 1), list);
     answer(agent, 9, 500);
-    EXPECT(FLOW_TAKE, tcp(9, SYN, 0), open);
-    EXPECT(FLOW_PASS, tcp(9, ACK, 901), list);
-    EXPECT(FLOW_PASS, tcp(9, RST | ACK, 901), list);
-    EXPECT(FLOW_TAKE, tcp(9, RST | ACK, 501), list);
+    EXPECT(FLOW_DELIVER, tcp(9, SYN, 0), open);
+    EXPECT(FLOW_FORWARD, tcp(9, ACK, 901), list);
+    EXPECT(FLOW_FORWARD, tcp(9, RST | ACK, 901), list);
+    EXPECT(FLOW_DELIVER, tcp(9, RST | ACK, 501), list);
     EXPECT_FLOWS(1, 1);
-    EXPECT(FLOW_TAKE, tcp(9, ACK, 501), list);
+    EXPECT(FLOW_DELIVER, tcp(9, ACK, 501), list);
     EXPECT_FLOWS(1, 0);
     /* Established: any of its packets. */
-    EXPECT(FLOW_TAKE, tcp(9, ACK, 7777), list);
+    EXPECT(FLOW_DELIVER, tcp(9, ACK, 7777), list);
 }
 
 /* Found by the property test (seed 28): an answer that is sent again keeps
- * the embryo. */
+ * the half_open. */
 TEST_F(agent, embryo_expiry, 1, 16)
 {
     uint64_t now_us = SETTLED_US;
 
     EXPECT(FLOW_OPEN, tcp(9, SYN, 0), HOPS(GUE_OPEN, SELF));
     answer(agent, 9, 500);
-    flow_tick(agent->table, now_us += FLOW_EMBRYO_TTL_US - 1);
+    flow_tick(agent->table, now_us += FLOW_HALF_OPEN_TTL_US - 1);
     answer(agent, 9, 500);
-    flow_tick(agent->table, now_us += FLOW_EMBRYO_TTL_US - 1);
+    flow_tick(agent->table, now_us += FLOW_HALF_OPEN_TTL_US - 1);
     EXPECT_FLOWS(1, 1);
     flow_tick(agent->table, now_us + 1);
     EXPECT_FLOWS(0, 0);
@@ -202,12 +202,13 @@
     EXPECT_DROP(PACKET_NO_SERVICE, syn, other);
     /* Addresses of a flow that we know, but taken for another service. */
     EXPECT_DROP(PACKET_NO_SERVICE, ack, other);
-    EXPECT(FLOW_PASS, syn, for_service(SERVICE + 1, HOPS(GUE_OPEN, SELF, 2)));
+    EXPECT(FLOW_FORWARD, syn,
+           for_service(SERVICE + 1, HOPS(GUE_OPEN, SELF, 2)));
     /* We serve another now; flows of before go on, new ones don't. */
     g_assert_cmpint(flow_set_view(agent->table, agent->view, SERVICE + 1, true,
                                   SETTLED_US),
                     ==, 0);
-    EXPECT(FLOW_TAKE, ack, HOPS(0, SELF));
+    EXPECT(FLOW_DELIVER, ack, HOPS(0, SELF));
     EXPECT(FLOW_DROP, syn, list);
     /* The same addresses for the new service must not reach the old flow. */
     EXPECT(FLOW_DROP, tcp(8, SYN, 0), other);
@@ -244,7 +245,7 @@
     agent->view->members[1].health = MEMBER_SUSPECT;
     agent_set_view(agent, true, START_US);
     decision = decide(agent, ack, HOPS(0, SELF, 2, 3));
-    g_assert_cmpint(decision.verdict, ==, FLOW_PASS);
+    g_assert_cmpint(decision.verdict, ==, FLOW_FORWARD);
     g_assert_cmpuint(decision.gue.hops[1].member, !=, 2);
     decision = decide(agent, ack, HOPS_AT(0, 2, 3, 4, SELF, 2));
     g_assert_cmpuint(decision.gue.count, ==, 5);
@@ -266,14 +267,14 @@
     for (hop = 0; hop < 100; hop++) {
         struct flow_decision decision = decide(agent, ack, gue);
 
-        if (decision.verdict != FLOW_PASS) {
+        if (decision.verdict != FLOW_FORWARD) {
             break;
         }
         g_assert_cmpuint(decision.gue.index, <, decision.gue.count);
         g_assert_cmpuint(decision.gue.count, <=, GUE_HOPS_MAX);
         gue = decision.gue;
     }
-    g_assert_cmpuint(hop, <=, GUE_HOPS_MAX * (1 + FLOW_STAGES_MAX));
+    g_assert_cmpuint(hop, <=, GUE_HOPS_MAX * (1 + FLOW_CONTINUATIONS_MAX));
     gue.index = 200;
     gue.count = 200;
     decide(agent, ack, gue);
@@ -290,10 +291,10 @@
 
     establish(agent, 9);
     drain(agent, 1, false);
-    EXPECT(FLOW_TAKE, tcp(9, ACK, 501), HOPS(0, SELF));
+    EXPECT(FLOW_DELIVER, tcp(9, ACK, 501), HOPS(0, SELF));
     /* 2 drains too; 3 isn't on the list but takes new flows. */
     decision = decide(agent, syn, list);
-    g_assert_cmpint(decision.verdict, ==, FLOW_PASS);
+    g_assert_cmpint(decision.verdict, ==, FLOW_FORWARD);
     g_assert_cmpuint(decision.gue.hops[decision.gue.index].member, ==, 3);
     drain(agent, 2, false);
     EXPECT_DROP(PACKET_NO_ENDPOINT, syn, list);
@@ -309,12 +310,12 @@
     /* Cold start of all: no one is older. */
     agent->now_us = START_US;
     EXPECT(FLOW_OPEN, tcp(1, SYN, 0), list);
-    agent->view->members[0].incarnation = 10 * FLOW_HOLD_US;
+    agent->view->members[0].incarnation = 10 * FLOW_START_DELAY_US;
     agent_set_view(agent, true, START_US);
-    EXPECT(FLOW_PASS, syn, list);
+    EXPECT(FLOW_FORWARD, syn, list);
     drain(agent, 1, true);
     EXPECT(FLOW_DROP, syn, list);
-    agent->now_us = START_US + FLOW_HOLD_US;
+    agent->now_us = START_US + FLOW_START_DELAY_US;
     EXPECT(FLOW_OPEN, syn, list);
 }
 
@@ -335,7 +336,7 @@
     for (uint16_t port = 1; port <= 16; port++) {
         struct packet key = tcp(port, 0, 0);
 
-        EXPECT(FLOW_TAKE, tcp(port, ACK, 1), HOPS(0, SELF));
+        EXPECT(FLOW_DELIVER, tcp(port, ACK, 1), HOPS(0, SELF));
         flow_close(agent->table, &key);
     }
     EXPECT_FLOWS(0, 0);
@@ -349,23 +350,24 @@
     struct flow_decision decision;
 
     packet.proto = 17;
-    EXPECT(FLOW_PASS, packet, list);
+    EXPECT(FLOW_FORWARD, packet, list);
     decision = decide(agent, packet, HOPS_AT(GUE_OPEN, 1, 2, SELF));
-    g_assert_cmpint(decision.verdict, ==, FLOW_PASS);
+    g_assert_cmpint(decision.verdict, ==, FLOW_FORWARD);
     g_assert_cmpuint(decision.gue.index, ==, 0);
     g_assert_true(decision.gue.flags & FLOW_GUE_OPEN_NOW);
     list.flags |= FLOW_GUE_OPEN_NOW;
     EXPECT(FLOW_OPEN, packet, list);
-    EXPECT(FLOW_TAKE, packet, list);
+    EXPECT(FLOW_DELIVER, packet, list);
     flow_tick(agent->table, SETTLED_US + FLOW_DATAGRAM_TTL_US);
     EXPECT_FLOWS(0, 0);
     agent_set_view(agent, false, SETTLED_US);
-    EXPECT(FLOW_PASS, packet, list);
+    EXPECT(FLOW_FORWARD, packet, list);
     list.index = 1;
     EXPECT(FLOW_DROP, packet, list);
 }
 
-/* A port whose flow ranks SELF past FLOW_REACH among @members, or within. */
+/* A port whose flow ranks SELF past FLOW_CANDIDATES among @members, or within.
+ */
 static uint16_t
 find_port(size_t members, bool far)
 {
@@ -377,7 +379,7 @@
         for (uint64_t id = 2; id <= members; id++) {
             above += rank_score(id, bucket) > rank_score(SELF, bucket);
         }
-        if ((above >= FLOW_REACH) == far) {
+        if ((above >= FLOW_CANDIDATES) == far) {
             return port;
         }
     }
@@ -428,7 +430,7 @@
 
     g_assert_cmpint(flow_pin_add(agent->table, &pin, SETTLED_US), ==, 0);
     decision = decide(agent, ack, list);
-    g_assert_cmpint(decision.verdict, ==, FLOW_PASS);
+    g_assert_cmpint(decision.verdict, ==, FLOW_FORWARD);
     g_assert_cmpuint(decision.gue.hops[1].member, ==, 40);
     agent->now_us = SETTLED_US + FLOW_PIN_TTL_US;
     decision = decide(agent, ack, list);
@@ -464,8 +466,10 @@
     uint8_t buf[GUE_HEADER_MAX];
     struct gue out;
 
-    gue.flags |= FLOW_GUE_OPEN_NOW | FLOW_GUE_LAST | FLOW_GUE_STAGE_MASK;
+    gue.flags |= FLOW_GUE_OPEN_NOW | FLOW_GUE_SUSPECTS_ONLY |
+                 FLOW_GUE_CONTINUATION_MASK;
     g_assert_cmpint(gue_decode(buf, gue_encode(&gue, buf), &out), >, 0);
     g_assert_cmphex(out.flags, ==, gue.flags);
-    g_assert_cmpint(FLOW_GUE_STAGE_MASK / FLOW_GUE_STAGE, ==, FLOW_STAGES_MAX);
+    g_assert_cmpint(FLOW_GUE_CONTINUATION_MASK / FLOW_GUE_CONTINUATION, ==,
+                    FLOW_CONTINUATIONS_MAX);
 }
--- a/tests/flow/test_flow_hops.c
+++ b/tests/flow/test_flow_hops.c
@@ -14,7 +14,7 @@
 #define NEVER_US (1000 * USEC_PER_SEC)
 
 /* Agents that all know the same members. */
-struct cell {
+struct cluster {
     struct flow_table *tables[MEMBERS_MAX];
     struct view *view;
     struct rank rank;
@@ -34,10 +34,10 @@
 }
 
 static void
-cell_join(struct cell *cell, uint64_t now_us)
+cluster_join(struct cluster *cluster, uint64_t now_us)
 {
-    size_t count = cell->view->count++;
-    struct view_member *member = &cell->view->members[count];
+    size_t count = cluster->view->count++;
+    struct view_member *member = &cluster->view->members[count];
     uint64_t ids[MEMBERS_MAX];
 
     member->id = count + 1;
@@ -45,31 +45,31 @@
     member->state = MEMBER_READY;
     member->service = SERVICE;
     member->data = (struct addr){0x7f000001, (uint16_t)(2000 + count)};
-    cell->tables[count] = flow_table_new(member->id, 4 * FLOWS);
+    cluster->tables[count] = flow_table_new(member->id, 4 * FLOWS);
     for (size_t i = 0; i <= count; i++) {
         ids[i] = i + 1;
-        g_assert_cmpint(
-            flow_set_view(cell->tables[i], cell->view, SERVICE, true, now_us),
-            ==, 0);
+        g_assert_cmpint(flow_set_view(cluster->tables[i], cluster->view,
+                                      SERVICE, true, now_us),
+                        ==, 0);
     }
-    if (cell->rank.table != NULL) {
-        rank_finish(&cell->rank);
+    if (cluster->rank.table != NULL) {
+        rank_finish(&cluster->rank);
     }
-    g_assert_cmpint(rank_init(&cell->rank, ids, count + 1, NULL), ==, 0);
+    g_assert_cmpint(rank_init(&cluster->rank, ids, count + 1, NULL), ==, 0);
 }
 
 static void
-cell_pins(struct cell *cell, uint64_t now_us)
+cluster_exchange_pins(struct cluster *cluster, uint64_t now_us)
 {
     struct flow_pin pins[64];
     uint64_t to[64];
     size_t count;
 
-    for (size_t i = 0; i < cell->view->count; i++) {
-        while ((count = flow_pins_due(cell->tables[i], now_us, pins, to,
+    for (size_t i = 0; i < cluster->view->count; i++) {
+        while ((count = flow_pins_due(cluster->tables[i], now_us, pins, to,
                                       G_N_ELEMENTS(pins))) > 0) {
             for (size_t k = 0; k < count; k++) {
-                flow_pin_add(cell->tables[to[k] - 1], &pins[k], now_us);
+                flow_pin_add(cluster->tables[to[k] - 1], &pins[k], now_us);
             }
         }
     }
@@ -77,10 +77,10 @@
 
 /* Sends a packet by the rank row; returns how often it was passed on. */
 static unsigned
-cell_send(struct cell *cell, const struct packet *packet,
-          enum flow_verdict expected, uint64_t now_us)
+cluster_send(struct cluster *cluster, const struct packet *packet,
+             enum flow_verdict expected, uint64_t now_us)
 {
-    const uint16_t *row = rank_row(&cell->rank, packet_flow_hash(packet));
+    const uint16_t *row = rank_row(&cluster->rank, packet_flow_hash(packet));
     struct gue gue = {.service = SERVICE,
                       .flags = packet->flags == PACKET_TCP_SYN ? GUE_OPEN : 0};
     struct flow_decision decision;
@@ -88,16 +88,16 @@
 
     for (; gue.count < RANK_DEPTH && row[gue.count] != RANK_NONE;
          gue.count++) {
-        uint64_t id = cell->rank.members[row[gue.count]];
+        uint64_t id = cluster->rank.members[row[gue.count]];
 
         gue.hops[gue.count].member = id;
-        gue.hops[gue.count].data = cell->view->members[id - 1].data;
+        gue.hops[gue.count].data = cluster->view->members[id - 1].data;
     }
     for (hops = 0; hops < 30; hops++) {
         uint64_t id = gue.hops[gue.index].member;
 
-        decision = flow_decide(cell->tables[id - 1], packet, &gue, now_us);
-        if (decision.verdict != FLOW_PASS) {
+        decision = flow_decide(cluster->tables[id - 1], packet, &gue, now_us);
+        if (decision.verdict != FLOW_FORWARD) {
             break;
         }
         gue = decision.gue;
@@ -107,7 +107,7 @@
 }
 
 static void
-cell_open_all(struct cell *cell)
+cluster_open_all(struct cluster *cluster)
 {
     for (uint32_t flow = 0; flow < FLOWS; flow++) {
         struct packet syn = flow_packet(flow, PACKET_TCP_SYN, 0);
@@ -119,16 +119,16 @@
                              .proto = 6,
                              .seq = 500};
 
-        cell_send(cell, &syn, FLOW_OPEN, NEVER_US);
-        for (size_t i = 0; i < cell->view->count; i++) {
-            flow_sent_syn_ack(cell->tables[i], &out);
+        cluster_send(cluster, &syn, FLOW_OPEN, NEVER_US);
+        for (size_t i = 0; i < cluster->view->count; i++) {
+            flow_sent_syn_ack(cluster->tables[i], &out);
         }
-        cell_send(cell, &ack, FLOW_TAKE, NEVER_US);
+        cluster_send(cluster, &ack, FLOW_DELIVER, NEVER_US);
     }
 }
 
 static void
-print_hops(struct cell *cell, unsigned joined, uint64_t now_us)
+print_hops(struct cluster *cluster, unsigned joined, uint64_t now_us)
 {
     size_t hops[5] = {0};
     unsigned passed;
@@ -136,7 +136,7 @@
     for (uint32_t flow = 0; flow < FLOWS; flow++) {
         struct packet packet = flow_packet(flow, PACKET_TCP_ACK, 501);
 
-        passed = cell_send(cell, &packet, FLOW_TAKE, now_us);
+        passed = cluster_send(cluster, &packet, FLOW_DELIVER, now_us);
         /* A registered owner is at most behind those registered with it. */
         g_assert_cmpuint(passed, <, GUE_HOPS_MAX);
         hops[MIN(passed, 4)]++;
@@ -151,28 +151,28 @@
 /* How far packets of long flows travel after joins, seven agents first. */
 TEST(joins)
 {
-    struct cell cell = {0};
+    struct cluster cluster = {0};
     uint64_t now_us = NEVER_US;
 
-    cell.view = view_new(MEMBERS_MAX);
+    cluster.view = view_new(MEMBERS_MAX);
     for (size_t i = 0; i < FIRST; i++) {
-        cell_join(&cell, 0);
+        cluster_join(&cluster, 0);
     }
-    cell_open_all(&cell);
-    print_hops(&cell, 0, now_us);
+    cluster_open_all(&cluster);
+    print_hops(&cluster, 0, now_us);
     for (unsigned joined = 1; joined <= MEMBERS_MAX - FIRST; joined++) {
         now_us += USEC_PER_SEC;
-        cell_join(&cell, now_us);
-        cell_pins(&cell, now_us);
+        cluster_join(&cluster, now_us);
+        cluster_exchange_pins(&cluster, now_us);
         if (joined <= 3 || joined % 7 == 0) {
-            print_hops(&cell, joined, now_us);
+            print_hops(&cluster, joined, now_us);
         }
     }
     for (size_t i = 0; i < MEMBERS_MAX; i++) {
-        flow_table_free(cell.tables[i]);
+        flow_table_free(cluster.tables[i]);
     }
-    rank_finish(&cell.rank);
-    free(cell.view);
+    rank_finish(&cluster.rank);
+    free(cluster.view);
 }
 
 TEST(memory)
--- a/tests/golden/scene_packet.c
+++ b/tests/golden/scene_packet.c
@@ -269,7 +269,7 @@
 }
 
 /* What the text in force here makes of the address for our service. */
-static enum gate_address
+static enum flow_address
 address_of(const struct scene_host *host, const struct gue *gue,
            const struct packet *packet)
 {
@@ -278,7 +278,7 @@
 
     if (host->text == NULL || gue->service != id ||
         text_find_served(host->text, id) == NULL) {
-        return GATE_NONE;
+        return FLOW_ADDRESS_NONE;
     }
     addresses_set(&addresses, host->text, id);
     return addresses_find(&addresses, text_find_served(host->text, id),
@@ -299,15 +299,15 @@
     len -= (size_t)header;
     g_assert_cmpint(packet_parse(buf, len, 1, &packet), ==, PACKET_OK);
     struct flow_decision decision =
-        gate_decide(host->flows, address_of(host, &gue, &packet), &packet,
-                    &gue, scene_now(scene));
+        flow_address_decide(host->flows, address_of(host, &gue, &packet),
+                            &packet, &gue, scene_now(scene));
     scene_log(scene, "  %s: %s%s", host->name, verdicts[decision.verdict],
               decision.verdict == FLOW_DROP ? packet_drop_name(decision.drop)
                                             : "");
-    if (decision.verdict == FLOW_TAKE || decision.verdict == FLOW_OPEN) {
+    if (decision.verdict == FLOW_DELIVER || decision.verdict == FLOW_OPEN) {
         input(scene, i, &packet, buf);
     }
-    else if (decision.verdict == FLOW_PASS) {
+    else if (decision.verdict == FLOW_FORWARD) {
         forward(scene, i, &decision.gue, &packet, buf, len);
     }
     else if (decision.verdict == FLOW_RESET) {
--- a/tests/notice/model.c
+++ b/tests/orphans/model.c
@@ -45,11 +45,11 @@
 
 /* Thought dead, by some, for a while. */
 static void
-accuse(struct model *model, unsigned about)
+suspect_wrongly(struct model *model, unsigned about)
 {
     const struct agent *agent = &model->agents[about];
-    struct news news = {.about = about,
-                        .what = {agent->boot, MEMBER_DEAD, agent->leaving}};
+    struct member_update member_update = {
+        .about = about, .what = {agent->boot, MEMBER_DEAD, agent->leaving}};
     unsigned to;
 
     if (!agent->running) {
@@ -59,13 +59,13 @@
         if (to == about || g_rand_boolean(model->rand)) {
             continue;
         }
-        news.to = to;
-        news.what.health = MEMBER_DEAD;
-        news.at_us = model->now_us + world_up_to(model, LAG_MAX_US);
-        g_array_append_val(model->news, news);
-        news.what.health = MEMBER_ALIVE;
-        news.at_us += world_up_to(model, 2 * LAG_MAX_US);
-        g_array_append_val(model->news, news);
+        member_update.to = to;
+        member_update.what.health = MEMBER_DEAD;
+        member_update.at_us = model->now_us + world_up_to(model, LAG_MAX_US);
+        g_array_append_val(model->member_update, member_update);
+        member_update.what.health = MEMBER_ALIVE;
+        member_update.at_us += world_up_to(model, 2 * LAG_MAX_US);
+        g_array_append_val(model->member_update, member_update);
     }
 }
 
@@ -76,14 +76,14 @@
 
     if (agent->running && !agent->leaving) {
         agent->leaving = TRUE;
-        agent->knows[i].leaving = TRUE;
+        agent->known_members[i].leaving = TRUE;
         agent->changed = TRUE;
-        world_spread(model, i, MEMBER_ALIVE);
+        world_send_updates(model, i, MEMBER_ALIVE);
     }
 }
 
 static void
-disturb(struct model *model)
+inject_random_fault(struct model *model)
 {
     if (chance(model, 0.2)) {
         world_die(model, pick(model));
@@ -108,7 +108,7 @@
             model->now_us + world_up_to(model, FREEZE_MAX_US);
     }
     if (chance(model, 0.1)) {
-        accuse(model, pick(model));
+        suspect_wrongly(model, pick(model));
     }
     if (chance(model, 0.05)) {
         leave(model, pick(model));
@@ -124,10 +124,10 @@
 {
     model->now_us += TICK_US;
     load(model);
-    if (!model->calm) {
-        disturb(model);
+    if (!model->faults_off) {
+        inject_random_fault(model);
     }
-    traffic_spread_news(model);
+    traffic_deliver_updates(model);
     for (unsigned i = 0; i < model->config->agents; i++) {
         struct agent *agent = &model->agents[i];
         if (agent->running && !world_is_frozen(model, agent)) {
@@ -135,7 +135,7 @@
         }
     }
     traffic_deliver(model);
-    traffic_check_debts(model);
+    traffic_check_expected_probes(model);
 }
 
 static void
@@ -150,7 +150,7 @@
 
 /* After quiet: two die at once, exactly their flows are probed. */
 static void
-kill_two(struct model *model)
+kill_two_agents(struct model *model)
 {
     unsigned first = pick(model);
     unsigned second = pick(model);
@@ -158,7 +158,7 @@
     model->expected = g_hash_table_new(NULL, NULL);
     world_die(model, first);
     world_die(model, second);
-    run_for(model, WAKE_US);
+    run_for(model, PROBE_DEADLINE_US);
     /* Late rounds may come upon callers that have returned elsewhere. */
     g_hash_table_unref(model->expected);
     model->expected = NULL;
@@ -188,9 +188,12 @@
     model->rand = g_rand_new_with_seed(seed);
     model->now_us = 1000 * USEC_PER_SEC;
     model->boots = model->now_us;
-    model->news = g_array_new(FALSE, FALSE, sizeof(struct news));
-    model->parcels = g_array_new(FALSE, FALSE, sizeof(struct parcel));
-    model->debts = g_array_new(FALSE, FALSE, sizeof(struct debt));
+    model->member_update =
+        g_array_new(FALSE, FALSE, sizeof(struct member_update));
+    model->queued_messages =
+        g_array_new(FALSE, FALSE, sizeof(struct queued_message));
+    model->expected_probes =
+        g_array_new(FALSE, FALSE, sizeof(struct expected_probe));
     model->probed = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     for (unsigned i = 0; i < config->agents; i++) {
         model->agents[i].flows =
@@ -207,15 +210,15 @@
     for (unsigned i = 0; i < model->config->agents; i++) {
         struct agent *agent = &model->agents[i];
         if (agent->running) {
-            world_forget(agent);
+            world_agent_finish(agent);
         }
         g_array_unref(agent->flows);
         g_array_unref(agent->ended);
         g_free(agent->view);
     }
-    g_array_unref(model->news);
-    g_array_unref(model->parcels);
-    g_array_unref(model->debts);
+    g_array_unref(model->member_update);
+    g_array_unref(model->queued_messages);
+    g_array_unref(model->expected_probes);
     g_hash_table_unref(model->probed);
     g_rand_free(model->rand);
 }
@@ -230,12 +233,12 @@
     g_assert_cmpuint(config->agents, <=, MODEL_AGENTS_MAX);
     model_init(model, config, seed);
     for (cycle = 0; cycle < config->cycles; cycle++) {
-        model->calm = FALSE;
-        run_for(model, DISORDER_US);
-        model->calm = TRUE;
+        model->faults_off = FALSE;
+        run_for(model, FAULTS_US);
+        model->faults_off = TRUE;
         start_all(model);
         run_for(model, QUIET_US);
-        kill_two(model);
+        kill_two_agents(model);
         start_all(model);
     }
     result = model->result;
--- a/tests/notice/model.h
+++ b/tests/orphans/model.h
@@ -11,8 +11,8 @@
  * know it; after quiet, exactly the open flows of a dead owner are probed;
  * nothing is probed while nobody has died; memory stays bounded.
  */
-#ifndef SWIFTARCH_TESTS_NOTICE_MODEL_H
-#define SWIFTARCH_TESTS_NOTICE_MODEL_H
+#ifndef SWIFTARCH_TESTS_ORPHANS_MODEL_H
+#define SWIFTARCH_TESTS_ORPHANS_MODEL_H
 
 #include <glib.h>
 
@@ -20,12 +20,13 @@
  * struct model_config - what happens in a run
  * @agents: at most MODEL_AGENTS_MAX
  * @cycles: disorder, quiet and deaths, so often
- * @deaf: messages are never delivered (what a run without notices is like)
+ * @drop_messages: messages are never delivered (what a run without notices is
+ * like)
  */
 struct model_config {
     unsigned agents;
     unsigned cycles;
-    gboolean deaf;
+    gboolean drop_messages;
 };
 
 #define MODEL_AGENTS_MAX 16
@@ -40,7 +41,7 @@
     guint64 at_ms;
     guint64 opened;
     guint64 deaths;
-    guint64 owed; /* flows of dead owners that had to be probed */
+    guint64 probes_due; /* flows of dead owners that had to be probed */
     guint64 probes;
     guint64 messages;
 };
--- a/tests/notice/scene.c
+++ b/tests/orphans/scene.c
@@ -39,11 +39,11 @@
     return view;
 }
 
-struct notice_message
+struct orphan_message
 scene_batch(uint64_t boot, uint32_t session, uint32_t seq, unsigned first,
             size_t opened, size_t closed)
 {
-    struct notice_message message = {.type = NOTICE_FLOWS,
+    struct orphan_message message = {.type = ORPHAN_MESSAGE_FLOWS,
                                      .boot = boot,
                                      .session = session,
                                      .seq = seq,
@@ -63,28 +63,28 @@
     scene->now_us = START_US;
     scene->view = scene_pair();
     scene->owner = &scene->view->members[1];
-    notice_init(&scene->notice, 1);
-    notice_set_view(&scene->notice, scene->view, scene->now_us);
+    orphan_init(&scene->orphans, 1);
+    orphan_set_view(&scene->orphans, scene->view, scene->now_us);
 }
 
 void
 scene_finish(struct scene *scene)
 {
-    notice_finish(&scene->notice);
+    orphan_finish(&scene->orphans);
     g_free(scene->view);
 }
 
 /* 1 known, 0 asked anew, -1 no answer. */
 int
-scene_hear(struct scene *scene, struct notice_message message)
+scene_receive(struct scene *scene, struct orphan_message message)
 {
-    struct notice_message reply;
+    struct orphan_message reply;
 
-    if (!notice_receive(&scene->notice, scene->view, OWNER, &message,
+    if (!orphan_receive(&scene->orphans, scene->view, OWNER, &message,
                         scene->now_us, &reply)) {
         return -1;
     }
-    g_assert_cmpint(reply.type, ==, NOTICE_ACK);
+    g_assert_cmpint(reply.type, ==, ORPHAN_MESSAGE_ACK);
     g_assert_cmpuint(reply.boot, ==, message.boot);
     g_assert_cmpuint(reply.session, ==, message.session);
     g_assert_cmpuint(reply.seq, ==, message.seq);
@@ -92,24 +92,25 @@
 }
 
 void
-scene_see(struct scene *scene)
+scene_apply_view(struct scene *scene)
 {
-    notice_set_view(&scene->notice, scene->view, scene->now_us);
+    orphan_set_view(&scene->orphans, scene->view, scene->now_us);
 }
 
 /* Probes sent within @us. */
 size_t
 scene_probes(struct scene *scene, uint64_t us)
 {
-    struct notice_probe probes[8];
+    struct orphan_probe probes[8];
     uint64_t until_us = scene->now_us + us;
     size_t all = 0;
     size_t count;
 
     while (scene->now_us < until_us) {
-        notice_tick(&scene->notice, scene->now_us);
+        orphan_tick(&scene->orphans, scene->now_us);
         do {
-            count = notice_probes(&scene->notice, scene->now_us, probes, 8);
+            count =
+                orphan_next_probes(&scene->orphans, scene->now_us, probes, 8);
             all += count;
         } while (count == 8);
         scene->now_us += TICK_US;
--- a/tests/notice/test_probe.c
+++ b/tests/orphans/test_probe.c
@@ -5,7 +5,7 @@
 #include <errno.h>
 #include <string.h>
 
-#include "notice/segment.h"
+#include "orphans/segment.h"
 #include "packet/packet.h"
 #include "stack/stack.h"
 #include "lib/harness.h"
@@ -106,7 +106,7 @@
 
 /* The agent at the end of the list: nobody knows the flow. */
 static void
-answer_for_dead_host(struct net *net, const uint8_t *data, size_t len)
+reset_for_dead_host(struct net *net, const uint8_t *data, size_t len)
 {
     uint8_t reset[64];
     struct packet packet;
@@ -141,7 +141,7 @@
     data = g_bytes_get_data(bytes, &len);
     g_assert_cmpint(packet_parse(data, len, 0, &packet), ==, PACKET_OK);
     if (packet.dst == SERVICE_IP && net->host_dead) {
-        answer_for_dead_host(net, data, len);
+        reset_for_dead_host(net, data, len);
     }
     else if (packet.src != SERVICE_IP || !net->host_dead) {
         g_assert_cmpint(stack_input(net->stack, data, len), ==, 0);
@@ -162,7 +162,7 @@
 
 /* Steps until nothing has moved for a while. */
 static void
-net_settle(struct net *net)
+net_wait_idle(struct net *net)
 {
     unsigned idle = 0;
 
@@ -205,7 +205,7 @@
     uint8_t probe[SEGMENT_PROBE_LEN];
     struct packet packet;
     size_t len =
-        packet_build_probe(service, caller, g_rand_int(net->rand), probe);
+        segment_build_probe(service, caller, g_rand_int(net->rand), probe);
 
     g_assert_cmpint(packet_parse(probe, len, 1, &packet), ==, PACKET_OK);
     g_assert_cmpint(stack_input(net->stack, probe, len), ==, 0);
@@ -213,23 +213,23 @@
 
 /* The caller asks and is answered with an acknowledgement only. */
 static void
-net_ask(struct net *net)
+net_send_request(struct net *net)
 {
     size_t before = net->at_host_received;
 
     g_assert_cmpuint(
         stack_write(net->at_caller, (const uint8_t *)"request", 7), ==, 7);
     NET_UNTIL(net, net->at_host_received == before + 7);
-    net_settle(net);
+    net_wait_idle(net);
 }
 
 /* What happens without a notice: the caller sends nothing, so no agent has
  * anything to answer. */
 TEST_F(net, unprobed_waits, 1)
 {
-    net_ask(net);
+    net_send_request(net);
     net->host_dead = TRUE;
-    net_settle(net);
+    net_wait_idle(net);
     g_assert_false(net->closed);
     g_assert_cmpuint(net->caller_acks, ==, 0);
 }
@@ -242,7 +242,7 @@
         struct net net;
 
         net_init(&net, seed);
-        net_ask(&net);
+        net_send_request(&net);
         net.host_dead = TRUE;
         net_probe(&net);
         NET_UNTIL(&net, net.closed);
@@ -283,7 +283,7 @@
     }
     g_assert_cmpuint(probes, >, 20);
     g_assert_nonnull(net->at_host);
-    net_ask(net);
+    net_send_request(net);
 }
 
 /* A caller that has closed, or never opened, is told that nothing is there:
@@ -292,11 +292,11 @@
 {
     uint8_t probe[SEGMENT_PROBE_LEN];
     struct addr other = {CALLER_IP, CALLER_PORT + 1};
-    size_t len = packet_build_probe(service, other, 5, probe);
+    size_t len = segment_build_probe(service, other, 5, probe);
 
     net->host_dead = TRUE;
     g_assert_cmpint(stack_input(net->stack, probe, len), ==, 0);
-    net_settle(net);
+    net_wait_idle(net);
     g_assert_cmpuint(net->caller_acks, ==, 1);
     g_assert_cmpuint(net->resets, ==, 0);
     g_assert_false(net->closed);
--- a/tests/notice/test_property.c
+++ b/tests/orphans/test_property.c
@@ -15,7 +15,7 @@
                    ", deaths %" G_GUINT64_FORMAT ", owed %" G_GUINT64_FORMAT
                    ", probes %" G_GUINT64_FORMAT
                    ", messages %" G_GUINT64_FORMAT,
-                   seed, result.opened, result.deaths, result.owed,
+                   seed, result.opened, result.deaths, result.probes_due,
                    result.probes, result.messages);
     if (result.failure != NULL) {
         g_test_message("seed %u failed at %" G_GUINT64_FORMAT " ms: %s", seed,
@@ -25,7 +25,7 @@
         return;
     }
     /* A run in which nothing was at stake proves nothing. */
-    g_assert_cmpuint(result.owed, >, 100);
+    g_assert_cmpuint(result.probes_due, >, 100);
 }
 
 TEST(cell)
@@ -51,7 +51,7 @@
 TEST(without_notices)
 {
     static const struct model_config config = {
-        .agents = 9, .cycles = 1, .deaf = TRUE};
+        .agents = 9, .cycles = 1, .drop_messages = TRUE};
     struct model_result result = model_run(&config, 1);
 
     g_assert_cmpstr(result.failure, ==,
--- a/tests/notice/test_wire.c
+++ b/tests/orphans/test_wire.c
@@ -8,10 +8,10 @@
 
 #define SUITE "/notice/wire"
 
-static struct notice_message
+static struct orphan_message
 example(size_t opened, size_t closed)
 {
-    struct notice_message message = {.type = NOTICE_FLOWS,
+    struct orphan_message message = {.type = ORPHAN_MESSAGE_FLOWS,
                                      .boot = 1764700000000000,
                                      .session = 3,
                                      .seq = 70000,
@@ -28,10 +28,10 @@
 
 /* Packs and reads it again; the bytes it took. */
 static size_t
-pass(const struct notice_message *message)
+encode_decode(const struct orphan_message *message)
 {
     g_autoptr(GByteArray) packed = notice_wire_pack(message);
-    struct notice_message read;
+    struct orphan_message read;
     struct peer_wire wire;
     size_t len = packed->len;
 
@@ -56,32 +56,35 @@
 
 TEST(round_trip)
 {
-    struct notice_message ack = {
-        .type = NOTICE_ACK, .known = true, .boot = 9, .session = 1, .seq = 2};
-    struct notice_message message = example(0, 0);
-
-    pass(&message);
-    message = example(NOTICE_BATCH_MAX, 0);
-    pass(&message);
-    message = example(0, NOTICE_BATCH_MAX);
-    pass(&message);
+    struct orphan_message ack = {.type = ORPHAN_MESSAGE_ACK,
+                                 .known = true,
+                                 .boot = 9,
+                                 .session = 1,
+                                 .seq = 2};
+    struct orphan_message message = example(0, 0);
+
+    encode_decode(&message);
+    message = example(ORPHAN_BATCH_MAX, 0);
+    encode_decode(&message);
+    message = example(0, ORPHAN_BATCH_MAX);
+    encode_decode(&message);
     message = example(100, 28);
-    pass(&message);
-    pass(&ack);
+    encode_decode(&message);
+    encode_decode(&ack);
 }
 
 /* An agent at the aimed size opens and closes 21 flows a second, in five
  * batches to each of two backups. */
 TEST(bytes_a_second)
 {
-    struct notice_message message = example(5, 4);
-    struct notice_message ack = {.type = NOTICE_ACK,
+    struct orphan_message message = example(5, 4);
+    struct orphan_message ack = {.type = ORPHAN_MESSAGE_ACK,
                                  .known = true,
                                  .boot = 9,
                                  .session = 3,
                                  .seq = 70000};
-    size_t sent = pass(&message) + LINK_WIRE_OVERHEAD;
-    size_t received = pass(&ack) + LINK_WIRE_OVERHEAD;
+    size_t sent = encode_decode(&message) + LINK_WIRE_OVERHEAD;
+    size_t received = encode_decode(&ack) + LINK_WIRE_OVERHEAD;
 
     g_test_message("a batch takes %zu bytes, its acknowledgement %zu", sent,
                    received);
@@ -92,7 +95,7 @@
 read_bad(const Swiftarch__PeerMessage *raw)
 {
     g_autoptr(GByteArray) packed = peer_wire_pack_raw(raw);
-    struct notice_message read;
+    struct orphan_message read;
     struct peer_wire wire;
 
     g_assert_cmpint(peer_wire_unpack(packed->data, packed->len, 1, &wire), ==,
@@ -103,7 +106,7 @@
 
 TEST(bad_messages)
 {
-    uint8_t bytes[(NOTICE_BATCH_MAX + 1) * 6] = {0};
+    uint8_t bytes[(ORPHAN_BATCH_MAX + 1) * 6] = {0};
     Swiftarch__PeerMessage raw = SWIFTARCH__PEER_MESSAGE__INIT;
     Swiftarch__PeerNotice notice = SWIFTARCH__PEER_NOTICE__INIT;
 
@@ -112,7 +115,7 @@
     raw.notice = &notice;
     notice.type = 2;
     read_bad(&raw);
-    notice.type = NOTICE_FLOWS;
+    notice.type = ORPHAN_MESSAGE_FLOWS;
     notice.port = 65536;
     read_bad(&raw);
     notice.port = 80;
@@ -129,13 +132,13 @@
 TEST(mutated)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(11);
-    struct notice_message message = example(9, 5);
+    struct orphan_message message = example(9, 5);
     g_autoptr(GByteArray) packed = notice_wire_pack(&message);
     unsigned read_well = 0;
 
     for (unsigned i = 0; i < 20000; i++) {
         g_autofree uint8_t *bytes = g_memdup2(packed->data, packed->len);
-        struct notice_message read;
+        struct orphan_message read;
         struct peer_wire wire;
         unsigned n;
 
@@ -148,7 +151,7 @@
         }
         if (wire.notice && notice_wire_read(&wire, &read) == 0) {
             read_well++;
-            g_assert_cmpuint(read.opened + read.closed, <=, NOTICE_BATCH_MAX);
+            g_assert_cmpuint(read.opened + read.closed, <=, ORPHAN_BATCH_MAX);
         }
         peer_wire_finish(&wire);
     }
--- a/tests/notice/traffic.c
+++ b/tests/orphans/traffic.c
@@ -36,9 +36,9 @@
     }
     g_array_append_val(agent->flows, flow);
     model->result.opened++;
-    g_assert_cmpint(
-        notice_opened(&agent->notice, flow.caller, world_service(flow.caller)),
-        ==, 0);
+    g_assert_cmpint(orphan_flow_opened(&agent->orphans, flow.caller,
+                                       world_service(flow.caller)),
+                    ==, 0);
 }
 
 void
@@ -54,7 +54,8 @@
     }
     at = (guint)g_rand_int_range(model->rand, 0, (gint32)agent->flows->len);
     ended.caller = g_array_index(agent->flows, struct flow, at).caller;
-    notice_closed(&agent->notice, ended.caller, world_service(ended.caller));
+    orphan_flow_closed(&agent->orphans, ended.caller,
+                       world_service(ended.caller));
     while (agent->ended->len > 0 &&
            g_array_index(agent->ended, struct ended, 0).at_us + CLOSED_US <=
                model->now_us) {
@@ -66,39 +67,43 @@
 
 static void
 post(struct model *model, unsigned from, uint64_t to,
-     const struct notice_message *message)
+     const struct orphan_message *message)
 {
     unsigned copies = g_rand_int_range(model->rand, 0, 20) == 0 ? 2 : 1;
-    struct parcel parcel = {.from = from, .to = (unsigned)(to - world_id(0))};
+    struct queued_message queued_message = {
+        .from = from, .to = (unsigned)(to - world_id(0))};
 
     model->result.messages++;
-    parcel.message = *message;
-    parcel.to_boot = model->agents[parcel.to].boot;
+    queued_message.message = *message;
+    queued_message.to_boot = model->agents[queued_message.to].boot;
     while (copies-- > 0) {
-        if (model->config->deaf ||
+        if (model->config->drop_messages ||
             (model->now_us < model->lossy_until_us &&
              g_rand_int_range(model->rand, 0, 3) == 0)) {
             continue;
         }
         /* The copy is as from an earlier connection. */
-        parcel.at_us = model->now_us + 1 +
-                       world_up_to(model, copies > 0 ? LATE_MAX_US : 30000);
-        g_array_append_val(model->parcels, parcel);
+        queued_message.at_us =
+            model->now_us + 1 +
+            world_up_to(model, copies > 0 ? MESSAGE_DELAY_MAX_US : 30000);
+        g_array_append_val(model->queued_messages, queued_message);
     }
 }
 
 static void
-deliver(struct model *model, struct parcel *parcel)
+deliver(struct model *model, struct queued_message *queued_message)
 {
-    struct agent *agent = &model->agents[parcel->to];
-    struct notice_message reply;
+    struct agent *agent = &model->agents[queued_message->to];
+    struct orphan_message reply;
 
-    if (!agent->running || agent->boot != parcel->to_boot) {
+    if (!agent->running || agent->boot != queued_message->to_boot) {
         return;
     }
-    if (notice_receive(&agent->notice, agent->view, world_id(parcel->from),
-                       &parcel->message, model->now_us, &reply)) {
-        post(model, parcel->to, world_id(parcel->from), &reply);
+    if (orphan_receive(&agent->orphans, agent->view,
+                       world_id(queued_message->from),
+                       &queued_message->message, model->now_us, &reply)) {
+        post(model, queued_message->to, world_id(queued_message->from),
+             &reply);
     }
 }
 
@@ -107,39 +112,41 @@
 {
     guint i = 0;
 
-    while (i < model->parcels->len) {
-        struct parcel parcel = g_array_index(model->parcels, struct parcel, i);
+    while (i < model->queued_messages->len) {
+        struct queued_message queued_message =
+            g_array_index(model->queued_messages, struct queued_message, i);
 
-        if (parcel.at_us > model->now_us ||
-            world_is_frozen(model, &model->agents[parcel.to])) {
+        if (queued_message.at_us > model->now_us ||
+            world_is_frozen(model, &model->agents[queued_message.to])) {
             i++;
             continue;
         }
-        g_array_remove_index_fast(model->parcels, i);
-        deliver(model, &parcel);
+        g_array_remove_index_fast(model->queued_messages, i);
+        deliver(model, &queued_message);
     }
 }
 
 void
-traffic_spread_news(struct model *model)
+traffic_deliver_updates(struct model *model)
 {
     guint i = 0;
 
-    while (i < model->news->len) {
-        struct news news = g_array_index(model->news, struct news, i);
+    while (i < model->member_update->len) {
+        struct member_update member_update =
+            g_array_index(model->member_update, struct member_update, i);
 
-        if (news.at_us > model->now_us ||
-            world_is_frozen(model, &model->agents[news.to])) {
+        if (member_update.at_us > model->now_us ||
+            world_is_frozen(model, &model->agents[member_update.to])) {
             i++;
             continue;
         }
-        g_array_remove_index_fast(model->news, i);
-        world_apply_news(model, &news);
+        g_array_remove_index_fast(model->member_update, i);
+        world_apply_update(model, &member_update);
     }
 }
 
 static void
-note_probe(struct model *model, const struct notice_probe *probe)
+note_probe(struct model *model, const struct orphan_probe *probe)
 {
     uint64_t *at_us = g_new(uint64_t, 1);
 
@@ -159,7 +166,7 @@
 note_backups(struct model *model, struct agent *agent)
 {
     for (size_t i = 0; i < OWNER_BACKUPS; i++) {
-        const struct owner_backup *backup = &agent->notice.owner.backups[i];
+        const struct owner_backup *backup = &agent->orphans.owner.backups[i];
         uint64_t seen = backup->member == 0 ? 0 : backup->since_us;
 
         if (seen != agent->backups_seen[i]) {
@@ -173,8 +180,8 @@
 traffic_tick(struct model *model, unsigned i)
 {
     struct agent *agent = &model->agents[i];
-    struct notice_message message;
-    struct notice_probe probes[16];
+    struct orphan_message message;
+    struct orphan_probe probes[16];
     uint64_t to;
     size_t count;
 
@@ -182,46 +189,50 @@
         agent->changed = FALSE;
         g_free(agent->view);
         agent->view = world_build_view(model, i);
-        notice_set_view(&agent->notice, agent->view, model->now_us);
+        orphan_set_view(&agent->orphans, agent->view, model->now_us);
         note_backups(model, agent);
     }
-    notice_tick(&agent->notice, model->now_us);
-    while (notice_next(&agent->notice, model->now_us, &to, &message)) {
+    orphan_tick(&agent->orphans, model->now_us);
+    while (
+        orphan_next_message(&agent->orphans, model->now_us, &to, &message)) {
         post(model, i, to, &message);
     }
     do {
-        count = notice_probes(&agent->notice, model->now_us, probes,
-                              G_N_ELEMENTS(probes));
+        count = orphan_next_probes(&agent->orphans, model->now_us, probes,
+                                   G_N_ELEMENTS(probes));
         for (size_t j = 0; j < count; j++) {
             note_probe(model, &probes[j]);
         }
     } while (count == G_N_ELEMENTS(probes));
-    if (notice_held(&agent->notice) > model->config->agents * 50 * 400) {
+    if (orphan_replicated_flows(&agent->orphans) >
+        model->config->agents * 50 * 400) {
         world_fail(model, "more flows are held than there are");
     }
 }
 
 void
-traffic_check_debts(struct model *model)
+traffic_check_expected_probes(struct model *model)
 {
     guint i = 0;
 
-    while (i < model->debts->len) {
-        struct debt debt = g_array_index(model->debts, struct debt, i);
-        const struct agent *guard = &model->agents[debt.guard];
+    while (i < model->expected_probes->len) {
+        struct expected_probe expected_probe =
+            g_array_index(model->expected_probes, struct expected_probe, i);
+        const struct agent *backup = &model->agents[expected_probe.backup];
         const uint64_t *at_us;
 
-        if (debt.due_us > model->now_us) {
+        if (expected_probe.due_us > model->now_us) {
             i++;
             continue;
         }
-        g_array_remove_index_fast(model->debts, i);
-        if (!guard->running || guard->boot != debt.guard_boot) {
+        g_array_remove_index_fast(model->expected_probes, i);
+        if (!backup->running || backup->boot != expected_probe.backup_boot) {
             continue;
         }
-        model->result.owed++;
-        at_us = g_hash_table_lookup(model->probed, world_key(debt.caller));
-        if (at_us == NULL || *at_us < debt.dead_us) {
+        model->result.probes_due++;
+        at_us = g_hash_table_lookup(model->probed,
+                                    world_key(expected_probe.caller));
+        if (at_us == NULL || *at_us < expected_probe.dead_us) {
             world_fail(model, "a flow of a dead owner was not probed");
         }
     }
--- a/tests/notice/world.c
+++ b/tests/orphans/world.c
@@ -44,17 +44,19 @@
 
 /* What is known of an agent reaches each other one at another time. */
 void
-world_spread(struct model *model, unsigned about, enum member_health health)
+world_send_updates(struct model *model, unsigned about,
+                   enum member_health health)
 {
     const struct agent *agent = &model->agents[about];
     unsigned to;
 
     for (to = 0; to < model->config->agents; to++) {
-        struct news news = {model->now_us + world_up_to(model, LAG_MAX_US),
-                            to,
-                            about,
-                            {agent->boot, health, agent->leaving}};
-        g_array_append_val(model->news, news);
+        struct member_update member_update = {
+            model->now_us + world_up_to(model, LAG_MAX_US),
+            to,
+            about,
+            {agent->boot, health, agent->leaving}};
+        g_array_append_val(model->member_update, member_update);
     }
 }
 
@@ -65,7 +67,7 @@
     struct view *view = view_new(model->config->agents);
 
     for (unsigned i = 0; i < model->config->agents; i++) {
-        const struct knowledge *known = &agent->knows[i];
+        const struct member_info *known = &agent->known_members[i];
         struct view_member *member;
 
         if (known->boot == 0) {
@@ -89,23 +91,26 @@
 }
 
 void
-world_apply_news(struct model *model, const struct news *news)
+world_apply_update(struct model *model,
+                   const struct member_update *member_update)
 {
-    struct agent *agent = &model->agents[news->to];
-    struct knowledge *known = &agent->knows[news->about];
-    const struct agent *about = &model->agents[news->about];
+    struct agent *agent = &model->agents[member_update->to];
+    struct member_info *known = &agent->known_members[member_update->about];
+    const struct agent *about = &model->agents[member_update->about];
 
-    if (!agent->running || news->what.boot < known->boot ||
-        (news->to == news->about && news->what.health != MEMBER_ALIVE)) {
+    if (!agent->running || member_update->what.boot < known->boot ||
+        (member_update->to == member_update->about &&
+         member_update->what.health != MEMBER_ALIVE)) {
         return;
     }
     /* A refutation of what was thought wrongly; the dead refute nothing. */
-    if (news->what.health == MEMBER_ALIVE && news->what.boot == known->boot &&
+    if (member_update->what.health == MEMBER_ALIVE &&
+        member_update->what.boot == known->boot &&
         known->health == MEMBER_DEAD &&
-        (!about->running || about->boot != news->what.boot)) {
+        (!about->running || about->boot != member_update->what.boot)) {
         return;
     }
-    *known = news->what;
+    *known = member_update->what;
     agent->changed = TRUE;
 }
 
@@ -119,42 +124,45 @@
     agent->frozen_until_us = 0;
     agent->boot = ++model->boots;
     memset(agent->backups_seen, 0, sizeof(agent->backups_seen));
-    memset(agent->knows, 0, sizeof(agent->knows));
-    agent->knows[i] = (struct knowledge){agent->boot, MEMBER_ALIVE, FALSE};
+    memset(agent->known_members, 0, sizeof(agent->known_members));
+    agent->known_members[i] =
+        (struct member_info){agent->boot, MEMBER_ALIVE, FALSE};
     agent->changed = TRUE;
-    notice_init(&agent->notice, agent->boot);
-    world_spread(model, i, MEMBER_ALIVE);
+    orphan_init(&agent->orphans, agent->boot);
+    world_send_updates(model, i, MEMBER_ALIVE);
     /* A newcomer fetches the members from somebody. */
     for (unsigned j = 0; j < model->config->agents; j++) {
         const struct agent *other = &model->agents[j];
-        struct news news = {model->now_us + world_up_to(model, LAG_MAX_US),
-                            i,
-                            j,
-                            {other->boot, MEMBER_ALIVE, other->leaving}};
+        struct member_update member_update = {
+            model->now_us + world_up_to(model, LAG_MAX_US),
+            i,
+            j,
+            {other->boot, MEMBER_ALIVE, other->leaving}};
         if (j != i && other->running) {
-            g_array_append_val(model->news, news);
+            g_array_append_val(model->member_update, member_update);
         }
     }
 }
 
 /* A backup that could know the flows, or -1. */
 static int
-find_guard(const struct model *model, const struct agent *owner)
+find_backup(const struct model *model, const struct agent *owner)
 {
     for (size_t i = 0; i < OWNER_BACKUPS; i++) {
-        uint64_t member = owner->notice.owner.backups[i].member;
+        uint64_t member = owner->orphans.owner.backups[i].member;
         unsigned index = (unsigned)(member - world_id(0));
 
-        if (member == 0 || model->lossy_until_us + TOLD_US > model->now_us ||
-            owner->frozen_until_us + TOLD_US > model->now_us ||
-            owner->backups_since_us[i] + TOLD_US > model->now_us) {
+        if (member == 0 ||
+            model->lossy_until_us + REPORTED_US > model->now_us ||
+            owner->frozen_until_us + REPORTED_US > model->now_us ||
+            owner->backups_since_us[i] + REPORTED_US > model->now_us) {
             continue;
         }
-        const struct agent *guard = &model->agents[index];
-        if (guard->running &&
-            guard->boot == owner->notice.owner.backups[i].since_us &&
-            guard->frozen_until_us + TOLD_US <= model->now_us &&
-            guard->knows[owner - model->agents].boot == owner->boot) {
+        const struct agent *backup = &model->agents[index];
+        if (backup->running &&
+            backup->boot == owner->orphans.owner.backups[i].since_us &&
+            backup->frozen_until_us + REPORTED_US <= model->now_us &&
+            backup->known_members[owner - model->agents].boot == owner->boot) {
             return (int)index;
         }
     }
@@ -162,25 +170,25 @@
 }
 
 static void
-note_debts(struct model *model, const struct agent *owner)
+add_expected_probes(struct model *model, const struct agent *owner)
 {
-    int guard = find_guard(model, owner);
+    int backup = find_backup(model, owner);
 
-    for (guint i = 0; guard >= 0 && i < owner->flows->len; i++) {
+    for (guint i = 0; backup >= 0 && i < owner->flows->len; i++) {
         const struct flow *flow = &g_array_index(owner->flows, struct flow, i);
-        struct debt debt = {model->now_us + WAKE_US + FREEZE_MAX_US,
-                            model->now_us, flow->caller, (unsigned)guard,
-                            model->agents[guard].boot};
-        if (flow->opened_us + TOLD_US <= model->now_us) {
-            g_array_append_val(model->debts, debt);
+        struct expected_probe expected_probe = {
+            model->now_us + PROBE_DEADLINE_US + FREEZE_MAX_US, model->now_us,
+            flow->caller, (unsigned)backup, model->agents[backup].boot};
+        if (flow->opened_us + REPORTED_US <= model->now_us) {
+            g_array_append_val(model->expected_probes, expected_probe);
         }
     }
 }
 
 void
-world_forget(struct agent *agent)
+world_agent_finish(struct agent *agent)
 {
-    notice_finish(&agent->notice);
+    orphan_finish(&agent->orphans);
     g_array_set_size(agent->flows, 0);
     g_array_set_size(agent->ended, 0);
     agent->running = FALSE;
@@ -188,7 +196,7 @@
 
 /* What may be probed when this agent dies after quiet. */
 static void
-expect(struct model *model, const struct agent *agent)
+expect_probes(struct model *model, const struct agent *agent)
 {
     if (model->expected == NULL) {
         return;
@@ -214,9 +222,9 @@
     if (!agent->running) {
         return;
     }
-    expect(model, agent);
-    note_debts(model, agent);
-    world_forget(agent);
+    expect_probes(model, agent);
+    add_expected_probes(model, agent);
+    world_agent_finish(agent);
     model->result.deaths++;
-    world_spread(model, i, MEMBER_DEAD);
+    world_send_updates(model, i, MEMBER_DEAD);
 }
--- a/tests/notice/world.h
+++ b/tests/orphans/world.h
@@ -1,53 +1,53 @@
 /**
  * DOC: world - the agents of the model and what is on its way between them
  */
-#ifndef SWIFTARCH_TESTS_NOTICE_WORLD_H
-#define SWIFTARCH_TESTS_NOTICE_WORLD_H
+#ifndef SWIFTARCH_TESTS_ORPHANS_WORLD_H
+#define SWIFTARCH_TESTS_ORPHANS_WORLD_H
 
 #include <glib.h>
 
 #include "model.h"
-#include "notice/notice.h"
+#include "orphans/orphans.h"
 
 #define TICK_US (10 * USEC_PER_MSEC)
-#define DISORDER_US (20 * USEC_PER_SEC)
+#define FAULTS_US (20 * USEC_PER_SEC)
 #define QUIET_US (75 * USEC_PER_SEC)
-#define WAKE_US (8 * USEC_PER_SEC)
-#define LATE_MAX_US (5 * USEC_PER_SEC)
+#define PROBE_DEADLINE_US (8 * USEC_PER_SEC)
+#define MESSAGE_DELAY_MAX_US (5 * USEC_PER_SEC)
 #define FREEZE_MAX_US (3 * USEC_PER_SEC)
 #define LAG_MAX_US (2 * USEC_PER_SEC)
 
-/* A backup chosen so long ago, and undisturbed since, knows a flow that was
- * opened so long ago. */
-#define TOLD_US (4 * USEC_PER_SEC)
+/* A backup chosen so long ago, and undisturbed since, known_members a flow
+ * that was opened so long ago. */
+#define REPORTED_US (4 * USEC_PER_SEC)
 
 /* A flow that closed so lately may still be thought open. */
 #define CLOSED_US (1 * USEC_PER_SEC)
 #define LONE_SERVICE 2
 #define COMMON_SERVICE 1
 
-/** struct knowledge - what one agent thinks of another */
-struct knowledge {
+/** struct member_info - what one agent thinks of another */
+struct member_info {
     uint64_t boot; /* 0: never heard of */
     enum member_health health;
     gboolean leaving;
 };
 
-/** struct news - knowledge on its way to an agent */
-struct news {
+/** struct member_update - member_info on its way to an agent */
+struct member_update {
     uint64_t at_us;
     unsigned to;
     unsigned about;
-    struct knowledge what;
+    struct member_info what;
 };
 
-/** struct parcel - a message on its way */
-struct parcel {
+/** struct queued_message - a message on its way */
+struct queued_message {
     uint64_t at_us;
     unsigned from;
     unsigned to;
     uint64_t to_boot;
-    struct notice_message message;
+    struct orphan_message message;
 };
 
 /** struct flow - an open flow */
@@ -62,13 +62,13 @@
     uint64_t at_us;
 };
 
-/** struct debt - a flow of a dead owner that has to be probed */
-struct debt {
+/** struct expected_probe - a flow of a dead owner that has to be probed */
+struct expected_probe {
     uint64_t due_us;
     uint64_t dead_us;
     struct addr caller;
-    unsigned guard;      /* the backup that has to do it */
-    uint64_t guard_boot; /* unless it has died meanwhile */
+    unsigned backup;      /* the backup that has to do it */
+    uint64_t backup_boot; /* unless it has died meanwhile */
 };
 
 struct agent {
@@ -78,10 +78,10 @@
     uint64_t frozen_until_us;
     uint64_t backups_since_us[OWNER_BACKUPS];
     uint64_t backups_seen[OWNER_BACKUPS];
-    struct notice notice;
+    struct orphans orphans;
     GArray *flows;
     GArray *ended; /* those closed lately */
-    struct knowledge knows[MODEL_AGENTS_MAX];
+    struct member_info known_members[MODEL_AGENTS_MAX];
     struct view *view;
     gboolean changed;
 };
@@ -92,11 +92,11 @@
     uint64_t now_us;
     uint64_t boots;
     uint64_t lossy_until_us;
-    gboolean calm; /* no new failures */
+    gboolean faults_off; /* no new failures */
     struct agent agents[MODEL_AGENTS_MAX];
-    GArray *news;
-    GArray *parcels;
-    GArray *debts;
+    GArray *member_update;
+    GArray *queued_messages;
+    GArray *expected_probes;
     GHashTable *probed;   /* caller to time last probed, microseconds */
     GHashTable *expected; /* callers that may be probed now; NULL: any */
     struct model_result result;
@@ -126,10 +126,11 @@
 gboolean
 world_is_frozen(const struct model *model, const struct agent *agent);
 
-/** world_spread() - what is known of an agent reaches each other one at
+/** world_send_updates() - what is known of an agent reaches each other one at
  * another time */
 void
-world_spread(struct model *model, unsigned about, enum member_health health);
+world_send_updates(struct model *model, unsigned about,
+                   enum member_health health);
 
 /** world_start() - start an agent that is not running */
 void
@@ -140,15 +141,16 @@
 void
 world_die(struct model *model, unsigned i);
 
-/** world_forget() - free what an agent holds */
+/** world_agent_finish() - free what an agent holds */
 void
-world_forget(struct agent *agent);
+world_agent_finish(struct agent *agent);
 
-/** world_apply_news() - an agent hears of another */
+/** world_apply_update() - an agent hears of another */
 void
-world_apply_news(struct model *model, const struct news *news);
+world_apply_update(struct model *model,
+                   const struct member_update *member_update);
 
-/** world_build_view() - what an agent knows, as a view */
+/** world_build_view() - what an agent known_members, as a view */
 struct view *
 world_build_view(const struct model *model, unsigned self);
 
@@ -164,17 +166,18 @@
 void
 traffic_deliver(struct model *model);
 
-/** traffic_spread_news() - hand over what has become known */
+/** traffic_deliver_updates() - hand over what has become known */
 void
-traffic_spread_news(struct model *model);
+traffic_deliver_updates(struct model *model);
 
 /** traffic_tick() - let an agent do what is due */
 void
 traffic_tick(struct model *model, unsigned i);
 
-/** traffic_check_debts() - see that flows of dead owners were probed in time
+/** traffic_check_expected_probes() - see that flows of dead owners were probed
+ * in time
  */
 void
-traffic_check_debts(struct model *model);
+traffic_check_expected_probes(struct model *model);
 
 #endif
