--- a/bench/dispatch/sim.c
+++ b/bench/dispatch/sim.c
@@ -2,16 +2,16 @@
 
 #define PROMPT_US (10 * USEC_PER_MSEC)
 
-struct asked *
-sim_find_asked(const struct sim *sim, uint64_t id)
+struct call *
+sim_find_call(const struct sim *sim, uint64_t id)
 {
-    return &g_array_index(sim->asked, struct asked, id - 1);
+    return &g_array_index(sim->call, struct call, id - 1);
 }
 
 static bool
-is_measured(const struct asked *asked)
+is_measured(const struct call *call)
 {
-    return asked->arrived_us >= SIM_WARM_UP_US;
+    return call->arrived_us >= SIM_WARM_UP_US;
 }
 
 uint64_t
@@ -24,11 +24,11 @@
 }
 
 void
-sim_run_over(struct sim *sim, struct asked *asked)
+sim_run_ended(struct sim *sim, struct call *call)
 {
-    sim->nodes[asked->ran_at].busy_us +=
-        sim_measured(sim, asked->started_us, sim->now_us);
-    asked->running = false;
+    sim->nodes[call->ran_at].busy_us +=
+        sim_measured(sim, call->started_us, sim->now_us);
+    call->running = false;
 }
 
 static bool
@@ -44,41 +44,41 @@
 }
 
 static void
-on_answer(struct sim *sim, struct asked *asked)
+on_answer(struct sim *sim, struct call *call)
 {
-    uint64_t took_us = sim->now_us - asked->arrived_us;
+    uint64_t took_us = sim->now_us - call->arrived_us;
 
-    sim->result.answered[asked->class]++;
-    g_array_append_val(sim->latencies[asked->class], took_us);
-    sim->useful_us[sim->nodes[asked->node].service] +=
-        sim_measured(sim, asked->started_us, sim->now_us);
+    sim->result.answered[call->class]++;
+    g_array_append_val(sim->latencies[call->class], took_us);
+    sim->useful_us[sim->nodes[call->node].service] +=
+        sim_measured(sim, call->started_us, sim->now_us);
 }
 
 void
 sim_finish(struct sim *sim, const struct engine_action *action)
 {
-    struct asked *asked = sim_find_asked(sim, action->id);
+    struct call *call = sim_find_call(sim, action->id);
 
-    if (!is_measured(asked)) {
+    if (!is_measured(call)) {
         return;
     }
-    sim->result.requests[asked->class]++;
+    sim->result.requests[call->class]++;
     if (action->outcome == ENGINE_ANSWERED &&
-        sim->now_us <= asked->deadline_us) {
-        on_answer(sim, asked);
+        sim->now_us <= call->deadline_us) {
+        on_answer(sim, call);
         return;
     }
     if (action->outcome == ENGINE_NOT_RUN) {
-        sim->result.refused[asked->class]++;
-        if (sim->now_us > asked->arrived_us + PROMPT_US) {
-            sim->result.refused_late[asked->class]++;
+        sim->result.refused[call->class]++;
+        if (sim->now_us > call->arrived_us + PROMPT_US) {
+            sim->result.refused_late[call->class]++;
         }
     }
     else {
-        sim->result.missed[asked->class]++;
+        sim->result.missed[call->class]++;
     }
-    if (asked->class == TEXT_URGENT &&
-        ordinary_waits(sim, sim->nodes[asked->node].service)) {
+    if (call->class == TEXT_URGENT &&
+        ordinary_waits(sim, sim->nodes[call->node].service)) {
         sim->result.urgent_behind++;
     }
 }
@@ -127,7 +127,7 @@
 }
 
 void
-sim_sum_up(struct sim *sim)
+sim_summarize(struct sim *sim)
 {
     for (unsigned service = 0; service < SITE_SERVICES; service++) {
         sum_up_service(sim, service);
--- a/bench/dispatch/sim.h
+++ b/bench/dispatch/sim.h
@@ -9,7 +9,7 @@
 
 #define SIM_NODES_MAX 256
 #define SIM_SLOTS 2
-#define SIM_VIEW_LATE 4
+#define SIM_VIEW_DELAY 4
 #define SIM_WARM_UP_US (10 * USEC_PER_SEC)
 
 /** struct node - an agent and its upstream */
@@ -20,14 +20,14 @@
     uint64_t up_since_us;
     uint64_t busy_us;
     uint64_t up_us;
-    unsigned told_busy[SIM_VIEW_LATE];
-    unsigned told_waiting[SIM_VIEW_LATE];
+    unsigned view_busy[SIM_VIEW_DELAY];
+    unsigned view_waiting[SIM_VIEW_DELAY];
     unsigned ordinary_waiting;
     double flow_rate;
 };
 
-/** struct asked - a request */
-struct asked {
+/** struct call - a request */
+struct call {
     enum text_class class;
     uint64_t arrived_us;
     uint64_t deadline_us;
@@ -48,7 +48,7 @@
     uint64_t change_us;
     unsigned count;
     struct node nodes[SIM_NODES_MAX];
-    GArray *asked;
+    GArray *call;
     GArray *latencies[2];
     uint64_t useful_us[SITE_SERVICES];
     uint64_t next_view_us;
@@ -57,24 +57,24 @@
     struct site_result result;
 };
 
-/** sim_find_asked() - request by id */
-struct asked *
-sim_find_asked(const struct sim *sim, uint64_t id);
+/** sim_find_call() - request by id */
+struct call *
+sim_find_call(const struct sim *sim, uint64_t id);
 
 /** sim_measured() - part of a stretch that lies within the measured time */
 uint64_t
 sim_measured(const struct sim *sim, uint64_t from_us, uint64_t to_us);
 
-/** sim_run_over() - a run ended: its slot time counts as busy */
+/** sim_run_ended() - a run ended: its slot time counts as busy */
 void
-sim_run_over(struct sim *sim, struct asked *asked);
+sim_run_ended(struct sim *sim, struct call *call);
 
 /** sim_finish() - a request got its final answer */
 void
 sim_finish(struct sim *sim, const struct engine_action *action);
 
-/** sim_sum_up() - work out the result */
+/** sim_summarize() - work out the result */
 void
-sim_sum_up(struct sim *sim);
+sim_summarize(struct sim *sim);
 
 #endif
--- a/bench/dispatch/site.c
+++ b/bench/dispatch/site.c
@@ -77,7 +77,7 @@
 {
     const struct node *at = &sim->nodes[node];
 
-    if (sim->run->condition == SITE_LYING && node == 0) {
+    if (sim->run->condition == SITE_FALSE_REPORT && node == 0) {
         return SLOW_FACTOR;
     }
     if (at->up_since_us > 0 && sim->now_us < at->up_since_us + COLD_US) {
@@ -89,13 +89,13 @@
 static void
 on_run(struct sim *sim, unsigned node, const struct engine_action *action)
 {
-    struct asked *asked = sim_find_asked(sim, action->id);
+    struct call *call = sim_find_call(sim, action->id);
     struct event *event;
-    double run_us = (double)asked->run_us * slowness(sim, node);
+    double run_us = (double)call->run_us * slowness(sim, node);
 
-    asked->running = true;
-    asked->started_us = sim->now_us;
-    asked->ran_at = node;
+    call->running = true;
+    call->started_us = sim->now_us;
+    call->ran_at = node;
     event = event_add(sim, EVENT_END, node, sim->now_us + (uint64_t)run_us);
     event->origin = action->origin;
     event->id = action->id;
@@ -116,7 +116,7 @@
 }
 
 static void
-carry_out(struct sim *sim, unsigned node, struct engine_actions *out)
+apply_actions(struct sim *sim, unsigned node, struct engine_actions *out)
 {
     for (size_t i = 0; i < out->count; i++) {
         const struct engine_action *action = &out->items[i];
@@ -148,8 +148,8 @@
 fill_member(const struct sim *sim, unsigned i, struct view_member *member)
 {
     const struct node *at = &sim->nodes[i];
-    unsigned old = (sim->view_number + 1) % SIM_VIEW_LATE;
-    bool lies = sim->run->condition == SITE_LYING && i == 0;
+    unsigned old = (sim->view_number + 1) % SIM_VIEW_DELAY;
+    bool lies = sim->run->condition == SITE_FALSE_REPORT && i == 0;
 
     member->id = member_id(i);
     member->role = MEMBER_AGENT;
@@ -157,8 +157,8 @@
     member->health = MEMBER_ALIVE;
     member->service = at->service + 1;
     member->slots = SIM_SLOTS;
-    member->busy = lies ? 0 : (uint16_t)at->told_busy[old];
-    member->waiting = lies ? 0 : (uint16_t)at->told_waiting[old];
+    member->busy = lies ? 0 : (uint16_t)at->view_busy[old];
+    member->waiting = lies ? 0 : (uint16_t)at->view_waiting[old];
     member->incarnation = 1;
     member->since_us = 1;
 }
@@ -168,13 +168,13 @@
 {
     struct view *view =
         g_malloc0(sizeof(*view) + sim->count * sizeof(view->members[0]));
-    unsigned now = sim->view_number % SIM_VIEW_LATE;
+    unsigned now = sim->view_number % SIM_VIEW_DELAY;
 
     for (unsigned i = 0; i < sim->count; i++) {
         struct node *at = &sim->nodes[i];
 
-        at->told_busy[now] = engine_busy(at->engine);
-        at->told_waiting[now] = engine_waiting(at->engine);
+        at->view_busy[now] = engine_busy(at->engine);
+        at->view_waiting[now] = engine_waiting(at->engine);
     }
     view->seq = sim->view_number + 1;
     view->count = sim->count;
@@ -186,7 +186,7 @@
 
         view->self = i;
         engine_set_view(sim->nodes[i].engine, view, sim->now_us, &out);
-        carry_out(sim, i, &out);
+        apply_actions(sim, i, &out);
     }
     sim->view_number++;
     g_free(view);
@@ -199,7 +199,7 @@
 
     engine_set_upstream(sim->nodes[node].engine, sim->nodes[node].service + 1,
                         slots, accepting, sim->now_us, &out);
-    carry_out(sim, node, &out);
+    apply_actions(sim, node, &out);
 }
 
 /* A third of the way in: the drain begins, or the cold starts come up. */
@@ -237,7 +237,7 @@
             at->state = MEMBER_READY;
         }
         engine_tick(at->engine, sim->now_us, &out);
-        carry_out(sim, i, &out);
+        apply_actions(sim, i, &out);
     }
     if (sim->now_us >= sim->next_view_us) {
         sim->next_view_us = sim->now_us + VIEW_US;
@@ -260,44 +260,44 @@
 {
     const struct site_service *service = service_of(sim, node);
     struct node *at = &sim->nodes[node];
-    struct asked asked = {.arrived_us = sim->now_us, .node = node};
+    struct call call = {.arrived_us = sim->now_us, .node = node};
     struct engine_request request = {0};
     struct engine_actions out = {0};
     bool lowered = g_rand_double(sim->random) < service->lowered;
 
-    asked.class = lowered ? TEXT_ORDINARY : service->class;
-    asked.run_us = (uint64_t)(service->run_us / 2) +
-                   exponential(sim, service->run_us / 2);
-    asked.deadline_us =
+    call.class = lowered ? TEXT_ORDINARY : service->class;
+    call.run_us = (uint64_t)(service->run_us / 2) +
+                  exponential(sim, service->run_us / 2);
+    call.deadline_us =
         sim->now_us +
-        (asked.class == TEXT_URGENT ? service->left_us : ORDINARY_LEFT_US);
-    g_array_append_val(sim->asked, asked);
-    request.id = sim->asked->len;
+        (call.class == TEXT_URGENT ? service->left_us : ORDINARY_LEFT_US);
+    g_array_append_val(sim->call, call);
+    request.id = sim->call->len;
     request.service = at->service + 1;
-    request.caller = sim->asked->len;
-    request.class = asked.class;
-    request.deadline_us = asked.deadline_us;
+    request.caller = sim->call->len;
+    request.class = call.class;
+    request.deadline_us = call.deadline_us;
     event_add(sim, EVENT_ARRIVE, node,
               sim->now_us + 1 + exponential(sim, 1.0 / at->flow_rate));
     engine_arrive(at->engine, &request, sim->now_us, &out);
-    carry_out(sim, node, &out);
+    apply_actions(sim, node, &out);
 }
 
 static void
 on_end(struct sim *sim, const struct event *event)
 {
-    struct asked *asked = sim_find_asked(sim, event->id);
+    struct call *call = sim_find_call(sim, event->id);
     struct engine_actions out = {0};
     static const uint8_t answer[] = "HTTP/1.1 200 OK\r\n\r\n";
 
-    if (!asked->running || asked->ran_at != event->node) {
+    if (!call->running || call->ran_at != event->node) {
         return;
     }
-    sim_run_over(sim, asked);
+    sim_run_ended(sim, call);
     engine_upstream_end(sim->nodes[event->node].engine, event->origin,
                         event->id, ENGINE_UP_ANSWERED, answer, sizeof(answer),
                         sim->now_us, &out);
-    carry_out(sim, event->node, &out);
+    apply_actions(sim, event->node, &out);
 }
 
 static void
@@ -307,7 +307,7 @@
 
     engine_peer(sim->nodes[event->node].engine, event->from, &event->msg, NULL,
                 0, sim->now_us, &out);
-    carry_out(sim, event->node, &out);
+    apply_actions(sim, event->node, &out);
 }
 
 static void
@@ -393,7 +393,7 @@
     sim.random = g_rand_new_with_seed(run->seed);
     sim.end_us = SIM_WARM_UP_US + run->seconds * USEC_PER_SEC;
     sim.change_us = SIM_WARM_UP_US + run->seconds * USEC_PER_SEC / 3;
-    sim.asked = g_array_new(FALSE, TRUE, sizeof(struct asked));
+    sim.call = g_array_new(FALSE, TRUE, sizeof(struct call));
     sim.latencies[0] = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     sim.latencies[1] = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     timeline_init(&sim.timeline);
@@ -408,19 +408,19 @@
         handle(&sim, event);
         g_free(event);
     }
-    for (guint i = 0; i < sim.asked->len; i++) {
-        struct asked *asked = &g_array_index(sim.asked, struct asked, i);
+    for (guint i = 0; i < sim.call->len; i++) {
+        struct call *call = &g_array_index(sim.call, struct call, i);
 
-        if (asked->running) {
-            sim_run_over(&sim, asked);
+        if (call->running) {
+            sim_run_ended(&sim, call);
         }
     }
-    sim_sum_up(&sim);
+    sim_summarize(&sim);
     for (unsigned i = 0; i < sim.count; i++) {
         engine_free(sim.nodes[i].engine);
     }
     timeline_finish(&sim.timeline);
-    g_array_free(sim.asked, TRUE);
+    g_array_free(sim.call, TRUE);
     g_rand_free(sim.random);
     return sim.result;
 }
--- a/bench/dispatch/site.h
+++ b/bench/dispatch/site.h
@@ -17,9 +17,10 @@
 /** enum site_condition - what goes wrong */
 enum site_condition {
     SITE_PLAIN,
-    SITE_LYING, /* an endpoint reports idle and takes four times as long */
-    SITE_COLD,  /* two endpoints start cold, a third of the way in */
-    SITE_DRAIN, /* an endpoint drains then; its flows stay */
+    SITE_FALSE_REPORT, /* an endpoint reports idle and takes four times as long
+                        */
+    SITE_COLD,         /* two endpoints start cold, a third of the way in */
+    SITE_DRAIN,        /* an endpoint drains then; its flows stay */
     SITE_CONDITIONS
 };
 
--- a/src/agent/actions.c
+++ b/src/agent/actions.c
@@ -99,7 +99,7 @@
     if (peer_links_send(requests->agent, action->to, msg, answer, "") < 0) {
         /* It ran, but its answer can't be carried: nobody will know it. */
         cut.outcome = ENGINE_UNKNOWN;
-        cut.reason = ENGINE_SHORT;
+        cut.reason = ENGINE_TRUNCATED;
         peer_links_send(requests->agent, action->to, &cut, NULL, "");
     }
     if (request != NULL) {
@@ -141,7 +141,7 @@
         return g_byte_array_ref(request->answer);
     }
     /* It ran, but its answer is no longer kept anywhere. */
-    return answer_refusal(ENGINE_UNKNOWN, ENGINE_SHORT, 0);
+    return answer_refusal(ENGINE_UNKNOWN, ENGINE_TRUNCATED, 0);
 }
 
 static void
--- a/src/agent/answer.c
+++ b/src/agent/answer.c
@@ -47,7 +47,7 @@
         return "destination_unavailable";
     case ENGINE_LOST:
         return "connection_terminated";
-    case ENGINE_SHORT:
+    case ENGINE_TRUNCATED:
         return "http_response_incomplete";
     case ENGINE_DEADLINE:
         return "http_response_timeout";
@@ -176,7 +176,7 @@
         [ENGINE_KEY_QUORUM] = "key-quorum",
         [ENGINE_UPSTREAM_SHED] = "upstream-shed",
         [ENGINE_LOST] = "lost",
-        [ENGINE_SHORT] = "short",
+        [ENGINE_TRUNCATED] = "short",
         [ENGINE_DEADLINE] = "deadline",
         [ENGINE_STOPPING] = "stopping",
         [ENGINE_CANCELLED] = "cancelled",
--- a/src/agent/back.c
+++ b/src/agent/back.c
@@ -66,7 +66,7 @@
                                                          : ENGINE_UP_ANSWERED);
     }
     else if (run->reader.failed) {
-        run_end(run, ENGINE_UP_SHORT);
+        run_end(run, ENGINE_UP_TRUNCATED);
     }
 }
 
@@ -93,7 +93,7 @@
         run_end(run, ENGINE_UP_UNREACHED);
         return;
     }
-    run_end(run, run->reader.begun ? ENGINE_UP_SHORT : ENGINE_UP_LOST);
+    run_end(run, run->reader.begun ? ENGINE_UP_TRUNCATED : ENGINE_UP_LOST);
 }
 
 static bool
--- a/src/agent/drain.c
+++ b/src/agent/drain.c
@@ -37,15 +37,16 @@
 {
     const struct engine *engine = agent->requests.engine;
 
-    return front_count(&agent->front) == 0 && engine_open(engine) == 0 &&
-           engine_busy(engine) == 0;
+    return front_count(&agent->front) == 0 &&
+           engine_open_requests(engine) == 0 && engine_busy(engine) == 0;
 }
 
 /* Nothing in progress, and the records of keys are held by others too. */
 static bool
 is_done(const struct agent *agent)
 {
-    return is_idle(agent) && engine_unpushed(agent->requests.engine) == 0;
+    return is_idle(agent) &&
+           engine_unacked_records(agent->requests.engine) == 0;
 }
 
 static void
--- a/src/agent/requests.c
+++ b/src/agent/requests.c
@@ -58,8 +58,8 @@
                          &requests->out);
         break;
     case LATE_UNSENT:
-        engine_unsent(requests->engine, late->member, late->id, now_us,
-                      &requests->out);
+        engine_send_failed(requests->engine, late->member, late->id, now_us,
+                           &requests->out);
         break;
     }
 }
@@ -191,7 +191,7 @@
     static const char *const names[] = {
         [ENGINE_UP_ANSWERED] = "answered",   [ENGINE_UP_REFUSED] = "refused",
         [ENGINE_UP_UNREACHED] = "unreached", [ENGINE_UP_LOST] = "lost",
-        [ENGINE_UP_SHORT] = "short",
+        [ENGINE_UP_TRUNCATED] = "short",
     };
 
     return names[how];
--- a/src/cli/explain_request.c
+++ b/src/cli/explain_request.c
@@ -172,11 +172,11 @@
     GHashTable *services = services_new(snapshot->text);
     const struct service *service = services_find(services, id);
 
-    if (service->needs->len == 0) {
+    if (service->dependencies->len == 0) {
         g_string_append(out, "needs    no other service\n");
     }
-    for (guint i = 0; i < service->needs->len; i++) {
-        uint32_t need = g_array_index(service->needs, uint32_t, i);
+    for (guint i = 0; i < service->dependencies->len; i++) {
+        uint32_t need = g_array_index(service->dependencies, uint32_t, i);
 
         g_string_append_printf(out, "needs    %s",
                                text_find(snapshot->text, need)->name);
@@ -240,13 +240,14 @@
                            set.count, IDEM_REPLICAS);
     for (size_t i = 0; i < set.count; i++) {
         const struct view_member *member =
-            view_find(snapshot->view, set.lives[i]->id);
+            view_find(snapshot->view, set.sessions[i]->id);
 
         g_string_append_printf(
             out, "         %-24s %-12s %s, %s%s\n", member->name,
             member->data_centre, words_state(member->state),
             words_health(member->health),
-            replicas_settled(set.lives[i], NOW_US) ? "" : ", not settled yet");
+            replicas_eligible(set.sessions[i], NOW_US) ? ""
+                                                       : ", not settled yet");
     }
     replicas_finish(&replicas);
     return 0;
--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -2,7 +2,7 @@
 
 #include <errno.h>
 
-#include "idem/keeper.h"
+#include "idem/replica_store.h"
 #include "idem/push.h"
 #include "idem/reserve.h"
 #include "idem/state.h"
@@ -22,7 +22,7 @@
     released_init(&idem->released);
     idem->requests =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    idem->by_wire = g_hash_table_new(g_int64_hash, g_int64_equal);
+    idem->by_wire_token = g_hash_table_new(g_int64_hash, g_int64_equal);
     return idem;
 }
 
@@ -32,7 +32,7 @@
     if (idem == NULL) {
         return;
     }
-    g_hash_table_destroy(idem->by_wire);
+    g_hash_table_destroy(idem->by_wire_token);
     g_hash_table_destroy(idem->requests);
     record_table_finish(&idem->records);
     released_finish(&idem->released);
@@ -42,9 +42,10 @@
 
 /* Whoever calls again after a long silence was paused. */
 static void
-notice_pause(struct idem *idem, uint64_t now_us)
+detect_pause(struct idem *idem, uint64_t now_us)
 {
-    if (idem->first_wire != 0 && idem->last_us + IDEM_PAUSE_US <= now_us) {
+    if (idem->first_wire_token != 0 &&
+        idem->last_us + IDEM_PAUSE_US <= now_us) {
         (void)replicas_resume(&idem->replicas, idem->self,
                               now_us - idem->last_us, now_us);
         idem->pass_wanted = true;
@@ -59,15 +60,16 @@
     bool changed;
     int rc;
 
-    notice_pause(idem, now_us);
+    detect_pause(idem, now_us);
     rc = replicas_update(&idem->replicas, view, now_us, &changed);
     if (rc < 0) {
         return rc;
     }
-    if (idem->first_wire == 0) {
-        idem->first_wire = MAX(idem->replicas.incarnation / USEC_PER_MSEC, 1)
-                           << STATE_WIRE_SHIFT;
-        idem->next_wire = idem->first_wire;
+    if (idem->first_wire_token == 0) {
+        idem->first_wire_token =
+            MAX(idem->replicas.incarnation / USEC_PER_MSEC, 1)
+            << STATE_WIRE_TOKEN_SHIFT;
+        idem->next_wire_token = idem->first_wire_token;
     }
     idem->pass_wanted |= changed;
     reserve_tick(idem, now_us, out);
@@ -78,7 +80,7 @@
 idem_begin(struct idem *idem, uint64_t token, const struct idem_key *key,
            uint64_t now_us, struct idem_actions *out)
 {
-    notice_pause(idem, now_us);
+    detect_pause(idem, now_us);
     return reserve_begin(idem, token, key, now_us, out);
 }
 
@@ -87,7 +89,7 @@
          enum idem_state state, const uint8_t *answer, size_t answer_len,
          uint64_t now_us, struct idem_actions *out)
 {
-    notice_pause(idem, now_us);
+    detect_pause(idem, now_us);
     return reserve_end(idem, token, not_run, state, answer, answer_len, now_us,
                        out);
 }
@@ -97,23 +99,23 @@
              uint64_t now_us, struct idem_actions *out)
 {
     if (msg->state > IDEM_UNKNOWN || from == idem->self ||
-        idem->first_wire == 0) {
+        idem->first_wire_token == 0) {
         return -EINVAL;
     }
-    notice_pause(idem, now_us);
+    detect_pause(idem, now_us);
     switch (msg->type) {
     case IDEM_MSG_RESERVE:
-        keeper_reserve(idem, from, msg, now_us, out);
+        replica_store_reserve(idem, from, msg, now_us, out);
         return 0;
     case IDEM_MSG_RELEASE:
-        keeper_release(idem, msg);
+        replica_store_release(idem, msg);
         return 0;
     case IDEM_MSG_RECORD:
-        keeper_record(idem, from, msg, now_us, out);
+        replica_store_record(idem, from, msg, now_us, out);
         reserve_receive(idem, from, msg, now_us, out);
         return 0;
     case IDEM_MSG_ACK:
-        keeper_ack(idem, from, msg);
+        replica_store_ack(idem, from, msg);
         return 0;
     case IDEM_MSG_GRANT:
     case IDEM_MSG_EXISTS:
@@ -127,14 +129,14 @@
 int
 idem_tick(struct idem *idem, uint64_t now_us, struct idem_actions *out)
 {
-    notice_pause(idem, now_us);
+    detect_pause(idem, now_us);
     reserve_tick(idem, now_us, out);
     push_tick(idem, now_us, out);
     return 0;
 }
 
 size_t
-idem_unpushed(const struct idem *idem)
+idem_unacked_records(const struct idem *idem)
 {
     return idem->records.unacked + idem->cursor +
            (idem->pass_wanted ? idem->records.count : 0);
--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -10,27 +10,27 @@
  * held by time alone, so a paused holder harms nobody.
  *
  * The replicas are ranked twice: over the members now, and over the members
- * IDEM_SETTLE_US ago, those who died since included. Both sets must grant:
- * of the earlier one, all its survivors if fewer than IDEM_QUORUM live, and
- * at least one. So two coordinators whose views differ by less than
- * IDEM_SETTLE_US still ask a set that they share, and a death or a join
- * never hides a record before it has been pushed on. A member counts for
- * the set of now only once it is settled: known for IDEM_SETTLE_US since
- * its process started, or since it came back from the dead. Where fewer
+ * IDEM_ELIGIBLE_AFTER_US ago, those who died since included. Both sets must
+ * grant: of the earlier one, all its survivors if fewer than IDEM_QUORUM live,
+ * and at least one. So two coordinators whose views differ by less than
+ * IDEM_ELIGIBLE_AFTER_US still ask a set that they share, and a death or a
+ * join never hides a record before it has been pushed on. A member counts for
+ * the set of now only once it is settled: known for IDEM_ELIGIBLE_AFTER_US
+ * since its process started, or since it came back from the dead. Where fewer
  * than IDEM_REPLICAS are settled (a service that has just started) the
  * oldest others fill up; a process that is itself younger than
  * IDEM_START_US doesn't know them all yet, and starts nothing. Nobody
  * starts anything while half of a service's agents have just fallen
  * silent: they may be running on the other side of a cut. Nor does a
- * process that was paused for IDEM_STALE_US, for twice IDEM_SETTLE_US: the
- * joins that it missed are old to the others and new to it. A process
- * younger than twice IDEM_SETTLE_US doesn't know who died just before it
- * started: it needs a grant of all of the earlier set, unless nobody lived
+ * process that was paused for IDEM_STALE_US, for twice IDEM_ELIGIBLE_AFTER_US:
+ * the joins that it missed are old to the others and new to it. A process
+ * younger than twice IDEM_ELIGIBLE_AFTER_US doesn't know who died just before
+ * it started: it needs a grant of all of the earlier set, unless nobody lived
  * then. So does everybody while a replica that is in neither set has ended
- * within IDEM_SETTLE_US.
+ * within IDEM_ELIGIBLE_AFTER_US.
  *
- * What this assumes: views differ by less than IDEM_SETTLE_US (by less than
- * IDEM_START_US while a service starts), and fewer than IDEM_QUORUM of a
+ * What this assumes: views differ by less than IDEM_ELIGIBLE_AFTER_US (by less
+ * than IDEM_START_US while a service starts), and fewer than IDEM_QUORUM of a
  * key's replicas lose their memory within the time it takes to notice a
  * death, to settle and to push (15 s after it was noticed). See
  * docs/design-idempotency.md.
@@ -52,7 +52,7 @@
 #define IDEM_QUORUM 2
 #define IDEM_ANSWER_MAX 16384
 #define IDEM_TTL_US (24 * 3600 * USEC_PER_SEC)
-#define IDEM_SETTLE_US (10 * USEC_PER_SEC)
+#define IDEM_ELIGIBLE_AFTER_US (10 * USEC_PER_SEC)
 #define IDEM_START_US (3 * USEC_PER_SEC)
 #define IDEM_PAUSE_US (2 * USEC_PER_SEC)
 /* After a pause of this long its members are out of date. */
@@ -192,10 +192,11 @@
 int
 idem_tick(struct idem *idem, uint64_t now_us, struct idem_actions *out);
 
-/** idem_unpushed() - records held here that some replica hasn't acknowledged
- * yet; a process that is being stopped waits (bounded) until it is 0 */
+/** idem_unacked_records() - records held here that some replica hasn't
+ * acknowledged yet; a process that is being stopped waits (bounded) until it
+ * is 0 */
 size_t
-idem_unpushed(const struct idem *idem);
+idem_unacked_records(const struct idem *idem);
 
 /** idem_records() - records held here */
 size_t
--- a/src/idem/push.c
+++ b/src/idem/push.c
@@ -1,10 +1,10 @@
 #include "idem/push.h"
 
 static bool
-in_set(const struct idem *idem, const struct replica_set *set)
+includes_self(const struct idem *idem, const struct replica_set *set)
 {
     for (size_t i = 0; i < set->count; i++) {
-        if (set->lives[i]->id == idem->self && !set->lives[i]->gone) {
+        if (set->sessions[i]->id == idem->self && !set->sessions[i]->gone) {
             return true;
         }
     }
@@ -13,13 +13,13 @@
 
 /* The first living replica of a while ago surely has the answer. */
 static bool
-is_lead(const struct idem *idem, const struct replica_set *earlier)
+is_answer_source(const struct idem *idem, const struct replica_set *earlier)
 {
     for (size_t i = 0; i < earlier->count; i++) {
-        const struct replica_life *life = earlier->lives[i];
+        const struct replica_session *session = earlier->sessions[i];
 
-        if (!life->gone && !life->suspect) {
-            return life->id == idem->self;
+        if (!session->gone && !session->suspect) {
+            return session->id == idem->self;
         }
     }
     return true;
@@ -28,29 +28,31 @@
 /* Send the record to those targets that aren't known to hold it; whether
  * there are any. */
 static bool
-push_to(struct idem *idem, struct record *record,
-        const struct replica_set *targets, bool full, bool send,
-        struct idem_actions *out)
+push_to_targets(struct idem *idem, struct record *record,
+                const struct replica_set *targets, bool full, bool send,
+                struct idem_actions *out)
 {
     bool missing = false;
 
     for (size_t i = 0; i < targets->count; i++) {
-        const struct replica_life *life = targets->lives[i];
+        const struct replica_session *session = targets->sessions[i];
         bool with = full && record->answer_len <= idem->answer_credit;
 
-        if (life->id == idem->self ||
-            record_is_known(record, life->number, full)) {
+        if (session->id == idem->self ||
+            record_is_held_by(record, session->number, full)) {
             continue;
         }
         missing = true;
-        if (!send || life->suspect) {
+        if (!send || session->suspect) {
             continue;
         }
-        if (full && !with && record_is_known(record, life->number, false)) {
+        if (full && !with &&
+            record_is_held_by(record, session->number, false)) {
             continue;
         }
-        state_send_record(out, life->id, IDEM_MSG_RECORD, record, with);
-        record_note_sent(record, life->number, with, targets);
+        state_add_record_message(out, session->id, IDEM_MSG_RECORD, record,
+                                 with);
+        record_mark_sent(record, session->number, with, targets);
         idem->answer_credit -= with ? record->answer_len : 0;
     }
     return missing;
@@ -59,23 +61,23 @@
 /* A replica asks the owner of a long reservation from time to time, in case
  * its end got lost. */
 static void
-ask_owner(const struct record *record, uint64_t now_us,
-          struct idem_actions *out)
+query_owner(const struct record *record, uint64_t now_us,
+            struct idem_actions *out)
 {
-    uint64_t age = (now_us - record->updated_us) / PUSH_AGAIN_US;
+    uint64_t age = (now_us - record->updated_us) / PUSH_RETRY_US;
 
     if (age >= 2 && (age < 8 || age % 16 == 0)) {
-        state_send(out, record->owner, IDEM_MSG_GRANT, &record->key,
-                   record->owner, record->token);
+        state_add_message(out, record->owner, IDEM_MSG_GRANT, &record->key,
+                          record->owner, record->token);
     }
 }
 
 /* A reservation by this process that has no open request: given up, or of
- * an earlier life, of which nothing is known. Whether it is over. */
+ * an earlier session, of which nothing is known. Whether it is over. */
 static bool
-age_own(struct idem *idem, struct record *record, uint64_t now_us)
+expire_own(struct idem *idem, struct record *record, uint64_t now_us)
 {
-    if (g_hash_table_contains(idem->by_wire, &record->token)) {
+    if (g_hash_table_contains(idem->by_wire_token, &record->token)) {
         return false;
     }
     if (released_has(&idem->released, idem->self, record->token)) {
@@ -88,17 +90,17 @@
 /* What time does to a record; whether it is over. A reservation stays one
  * when its owner seems to be dead: it may come back and say how it ended. */
 static bool
-age_record(struct idem *idem, struct record *record, bool owner_gone,
-           uint64_t now_us, struct idem_actions *out)
+expire_record(struct idem *idem, struct record *record, bool owner_gone,
+              uint64_t now_us, struct idem_actions *out)
 {
     if (record->state == IDEM_STARTED && record->owner == idem->self) {
-        return age_own(idem, record, now_us);
+        return expire_own(idem, record, now_us);
     }
     if (record->state == IDEM_STARTED && !owner_gone) {
-        ask_owner(record, now_us, out);
+        query_owner(record, now_us, out);
         return false;
     }
-    return record->updated_us + PUSH_KEEP_US <= now_us &&
+    return record->updated_us + PUSH_RETAIN_US <= now_us &&
            state_token_age_us(idem, record->token, now_us) >= IDEM_TTL_US;
 }
 
@@ -110,32 +112,33 @@
     struct replica_set earlier;
     bool owner_gone = state_owner_gone(idem, record->key.service,
                                        record->owner, record->token, now_us);
-    bool on_its_way;
+    bool in_transit;
     bool missing;
 
-    if (age_record(idem, record, owner_gone, now_us, out)) {
+    if (expire_record(idem, record, owner_gone, now_us, out)) {
         record_remove(&idem->records, record);
         return;
     }
-    if (record->trusted && owner_gone) {
-        record_distrust(record);
+    if (record->holders_assumed && owner_gone) {
+        record_reset_holders(record);
     }
     replicas_targets(&idem->replicas, &record->key, now_us, &targets);
     replicas_earlier(&idem->replicas, &record->key, now_us, &earlier);
-    on_its_way = record->state == IDEM_STARTED &&
-                 record->updated_us + PUSH_AGAIN_US > now_us;
-    missing = push_to(idem, record, &targets,
-                      record->answer != NULL && is_lead(idem, &earlier),
-                      !on_its_way, out);
+    in_transit = record->state == IDEM_STARTED &&
+                 record->updated_us + PUSH_RETRY_US > now_us;
+    missing = push_to_targets(idem, record, &targets,
+                              record->answer != NULL &&
+                                  is_answer_source(idem, &earlier),
+                              !in_transit, out);
     record_set_unacked(&idem->records, record, missing);
     if (missing || (record->state == IDEM_STARTED && !owner_gone)) {
-        record_queue(&idem->records, record, now_us + PUSH_AGAIN_US);
+        record_queue(&idem->records, record, now_us + PUSH_RETRY_US);
         return;
     }
     record_unqueue(&idem->records, record);
-    if (!in_set(idem, &targets) && !in_set(idem, &earlier) &&
+    if (!includes_self(idem, &targets) && !includes_self(idem, &earlier) &&
         targets.count > 0 &&
-        record->updated_us + 2 * IDEM_SETTLE_US <= now_us) {
+        record->updated_us + 2 * IDEM_ELIGIBLE_AFTER_US <= now_us) {
         record_remove(&idem->records, record);
     }
 }
@@ -148,32 +151,34 @@
 
     replicas_targets(&idem->replicas, &record->key, now_us, &targets);
     idem->answer_credit = SIZE_MAX;
-    (void)push_to(idem, record, &targets, record->answer != NULL, true, out);
-    record_queue(&idem->records, record, now_us + PUSH_AGAIN_US);
+    (void)push_to_targets(idem, record, &targets, record->answer != NULL, true,
+                          out);
+    record_queue(&idem->records, record, now_us + PUSH_RETRY_US);
 }
 
 void
-push_trust(struct idem *idem, struct record *record, uint64_t now_us)
+push_from_owner(struct idem *idem, struct record *record, uint64_t now_us)
 {
     struct replica_set targets;
 
     replicas_targets(&idem->replicas, &record->key, now_us, &targets);
-    record_trust(record, &targets);
+    record_assume_held(record, &targets);
     push_later(idem, record, now_us);
 }
 
 void
 push_later(struct idem *idem, struct record *record, uint64_t now_us)
 {
-    record_queue(&idem->records, record, now_us + PUSH_AGAIN_US);
+    record_queue(&idem->records, record, now_us + PUSH_RETRY_US);
 }
 
 static void
-go_on_with_pass(struct idem *idem, size_t visits, uint64_t now_us,
-                struct idem_actions *out)
+continue_pass(struct idem *idem, size_t visits, uint64_t now_us,
+              struct idem_actions *out)
 {
     if (idem->cursor == 0 &&
-        (idem->pass_wanted || idem->pass_us + PUSH_PASS_US <= now_us)) {
+        (idem->pass_wanted ||
+         idem->pass_us + PUSH_PASS_INTERVAL_US <= now_us)) {
         idem->cursor = idem->records.count;
         idem->pass_us = now_us;
         idem->pass_wanted = false;
@@ -193,7 +198,7 @@
     struct record *record;
 
     idem->answer_credit = PUSH_ANSWER_BYTES;
-    go_on_with_pass(idem, visits, now_us, out);
+    continue_pass(idem, visits, now_us, out);
     while (visits-- > 0 &&
            (record = TAILQ_FIRST(&idem->records.queue)) != NULL &&
            record->due_us <= now_us) {
--- a/src/idem/quorum.c
+++ b/src/idem/quorum.c
@@ -1,75 +1,77 @@
 #include "idem/quorum.h"
 
-struct reserve_asked *
+struct reserve_replica *
 quorum_find(struct reserve *reserve, uint64_t id)
 {
-    for (size_t i = 0; i < reserve->asked_count; i++) {
-        if (reserve->asked[i].id == id) {
-            return &reserve->asked[i];
+    for (size_t i = 0; i < reserve->queried_count; i++) {
+        if (reserve->queried[i].id == id) {
+            return &reserve->queried[i];
         }
     }
     return NULL;
 }
 
-static struct reserve_asked *
-add(struct reserve *reserve, const struct replica_life *life)
+static struct reserve_replica *
+add(struct reserve *reserve, const struct replica_session *session)
 {
-    struct reserve_asked *asked = quorum_find(reserve, life->id);
+    struct reserve_replica *queried = quorum_find(reserve, session->id);
 
-    if (asked == NULL) {
-        g_assert(reserve->asked_count < RESERVE_ASKED_MAX);
-        asked = &reserve->asked[reserve->asked_count++];
-        *asked = (struct reserve_asked){.id = life->id, .life = life->number};
+    if (queried == NULL) {
+        g_assert(reserve->queried_count < RESERVE_QUERIED_MAX);
+        queried = &reserve->queried[reserve->queried_count++];
+        *queried = (struct reserve_replica){.id = session->id,
+                                            .session = session->number};
     }
-    return asked;
+    return queried;
 }
 
-/* Who must be asked: both sets, and those who will hold the record later. */
+/* Who must be queried: both sets, and those who will hold the record later. */
 void
 quorum_choose(const struct idem *idem, struct reserve *reserve,
               uint64_t now_us)
 {
-    int64_t ago = replicas_ago(now_us);
+    int64_t ago = replicas_earlier_us(now_us);
     struct replica_set set;
 
     replicas_targets(&idem->replicas, &reserve->key, now_us, &set);
     for (size_t i = 0; i < set.count; i++) {
-        (void)add(reserve, set.lives[i]);
+        (void)add(reserve, set.sessions[i]);
     }
     replicas_at(&idem->replicas, &reserve->key, (int64_t)now_us, &set);
     for (size_t i = 0; i < set.count; i++) {
-        struct reserve_asked *asked = add(reserve, set.lives[i]);
+        struct reserve_replica *queried = add(reserve, set.sessions[i]);
 
-        asked->now = true;
-        asked->now_unsettled =
-            !replicas_settled(set.lives[i], (int64_t)now_us);
+        queried->now = true;
+        queried->now_ineligible =
+            !replicas_eligible(set.sessions[i], (int64_t)now_us);
     }
     replicas_at(&idem->replicas, &reserve->key, ago, &set);
-    reserve->lived_earlier = set.count > 0;
+    reserve->service_existed_earlier = set.count > 0;
     replicas_earlier(&idem->replicas, &reserve->key, now_us, &set);
     reserve->had_earlier = set.count > 0;
     reserve->missed = replicas_missed(&idem->replicas, &reserve->key, now_us);
     for (size_t i = 0; i < set.count; i++) {
-        struct reserve_asked *asked;
+        struct reserve_replica *queried;
 
-        if (set.lives[i]->gone) {
+        if (set.sessions[i]->gone) {
             continue;
         }
-        asked = add(reserve, set.lives[i]);
-        asked->earlier = true;
-        asked->earlier_unsettled = !replicas_settled(set.lives[i], ago);
+        queried = add(reserve, set.sessions[i]);
+        queried->earlier = true;
+        queried->earlier_ineligible = !replicas_eligible(set.sessions[i], ago);
     }
 }
 
-/* The life that was asked, while its memory is still there. */
-static const struct replica_life *
-living(const struct idem *idem, const struct reserve_asked *asked)
+/* The session that was queried, while its memory is still there. */
+static const struct replica_session *
+find_live_session(const struct idem *idem,
+                  const struct reserve_replica *queried)
 {
     for (size_t i = 0; i < idem->replicas.count; i++) {
-        const struct replica_life *life = &idem->replicas.lives[i];
+        const struct replica_session *session = &idem->replicas.sessions[i];
 
-        if (life->number == asked->life) {
-            return life->gone ? NULL : life;
+        if (session->number == queried->session) {
+            return session->gone ? NULL : session;
         }
     }
     return NULL;
@@ -88,9 +90,9 @@
 earlier_needed(const struct idem *idem, const struct reserve *reserve,
                size_t earlier, uint64_t now_us)
 {
-    bool all =
-        reserve->missed > 0 ||
-        (reserve->lived_earlier && replicas_newcomer(&idem->replicas, now_us));
+    bool all = reserve->missed > 0 ||
+               (reserve->service_existed_earlier &&
+                replicas_recently_started(&idem->replicas, now_us));
 
     return all ? earlier : MIN(IDEM_QUORUM, earlier);
 }
@@ -106,26 +108,27 @@
     size_t earlier = 0;
     size_t earlier_granted = 0;
 
-    for (size_t i = 0; i < reserve->asked_count; i++) {
-        const struct reserve_asked *asked = &reserve->asked[i];
-        bool there = living(idem, asked) != NULL;
-        bool granted = there && asked->granted && !asked->starting;
+    for (size_t i = 0; i < reserve->queried_count; i++) {
+        const struct reserve_replica *queried = &reserve->queried[i];
+        bool there = find_live_session(idem, queried) != NULL;
+        bool granted = there && queried->granted && !queried->starting;
 
-        if (starting && asked->now && asked->now_unsettled) {
+        if (starting && queried->now && queried->now_ineligible) {
             return false;
         }
-        /* A young memory counts only where nobody had an older one. */
-        now += asked->now;
-        now_granted +=
-            asked->now && granted && (!asked->young || asked->now_unsettled);
-        earlier += asked->earlier && there;
-        earlier_granted += asked->earlier && granted &&
-                           (!asked->young || asked->earlier_unsettled);
+        /* A incomplete memory counts only where nobody had an older one. */
+        now += queried->now;
+        now_granted += queried->now && granted &&
+                       (!queried->incomplete || queried->now_ineligible);
+        earlier += queried->earlier && there;
+        earlier_granted +=
+            queried->earlier && granted &&
+            (!queried->incomplete || queried->earlier_ineligible);
     }
     if (now == 0 || now_granted < MIN(IDEM_QUORUM, now) ||
         reserve->missed >= IDEM_QUORUM ||
         replicas_stale(&idem->replicas, now_us) ||
-        replicas_cut_off(&idem->replicas, reserve->key.service, now_us)) {
+        replicas_partitioned(&idem->replicas, reserve->key.service, now_us)) {
         return false;
     }
     return !reserve->had_earlier ||
@@ -139,10 +142,10 @@
 {
     bool any = false;
 
-    for (size_t i = 0; i < reserve->asked_count; i++) {
-        const struct reserve_asked *asked = &reserve->asked[i];
+    for (size_t i = 0; i < reserve->queried_count; i++) {
+        const struct reserve_replica *queried = &reserve->queried[i];
 
-        any |= asked->earlier && living(idem, asked) != NULL;
+        any |= queried->earlier && find_live_session(idem, queried) != NULL;
     }
     return reserve->had_earlier && !any;
 }
@@ -153,12 +156,13 @@
 quorum_must_wait(const struct idem *idem, const struct reserve *reserve,
                  bool suspects)
 {
-    for (size_t i = 0; i < reserve->asked_count; i++) {
-        const struct reserve_asked *asked = &reserve->asked[i];
-        const struct replica_life *life = living(idem, asked);
+    for (size_t i = 0; i < reserve->queried_count; i++) {
+        const struct reserve_replica *queried = &reserve->queried[i];
+        const struct replica_session *session =
+            find_live_session(idem, queried);
 
-        if ((asked->now || asked->earlier) && !asked->answered &&
-            life != NULL && (suspects || !life->suspect)) {
+        if ((queried->now || queried->earlier) && !queried->answered &&
+            session != NULL && (suspects || !session->suspect)) {
             return true;
         }
     }
--- a/src/idem/quorum.h
+++ b/src/idem/quorum.h
@@ -1,8 +1,8 @@
 /**
  * DOC: quorum - whom a reservation must ask, and whether they let it run
  *
- * Two sets of replicas have a say: that of now and that of IDEM_SETTLE_US
- * ago. See DOC of idem.h.
+ * Two sets of replicas have a say: that of now and that of
+ * IDEM_ELIGIBLE_AFTER_US ago. See DOC of idem.h.
  */
 #ifndef SWIFTARCH_IDEM_QUORUM_H
 #define SWIFTARCH_IDEM_QUORUM_H
@@ -16,7 +16,7 @@
               uint64_t now_us);
 
 /** quorum_find() - the entry of member @id, or NULL */
-struct reserve_asked *
+struct reserve_replica *
 quorum_find(struct reserve *reserve, uint64_t id);
 
 /** quorum_reached() - whether both sets granted, and this process isn't cut
--- a/src/idem/record.c
+++ b/src/idem/record.c
@@ -165,7 +165,7 @@
 {
     record->state = (uint8_t)state;
     record->updated_us = now_us;
-    record_distrust(record);
+    record_reset_holders(record);
     record_set_unacked(table, record, true);
 }
 
@@ -194,23 +194,23 @@
 }
 
 bool
-record_is_known(const struct record *record, uint32_t life, bool full)
+record_is_held_by(const struct record *record, uint32_t session, bool full)
 {
     for (size_t i = 0; i < REPLICAS_TARGETS_MAX; i++) {
-        const struct record_known *known = &record->known[i];
+        const struct record_holder *holder = &record->holder[i];
 
-        if (known->life == life) {
-            return known->acked && (!full || known->full);
+        if (holder->session == session) {
+            return holder->acked && (!full || holder->full);
         }
     }
     return false;
 }
 
 static bool
-is_target(const struct replica_set *targets, uint32_t life)
+is_target(const struct replica_set *targets, uint32_t session)
 {
     for (size_t i = 0; i < targets->count; i++) {
-        if (targets->lives[i]->number == life) {
+        if (targets->sessions[i]->number == session) {
             return true;
         }
     }
@@ -218,52 +218,52 @@
 }
 
 void
-record_note_sent(struct record *record, uint32_t life, bool full,
+record_mark_sent(struct record *record, uint32_t session, bool full,
                  const struct replica_set *targets)
 {
-    struct record_known *slot = NULL;
+    struct record_holder *slot = NULL;
 
     for (size_t i = 0; i < REPLICAS_TARGETS_MAX; i++) {
-        struct record_known *known = &record->known[i];
+        struct record_holder *holder = &record->holder[i];
 
-        if (known->life == life) {
-            known->full |= full;
+        if (holder->session == session) {
+            holder->full |= full;
             return;
         }
-        if (slot == NULL && !is_target(targets, known->life)) {
-            slot = known;
+        if (slot == NULL && !is_target(targets, holder->session)) {
+            slot = holder;
         }
     }
     if (slot != NULL) {
-        *slot = (struct record_known){.life = life, .full = full};
+        *slot = (struct record_holder){.session = session, .full = full};
     }
 }
 
 void
-record_note_ack(struct record *record, uint32_t life)
+record_mark_acked(struct record *record, uint32_t session)
 {
     for (size_t i = 0; i < REPLICAS_TARGETS_MAX; i++) {
-        if (record->known[i].life == life) {
-            record->known[i].acked = true;
+        if (record->holder[i].session == session) {
+            record->holder[i].acked = true;
         }
     }
 }
 
 void
-record_trust(struct record *record, const struct replica_set *targets)
+record_assume_held(struct record *record, const struct replica_set *targets)
 {
     for (size_t i = 0; i < targets->count; i++) {
-        record_note_sent(record, targets->lives[i]->number, true, targets);
-        record_note_ack(record, targets->lives[i]->number);
+        record_mark_sent(record, targets->sessions[i]->number, true, targets);
+        record_mark_acked(record, targets->sessions[i]->number);
     }
-    record->trusted = true;
+    record->holders_assumed = true;
 }
 
 void
-record_distrust(struct record *record)
+record_reset_holders(struct record *record)
 {
-    memset(record->known, 0, sizeof(record->known));
-    record->trusted = false;
+    memset(record->holder, 0, sizeof(record->holder));
+    record->holders_assumed = false;
 }
 
 void
--- a/src/idem/record.h
+++ b/src/idem/record.h
@@ -17,13 +17,13 @@
 #include "idem/replicas.h"
 
 /**
- * struct record_known - what another member holds of a record
- * @life: number of its life, 0 for an unused slot
+ * struct record_holder - what another member holds of a record
+ * @session: number of its session, 0 for an unused slot
  * @full: the answer was sent along
  * @acked: it said that it holds the record
  */
-struct record_known {
-    uint32_t life : 30;
+struct record_holder {
+    uint32_t session : 30;
     uint32_t full : 1;
     uint32_t acked : 1;
 };
@@ -40,12 +40,13 @@
  * @updated_us: when the state changed last, own clock
  * @answer: HTTP answer, or NULL
  * @answer_len: bytes
- * @state: what is known
+ * @state: what is holder
  * @queued: in the queue
- * @trusted: @known goes by the owner's word, which ends with its life
+ * @holders_assumed: @holder goes by the owner's word, which ends with its
+ * session
  * @unacked: some target hasn't said yet that it holds the record
  * @due_us: when to visit it again
- * @known: who holds this state too
+ * @holder: who holds this state too
  */
 struct record {
     struct record *next;
@@ -60,10 +61,10 @@
     uint32_t answer_len;
     uint8_t state;
     bool queued;
-    bool trusted;
+    bool holders_assumed;
     bool unacked;
     uint64_t due_us;
-    struct record_known known[REPLICAS_TARGETS_MAX];
+    struct record_holder holder[REPLICAS_TARGETS_MAX];
 };
 
 TAILQ_HEAD(record_list, record);
@@ -127,30 +128,31 @@
 record_set_answer(struct record_table *table, struct record *record,
                   const uint8_t *answer, size_t len);
 
-/** record_is_known() - whether @life said that it holds the record, with
+/** record_is_held_by() - whether @session said that it holds the record, with
  * the answer if @full */
 bool
-record_is_known(const struct record *record, uint32_t life, bool full);
+record_is_held_by(const struct record *record, uint32_t session, bool full);
 
-/** record_note_sent() - the record went to @life; takes the place of one
+/** record_mark_sent() - the record went to @session; takes the place of one
  * that isn't among @targets when there is no room */
 void
-record_note_sent(struct record *record, uint32_t life, bool full,
+record_mark_sent(struct record *record, uint32_t session, bool full,
                  const struct replica_set *targets);
 
-/** record_note_ack() - @life holds the record */
+/** record_mark_acked() - @session holds the record */
 void
-record_note_ack(struct record *record, uint32_t life);
+record_mark_acked(struct record *record, uint32_t session);
 
-/** record_trust() - the owner itself brings the record to all @targets */
+/** record_assume_held() - the owner itself brings the record to all @targets
+ */
 void
-record_trust(struct record *record, const struct replica_set *targets);
+record_assume_held(struct record *record, const struct replica_set *targets);
 
-/** record_distrust() - nothing is known of who holds it */
+/** record_reset_holders() - nothing is holder of who holds it */
 void
-record_distrust(struct record *record);
+record_reset_holders(struct record *record);
 
-/** record_set_unacked() - whether some target isn't known to hold it */
+/** record_set_unacked() - whether some target isn't holder to hold it */
 void
 record_set_unacked(struct record_table *table, struct record *record,
                    bool unacked);
--- a/src/idem/keeper.c
+++ b/src/idem/replica_store.c
@@ -1,4 +1,4 @@
-#include "idem/keeper.h"
+#include "idem/replica_store.h"
 
 #include "idem/push.h"
 
@@ -21,14 +21,14 @@
 grant(const struct idem *idem, uint64_t to, const struct record *record,
       uint64_t now_us, struct idem_actions *out)
 {
-    struct idem_msg *reply = state_send(out, to, IDEM_MSG_GRANT, &record->key,
-                                        record->owner, record->token);
+    struct idem_msg *reply = state_add_message(
+        out, to, IDEM_MSG_GRANT, &record->key, record->owner, record->token);
 
     reply->state = IDEM_STARTED;
     if (replicas_starting(&idem->replicas, now_us)) {
         reply->state = IDEM_DONE;
     }
-    else if (replicas_young(&idem->replicas, now_us)) {
+    else if (replicas_incomplete(&idem->replicas, now_us)) {
         reply->state = IDEM_UNKNOWN;
     }
 }
@@ -44,17 +44,18 @@
                             now_us);
     }
     if (record == NULL) {
-        state_send(out, from, IDEM_MSG_DENY, &msg->key, msg->owner,
-                   msg->token);
+        state_add_message(out, from, IDEM_MSG_DENY, &msg->key, msg->owner,
+                          msg->token);
         return;
     }
-    push_trust(idem, record, now_us);
+    push_from_owner(idem, record, now_us);
     grant(idem, from, record, now_us, out);
 }
 
 void
-keeper_reserve(struct idem *idem, uint64_t from, const struct idem_msg *msg,
-               uint64_t now_us, struct idem_actions *out)
+replica_store_reserve(struct idem *idem, uint64_t from,
+                      const struct idem_msg *msg, uint64_t now_us,
+                      struct idem_actions *out)
 {
     struct record *record = record_find(&idem->records, &msg->key);
 
@@ -70,20 +71,20 @@
         grant(idem, from, record, now_us, out);
         return;
     }
-    state_send_record(out, from, IDEM_MSG_EXISTS, record, true);
+    state_add_record_message(out, from, IDEM_MSG_EXISTS, record, true);
     if (owner_gone(idem, record, now_us)) {
         out->items[out->count - 1].msg.state = IDEM_UNKNOWN;
     }
 }
 
 void
-keeper_release(struct idem *idem, const struct idem_msg *msg)
+replica_store_release(struct idem *idem, const struct idem_msg *msg)
 {
     struct record *record = record_find(&idem->records, &msg->key);
 
     /* Only this process knows how its own open requests end. */
     if (msg->owner == idem->self &&
-        g_hash_table_contains(idem->by_wire, &msg->token)) {
+        g_hash_table_contains(idem->by_wire_token, &msg->token)) {
         return;
     }
     released_add(&idem->released, msg->owner, msg->token);
@@ -97,8 +98,8 @@
 acknowledge(uint64_t to, const struct idem_msg *msg, enum idem_state state,
             struct idem_actions *out)
 {
-    struct idem_msg *reply =
-        state_send(out, to, IDEM_MSG_ACK, &msg->key, msg->owner, msg->token);
+    struct idem_msg *reply = state_add_message(
+        out, to, IDEM_MSG_ACK, &msg->key, msg->owner, msg->token);
 
     reply->state = state;
 }
@@ -113,7 +114,7 @@
     record_set_state(&idem->records, record, msg->state, now_us);
     record_set_answer(&idem->records, record, msg->answer, msg->answer_len);
     if (from == msg->owner) {
-        push_trust(idem, record, now_us);
+        push_from_owner(idem, record, now_us);
     }
     else {
         push_later(idem, record, now_us);
@@ -127,7 +128,7 @@
     struct record *record;
 
     if (state_token_age_us(idem, msg->token, now_us) >=
-        IDEM_TTL_US + PUSH_KEEP_US) {
+        IDEM_TTL_US + PUSH_RETAIN_US) {
         acknowledge(from, msg, msg->state, out);
         return;
     }
@@ -150,7 +151,7 @@
            const struct idem_msg *msg, uint64_t now_us,
            struct idem_actions *out)
 {
-    if (state_strength(msg->state) > state_strength(record->state)) {
+    if (state_certainty(msg->state) > state_certainty(record->state)) {
         store(idem, record, from, msg, now_us);
     }
     else if (msg->state == record->state && record->answer == NULL &&
@@ -165,12 +166,12 @@
  * Two reservations wait until one of them ends or is released; if nobody is
  * left to say so, either tells the same. */
 static void
-merge_other(struct idem *idem, struct record *record, uint64_t from,
-            const struct idem_msg *msg, uint64_t now_us,
-            struct idem_actions *out)
+merge_conflicting(struct idem *idem, struct record *record, uint64_t from,
+                  const struct idem_msg *msg, uint64_t now_us,
+                  struct idem_actions *out)
 {
-    int theirs = state_strength(msg->state);
-    int ours = state_strength(record->state);
+    int theirs = state_certainty(msg->state);
+    int ours = state_certainty(record->state);
 
     if (theirs > ours ||
         (theirs == ours && ours > 0 && msg->token < record->token)) {
@@ -179,7 +180,7 @@
         return;
     }
     if (ours > 0) {
-        state_send_record(out, from, IDEM_MSG_RECORD, record, true);
+        state_add_record_message(out, from, IDEM_MSG_RECORD, record, true);
     }
     else if (owner_gone(idem, record, now_us) &&
              state_owner_gone(idem, msg->key.service, msg->owner, msg->token,
@@ -189,21 +190,22 @@
 }
 
 void
-keeper_record(struct idem *idem, uint64_t from, const struct idem_msg *msg,
-              uint64_t now_us, struct idem_actions *out)
+replica_store_record(struct idem *idem, uint64_t from,
+                     const struct idem_msg *msg, uint64_t now_us,
+                     struct idem_actions *out)
 {
     struct record *record = record_find(&idem->records, &msg->key);
 
     /* Who heard that it was not run passes that on. */
     if (msg->state != IDEM_DONE &&
         released_has(&idem->released, msg->owner, msg->token)) {
-        state_send(out, from, IDEM_MSG_RELEASE, &msg->key, msg->owner,
-                   msg->token);
+        state_add_message(out, from, IDEM_MSG_RELEASE, &msg->key, msg->owner,
+                          msg->token);
         return;
     }
     /* Only this process can say how its open requests end. */
     if (msg->owner == idem->self &&
-        g_hash_table_contains(idem->by_wire, &msg->token)) {
+        g_hash_table_contains(idem->by_wire_token, &msg->token)) {
         acknowledge(from, msg, msg->state, out);
         return;
     }
@@ -214,19 +216,19 @@
         merge_same(idem, record, from, msg, now_us, out);
     }
     else {
-        merge_other(idem, record, from, msg, now_us, out);
+        merge_conflicting(idem, record, from, msg, now_us, out);
     }
 }
 
 void
-keeper_ack(struct idem *idem, uint64_t from, const struct idem_msg *msg)
+replica_store_ack(struct idem *idem, uint64_t from, const struct idem_msg *msg)
 {
     struct record *record = record_find(&idem->records, &msg->key);
-    const struct replica_life *life =
+    const struct replica_session *session =
         replicas_find(&idem->replicas, from, msg->key.service);
 
-    if (record != NULL && life != NULL && same_request(record, msg) &&
-        state_strength(msg->state) >= state_strength(record->state)) {
-        record_note_ack(record, life->number);
+    if (record != NULL && session != NULL && same_request(record, msg) &&
+        state_certainty(msg->state) >= state_certainty(record->state)) {
+        record_mark_acked(record, session->number);
     }
 }
--- a/src/idem/replicas.c
+++ b/src/idem/replicas.c
@@ -9,20 +9,20 @@
 void
 replicas_finish(struct replicas *replicas)
 {
-    free(replicas->lives);
+    free(replicas->sessions);
     *replicas = (struct replicas){0};
 }
 
 int64_t
-replicas_ago(uint64_t now_us)
+replicas_earlier_us(uint64_t now_us)
 {
-    return (int64_t)now_us - (int64_t)IDEM_SETTLE_US;
+    return (int64_t)now_us - (int64_t)IDEM_ELIGIBLE_AFTER_US;
 }
 
 bool
-replicas_settled(const struct replica_life *life, int64_t at_us)
+replicas_eligible(const struct replica_session *session, int64_t at_us)
 {
-    return life->since_us + (int64_t)IDEM_SETTLE_US <= at_us;
+    return session->since_us + (int64_t)IDEM_ELIGIBLE_AFTER_US <= at_us;
 }
 
 /* Whether a member keeps records of its service. */
@@ -33,45 +33,46 @@
            member->health != MEMBER_DEAD && member->state != MEMBER_LEAVING;
 }
 
-const struct replica_life *
+const struct replica_session *
 replicas_find(const struct replicas *replicas, uint64_t id, uint32_t service)
 {
     for (size_t i = 0; i < replicas->count; i++) {
-        const struct replica_life *life = &replicas->lives[i];
+        const struct replica_session *session = &replicas->sessions[i];
 
-        if (life->id == id && life->service == service &&
-            life->ended_us == 0) {
-            return life;
+        if (session->id == id && session->service == service &&
+            session->ended_us == 0) {
+            return session;
         }
     }
     return NULL;
 }
 
-/* Whether @member had an earlier life here that is not forgotten yet. */
+/* Whether @member had an earlier session here that is not forgotten yet. */
 static bool
-lived_before(const struct replicas *replicas, const struct view_member *member)
+had_session(const struct replicas *replicas, const struct view_member *member)
 {
     for (size_t i = 0; i < replicas->count; i++) {
-        const struct replica_life *life = &replicas->lives[i];
+        const struct replica_session *session = &replicas->sessions[i];
 
-        if (life->id == member->id && life->service == member->service) {
+        if (session->id == member->id && session->service == member->service) {
             return true;
         }
     }
     return false;
 }
 
-/* A life begins now. But a process that has just started sees everyone for
+/* A session begins now. But a process that has just started sees everyone for
  * the first time: it tells by the wall clock in the incarnations who was
  * there before it. */
 static int64_t
-beginning(const struct replicas *replicas, const struct view_member *member,
-          uint64_t now_us)
+session_start_us(const struct replicas *replicas,
+                 const struct view_member *member, uint64_t now_us)
 {
-    bool young = now_us < replicas->start_us + IDEM_SETTLE_US;
+    bool incomplete = now_us < replicas->start_us + IDEM_ELIGIBLE_AFTER_US;
     int64_t age;
 
-    if ((!young && replicas->count > 0) || lived_before(replicas, member)) {
+    if ((!incomplete && replicas->count > 0) ||
+        had_session(replicas, member)) {
         return (int64_t)now_us;
     }
     age = (int64_t)(replicas->incarnation - member->incarnation);
@@ -80,38 +81,38 @@
 }
 
 static int
-add_life(struct replicas *replicas, const struct replica_life *life)
+add_session(struct replicas *replicas, const struct replica_session *session)
 {
     if (replicas->count == replicas->capacity) {
         size_t capacity = replicas->capacity ? 2 * replicas->capacity : 16;
-        struct replica_life *lives;
+        struct replica_session *sessions;
 
-        lives = realloc(replicas->lives, capacity * sizeof(*lives));
-        if (lives == NULL) {
+        sessions = realloc(replicas->sessions, capacity * sizeof(*sessions));
+        if (sessions == NULL) {
             return -ENOMEM;
         }
-        replicas->lives = lives;
+        replicas->sessions = sessions;
         replicas->capacity = capacity;
     }
-    replicas->lives[replicas->count] = *life;
-    replicas->lives[replicas->count++].number = ++replicas->next_number;
+    replicas->sessions[replicas->count] = *session;
+    replicas->sessions[replicas->count++].number = ++replicas->next_number;
     return 0;
 }
 
 static int
-begin_life(struct replicas *replicas, const struct view_member *member,
-           uint64_t now_us)
+start_session(struct replicas *replicas, const struct view_member *member,
+              uint64_t now_us)
 {
-    struct replica_life life = {
+    struct replica_session session = {
         .id = member->id,
         .service = member->service,
         .incarnation = member->incarnation,
         .seen_us = member->since_us,
-        .since_us = beginning(replicas, member, now_us),
+        .since_us = session_start_us(replicas, member, now_us),
         .suspect = member->health == MEMBER_SUSPECT,
     };
 
-    return add_life(replicas, &life);
+    return add_session(replicas, &session);
 }
 
 int
@@ -120,21 +121,21 @@
 {
     size_t count = replicas->count;
 
-    replicas->young_us = now_us;
+    replicas->complete_since_us = now_us;
     if (paused_us >= IDEM_STALE_US) {
         replicas->stale_us = now_us;
     }
     for (size_t i = 0; i < count; i++) {
-        struct replica_life life = replicas->lives[i];
+        struct replica_session session = replicas->sessions[i];
         int rc;
 
-        if (life.id != self || life.ended_us != 0) {
+        if (session.id != self || session.ended_us != 0) {
             continue;
         }
-        replicas->lives[i].ended_us = (int64_t)now_us;
-        replicas->lives[i].left = true;
-        life.since_us = (int64_t)now_us;
-        rc = add_life(replicas, &life);
+        replicas->sessions[i].ended_us = (int64_t)now_us;
+        replicas->sessions[i].left = true;
+        session.since_us = (int64_t)now_us;
+        rc = add_session(replicas, &session);
         if (rc < 0) {
             return rc;
         }
@@ -146,35 +147,35 @@
 replicas_stale(const struct replicas *replicas, uint64_t now_us)
 {
     return replicas->stale_us != 0 &&
-           now_us < replicas->stale_us + 2 * IDEM_SETTLE_US;
+           now_us < replicas->stale_us + 2 * IDEM_ELIGIBLE_AFTER_US;
 }
 
 bool
-replicas_newcomer(const struct replicas *replicas, uint64_t now_us)
+replicas_recently_started(const struct replicas *replicas, uint64_t now_us)
 {
-    return now_us < replicas->start_us + 2 * IDEM_SETTLE_US;
+    return now_us < replicas->start_us + 2 * IDEM_ELIGIBLE_AFTER_US;
 }
 
 bool
-replicas_young(const struct replicas *replicas, uint64_t now_us)
+replicas_incomplete(const struct replicas *replicas, uint64_t now_us)
 {
-    return now_us < replicas->young_us + IDEM_SETTLE_US;
+    return now_us < replicas->complete_since_us + IDEM_ELIGIBLE_AFTER_US;
 }
 
 bool
 replicas_starting(const struct replicas *replicas, uint64_t now_us)
 {
-    return now_us < replicas->young_us + IDEM_START_US;
+    return now_us < replicas->complete_since_us + IDEM_START_US;
 }
 
 static void
-end_life(struct replica_life *life, const struct view_member *member,
-         uint64_t now_us)
+end_session(struct replica_session *session, const struct view_member *member,
+            uint64_t now_us)
 {
-    life->ended_us = now_us > 0 ? (int64_t)now_us : 1;
-    life->gone = member == NULL || member->health == MEMBER_DEAD ||
-                 member->since_us != life->seen_us;
-    life->left = !life->gone;
+    session->ended_us = now_us > 0 ? (int64_t)now_us : 1;
+    session->gone = member == NULL || member->health == MEMBER_DEAD ||
+                    member->since_us != session->seen_us;
+    session->left = !session->gone;
 }
 
 /* End what is no more, note what is suspected. */
@@ -184,43 +185,44 @@
     bool changed = false;
 
     for (size_t i = 0; i < replicas->count; i++) {
-        struct replica_life *life = &replicas->lives[i];
-        const struct view_member *member = view_find(view, life->id);
+        struct replica_session *session = &replicas->sessions[i];
+        const struct view_member *member = view_find(view, session->id);
 
-        if (life->ended_us != 0) {
-            if (!life->gone &&
+        if (session->ended_us != 0) {
+            if (!session->gone &&
                 (member == NULL || member->health == MEMBER_DEAD ||
-                 member->since_us != life->seen_us)) {
-                life->gone = true;
+                 member->since_us != session->seen_us)) {
+                session->gone = true;
                 changed = true;
             }
             continue;
         }
         if (member == NULL || !serves(member) ||
-            member->service != life->service ||
-            member->since_us != life->seen_us) {
-            end_life(life, member, now_us);
+            member->service != session->service ||
+            member->since_us != session->seen_us) {
+            end_session(session, member, now_us);
             changed = true;
             continue;
         }
-        life->suspect = member->health == MEMBER_SUSPECT;
+        session->suspect = member->health == MEMBER_SUSPECT;
     }
     return changed;
 }
 
 static bool
-forget(struct replicas *replicas, uint64_t now_us)
+remove_expired(struct replicas *replicas, uint64_t now_us)
 {
     bool changed = false;
 
     for (size_t i = replicas->count; i-- > 0;) {
-        struct replica_life *life = &replicas->lives[i];
-
-        if (life->ended_us != 0 &&
-            life->ended_us + (int64_t)REPLICAS_CUT_OFF_US <= (int64_t)now_us &&
-            (life->gone ||
-             replicas_find(replicas, life->id, life->service) != NULL)) {
-            *life = replicas->lives[--replicas->count];
+        struct replica_session *session = &replicas->sessions[i];
+
+        if (session->ended_us != 0 &&
+            session->ended_us + (int64_t)REPLICAS_PARTITION_US <=
+                (int64_t)now_us &&
+            (session->gone ||
+             replicas_find(replicas, session->id, session->service) != NULL)) {
+            *session = replicas->sessions[--replicas->count];
             changed = true;
         }
     }
@@ -240,11 +242,11 @@
         const struct view_member *self = &view->members[view->self];
 
         replicas->start_us = MIN(MAX(self->since_us, 1), MAX(now_us, 1));
-        replicas->young_us = replicas->start_us;
+        replicas->complete_since_us = replicas->start_us;
         replicas->incarnation = self->incarnation;
     }
     replicas->alone = view->count == 1;
-    *changed = forget(replicas, now_us);
+    *changed = remove_expired(replicas, now_us);
     *changed |= refresh(replicas, view, now_us);
     for (size_t i = 0; i < view->count; i++) {
         const struct view_member *member = &view->members[i];
@@ -253,7 +255,7 @@
             replicas_find(replicas, member->id, member->service) != NULL) {
             continue;
         }
-        rc = begin_life(replicas, member, now_us);
+        rc = start_session(replicas, member, now_us);
         if (rc < 0) {
             return rc;
         }
@@ -263,8 +265,8 @@
 }
 
 bool
-replicas_cut_off(const struct replicas *replicas, uint32_t service,
-                 uint64_t now_us)
+replicas_partitioned(const struct replicas *replicas, uint32_t service,
+                     uint64_t now_us)
 {
     uint64_t lowest = UINT64_MAX;
     bool lowest_here = false;
@@ -272,44 +274,46 @@
     size_t silent = 0;
 
     for (size_t i = 0; i < replicas->count; i++) {
-        const struct replica_life *life = &replicas->lives[i];
-        bool present = life->ended_us == 0;
+        const struct replica_session *session = &replicas->sessions[i];
+        bool present = session->ended_us == 0;
 
-        if (life->service != service || life->left) {
+        if (session->service != service || session->left) {
             continue;
         }
-        if (!present && (life->ended_us + (int64_t)REPLICAS_CUT_OFF_US <=
-                             (int64_t)now_us ||
-                         replicas_find(replicas, life->id, service) != NULL)) {
+        if (!present &&
+            (session->ended_us + (int64_t)REPLICAS_PARTITION_US <=
+                 (int64_t)now_us ||
+             replicas_find(replicas, session->id, service) != NULL)) {
             continue;
         }
         here += present;
         silent += !present;
-        if (life->id < lowest) {
-            lowest = life->id;
+        if (session->id < lowest) {
+            lowest = session->id;
             lowest_here = present;
         }
     }
-    if (replicas->alone && now_us < replicas->start_us + IDEM_SETTLE_US) {
+    if (replicas->alone &&
+        now_us < replicas->start_us + IDEM_ELIGIBLE_AFTER_US) {
         return true;
     }
     return here < silent || (here == silent && !lowest_here);
 }
 
 static uint64_t
-score(const struct replica_life *life, const struct idem_key *key)
+score(const struct replica_session *session, const struct idem_key *key)
 {
-    return hash_pair(life->id, key->hash[0] ^ key->service);
+    return hash_pair(session->id, key->hash[0] ^ key->service);
 }
 
 /* Order of choice: the settled before the others, the settled by their
  * score for the key, the others by age (so that all views agree). */
 static bool
-better(const struct replica_life *a, const struct replica_life *b,
+better(const struct replica_session *a, const struct replica_session *b,
        const struct idem_key *key, int64_t settled_us)
 {
-    bool a_settled = replicas_settled(a, settled_us);
-    bool b_settled = replicas_settled(b, settled_us);
+    bool a_settled = replicas_eligible(a, settled_us);
+    bool b_settled = replicas_eligible(b, settled_us);
     uint64_t a_score = score(a, key);
     uint64_t b_score = score(b, key);
 
@@ -323,12 +327,12 @@
 }
 
 static void
-insert(struct replica_set *set, const struct replica_life *life,
+insert(struct replica_set *set, const struct replica_session *session,
        const struct idem_key *key, int64_t settled_us)
 {
     size_t at = set->count;
 
-    while (at > 0 && better(life, set->lives[at - 1], key, settled_us)) {
+    while (at > 0 && better(session, set->sessions[at - 1], key, settled_us)) {
         at--;
     }
     if (at == IDEM_REPLICAS) {
@@ -338,9 +342,9 @@
         set->count++;
     }
     for (size_t i = set->count - 1; i > at; i--) {
-        set->lives[i] = set->lives[i - 1];
+        set->sessions[i] = set->sessions[i - 1];
     }
-    set->lives[at] = life;
+    set->sessions[at] = session;
 }
 
 /* The best of those who lived at @at_us; all of them count as settled when
@@ -351,11 +355,11 @@
 {
     set->count = 0;
     for (size_t i = 0; i < replicas->count; i++) {
-        const struct replica_life *life = &replicas->lives[i];
+        const struct replica_session *session = &replicas->sessions[i];
 
-        if (life->service == key->service && life->since_us <= at_us &&
-            (life->ended_us == 0 || life->ended_us > at_us)) {
-            insert(set, life, key, settled_us);
+        if (session->service == key->service && session->since_us <= at_us &&
+            (session->ended_us == 0 || session->ended_us > at_us)) {
+            insert(set, session, key, settled_us);
         }
     }
 }
@@ -373,34 +377,34 @@
 replicas_earlier(const struct replicas *replicas, const struct idem_key *key,
                  uint64_t now_us, struct replica_set *set)
 {
-    int64_t ago = replicas_ago(now_us);
+    int64_t ago = replicas_earlier_us(now_us);
 
     pick(replicas, key, ago, ago, set);
     if (set->count > 0) {
         return;
     }
     for (size_t i = 0; i < replicas->count; i++) {
-        const struct replica_life *life = &replicas->lives[i];
+        const struct replica_session *session = &replicas->sessions[i];
 
-        if (life->service == key->service &&
-            (life->ended_us == 0 || life->ended_us > ago)) {
-            insert(set, life, key, ago);
+        if (session->service == key->service &&
+            (session->ended_us == 0 || session->ended_us > ago)) {
+            insert(set, session, key, ago);
         }
     }
 }
 
-/* Whether a life that has ended was one of @key's replicas at its end for
+/* Whether a session that has ended was one of @key's replicas at its end for
  * those to whom it was settled. */
 static bool
 was_replica(const struct replicas *replicas, const struct idem_key *key,
-            const struct replica_life *life)
+            const struct replica_session *session)
 {
     struct replica_set set;
 
-    pick(replicas, key, life->ended_us - 1,
-         life->ended_us + (int64_t)IDEM_SETTLE_US, &set);
+    pick(replicas, key, session->ended_us - 1,
+         session->ended_us + (int64_t)IDEM_ELIGIBLE_AFTER_US, &set);
     for (size_t i = 0; i < set.count; i++) {
-        if (set.lives[i] == life) {
+        if (set.sessions[i] == session) {
             return true;
         }
     }
@@ -411,15 +415,16 @@
 replicas_missed(const struct replicas *replicas, const struct idem_key *key,
                 uint64_t now_us)
 {
-    int64_t ago = replicas_ago(now_us);
+    int64_t ago = replicas_earlier_us(now_us);
     size_t missed = 0;
 
     for (size_t i = 0; i < replicas->count; i++) {
-        const struct replica_life *life = &replicas->lives[i];
+        const struct replica_session *session = &replicas->sessions[i];
 
-        missed += life->service == key->service && life->ended_us > ago &&
-                  !replicas_settled(life, ago) &&
-                  was_replica(replicas, key, life);
+        missed += session->service == key->service &&
+                  session->ended_us > ago &&
+                  !replicas_eligible(session, ago) &&
+                  was_replica(replicas, key, session);
     }
     return missed;
 }
@@ -432,15 +437,15 @@
 
     pick(replicas, key, (int64_t)now_us, (int64_t)now_us, set);
     pick(replicas, key, (int64_t)now_us,
-         (int64_t)(now_us + 2 * IDEM_SETTLE_US), &later);
+         (int64_t)(now_us + 2 * IDEM_ELIGIBLE_AFTER_US), &later);
     for (size_t i = 0; i < later.count; i++) {
         bool present = false;
 
         for (size_t j = 0; j < set->count; j++) {
-            present |= set->lives[j] == later.lives[i];
+            present |= set->sessions[j] == later.sessions[i];
         }
         if (!present) {
-            set->lives[set->count++] = later.lives[i];
+            set->sessions[set->count++] = later.sessions[i];
         }
     }
 }
--- a/src/idem/reserve.c
+++ b/src/idem/reserve.c
@@ -6,11 +6,11 @@
 #include "idem/quorum.h"
 
 static void
-ask(const struct idem *idem, const struct reserve *reserve, uint64_t to,
-    struct idem_actions *out)
+send_reserve(const struct idem *idem, const struct reserve *reserve,
+             uint64_t to, struct idem_actions *out)
 {
-    state_send(out, to, IDEM_MSG_RESERVE, &reserve->key, idem->self,
-               reserve->wire);
+    state_add_message(out, to, IDEM_MSG_RESERVE, &reserve->key, idem->self,
+                      reserve->wire_token);
 }
 
 static void
@@ -18,9 +18,9 @@
           struct idem_actions *out)
 {
     reserve->sent_us = now_us;
-    for (size_t i = 0; i < reserve->asked_count; i++) {
-        if (!reserve->asked[i].answered) {
-            ask(idem, reserve, reserve->asked[i].id, out);
+    for (size_t i = 0; i < reserve->queried_count; i++) {
+        if (!reserve->queried[i].answered) {
+            send_reserve(idem, reserve, reserve->queried[i].id, out);
         }
     }
 }
@@ -30,45 +30,47 @@
               const struct record *record)
 {
     return record != NULL && record->owner == idem->self &&
-           record->token == reserve->wire;
+           record->token == reserve->wire_token;
 }
 
 static void
-forget(struct idem *idem, struct reserve *reserve)
+remove_reserve(struct idem *idem, struct reserve *reserve)
 {
     if (!reserve->running) {
         TAILQ_REMOVE(&idem->pending, reserve, pending);
     }
-    g_hash_table_remove(idem->by_wire, &reserve->wire);
+    g_hash_table_remove(idem->by_wire_token, &reserve->wire_token);
     g_hash_table_remove(idem->requests, &reserve->token);
 }
 
-/* The request was not run: take its reservations back and forget it. */
+/* The request was not run: take its reservations back and remove_reserve it.
+ */
 static void
 release(struct idem *idem, struct reserve *reserve, struct idem_actions *out)
 {
     struct record *record = record_find(&idem->records, &reserve->key);
 
-    released_add(&idem->released, idem->self, reserve->wire);
-    for (size_t i = 0; i < reserve->asked_count; i++) {
-        const struct reserve_asked *asked = &reserve->asked[i];
+    released_add(&idem->released, idem->self, reserve->wire_token);
+    for (size_t i = 0; i < reserve->queried_count; i++) {
+        const struct reserve_replica *queried = &reserve->queried[i];
 
-        if (asked->id != idem->self && (asked->granted || !asked->answered)) {
-            state_send(out, asked->id, IDEM_MSG_RELEASE, &reserve->key,
-                       idem->self, reserve->wire);
+        if (queried->id != idem->self &&
+            (queried->granted || !queried->answered)) {
+            state_add_message(out, queried->id, IDEM_MSG_RELEASE,
+                              &reserve->key, idem->self, reserve->wire_token);
         }
     }
     if (is_own_record(idem, reserve, record)) {
         record_remove(&idem->records, record);
     }
-    forget(idem, reserve);
+    remove_reserve(idem, reserve);
 }
 
 static void
 refuse(struct idem *idem, struct reserve *reserve, enum idem_reason reason,
        struct idem_actions *out)
 {
-    state_act(out, IDEM_REFUSE, reserve->token, reason);
+    state_add_action(out, IDEM_REFUSE, reserve->token, reason);
     release(idem, reserve, out);
 }
 
@@ -77,15 +79,16 @@
 veto(struct idem *idem, struct reserve *reserve, struct idem_actions *out)
 {
     if (reserve->veto_state == IDEM_DONE) {
-        state_act(out, IDEM_OUTCOME_UNKNOWN, reserve->token,
-                  IDEM_REASON_NO_ANSWER);
+        state_add_action(out, IDEM_OUTCOME_UNKNOWN, reserve->token,
+                         IDEM_REASON_NO_ANSWER);
     }
     else if (reserve->veto_state == IDEM_UNKNOWN || reserve->veto_gone) {
-        state_act(out, IDEM_OUTCOME_UNKNOWN, reserve->token,
-                  IDEM_REASON_OWNER_GONE);
+        state_add_action(out, IDEM_OUTCOME_UNKNOWN, reserve->token,
+                         IDEM_REASON_OWNER_GONE);
     }
     else {
-        state_act(out, IDEM_IN_PROGRESS, reserve->token, IDEM_REASON_NONE);
+        state_add_action(out, IDEM_IN_PROGRESS, reserve->token,
+                         IDEM_REASON_NONE);
     }
     release(idem, reserve, out);
 }
@@ -99,18 +102,18 @@
 
     g_assert(is_own_record(idem, reserve, record));
     replicas_targets(&idem->replicas, &reserve->key, now_us, &targets);
-    for (size_t i = 0; i < reserve->asked_count; i++) {
-        const struct reserve_asked *asked = &reserve->asked[i];
+    for (size_t i = 0; i < reserve->queried_count; i++) {
+        const struct reserve_replica *queried = &reserve->queried[i];
 
-        if (asked->granted) {
-            record_note_sent(record, asked->life, false, &targets);
-            record_note_ack(record, asked->life);
+        if (queried->granted) {
+            record_mark_sent(record, queried->session, false, &targets);
+            record_mark_acked(record, queried->session);
         }
     }
     TAILQ_REMOVE(&idem->pending, reserve, pending);
     reserve->running = true;
     push_later(idem, record, now_us);
-    state_act(out, IDEM_PROCEED, reserve->token, IDEM_REASON_NONE);
+    state_add_action(out, IDEM_PROCEED, reserve->token, IDEM_REASON_NONE);
 }
 
 /* Decide if everything needed is known, or @late. A coordinator that was
@@ -149,13 +152,13 @@
       uint64_t now_us, struct idem_actions *out)
 {
     if (msg->key.fingerprint != reserve->key.fingerprint) {
-        state_act(out, IDEM_MISMATCH, reserve->token, IDEM_REASON_NONE);
+        state_add_action(out, IDEM_MISMATCH, reserve->token, IDEM_REASON_NONE);
         release(idem, reserve, out);
         return true;
     }
     if (msg->state == IDEM_DONE && msg->answer_len > 0) {
-        struct idem_action *action =
-            state_act(out, IDEM_REPLAY, reserve->token, IDEM_REASON_NONE);
+        struct idem_action *action = state_add_action(
+            out, IDEM_REPLAY, reserve->token, IDEM_REASON_NONE);
 
         action->msg = *msg;
         release(idem, reserve, out);
@@ -179,26 +182,26 @@
     struct reserve *reserve = g_new0(struct reserve, 1);
 
     reserve->token = token;
-    reserve->wire = state_next_wire(idem, now_us);
+    reserve->wire_token = state_next_wire_token(idem, now_us);
     reserve->key = *key;
     reserve->started_us = now_us;
     g_hash_table_insert(idem->requests, &reserve->token, reserve);
-    g_hash_table_insert(idem->by_wire, &reserve->wire, reserve);
+    g_hash_table_insert(idem->by_wire_token, &reserve->wire_token, reserve);
     TAILQ_INSERT_TAIL(&idem->pending, reserve, pending);
     return reserve;
 }
 
-/* The own record may settle the matter, or be a reason to ask on. */
+/* The own record may settle the matter, or be a reason to send_reserve on. */
 static bool
-look_here(struct idem *idem, struct reserve *reserve, uint64_t now_us,
-          struct idem_actions *out)
+check_own_record(struct idem *idem, struct reserve *reserve, uint64_t now_us,
+                 struct idem_actions *out)
 {
     struct record *record = record_find(&idem->records, &reserve->key);
     struct idem_msg msg;
 
     if (record == NULL) {
         record = record_add(&idem->records, &reserve->key, idem->self,
-                            reserve->wire, now_us);
+                            reserve->wire_token, now_us);
         if (record == NULL) {
             refuse(idem, reserve, IDEM_REASON_FULL, out);
         }
@@ -228,22 +231,22 @@
               uint64_t now_us, struct idem_actions *out)
 {
     struct reserve *reserve;
-    struct reserve_asked *own;
+    struct reserve_replica *own;
 
     if (g_hash_table_contains(idem->requests, &token)) {
         return -EEXIST;
     }
-    if (idem->first_wire == 0) {
-        state_act(out, IDEM_REFUSE, token, IDEM_REASON_QUORUM);
+    if (idem->first_wire_token == 0) {
+        state_add_action(out, IDEM_REFUSE, token, IDEM_REASON_QUORUM);
         return 0;
     }
     if (idem->records.count >= idem->max_records &&
         record_find(&idem->records, key) == NULL) {
-        state_act(out, IDEM_REFUSE, token, IDEM_REASON_FULL);
+        state_add_action(out, IDEM_REFUSE, token, IDEM_REASON_FULL);
         return 0;
     }
     reserve = add_reserve(idem, token, key, now_us);
-    if (look_here(idem, reserve, now_us, out)) {
+    if (check_own_record(idem, reserve, now_us, out)) {
         return 0;
     }
     quorum_choose(idem, reserve, now_us);
@@ -251,7 +254,7 @@
     if (own != NULL) {
         own->answered = true;
         own->granted = !reserve->vetoed;
-        own->young = replicas_young(&idem->replicas, now_us);
+        own->incomplete = replicas_incomplete(&idem->replicas, now_us);
         own->starting = replicas_starting(&idem->replicas, now_us);
     }
     query_all(idem, reserve, now_us, out);
@@ -269,16 +272,16 @@
 
     if (record == NULL) {
         return record_add(&idem->records, &reserve->key, idem->self,
-                          reserve->wire, now_us);
+                          reserve->wire_token, now_us);
     }
     if (is_own_record(idem, reserve, record)) {
         return record;
     }
-    if (state_strength(state) <= state_strength(record->state)) {
+    if (state_certainty(state) <= state_certainty(record->state)) {
         return NULL;
     }
     record->owner = idem->self;
-    record->token = reserve->wire;
+    record->token = reserve->wire_token;
     record->key.fingerprint = reserve->key.fingerprint;
     return record;
 }
@@ -308,7 +311,7 @@
                           state == IDEM_DONE ? answer : NULL, answer_len);
         push_changed(idem, record, now_us, out);
     }
-    forget(idem, reserve);
+    remove_reserve(idem, reserve);
     return record != NULL ? 0 : -EEXIST;
 }
 
@@ -321,79 +324,79 @@
     struct idem_msg *reply;
 
     if (released_has(&idem->released, idem->self, msg->token)) {
-        state_send(out, from, IDEM_MSG_RELEASE, &msg->key, idem->self,
-                   msg->token);
+        state_add_message(out, from, IDEM_MSG_RELEASE, &msg->key, idem->self,
+                          msg->token);
         return;
     }
     if (record != NULL && record->owner == idem->self &&
         record->token == msg->token && record->state != IDEM_STARTED) {
-        state_send_record(out, from, IDEM_MSG_RECORD, record, true);
+        state_add_record_message(out, from, IDEM_MSG_RECORD, record, true);
         return;
     }
-    reply = state_send(out, from, IDEM_MSG_RECORD, &msg->key, idem->self,
-                       msg->token);
+    reply = state_add_message(out, from, IDEM_MSG_RECORD, &msg->key,
+                              idem->self, msg->token);
     reply->state = IDEM_UNKNOWN;
 }
 
 static void
-take_grant(struct idem *idem, struct reserve *reserve, uint64_t from,
-           const struct idem_msg *msg, uint64_t now_us,
-           struct idem_actions *out)
+handle_grant(struct idem *idem, struct reserve *reserve, uint64_t from,
+             const struct idem_msg *msg, uint64_t now_us,
+             struct idem_actions *out)
 {
-    struct reserve_asked *asked = quorum_find(reserve, from);
+    struct reserve_replica *queried = quorum_find(reserve, from);
 
-    if (asked == NULL) {
+    if (queried == NULL) {
         return;
     }
     if (reserve->running) {
         struct record *record = record_find(&idem->records, &msg->key);
 
         if (is_own_record(idem, reserve, record)) {
-            record_note_ack(record, asked->life);
+            record_mark_acked(record, queried->session);
         }
         return;
     }
-    asked->answered = true;
-    asked->granted = true;
-    asked->young = msg->state != IDEM_STARTED;
-    asked->starting = msg->state == IDEM_DONE;
+    queried->answered = true;
+    queried->granted = true;
+    queried->incomplete = msg->state != IDEM_STARTED;
+    queried->starting = msg->state == IDEM_DONE;
     decide(idem, reserve, now_us, out);
 }
 
 /* A reservation of our own that we gave up is still there: repeat the
- * release, ask once more. */
+ * release, send_reserve once more. */
 static void
-ask_again(const struct idem *idem, struct reserve *reserve,
-          struct reserve_asked *asked, const struct idem_msg *msg,
-          struct idem_actions *out)
+requery(const struct idem *idem, struct reserve *reserve,
+        struct reserve_replica *queried, const struct idem_msg *msg,
+        struct idem_actions *out)
 {
-    if (asked == NULL || asked->asked_again) {
+    if (queried == NULL || queried->requeried) {
         return;
     }
-    asked->asked_again = true;
-    state_send(out, asked->id, IDEM_MSG_RELEASE, &msg->key, idem->self,
-               msg->token);
-    ask(idem, reserve, asked->id, out);
+    queried->requeried = true;
+    state_add_message(out, queried->id, IDEM_MSG_RELEASE, &msg->key,
+                      idem->self, msg->token);
+    send_reserve(idem, reserve, queried->id, out);
 }
 
 static void
-take_exists(struct idem *idem, struct reserve *reserve, uint64_t from,
-            const struct idem_msg *msg, uint64_t now_us,
-            struct idem_actions *out)
+handle_exists(struct idem *idem, struct reserve *reserve, uint64_t from,
+              const struct idem_msg *msg, uint64_t now_us,
+              struct idem_actions *out)
 {
-    struct reserve_asked *asked = quorum_find(reserve, from);
+    struct reserve_replica *queried = quorum_find(reserve, from);
 
-    if (msg->owner == idem->self && msg->token == reserve->wire) {
+    if (msg->owner == idem->self && msg->token == reserve->wire_token) {
         return;
     }
     if (msg->owner == idem->self &&
         released_has(&idem->released, idem->self, msg->token)) {
-        ask_again(idem, reserve, asked, msg, out);
+        requery(idem, reserve, queried, msg, out);
         return;
     }
-    if (asked != NULL) {
-        asked->answered = true;
-        asked->granted = false;
+    if (queried != NULL) {
+        queried->answered = true;
+        queried->granted = false;
     }
     if (!learn(idem, reserve, msg, now_us, out)) {
         decide(idem, reserve, now_us, out);
@@ -402,8 +405,8 @@
 
 /* A record of a key that may be being reserved here. */
 static void
-take_record(struct idem *idem, uint64_t from, const struct idem_msg *msg,
-            uint64_t now_us, struct idem_actions *out)
+handle_record(struct idem *idem, uint64_t from, const struct idem_msg *msg,
+              uint64_t now_us, struct idem_actions *out)
 {
     struct reserve *reserve = TAILQ_FIRST(&idem->pending);
 
@@ -411,20 +414,20 @@
         struct reserve *next = TAILQ_NEXT(reserve, pending);
 
         if (record_same_key(&reserve->key, &msg->key)) {
-            take_exists(idem, reserve, from, msg, now_us, out);
+            handle_exists(idem, reserve, from, msg, now_us, out);
         }
         reserve = next;
     }
 }
 
 static void
-take_deny(struct idem *idem, struct reserve *reserve, uint64_t from,
-          uint64_t now_us, struct idem_actions *out)
+handle_deny(struct idem *idem, struct reserve *reserve, uint64_t from,
+            uint64_t now_us, struct idem_actions *out)
 {
-    struct reserve_asked *asked = quorum_find(reserve, from);
+    struct reserve_replica *queried = quorum_find(reserve, from);
 
-    if (asked != NULL && !reserve->running) {
-        asked->answered = true;
+    if (queried != NULL && !reserve->running) {
+        queried->answered = true;
         reserve->denied = true;
         decide(idem, reserve, now_us, out);
     }
@@ -437,18 +440,18 @@
     struct reserve *reserve;
 
     if (msg->type == IDEM_MSG_RECORD || msg->type == IDEM_MSG_EXISTS) {
-        take_record(idem, from, msg, now_us, out);
+        handle_record(idem, from, msg, now_us, out);
         return;
     }
     if (msg->owner != idem->self) {
         return;
     }
-    reserve = g_hash_table_lookup(idem->by_wire, &msg->token);
+    reserve = g_hash_table_lookup(idem->by_wire_token, &msg->token);
     if (reserve != NULL && msg->type == IDEM_MSG_GRANT) {
-        take_grant(idem, reserve, from, msg, now_us, out);
+        handle_grant(idem, reserve, from, msg, now_us, out);
     }
     else if (reserve != NULL) {
-        take_deny(idem, reserve, from, now_us, out);
+        handle_deny(idem, reserve, from, now_us, out);
     }
     else if (msg->type == IDEM_MSG_GRANT) {
         answer_grant(idem, from, msg, out);
@@ -463,7 +466,7 @@
     while (reserve != NULL) {
         struct reserve *next = TAILQ_NEXT(reserve, pending);
 
-        if (reserve->sent_us + RESERVE_AGAIN_US <= now_us) {
+        if (reserve->sent_us + RESERVE_RETRY_US <= now_us) {
             query_all(idem, reserve, now_us, out);
         }
         decide(idem, reserve, now_us, out);
--- a/src/idem/reserve.h
+++ b/src/idem/reserve.h
@@ -6,61 +6,61 @@
 
 #include "idem/state.h"
 
-#define RESERVE_ASKED_MAX (4 * IDEM_REPLICAS)
-#define RESERVE_AGAIN_US (100 * USEC_PER_MSEC)
+#define RESERVE_QUERIED_MAX (4 * IDEM_REPLICAS)
+#define RESERVE_RETRY_US (100 * USEC_PER_MSEC)
 
 /**
- * struct reserve_asked - one member that was asked for the key
+ * struct reserve_replica - one member that was queried for the key
  * @id: member id
- * @life: number of its life
+ * @session: number of its session
  * @now: counts for the set of now
  * @earlier: counts for the set of a while ago
- * @now_unsettled: counts for it although not settled (nobody else was)
- * @earlier_unsettled: the same
+ * @now_ineligible: counts for it although not settled (nobody else was)
+ * @earlier_ineligible: the same
  * @answered: its word is in, or it is this agent
  * @granted: it recorded this request's reservation
- * @young: its own memory isn't settled
+ * @incomplete: its own memory isn't settled
  * @starting: it has only just started, and never counts
- * @asked_again: was asked again after a stale reservation of our own
+ * @requeried: was queried again after a stale reservation of our own
  */
-struct reserve_asked {
+struct reserve_replica {
     uint64_t id;
-    uint32_t life;
+    uint32_t session;
     bool now;
     bool earlier;
-    bool now_unsettled;
-    bool earlier_unsettled;
+    bool now_ineligible;
+    bool earlier_ineligible;
     bool answered;
     bool granted;
-    bool young;
+    bool incomplete;
     bool starting;
-    bool asked_again;
+    bool requeried;
 };
 
 /**
  * struct reserve - one own request
  * @pending: place among those that aren't decided
  * @token: of the program
- * @wire: number in messages
+ * @wire_token: number in messages
  * @key: its key
  * @started_us: when it began
- * @sent_us: when the replicas were asked last
+ * @sent_us: when the replicas were queried last
  * @running: the program was told to go on
  * @denied: some replica has no room
  * @vetoed: a record of the key is known: @veto_state, @veto_reason
  * @had_earlier: there was a set of a while ago
  * @missed: replicas that came and went since that while
- * @lived_earlier: its members lived that long ago already; otherwise the
- *                 service is younger, and they are the oldest since
+ * @service_existed_earlier: its members lived that long ago already; otherwise
+ * the service is younger, and they are the oldest since
  * @veto_state: the best that is known of the key's first request
  * @veto_gone: its owner is gone
- * @asked: members asked
- * @asked_count: how many
+ * @queried: members queried
+ * @queried_count: how many
  */
 struct reserve {
     TAILQ_ENTRY(reserve) pending;
     uint64_t token;
-    uint64_t wire;
+    uint64_t wire_token;
     struct idem_key key;
     uint64_t started_us;
     uint64_t sent_us;
@@ -68,12 +68,12 @@
     bool denied;
     bool vetoed;
     bool had_earlier;
-    bool lived_earlier;
+    bool service_existed_earlier;
     size_t missed;
     enum idem_state veto_state;
     bool veto_gone;
-    struct reserve_asked asked[RESERVE_ASKED_MAX];
-    size_t asked_count;
+    struct reserve_replica queried[RESERVE_QUERIED_MAX];
+    size_t queried_count;
 };
 
 /** reserve_begin() - see idem_begin() */
--- a/src/idem/state.c
+++ b/src/idem/state.c
@@ -12,8 +12,8 @@
 }
 
 struct idem_action *
-state_act(struct idem_actions *out, enum idem_action_type type, uint64_t token,
-          enum idem_reason reason)
+state_add_action(struct idem_actions *out, enum idem_action_type type,
+                 uint64_t token, enum idem_reason reason)
 {
     struct idem_action *action;
 
@@ -31,10 +31,11 @@
 }
 
 struct idem_msg *
-state_send(struct idem_actions *out, uint64_t to, enum idem_msg_type type,
-           const struct idem_key *key, uint64_t owner, uint64_t token)
+state_add_message(struct idem_actions *out, uint64_t to,
+                  enum idem_msg_type type, const struct idem_key *key,
+                  uint64_t owner, uint64_t token)
 {
-    struct idem_action *action = state_act(out, IDEM_SEND, 0, 0);
+    struct idem_action *action = state_add_action(out, IDEM_SEND, 0, 0);
 
     action->to = to;
     action->msg = (struct idem_msg){
@@ -47,12 +48,12 @@
 }
 
 void
-state_send_record(struct idem_actions *out, uint64_t to,
-                  enum idem_msg_type type, const struct record *record,
-                  bool full)
+state_add_record_message(struct idem_actions *out, uint64_t to,
+                         enum idem_msg_type type, const struct record *record,
+                         bool full)
 {
-    struct idem_msg *msg =
-        state_send(out, to, type, &record->key, record->owner, record->token);
+    struct idem_msg *msg = state_add_message(out, to, type, &record->key,
+                                             record->owner, record->token);
 
     msg->state = record->state;
     if (full) {
@@ -69,26 +70,26 @@
 }
 
 uint64_t
-state_next_wire(struct idem *idem, uint64_t now_us)
+state_next_wire_token(struct idem *idem, uint64_t now_us)
 {
-    uint64_t wire = wall_ms(idem, now_us) << STATE_WIRE_SHIFT;
+    uint64_t wire_token = wall_ms(idem, now_us) << STATE_WIRE_TOKEN_SHIFT;
 
-    wire = MAX(wire, idem->next_wire);
-    idem->next_wire = wire + 1;
-    return wire;
+    wire_token = MAX(wire_token, idem->next_wire_token);
+    idem->next_wire_token = wire_token + 1;
+    return wire_token;
 }
 
 uint64_t
 state_token_age_us(const struct idem *idem, uint64_t token, uint64_t now_us)
 {
     uint64_t now_ms = wall_ms(idem, now_us);
-    uint64_t then_ms = token >> STATE_WIRE_SHIFT;
+    uint64_t then_ms = token >> STATE_WIRE_TOKEN_SHIFT;
 
     return now_ms > then_ms ? (now_ms - then_ms) * USEC_PER_MSEC : 0;
 }
 
 int
-state_strength(enum idem_state state)
+state_certainty(enum idem_state state)
 {
     switch (state) {
     case IDEM_DONE:
@@ -102,9 +103,10 @@
 }
 
 bool
-state_own_wire(const struct idem *idem, uint64_t wire)
+state_is_own_wire_token(const struct idem *idem, uint64_t wire_token)
 {
-    return wire >= idem->first_wire && wire < idem->next_wire;
+    return wire_token >= idem->first_wire_token &&
+           wire_token < idem->next_wire_token;
 }
 
 bool
@@ -114,21 +116,22 @@
     bool known = false;
 
     if (owner == idem->self) {
-        return !state_own_wire(idem, token);
+        return !state_is_own_wire_token(idem, token);
     }
     for (size_t i = 0; i < idem->replicas.count; i++) {
-        const struct replica_life *life = &idem->replicas.lives[i];
-        uint64_t start_ms = life->incarnation / USEC_PER_MSEC;
+        const struct replica_session *session = &idem->replicas.sessions[i];
+        uint64_t start_ms = session->incarnation / USEC_PER_MSEC;
 
-        if (life->id != owner || life->service != service) {
+        if (session->id != owner || session->service != service) {
             continue;
         }
         known = true;
         /* A refuted suspicion may have raised the incarnation a little. */
-        if (!life->gone &&
-            (token >> STATE_WIRE_SHIFT) + MSEC_PER_SEC >= start_ms) {
+        if (!session->gone &&
+            (token >> STATE_WIRE_TOKEN_SHIFT) + MSEC_PER_SEC >= start_ms) {
             return false;
         }
     }
-    return known || state_token_age_us(idem, token, now_us) >= IDEM_SETTLE_US;
+    return known ||
+           state_token_age_us(idem, token, now_us) >= IDEM_ELIGIBLE_AFTER_US;
 }
--- a/src/idem/state.h
+++ b/src/idem/state.h
@@ -1,10 +1,10 @@
 /**
  * DOC: state - what the parts of idem share
  *
- * Numbers on the wire (tokens of messages) hold the wall clock in
- * milliseconds above STATE_WIRE_SHIFT bits of a count, so that those of an
- * earlier life of the process can be told, and how old a record is. Clocks
- * of hosts may differ by seconds.
+ * Numbers on the wire_token (tokens of messages) hold the wall clock in
+ * milliseconds above STATE_WIRE_TOKEN_SHIFT bits of a count, so that those of
+ * an earlier session of the process can be told, and how old a record is.
+ * Clocks of hosts may differ by seconds.
  */
 #ifndef SWIFTARCH_IDEM_STATE_H
 #define SWIFTARCH_IDEM_STATE_H
@@ -20,7 +20,7 @@
 
 TAILQ_HEAD(reserve_list, reserve);
 
-#define STATE_WIRE_SHIFT 22
+#define STATE_WIRE_TOKEN_SHIFT 22
 
 /**
  * struct idem - both sides, see DOC of idem.h
@@ -29,10 +29,10 @@
  * @replicas: members
  * @records: records held
  * @requests: own requests, by the token of the program
- * @by_wire: the same by their number on the wire
+ * @by_wire_token: the same by their number on the wire_token
  * @pending: those that aren't decided
- * @first_wire: first number of this life
- * @next_wire: next number
+ * @first_wire_token: first number of this session
+ * @next_wire_token: next number
  * @released: what was reserved and not run
  * @last_us: when it was called last
  * @cursor: the pass over all records goes on below this index
@@ -46,10 +46,10 @@
     struct replicas replicas;
     struct record_table records;
     GHashTable *requests;
-    GHashTable *by_wire;
+    GHashTable *by_wire_token;
     struct reserve_list pending;
-    uint64_t first_wire;
-    uint64_t next_wire;
+    uint64_t first_wire_token;
+    uint64_t next_wire_token;
     struct released released;
     uint64_t last_us;
     size_t cursor;
@@ -58,22 +58,23 @@
     size_t answer_credit;
 };
 
-/** state_act() - append an action */
+/** state_add_action() - append an action */
 struct idem_action *
-state_act(struct idem_actions *out, enum idem_action_type type, uint64_t token,
-          enum idem_reason reason);
+state_add_action(struct idem_actions *out, enum idem_action_type type,
+                 uint64_t token, enum idem_reason reason);
 
-/** state_send() - append a message about @key */
+/** state_add_message() - append a message about @key */
 struct idem_msg *
-state_send(struct idem_actions *out, uint64_t to, enum idem_msg_type type,
-           const struct idem_key *key, uint64_t owner, uint64_t token);
+state_add_message(struct idem_actions *out, uint64_t to,
+                  enum idem_msg_type type, const struct idem_key *key,
+                  uint64_t owner, uint64_t token);
 
-/** state_send_record() - append @type with the record, @full: its answer
- * too */
+/** state_add_record_message() - append @type with the record, @full: its
+ * answer too */
 void
-state_send_record(struct idem_actions *out, uint64_t to,
-                  enum idem_msg_type type, const struct record *record,
-                  bool full);
+state_add_record_message(struct idem_actions *out, uint64_t to,
+                         enum idem_msg_type type, const struct record *record,
+                         bool full);
 
 /** state_owner_gone() - whether the process that got @token for a key of
  * @service is known to be gone */
@@ -81,21 +82,22 @@
 state_owner_gone(const struct idem *idem, uint32_t service, uint64_t owner,
                  uint64_t token, uint64_t now_us);
 
-/** state_next_wire() - number of the next request */
+/** state_next_wire_token() - number of the next request */
 uint64_t
-state_next_wire(struct idem *idem, uint64_t now_us);
+state_next_wire_token(struct idem *idem, uint64_t now_us);
 
 /** state_token_age_us() - how long ago @token was given out, about */
 uint64_t
 state_token_age_us(const struct idem *idem, uint64_t token, uint64_t now_us);
 
-/** state_strength() - what is known for sure goes before what isn't */
+/** state_certainty() - what is known for sure goes before what isn't */
 int
-state_strength(enum idem_state state);
+state_certainty(enum idem_state state);
 
-/** state_own_wire() - whether @wire is a number of this life of the process
+/** state_is_own_wire_token() - whether @wire_token is a number of this session
+ * of the process
  */
 bool
-state_own_wire(const struct idem *idem, uint64_t wire);
+state_is_own_wire_token(const struct idem *idem, uint64_t wire_token);
 
 #endif
--- a/src/request/actions.c
+++ b/src/request/actions.c
@@ -42,15 +42,15 @@
 }
 
 bool
-engine_needs_down(const struct engine *engine, uint32_t service)
+engine_dependency_down(const struct engine *engine, uint32_t service)
 {
     const struct service *found = services_find(engine->services, service);
 
     if (found == NULL) {
         return false;
     }
-    for (guint i = 0; i < found->needs->len; i++) {
-        uint32_t id = g_array_index(found->needs, uint32_t, i);
+    for (guint i = 0; i < found->dependencies->len; i++) {
+        uint32_t id = g_array_index(found->dependencies, uint32_t, i);
 
         if (peers_lost_service(&engine->peers, id)) {
             return true;
--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -2,13 +2,13 @@
 
 #include "request/finish.h"
 
-#define SPARE_LOAD 980
+#define IDLE_SLOT_LOAD_MAX 980
 #define WAIT_MARGIN 2.0
-#define MOST_OF_MEAN 3
+#define RUN_MAX_TO_MEAN 3
 #define SLOW_FACTOR 2
 #define RETRY_AFTER_MIN_US (50 * USEC_PER_MSEC)
 #define RETRY_AFTER_OUTAGE_US USEC_PER_SEC
-#define RETURN_GAP_MIN_US USEC_PER_MSEC
+#define RETRY_SPACING_MIN_US USEC_PER_MSEC
 #define RETRY_AFTER_MAX_US (30 * USEC_PER_SEC)
 #define JITTER_LOW 0.75
 #define JITTER_HIGH 1.25
@@ -17,13 +17,13 @@
 static double
 serving_slots(const struct engine *engine, uint32_t service)
 {
-    const GPtrArray *list = peers_of(&engine->peers, service);
-    double slots = upstream_slots(&engine->upstream, engine->now_us);
+    const GPtrArray *list = peers_of_service(&engine->peers, service);
+    double slots = upstream_usable_slots(&engine->upstream, engine->now_us);
 
     for (guint i = 0; i < list->len; i++) {
         const struct peer *peer = g_ptr_array_index(list, i);
 
-        if (peer_takes(peer, engine->now_us) && peer->load_at_us != 0) {
+        if (peer_accepts(peer, engine->now_us) && peer->load_at_us != 0) {
             slots += peer_idle_slots(peer);
         }
     }
@@ -32,31 +32,32 @@
 
 /* A peer that is busy nearly all the time comes for nobody's requests. */
 static bool
-may_spare_slot(const struct engine *engine, const struct peer *peer)
+may_have_idle_slot(const struct engine *engine, const struct peer *peer)
 {
-    return peer_takes(peer, engine->now_us) &&
-           (peer->load_at_us == 0 || peer->load < SPARE_LOAD);
+    return peer_accepts(peer, engine->now_us) &&
+           (peer->load_at_us == 0 || peer->load < IDLE_SLOT_LOAD_MAX);
 }
 
 /* Run time at the fastest peer with slots to spare, UINT64_MAX if unknown. */
 static uint64_t
 fastest_peer_us(const struct engine *engine, uint32_t service)
 {
-    const GPtrArray *list = peers_of(&engine->peers, service);
+    const GPtrArray *list = peers_of_service(&engine->peers, service);
     uint64_t fastest = UINT64_MAX;
 
     for (guint i = 0; i < list->len; i++) {
         const struct peer *peer = g_ptr_array_index(list, i);
 
-        if (may_spare_slot(engine, peer) && peer->traffic.run_us > 0) {
-            fastest = MIN(fastest, peer->traffic.run_us);
+        if (may_have_idle_slot(engine, peer) &&
+            peer->passive_health.run_us > 0) {
+            fastest = MIN(fastest, peer->passive_health.run_us);
         }
     }
     return fastest;
 }
 
 static bool
-is_slow_beside(const struct engine *engine, uint64_t fastest_us)
+is_slower_than_peer(const struct engine *engine, uint64_t fastest_us)
 {
     uint64_t own = estimate_run_us(&engine->estimate, engine->now_us);
 
@@ -72,18 +73,18 @@
 }
 
 static uint64_t
-needed_run_most_us(const struct engine *engine, uint32_t service)
+needed_run_max_us(const struct engine *engine, uint32_t service)
 {
     uint64_t fastest = fastest_peer_us(engine, service);
 
-    if (is_slow_beside(engine, fastest)) {
-        return MOST_OF_MEAN * fastest;
+    if (is_slower_than_peer(engine, fastest)) {
+        return RUN_MAX_TO_MEAN * fastest;
     }
-    return estimate_run_most_us(&engine->estimate, engine->now_us);
+    return estimate_run_max_us(&engine->estimate, engine->now_us);
 }
 
 static bool
-anybody_serves(const struct engine *engine, uint32_t service)
+is_service_available(const struct engine *engine, uint32_t service)
 {
     return upstream_serves(&engine->upstream, service) ||
            peers_working(&engine->peers, service);
@@ -91,12 +92,12 @@
 
 /* A free slot and nobody before it: no estimate can say no. */
 static bool
-starts_at_once(const struct engine *engine,
-               const struct engine_request *request)
+can_start_immediately(const struct engine *engine,
+                      const struct engine_request *request)
 {
     return queue_total(&engine->queue) == 0 &&
-           upstream_free(&engine->upstream, request->service, engine->now_us) >
-               0;
+           upstream_free_slots(&engine->upstream, request->service,
+                               engine->now_us) > 0;
 }
 
 static bool
@@ -109,23 +110,23 @@
     if (request->deadline_us <= engine->now_us) {
         return true;
     }
-    if (starts_at_once(engine, request)) {
+    if (can_start_immediately(engine, request)) {
         return false;
     }
     left = request->deadline_us - engine->now_us;
-    gap = estimate_gap_us(&engine->estimate,
-                          serving_slots(engine, request->service),
-                          engine->now_us);
+    gap = estimate_start_interval_us(&engine->estimate,
+                                     serving_slots(engine, request->service),
+                                     engine->now_us);
     wait = WAIT_MARGIN * (double)gap *
            queue_ahead(&engine->queue, request->class, request->deadline_us);
-    return wait + (double)needed_run_most_us(engine, request->service) >
+    return wait + (double)needed_run_max_us(engine, request->service) >
            (double)left;
 }
 
 /* An urgent request takes the place of the ordinary one that would have
  * been served last. */
 static bool
-make_room(struct engine *engine, const struct engine_request *request)
+displace_ordinary(struct engine *engine, const struct engine_request *request)
 {
     struct text_limits limits =
         services_limits(engine->services, request->service);
@@ -143,7 +144,7 @@
 }
 
 void
-admit_again(struct engine *engine, struct entry *entry)
+admit_requeue(struct engine *engine, struct entry *entry)
 {
     struct text_limits limits =
         services_limits(engine->services, entry->request.service);
@@ -168,57 +169,57 @@
     if (engine->stopping) {
         return ENGINE_STOPPING;
     }
-    if (!anybody_serves(engine, request->service)) {
+    if (!is_service_available(engine, request->service)) {
         return ENGINE_NO_UPSTREAM;
     }
-    if (engine_needs_down(engine, request->service)) {
+    if (engine_dependency_down(engine, request->service)) {
         return ENGINE_DEPENDENCY;
     }
     if (is_too_late(engine, request)) {
         return ENGINE_TOO_LATE;
     }
-    if (!quota_take(&engine->quota, request->caller,
-                    limits.requests_per_caller)) {
+    if (!quota_acquire(&engine->quota, request->caller,
+                       limits.requests_per_caller)) {
         return ENGINE_CALLER_LIMIT;
     }
-    if (!make_room(engine, request)) {
-        quota_drop(&engine->quota, request->caller);
+    if (!displace_ordinary(engine, request)) {
+        quota_release(&engine->quota, request->caller);
         return ENGINE_QUEUE_FULL;
     }
     return ENGINE_REASON_NONE;
 }
 
 bool
-admit_too_slow_here(const struct engine *engine, const struct entry *entry)
+admit_local_too_slow(const struct engine *engine, const struct entry *entry)
 {
-    uint64_t own = estimate_run_most_us(&engine->estimate, engine->now_us);
+    uint64_t own = estimate_run_max_us(&engine->estimate, engine->now_us);
     uint64_t fastest = fastest_peer_us(engine, entry->request.service);
 
     return engine->now_us + own > entry->request.deadline_us &&
-           is_slow_beside(engine, fastest);
+           is_slower_than_peer(engine, fastest);
 }
 
 /* An urgent request is tried while it has a fair chance. An ordinary one
  * must not use up a slot for an answer that likely comes too late. */
 static uint64_t
-least_left_us(const struct engine *engine,
-              const struct engine_request *request)
+min_time_left_us(const struct engine *engine,
+                 const struct engine_request *request)
 {
     return request->class == TEXT_URGENT
                ? needed_run_us(engine, request->service)
-               : needed_run_most_us(engine, request->service);
+               : needed_run_max_us(engine, request->service);
 }
 
 /* Whether anybody is left who could run it. */
 static bool
-has_server(const struct engine *engine, const struct entry *entry)
+has_candidate(const struct engine *engine, const struct entry *entry)
 {
     const GPtrArray *list;
 
     if (upstream_serves(&engine->upstream, entry->request.service)) {
         return true;
     }
-    list = peers_of(&engine->peers, entry->request.service);
+    list = peers_of_service(&engine->peers, entry->request.service);
     for (guint i = 0; i < list->len; i++) {
         const struct peer *peer = g_ptr_array_index(list, i);
 
@@ -232,14 +233,14 @@
 }
 
 enum engine_reason
-admit_hopeless(const struct engine *engine, const struct entry *entry)
+admit_unservable(const struct engine *engine, const struct entry *entry)
 {
-    uint64_t run_us = least_left_us(engine, &entry->request);
+    uint64_t run_us = min_time_left_us(engine, &entry->request);
     uint64_t deadline_us = entry->request.deadline_us;
-    unsigned free_slots = upstream_free(
+    unsigned free_slots = upstream_free_slots(
         &engine->upstream, entry->request.service, engine->now_us);
 
-    if (!has_server(engine, entry)) {
+    if (!has_candidate(engine, entry)) {
         return entry->refused != ENGINE_REASON_NONE ? entry->refused
                                                     : ENGINE_NO_UPSTREAM;
     }
@@ -255,7 +256,7 @@
 
 /* Queues pass quickly; what needs an upstream to come back does not. */
 static uint64_t
-soonest_return_us(enum engine_reason reason)
+min_retry_after_us(enum engine_reason reason)
 {
     switch (reason) {
     case ENGINE_NO_UPSTREAM:
@@ -270,18 +271,18 @@
 uint32_t
 admit_retry_after_ms(struct engine *engine, enum engine_reason reason)
 {
-    uint64_t gap = estimate_gap_us(
+    uint64_t gap = estimate_start_interval_us(
         &engine->estimate, serving_slots(engine, engine->upstream.service),
         engine->now_us);
-    uint64_t drained = engine->now_us + soonest_return_us(reason) +
+    uint64_t drained = engine->now_us + min_retry_after_us(reason) +
                        gap * queue_total(&engine->queue);
     uint64_t latest = engine->now_us + RETRY_AFTER_MAX_US;
     double after;
 
-    engine->returns_us =
-        MAX(engine->returns_us, drained) + MAX(gap, RETURN_GAP_MIN_US);
-    engine->returns_us = MIN(engine->returns_us, latest);
-    after = (double)(engine->returns_us - engine->now_us);
+    engine->next_retry_at_us = MAX(engine->next_retry_at_us, drained) +
+                               MAX(gap, RETRY_SPACING_MIN_US);
+    engine->next_retry_at_us = MIN(engine->next_retry_at_us, latest);
+    after = (double)(engine->next_retry_at_us - engine->now_us);
     after *= g_rand_double_range(engine->random, JITTER_LOW, JITTER_HIGH);
     return (uint32_t)(after / USEC_PER_MSEC);
 }
--- a/src/request/admit.h
+++ b/src/request/admit.h
@@ -11,20 +11,20 @@
 enum engine_reason
 admit_check(struct engine *engine, const struct engine_request *request);
 
-/** admit_again() - @entry came back and waits here again; over the limit of
+/** admit_requeue() - @entry came back and waits here again; over the limit of
  * the queue, the least hopeful is given up, maybe @entry itself */
 void
-admit_again(struct engine *engine, struct entry *entry);
+admit_requeue(struct engine *engine, struct entry *entry);
 
-/** admit_hopeless() - why waiting @entry can't be served any more,
+/** admit_unservable() - why waiting @entry can't be served any more,
  * ENGINE_REASON_NONE while it can */
 enum engine_reason
-admit_hopeless(const struct engine *engine, const struct entry *entry);
+admit_unservable(const struct engine *engine, const struct entry *entry);
 
-/** admit_too_slow_here() - the local upstream would rather miss the deadline
+/** admit_local_too_slow() - the local upstream would rather miss the deadline
  * of @entry, and some peer is much faster */
 bool
-admit_too_slow_here(const struct engine *engine, const struct entry *entry);
+admit_local_too_slow(const struct engine *engine, const struct entry *entry);
 
 /**
  * admit_retry_after_ms() - when a refused caller may come back
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -34,42 +34,45 @@
 
 /* It failed here; somebody else may still do better. */
 static bool
-avoids_here(const struct engine *engine, const struct entry *entry)
+avoids_local(const struct engine *engine, const struct entry *entry)
 {
-    return engine->now_us < entry->avoid_until_us &&
+    return engine->now_us < entry->avoid_local_until_us &&
            peers_working(&engine->peers, entry->request.service);
 }
 
 unsigned
-dispatch_free(const struct engine *engine, const struct entry *entry)
+dispatch_free_slots(const struct engine *engine, const struct entry *entry)
 {
-    if (avoids_here(engine, entry)) {
+    if (avoids_local(engine, entry)) {
         return 0;
     }
-    return upstream_free(&engine->upstream, entry->request.service,
-                         engine->now_us);
+    return upstream_free_slots(&engine->upstream, entry->request.service,
+                               engine->now_us);
 }
 
 bool
-dispatch_may_go(const struct engine *engine, const struct entry *entry,
-                const struct peer *peer)
+dispatch_may_send(const struct engine *engine, const struct entry *entry,
+                  const struct peer *peer)
 {
     return peer->service == entry->request.service &&
-           peer_takes(peer, engine->now_us) && !entry_tried(entry, peer->id) &&
-           engine->now_us + peer->traffic.run_us < entry->request.deadline_us;
+           peer_accepts(peer, engine->now_us) &&
+           !entry_tried(entry, peer->id) &&
+           engine->now_us + peer->passive_health.run_us <
+               entry->request.deadline_us;
 }
 
 struct peer *
 dispatch_random(struct engine *engine, const struct entry *entry)
 {
-    const GPtrArray *list = peers_of(&engine->peers, entry->request.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, entry->request.service);
     struct peer *chosen = NULL;
     int seen = 0;
 
     for (guint i = 0; i < list->len; i++) {
         struct peer *peer = g_ptr_array_index(list, i);
 
-        if (dispatch_may_go(engine, entry, peer) &&
+        if (dispatch_may_send(engine, entry, peer) &&
             g_rand_int_range(engine->random, 0, ++seen) == 0) {
             chosen = peer;
         }
@@ -78,15 +81,15 @@
 }
 
 uint64_t
-dispatch_home(struct engine *engine, struct entry *entry)
+dispatch_default(struct engine *engine, struct entry *entry)
 {
     const struct peer *peer;
 
-    if (dispatch_free(engine, entry) > 0) {
+    if (dispatch_free_slots(engine, entry) > 0) {
         return engine->self;
     }
     if (upstream_serves(&engine->upstream, entry->request.service) &&
-        !avoids_here(engine, entry)) {
+        !avoids_local(engine, entry)) {
         return 0;
     }
     peer = dispatch_random(engine, entry);
@@ -94,55 +97,55 @@
 }
 
 void
-dispatch_told(struct engine *engine, struct peer *peer,
-              const struct engine_peer_msg *msg)
+dispatch_on_report(struct engine *engine, struct peer *peer,
+                   const struct engine_peer_msg *msg)
 {
-    if (engine->ops->told != NULL) {
-        engine->ops->told(engine, peer, msg);
+    if (engine->ops->on_report != NULL) {
+        engine->ops->on_report(engine, peer, msg);
     }
 }
 
 void
-dispatch_status(struct engine *engine, struct peer *peer)
+dispatch_send_status(struct engine *engine, struct peer *peer)
 {
     struct engine_action *action;
 
     action = engine_send(engine, peer->id, ENGINE_PEER_STATUS, NULL);
-    action->msg.free_slots = (uint16_t)upstream_free(
+    action->msg.free_slots = (uint16_t)upstream_free_slots(
         &engine->upstream, peer->service, engine->now_us);
     action->msg.waiting[TEXT_URGENT] =
         (uint16_t)engine->queue.count[TEXT_URGENT];
     action->msg.waiting[TEXT_ORDINARY] =
         (uint16_t)engine->queue.count[TEXT_ORDINARY];
-    peer->told_at_us = engine->now_us;
+    peer->status_sent_us = engine->now_us;
 }
 
 static void
-run_here(struct engine *engine, struct entry *entry)
+run_locally(struct engine *engine, struct entry *entry)
 {
     struct engine_action *action = engine_emit(engine, ENGINE_RUN);
 
     action->id = entry->key.id;
     action->origin = entry->key.origin;
-    entry->place = ENTRY_RUNNING;
+    entry->state = ENTRY_RUNNING;
     entry->started_us = engine->now_us;
-    upstream_take(&engine->upstream, engine->now_us);
+    upstream_acquire_slot(&engine->upstream, engine->now_us);
     engine->counters.runs++;
 }
 
 static void
-run_there(struct engine *engine, struct entry *entry, uint64_t member)
+run_on_peer(struct engine *engine, struct entry *entry, uint64_t member)
 {
     struct peer *peer = peers_find(&engine->peers, member);
 
     engine_send(engine, member, ENGINE_PEER_RUN, entry);
     entry_mark_tried(entry, member);
-    entry->place = ENTRY_AT_PEER;
+    entry->state = ENTRY_AT_PEER;
     entry->peer = member;
     entry->started_us = engine->now_us;
     peer->sent++;
-    if (peer->offer > 0) {
-        peer->offer--;
+    if (peer->slot_advert > 0) {
+        peer->slot_advert--;
     }
 }
 
@@ -153,17 +156,17 @@
     queue_started(&engine->queue, entry->request.class);
     estimate_departure(&engine->estimate, queue_total(&engine->queue),
                        engine->now_us);
-    entry->ran_here = member == engine->self;
-    if (entry->ran_here) {
-        run_here(engine, entry);
+    entry->ran_locally = member == engine->self;
+    if (entry->ran_locally) {
+        run_locally(engine, entry);
     }
     else {
-        run_there(engine, entry, member);
+        run_on_peer(engine, entry, member);
     }
 }
 
 static bool
-start_one_of(struct engine *engine, enum text_class class)
+start_next_of_class(struct engine *engine, enum text_class class)
 {
     struct entry *entry = engine->queue.head[class];
     unsigned unplaced = 0;
@@ -171,9 +174,9 @@
     while (entry != NULL && unplaced < UNPLACED_MAX) {
         uint64_t member = 0;
 
-        if (entry->cleared) {
+        if (entry->runnable) {
             member = engine->ops->place(engine, entry);
-            unplaced += dispatch_free(engine, entry) == 0 ? 1 : 0;
+            unplaced += dispatch_free_slots(engine, entry) == 0 ? 1 : 0;
         }
         if (member != 0) {
             start(engine, entry, member);
@@ -185,22 +188,23 @@
 }
 
 static bool
-start_one(struct engine *engine)
+start_next(struct engine *engine)
 {
     enum text_class first = queue_first_class(&engine->queue);
     enum text_class other = first == TEXT_URGENT ? TEXT_ORDINARY : TEXT_URGENT;
 
-    return start_one_of(engine, first) || start_one_of(engine, other);
+    return start_next_of_class(engine, first) ||
+           start_next_of_class(engine, other);
 }
 
 static struct entry *
-first_hopeless(const struct engine *engine, enum text_class class,
-               enum engine_reason *reason)
+first_unservable(const struct engine *engine, enum text_class class,
+                 enum engine_reason *reason)
 {
     struct entry *entry = engine->queue.head[class];
 
     while (entry != NULL) {
-        *reason = admit_hopeless(engine, entry);
+        *reason = admit_unservable(engine, entry);
         if (*reason != ENGINE_REASON_NONE) {
             return entry;
         }
@@ -211,25 +215,25 @@
 
 /* Giving one up may change others, so the search starts again. */
 static void
-drop_hopeless(struct engine *engine, enum text_class class)
+drop_unservable(struct engine *engine, enum text_class class)
 {
     enum engine_reason reason;
-    struct entry *entry = first_hopeless(engine, class, &reason);
+    struct entry *entry = first_unservable(engine, class, &reason);
 
     while (entry != NULL) {
         finish_unserved(engine, entry, reason);
-        entry = first_hopeless(engine, class, &reason);
+        entry = first_unservable(engine, class, &reason);
     }
 }
 
 void
 dispatch_run(struct engine *engine)
 {
-    drop_hopeless(engine, TEXT_URGENT);
-    drop_hopeless(engine, TEXT_ORDINARY);
-    while (start_one(engine)) {
+    drop_unservable(engine, TEXT_URGENT);
+    drop_unservable(engine, TEXT_ORDINARY);
+    while (start_next(engine)) {
     }
-    if (engine->ops->settle != NULL) {
-        engine->ops->settle(engine);
+    if (engine->ops->after_dispatch != NULL) {
+        engine->ops->after_dispatch(engine);
     }
 }
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -13,15 +13,16 @@
  * struct dispatch_ops - a policy
  * @name: its name
  * @place: member to run @entry now: engine->self, a peer, or 0 to wait
- * @settle: called after all starts of a call, or NULL
- * @told: a STATUS, a PULL or a DONE with free slots came from @peer, or NULL
+ * @after_dispatch: called after all starts of a call, or NULL
+ * @on_report: a STATUS, a PULL or a DONE with free slots came from @peer, or
+ * NULL
  */
 struct dispatch_ops {
     const char *name;
     uint64_t (*place)(struct engine *engine, struct entry *entry);
-    void (*settle)(struct engine *engine);
-    void (*told)(struct engine *engine, struct peer *peer,
-                 const struct engine_peer_msg *msg);
+    void (*after_dispatch)(struct engine *engine);
+    void (*on_report)(struct engine *engine, struct peer *peer,
+                      const struct engine_peer_msg *msg);
 };
 
 extern const struct dispatch_ops dispatch_local;
@@ -38,36 +39,36 @@
 void
 dispatch_run(struct engine *engine);
 
-/** dispatch_free() - local slots free for @entry */
+/** dispatch_free_slots() - local slots free for @entry */
 unsigned
-dispatch_free(const struct engine *engine, const struct entry *entry);
+dispatch_free_slots(const struct engine *engine, const struct entry *entry);
 
-/** dispatch_may_go() - whether @peer may be sent @entry now */
+/** dispatch_may_send() - whether @peer may be sent @entry now */
 bool
-dispatch_may_go(const struct engine *engine, const struct entry *entry,
-                const struct peer *peer);
+dispatch_may_send(const struct engine *engine, const struct entry *entry,
+                  const struct peer *peer);
 
 /** dispatch_random() - some peer that may be sent @entry, or NULL */
 struct peer *
 dispatch_random(struct engine *engine, const struct entry *entry);
 
-/** dispatch_home() - place of @entry: here if a slot is free; to wait if the
- * local upstream will serve it; else random peers one after the other, 0
+/** dispatch_default() - place of @entry: here if a slot is free; to wait if
+ * the local upstream will serve it; else random peers one after the other, 0
  * when none is left */
 uint64_t
-dispatch_home(struct engine *engine, struct entry *entry);
+dispatch_default(struct engine *engine, struct entry *entry);
 
-/** dispatch_told() - the policy hears of @msg from @peer */
+/** dispatch_on_report() - the policy hears of @msg from @peer */
 void
-dispatch_told(struct engine *engine, struct peer *peer,
-              const struct engine_peer_msg *msg);
+dispatch_on_report(struct engine *engine, struct peer *peer,
+                   const struct engine_peer_msg *msg);
 
-/** dispatch_status() - send our status to @peer */
+/** dispatch_send_status() - send our status to @peer */
 void
-dispatch_status(struct engine *engine, struct peer *peer);
+dispatch_send_status(struct engine *engine, struct peer *peer);
 
-/** dispatch_taken() - a peer sent a request to be run here */
+/** dispatch_on_remote_run() - a peer sent a request to be run here */
 void
-dispatch_taken(struct engine *engine);
+dispatch_on_remote_run(struct engine *engine);
 
 #endif
--- a/src/request/dispatch_local.c
+++ b/src/request/dispatch_local.c
@@ -7,5 +7,5 @@
 
 const struct dispatch_ops dispatch_local = {
     .name = "local",
-    .place = dispatch_home,
+    .place = dispatch_default,
 };
--- a/src/request/dispatch_probe.c
+++ b/src/request/dispatch_probe.c
@@ -8,7 +8,7 @@
 #include "request/dispatch.h"
 
 #define PROBES 2
-#define PROBE_KEEP_US (50 * USEC_PER_MSEC)
+#define PROBE_TTL_US (50 * USEC_PER_MSEC)
 
 static void
 probe(struct engine *engine, const struct entry *entry)
@@ -26,7 +26,7 @@
 is_fresh(const struct engine *engine, const struct peer *peer)
 {
     return peer->in_flight_at_us != 0 &&
-           engine->now_us < peer->in_flight_at_us + PROBE_KEEP_US;
+           engine->now_us < peer->in_flight_at_us + PROBE_TTL_US;
 }
 
 static double
@@ -36,10 +36,11 @@
 }
 
 static struct peer *
-find_least(const struct engine *engine, const struct entry *entry,
-           double below)
+find_least_loaded(const struct engine *engine, const struct entry *entry,
+                  double below)
 {
-    const GPtrArray *list = peers_of(&engine->peers, entry->request.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, entry->request.service);
     struct peer *least = NULL;
 
     for (guint i = 0; i < list->len; i++) {
@@ -47,7 +48,7 @@
         double its = per_slot(peer->in_flight, peer->slots);
 
         if (is_fresh(engine, peer) && its < MIN(below, 1.0) &&
-            dispatch_may_go(engine, entry, peer)) {
+            dispatch_may_send(engine, entry, peer)) {
             least = peer;
             below = its;
         }
@@ -62,22 +63,22 @@
         engine->upstream.busy + queue_total(&engine->queue) - 1;
     struct peer *peer;
 
-    if (!entry->pushed) {
-        entry->pushed = true;
+    if (!entry->placement_tried) {
+        entry->placement_tried = true;
         probe(engine, entry);
     }
-    peer =
-        find_least(engine, entry, per_slot(in_flight, engine->upstream.slots));
+    peer = find_least_loaded(engine, entry,
+                             per_slot(in_flight, engine->upstream.slots));
     if (peer != NULL) {
         peer->in_flight_at_us = 0;
         return peer->id;
     }
-    return dispatch_home(engine, entry);
+    return dispatch_default(engine, entry);
 }
 
 static void
-told(struct engine *engine, struct peer *peer,
-     const struct engine_peer_msg *msg)
+on_report(struct engine *engine, struct peer *peer,
+          const struct engine_peer_msg *msg)
 {
     unsigned waiting = msg->waiting[0] + msg->waiting[1];
 
@@ -89,5 +90,5 @@
 const struct dispatch_ops dispatch_probe = {
     .name = "probe",
     .place = place,
-    .told = told,
+    .on_report = on_report,
 };
--- a/src/request/dispatch_pull.c
+++ b/src/request/dispatch_pull.c
@@ -1,8 +1,8 @@
 /**
- * DOC: dispatch_pull - agents with free slots ask for waiting requests
+ * DOC: dispatch_pull - agents with free slots send_pull for waiting requests
  *
  * An agent where requests wait tells a few random peers, more rarely while
- * nobody comes. One with a free slot and no work asks those that told it,
+ * nobody comes. One with a free slot and no work asks those that on_report it,
  * urgent first. One that has been less busy than its peers offers a free
  * slot to a busier one, which sends it a request even when it could run it
  * itself: so slot time evens out, not only queues. Offers grow rare while
@@ -18,39 +18,41 @@
 #include "request/admit.h"
 
 #define ANNOUNCE_PEERS 2
-#define ANNOUNCE_PEERS_HOMELESS 6
+#define ANNOUNCE_PEERS_NO_UPSTREAM 6
 #define ANNOUNCE_MIN_US (5 * USEC_PER_MSEC)
 #define ANNOUNCE_GAP_US (20 * USEC_PER_MSEC)
 #define ANNOUNCE_GAP_MAX_US (320 * USEC_PER_MSEC)
-#define ASK_TIMEOUT_US (4 * USEC_PER_MSEC)
-#define OFFER_KEEP_US (200 * USEC_PER_MSEC)
-#define OFFER_GAP_US (50 * USEC_PER_MSEC)
-#define OFFER_GAP_MAX_US (1600 * USEC_PER_MSEC)
-#define OFFER_SHARE_US (25 * USEC_PER_MSEC)
-#define BEAT_PEERS 3
-#define BEAT_US USEC_PER_SEC
+#define PULL_TIMEOUT_US (4 * USEC_PER_MSEC)
+#define SLOT_ADVERT_TTL_US (200 * USEC_PER_MSEC)
+#define SLOT_ADVERT_INTERVAL_US (50 * USEC_PER_MSEC)
+#define SLOT_ADVERT_INTERVAL_MAX_US (1600 * USEC_PER_MSEC)
+#define SLOT_ADVERT_SPACING_US (25 * USEC_PER_MSEC)
+#define LOAD_REPORT_PEERS 3
+#define LOAD_REPORT_INTERVAL_US USEC_PER_SEC
 #define HOLD_US (4 * USEC_PER_MSEC)
 #define BALANCE_MARGIN 20
 
 static bool
-has_offer(const struct engine *engine, const struct entry *entry,
-          const struct peer *peer)
+has_slot_advert(const struct engine *engine, const struct entry *entry,
+                const struct peer *peer)
 {
-    return peer->offer > 0 && engine->now_us < peer->offer_until_us &&
-           dispatch_may_go(engine, entry, peer);
+    return peer->slot_advert > 0 &&
+           engine->now_us < peer->slot_advert_until_us &&
+           dispatch_may_send(engine, entry, peer);
 }
 
 /* The least busy of those that offered a slot. */
 static struct peer *
-find_offer(const struct engine *engine, const struct entry *entry)
+find_slot_advert(const struct engine *engine, const struct entry *entry)
 {
-    const GPtrArray *list = peers_of(&engine->peers, entry->request.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, entry->request.service);
     struct peer *best = NULL;
 
     for (guint i = 0; i < list->len; i++) {
         struct peer *peer = g_ptr_array_index(list, i);
 
-        if (has_offer(engine, entry, peer) &&
+        if (has_slot_advert(engine, entry, peer) &&
             (best == NULL || peer->load < best->load)) {
             best = peer;
         }
@@ -59,21 +61,22 @@
 }
 
 static void
-ask(struct engine *engine, struct peer *peer, unsigned free_slots)
+send_pull(struct engine *engine, struct peer *peer, unsigned free_slots)
 {
     struct engine_action *action;
 
     action = engine_send(engine, peer->id, ENGINE_PEER_PULL, NULL);
     action->msg.free_slots = (uint16_t)free_slots;
-    engine->dispatch.asked += free_slots;
-    engine->dispatch.asked_at_us = engine->now_us;
+    engine->dispatch.slots_requested += free_slots;
+    engine->dispatch.pulled_at_us = engine->now_us;
 }
 
 /* Some peer where requests of @class wait, as it said lately. */
 static struct peer *
 find_waiting(struct engine *engine, enum text_class class)
 {
-    const GPtrArray *list = peers_of(&engine->peers, engine->upstream.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, engine->upstream.service);
     struct peer *chosen = NULL;
     int seen = 0;
 
@@ -89,20 +92,21 @@
 }
 
 static void
-ask_waiting(struct engine *engine, struct peer *peer, enum text_class class,
-            unsigned free_slots)
+pull_waiting(struct engine *engine, struct peer *peer, enum text_class class,
+             unsigned free_slots)
 {
     unsigned wanted = MIN(free_slots, peer->waiting[class]);
 
     peer->waiting[class] = (uint16_t)(peer->waiting[class] - wanted);
-    ask(engine, peer, wanted);
+    send_pull(engine, peer, wanted);
 }
 
 /* Some peer that takes requests but has no upstream to run them on. */
 static struct peer *
-find_homeless(struct engine *engine)
+find_without_upstream(struct engine *engine)
 {
-    const GPtrArray *list = peers_of(&engine->peers, engine->upstream.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, engine->upstream.service);
     struct peer *chosen = NULL;
     int seen = 0;
 
@@ -122,10 +126,11 @@
 }
 
 static struct peer *
-find_to_hold_for(struct engine *engine, const struct entry *entry,
-                 enum text_class *class)
+find_hold_peer(struct engine *engine, const struct entry *entry,
+               enum text_class *class)
 {
-    const GPtrArray *list = peers_of(&engine->peers, engine->upstream.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, engine->upstream.service);
     struct peer *peer;
 
     *class = TEXT_URGENT;
@@ -135,10 +140,10 @@
             return peer;
         }
     }
-    if (engine->dispatch.own_starts < list->len) {
+    if (engine->dispatch.local_starts < list->len) {
         return NULL;
     }
-    peer = find_homeless(engine);
+    peer = find_without_upstream(engine);
     if (peer != NULL && peer->waiting[TEXT_URGENT] == 0) {
         *class = TEXT_ORDINARY;
     }
@@ -154,19 +159,20 @@
     enum text_class class;
     struct peer *peer;
 
-    if (queue_floor_due(&engine->queue) || dispatch_free(engine, entry) > 1 ||
-        !upstream_attracts(&engine->upstream, engine->now_us)) {
+    if (queue_min_share_due(&engine->queue) ||
+        dispatch_free_slots(engine, entry) > 1 ||
+        !upstream_may_pull(&engine->upstream, engine->now_us)) {
         return false;
     }
     if (engine->now_us < dispatch->hold_until_us) {
         return true;
     }
-    peer = find_to_hold_for(engine, entry, &class);
+    peer = find_hold_peer(engine, entry, &class);
     if (peer == NULL) {
         return false;
     }
-    ask_waiting(engine, peer, class, 1);
-    dispatch->own_starts = 0;
+    pull_waiting(engine, peer, class, 1);
+    dispatch->local_starts = 0;
     dispatch->hold_until_us = engine->now_us + HOLD_US;
     return true;
 }
@@ -174,20 +180,21 @@
 static uint64_t
 place(struct engine *engine, struct entry *entry)
 {
-    const struct peer *offer = find_offer(engine, entry);
+    const struct peer *slot_advert = find_slot_advert(engine, entry);
     unsigned load = upstream_load(&engine->upstream, engine->now_us);
 
-    if (dispatch_free(engine, entry) == 0 ||
-        admit_too_slow_here(engine, entry)) {
-        return offer != NULL ? offer->id : 0;
+    if (dispatch_free_slots(engine, entry) == 0 ||
+        admit_local_too_slow(engine, entry)) {
+        return slot_advert != NULL ? slot_advert->id : 0;
     }
-    if (offer != NULL && load > (unsigned)offer->load + BALANCE_MARGIN) {
-        return offer->id;
+    if (slot_advert != NULL &&
+        load > (unsigned)slot_advert->load + BALANCE_MARGIN) {
+        return slot_advert->id;
     }
     if (hold_slot(engine, entry)) {
         return 0;
     }
-    engine->dispatch.own_starts++;
+    engine->dispatch.local_starts++;
     return engine->self;
 }
 
@@ -196,7 +203,8 @@
 static struct peer *
 find_busier(struct engine *engine, unsigned own, unsigned *count)
 {
-    const GPtrArray *list = peers_of(&engine->peers, engine->upstream.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, engine->upstream.service);
     struct peer *chosen = NULL;
     double sum = 0;
 
@@ -219,68 +227,73 @@
     return chosen;
 }
 
-/* All idle agents may ask the same few busier ones. If each leaves this much
- * time, a busier one is asked once in OFFER_SHARE_US by all of them. */
+/* All idle agents may send_pull the same few busier ones. If each leaves this
+ * much time, a busier one is slots_requested once in SLOT_ADVERT_SPACING_US by
+ * all of them. */
 static uint64_t
-offer_share_us(const struct engine *engine, unsigned busier)
+slot_advert_spacing_us(const struct engine *engine, unsigned busier)
 {
-    const GPtrArray *list = peers_of(&engine->peers, engine->upstream.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, engine->upstream.service);
 
-    return OFFER_SHARE_US * list->len / busier;
+    return SLOT_ADVERT_SPACING_US * list->len / busier;
 }
 
 static void
-offer_for_balance(struct engine *engine)
+advertise_slot_for_balance(struct engine *engine)
 {
     struct dispatch *dispatch = &engine->dispatch;
     unsigned own = upstream_load(&engine->upstream, engine->now_us);
     unsigned busier;
     struct peer *peer;
 
-    if (engine->now_us < dispatch->offered_at_us + dispatch->offer_gap_us) {
+    if (engine->now_us <
+        dispatch->slot_advert_at_us + dispatch->slot_advert_interval_us) {
         return;
     }
     peer = find_busier(engine, own, &busier);
-    if (peer == NULL || engine->now_us < dispatch->offered_at_us +
-                                             offer_share_us(engine, busier)) {
+    if (peer == NULL ||
+        engine->now_us < dispatch->slot_advert_at_us +
+                             slot_advert_spacing_us(engine, busier)) {
         return;
     }
-    dispatch->offer_gap_us =
-        CLAMP(2 * dispatch->offer_gap_us, OFFER_GAP_US, OFFER_GAP_MAX_US);
-    dispatch->offered_at_us = engine->now_us;
-    ask(engine, peer, 1);
+    dispatch->slot_advert_interval_us =
+        CLAMP(2 * dispatch->slot_advert_interval_us, SLOT_ADVERT_INTERVAL_US,
+              SLOT_ADVERT_INTERVAL_MAX_US);
+    dispatch->slot_advert_at_us = engine->now_us;
+    send_pull(engine, peer, 1);
 }
 
 static void
-use_free_slots(struct engine *engine)
+pull_for_free_slots(struct engine *engine)
 {
     struct dispatch *dispatch = &engine->dispatch;
-    unsigned free_slots = upstream_free(
+    unsigned free_slots = upstream_free_slots(
         &engine->upstream, engine->upstream.service, engine->now_us);
     struct peer *peer;
 
-    if (engine->now_us >= dispatch->asked_at_us + ASK_TIMEOUT_US) {
-        dispatch->asked = 0;
+    if (engine->now_us >= dispatch->pulled_at_us + PULL_TIMEOUT_US) {
+        dispatch->slots_requested = 0;
     }
-    if (free_slots <= dispatch->asked || engine->stopping ||
-        !upstream_attracts(&engine->upstream, engine->now_us)) {
+    if (free_slots <= dispatch->slots_requested || engine->stopping ||
+        !upstream_may_pull(&engine->upstream, engine->now_us)) {
         return;
     }
-    free_slots -= dispatch->asked;
+    free_slots -= dispatch->slots_requested;
     for (int class = TEXT_URGENT; class <= TEXT_ORDINARY; class ++) {
         peer = find_waiting(engine, class);
         if (peer != NULL) {
-            ask_waiting(engine, peer, class, free_slots);
+            pull_waiting(engine, peer, class, free_slots);
             return;
         }
     }
-    offer_for_balance(engine);
+    advertise_slot_for_balance(engine);
 }
 
 static void
-tell_some(struct engine *engine, uint32_t service, unsigned count)
+report_to_random_peers(struct engine *engine, uint32_t service, unsigned count)
 {
-    const GPtrArray *list = peers_of(&engine->peers, service);
+    const GPtrArray *list = peers_of_service(&engine->peers, service);
     guint from;
 
     if (list->len == 0) {
@@ -291,14 +304,14 @@
         struct peer *peer = g_ptr_array_index(list, (from + i) % list->len);
 
         if (peer->health == MEMBER_ALIVE) {
-            dispatch_status(engine, peer);
+            dispatch_send_status(engine, peer);
             count--;
         }
     }
 }
 
 static bool
-is_news(const struct engine *engine)
+has_new_waiting(const struct engine *engine)
 {
     const unsigned *count = engine->queue.count;
     const unsigned *announced = engine->dispatch.announced;
@@ -312,8 +325,8 @@
 {
     struct dispatch *dispatch = &engine->dispatch;
     const struct entry *first = engine->queue.head[TEXT_URGENT];
-    bool news = is_news(engine);
-    bool homeless;
+    bool news = has_new_waiting(engine);
+    bool lacks_upstream;
 
     if (queue_total(&engine->queue) == 0) {
         dispatch->announced[TEXT_URGENT] = 0;
@@ -326,9 +339,11 @@
         return;
     }
     first = first != NULL ? first : engine->queue.head[TEXT_ORDINARY];
-    homeless = !upstream_serves(&engine->upstream, first->request.service);
-    tell_some(engine, first->request.service,
-              homeless ? ANNOUNCE_PEERS_HOMELESS : ANNOUNCE_PEERS);
+    lacks_upstream =
+        !upstream_serves(&engine->upstream, first->request.service);
+    report_to_random_peers(engine, first->request.service,
+                           lacks_upstream ? ANNOUNCE_PEERS_NO_UPSTREAM
+                                          : ANNOUNCE_PEERS);
     dispatch->announced[TEXT_URGENT] = engine->queue.count[TEXT_URGENT];
     dispatch->announced[TEXT_ORDINARY] = engine->queue.count[TEXT_ORDINARY];
     dispatch->announce_gap_us =
@@ -338,36 +353,38 @@
 }
 
 static void
-settle(struct engine *engine)
+after_dispatch(struct engine *engine)
 {
     announce(engine);
-    use_free_slots(engine);
-    if (engine->now_us >= engine->dispatch.beat_at_us) {
-        engine->dispatch.beat_at_us = engine->now_us + BEAT_US;
-        tell_some(engine, engine->upstream.service, BEAT_PEERS);
+    pull_for_free_slots(engine);
+    if (engine->now_us >= engine->dispatch.load_report_at_us) {
+        engine->dispatch.load_report_at_us =
+            engine->now_us + LOAD_REPORT_INTERVAL_US;
+        report_to_random_peers(engine, engine->upstream.service,
+                               LOAD_REPORT_PEERS);
     }
 }
 
-/* A PULL is an offer of slots; one that comes for work that is gone gets
- * told, so that it holds no slot in vain. */
+/* A PULL is an slot_advert of slots; one that comes for work that is gone gets
+ * on_report, so that it holds no slot in vain. */
 static void
-told(struct engine *engine, struct peer *peer,
-     const struct engine_peer_msg *msg)
+on_report(struct engine *engine, struct peer *peer,
+          const struct engine_peer_msg *msg)
 {
     struct dispatch *dispatch = &engine->dispatch;
 
     if (msg->type == ENGINE_PEER_DONE) {
-        peer->offer = 1;
-        peer->offer_until_us = engine->now_us + OFFER_KEEP_US;
+        peer->slot_advert = 1;
+        peer->slot_advert_until_us = engine->now_us + SLOT_ADVERT_TTL_US;
         return;
     }
     if (msg->type == ENGINE_PEER_PULL) {
-        peer->offer = msg->free_slots;
-        peer->offer_until_us = engine->now_us + OFFER_KEEP_US;
+        peer->slot_advert = msg->free_slots;
+        peer->slot_advert_until_us = engine->now_us + SLOT_ADVERT_TTL_US;
         dispatch->announce_gap_us = ANNOUNCE_GAP_US;
         if (queue_total(&engine->queue) == 0 &&
-            engine->now_us < peer->told_at_us + ANNOUNCE_GAP_MAX_US) {
-            dispatch_status(engine, peer);
+            engine->now_us < peer->status_sent_us + ANNOUNCE_GAP_MAX_US) {
+            dispatch_send_status(engine, peer);
         }
         return;
     }
@@ -377,20 +394,20 @@
 }
 
 void
-dispatch_taken(struct engine *engine)
+dispatch_on_remote_run(struct engine *engine)
 {
     struct dispatch *dispatch = &engine->dispatch;
 
     dispatch->hold_until_us = 0;
-    dispatch->offer_gap_us = OFFER_GAP_US;
-    if (dispatch->asked > 0) {
-        dispatch->asked--;
+    dispatch->slot_advert_interval_us = SLOT_ADVERT_INTERVAL_US;
+    if (dispatch->slots_requested > 0) {
+        dispatch->slots_requested--;
     }
 }
 
 const struct dispatch_ops dispatch_pull = {
     .name = "pull",
     .place = place,
-    .settle = settle,
-    .told = told,
+    .after_dispatch = after_dispatch,
+    .on_report = on_report,
 };
--- a/src/request/dispatch_two.c
+++ b/src/request/dispatch_two.c
@@ -1,21 +1,21 @@
 /**
  * DOC: dispatch_two - two choices on the load that the view reports
  *
- * Each request looks at two random agents, its own included, and goes to
+ * Each request looks at two random agents, its own_load included, and goes to
  * the one with less busy and waiting for each slot. One that is declined
  * waits for the local upstream.
  */
 #include "request/dispatch.h"
 
 static double
-reported(const struct peer *peer)
+reported_load(const struct peer *peer)
 {
-    return (peer->told_busy + peer->told_waiting) /
+    return (peer->view_busy + peer->view_waiting) /
            (double)MAX(peer->slots, 1);
 }
 
 static double
-own(const struct engine *engine)
+own_load(const struct engine *engine)
 {
     unsigned in_flight = engine->upstream.busy + queue_total(&engine->queue);
 
@@ -23,11 +23,12 @@
 }
 
 static uint64_t
-better_of(struct engine *engine, struct entry *entry)
+choose_better(struct engine *engine, struct entry *entry)
 {
     const struct peer *first = dispatch_random(engine, entry);
     const struct peer *second = dispatch_random(engine, entry);
-    guint others = peers_of(&engine->peers, entry->request.service)->len;
+    guint others =
+        peers_of_service(&engine->peers, entry->request.service)->len;
     bool self_drawn =
         g_rand_int_range(engine->random, 0, (gint32)others + 1) < 2;
 
@@ -35,9 +36,10 @@
         return 0;
     }
     if (self_drawn) {
-        return reported(first) < own(engine) ? first->id : 0;
+        return reported_load(first) < own_load(engine) ? first->id : 0;
     }
-    return reported(second) < reported(first) ? second->id : first->id;
+    return reported_load(second) < reported_load(first) ? second->id
+                                                        : first->id;
 }
 
 static uint64_t
@@ -45,14 +47,14 @@
 {
     uint64_t member;
 
-    if (!entry->pushed) {
-        entry->pushed = true;
-        member = better_of(engine, entry);
+    if (!entry->placement_tried) {
+        entry->placement_tried = true;
+        member = choose_better(engine, entry);
         if (member != 0) {
             return member;
         }
     }
-    return dispatch_home(engine, entry);
+    return dispatch_default(engine, entry);
 }
 
 const struct dispatch_ops dispatch_two_choices = {
--- a/src/request/engine.c
+++ b/src/request/engine.c
@@ -12,7 +12,7 @@
 {
     engine->now_us = MAX(now_us, engine->now_us);
     engine->out = out;
-    g_ptr_array_set_size(engine->held, 0);
+    g_ptr_array_set_size(engine->copied_answers, 0);
 }
 
 struct engine *
@@ -34,7 +34,7 @@
     peers_init(&engine->peers);
     seen_init(&engine->seen);
     engine->idem = idem_new(self, ENGINE_KEYS_MAX);
-    engine->held = g_ptr_array_new_with_free_func(g_free);
+    engine->copied_answers = g_ptr_array_new_with_free_func(g_free);
     return engine;
 }
 
@@ -54,7 +54,7 @@
     seen_finish(&engine->seen);
     idem_actions_finish(&engine->idem_out);
     idem_free(engine->idem);
-    g_ptr_array_free(engine->held, TRUE);
+    g_ptr_array_free(engine->copied_answers, TRUE);
     g_free(engine);
 }
 
@@ -68,10 +68,10 @@
     }
     own = &view->members[view->self];
     if (own->state != MEMBER_WARMING) {
-        engine->upstream.warm_from_us = 0;
+        engine->upstream.slow_start_since_us = 0;
     }
-    else if (engine->upstream.warm_from_us == 0) {
-        engine->upstream.warm_from_us = MAX(engine->now_us, 1);
+    else if (engine->upstream.slow_start_since_us == 0) {
+        engine->upstream.slow_start_since_us = MAX(engine->now_us, 1);
     }
 }
 
@@ -85,7 +85,7 @@
     note_own_state(engine, view);
     peers_set_view(&engine->peers, view, engine->self, gone);
     for (guint i = 0; i < gone->len; i++) {
-        remote_lost(engine, g_array_index(gone, uint64_t, i));
+        remote_peer_lost(engine, g_array_index(gone, uint64_t, i));
     }
     g_array_free(gone, TRUE);
     keyed_set_view(engine, view);
@@ -115,9 +115,9 @@
 
     begin_call(engine, now_us, out);
     if (upstream->slots == 0 || upstream->service != service) {
-        upstream->traffic = (struct health){0};
-        upstream->pauses = 0;
-        upstream->paused_until_us = 0;
+        upstream->passive_health = (struct health){0};
+        upstream->backoffs = 0;
+        upstream->backoff_until_us = 0;
         upstream->errors = 0;
     }
     upstream->service = service;
@@ -136,13 +136,13 @@
 }
 
 static void
-enter(struct engine *engine, const struct engine_request *request)
+queue_request(struct engine *engine, const struct engine_request *request)
 {
     struct entry *entry =
         entry_add(engine->entries, engine->self, request, engine->now_us);
 
     engine->open++;
-    entry->cleared = !request->keyed;
+    entry->runnable = !request->keyed;
     queue_push(&engine->queue, entry);
     if (request->keyed) {
         keyed_begin(engine, entry);
@@ -171,7 +171,7 @@
         finish_refused(engine, request->id, reason);
         return 0;
     }
-    enter(engine, &admitted);
+    queue_request(engine, &admitted);
     dispatch_run(engine);
     return 0;
 }
@@ -181,7 +181,7 @@
 static bool
 must_end(const struct entry *entry)
 {
-    return entry->request.keyed && entry->place != ENTRY_WAITING;
+    return entry->request.keyed && entry->state != ENTRY_WAITING;
 }
 
 int
@@ -192,13 +192,13 @@
 
     begin_call(engine, now_us, out);
     entry = entry_find(engine->entries, engine->self, id);
-    if (entry == NULL || entry->place == ENTRY_ABORTED) {
+    if (entry == NULL || entry->state == ENTRY_ABORTED) {
         return -ENOENT;
     }
     if (must_end(entry)) {
-        entry->orphan = true;
+        entry->caller_gone = true;
     }
-    else if (entry->place == ENTRY_WAITING) {
+    else if (entry->state == ENTRY_WAITING) {
         finish_unserved(engine, entry, ENGINE_CANCELLED);
     }
     else {
@@ -219,16 +219,16 @@
     begin_call(engine, now_us, out);
     entry = entry_find(engine->entries, origin, id);
     if (entry == NULL ||
-        (entry->place != ENTRY_RUNNING && entry->place != ENTRY_ABORTED)) {
+        (entry->state != ENTRY_RUNNING && entry->state != ENTRY_ABORTED)) {
         engine->counters.dropped++;
         return -ENOENT;
     }
-    upstream_drop(&engine->upstream, engine->now_us);
-    if (entry->place == ENTRY_ABORTED) {
+    upstream_release_slot(&engine->upstream, engine->now_us);
+    if (entry->state == ENTRY_ABORTED) {
         entry_remove(engine->entries, entry);
     }
     else {
-        entry->place = ENTRY_WAITING;
+        entry->state = ENTRY_WAITING;
         runs_end(engine, entry, how, answer, answer_len);
     }
     dispatch_run(engine);
@@ -258,24 +258,24 @@
                  struct engine_actions *out)
 {
     begin_call(engine, now_us, out);
-    remote_lost(engine, member);
+    remote_peer_lost(engine, member);
     dispatch_run(engine);
     return 0;
 }
 
 int
-engine_unsent(struct engine *engine, uint64_t member, uint64_t id,
-              uint64_t now_us, struct engine_actions *out)
+engine_send_failed(struct engine *engine, uint64_t member, uint64_t id,
+                   uint64_t now_us, struct engine_actions *out)
 {
     struct entry *entry;
 
     begin_call(engine, now_us, out);
     entry = entry_find(engine->entries, engine->self, id);
-    if (entry == NULL || entry->place != ENTRY_AT_PEER ||
+    if (entry == NULL || entry->state != ENTRY_AT_PEER ||
         entry->peer != member) {
         return -ENOENT;
     }
-    remote_unsent(engine, entry);
+    remote_send_failed(engine, entry);
     dispatch_run(engine);
     return 0;
 }
@@ -286,13 +286,13 @@
 note_overrun(struct engine *engine, const struct entry *entry)
 {
     uint64_t took_us = engine->now_us - entry->started_us;
-    uint64_t most_us = estimate_run_most_us(&engine->estimate, engine->now_us);
+    uint64_t most_us = estimate_run_max_us(&engine->estimate, engine->now_us);
     struct peer *peer;
 
     if (took_us < most_us) {
         return;
     }
-    if (entry->place == ENTRY_RUNNING) {
+    if (entry->state == ENTRY_RUNNING) {
         runs_failed(engine);
         return;
     }
@@ -305,14 +305,14 @@
 static void
 tick_entry(struct engine *engine, struct entry *entry)
 {
-    if (entry->place == ENTRY_ABORTED) {
+    if (entry->state == ENTRY_ABORTED) {
         if (engine->now_us >= entry->started_us + ENGINE_ABORT_GRACE_US) {
-            upstream_drop(&engine->upstream, engine->now_us);
+            upstream_release_slot(&engine->upstream, engine->now_us);
             entry_remove(engine->entries, entry);
         }
         return;
     }
-    if (entry->place != ENTRY_WAITING &&
+    if (entry->state != ENTRY_WAITING &&
         engine->now_us >= entry->request.deadline_us) {
         note_overrun(engine, entry);
         finish_unknown(engine, entry, ENGINE_DEADLINE);
@@ -375,13 +375,13 @@
 }
 
 size_t
-engine_unpushed(const struct engine *engine)
+engine_unacked_records(const struct engine *engine)
 {
-    return idem_unpushed(engine->idem);
+    return idem_unacked_records(engine->idem);
 }
 
 unsigned
-engine_open(const struct engine *engine)
+engine_open_requests(const struct engine *engine)
 {
     return engine->open;
 }
--- a/src/request/engine.h
+++ b/src/request/engine.h
@@ -64,7 +64,7 @@
     ENGINE_KEY_QUORUM,    /* the key's replicas could not be reached */
     ENGINE_UPSTREAM_SHED, /* the upstream refused it unrun */
     ENGINE_LOST,          /* upstream or peer went away with it */
-    ENGINE_SHORT,         /* the upstream's answer was cut */
+    ENGINE_TRUNCATED,     /* the upstream's answer was cut */
     ENGINE_DEADLINE,      /* no answer by the deadline */
     ENGINE_STOPPING,
     ENGINE_CANCELLED /* its caller went away */
@@ -76,7 +76,7 @@
     ENGINE_UP_REFUSED,   /* upstream said 503 with Retry-After: not begun */
     ENGINE_UP_UNREACHED, /* could not connect: nothing was sent */
     ENGINE_UP_LOST,      /* sent, then the connection failed */
-    ENGINE_UP_SHORT      /* sent, the answer was cut */
+    ENGINE_UP_TRUNCATED  /* sent, the answer was cut */
 };
 
 /** enum engine_peer_type - messages between engines of one service */
@@ -267,18 +267,18 @@
             struct engine_actions *out);
 
 /** engine_stop() - a planned stop: refuse what arrives from now on, serve
- * what waits (here or at peers) and finish what runs; engine_open() is 0
- * at the latest when the last deadline has passed */
+ * what waits (here or at peers) and finish what runs; engine_open_requests()
+ * is 0 at the latest when the last deadline has passed */
 int
 engine_stop(struct engine *engine, uint64_t now_us,
             struct engine_actions *out);
 
-/** engine_unsent() - an ENGINE_SEND of RUN for local request @id to @member
- * could not be sent at all (never queued, or no connection came up): it was
- * not run there */
+/** engine_send_failed() - an ENGINE_SEND of RUN for local request @id to
+ * @member could not be sent at all (never queued, or no connection came up):
+ * it was not run there */
 int
-engine_unsent(struct engine *engine, uint64_t member, uint64_t id,
-              uint64_t now_us, struct engine_actions *out);
+engine_send_failed(struct engine *engine, uint64_t member, uint64_t id,
+                   uint64_t now_us, struct engine_actions *out);
 
 /** engine_counters() - counters, valid while the engine is */
 const struct engine_counters *
@@ -301,13 +301,13 @@
 unsigned
 engine_waiting_of(const struct engine *engine, enum text_class class);
 
-/** engine_unpushed() - key records here that some replica has not
+/** engine_unacked_records() - key records here that some replica has not
  * acknowledged yet; a planned stop waits, within a bound, until it is 0 */
 size_t
-engine_unpushed(const struct engine *engine);
+engine_unacked_records(const struct engine *engine);
 
-/** engine_open() - local requests without a final answer yet */
+/** engine_open_requests() - local requests without a final answer yet */
 unsigned
-engine_open(const struct engine *engine);
+engine_open_requests(const struct engine *engine);
 
 #endif
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -57,7 +57,7 @@
     entry->key.origin = origin;
     entry->key.id = request->id;
     entry->request = *request;
-    entry->place = ENTRY_WAITING;
+    entry->state = ENTRY_WAITING;
     entry->arrived_us = now_us;
     g_hash_table_insert(table, entry, entry);
     return entry;
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -12,8 +12,8 @@
 
 #define ENTRY_TRIED_MAX 8
 
-/** enum entry_place - where a request is */
-enum entry_place {
+/** enum entry_state - where a request is */
+enum entry_state {
     ENTRY_WAITING, /* in the queue, or about to enter it */
     ENTRY_RUNNING, /* on the local upstream */
     ENTRY_AT_PEER, /* sent to a peer, no DONE yet */
@@ -30,13 +30,15 @@
  * struct entry - one request
  * @key: key in the table (must come first)
  * @request: as it arrived
- * @place: where it is
- * @cleared: it may run: no idempotency key, or the key is reserved
- * @handed: some upstream may have begun it, so it is never "not run" again
- * @orphan: its caller is gone; it ends only for the record of its key
- * @ran_here: the last attempt was on the local upstream
- * @pushed: the policy has chosen a place for it once already
- * @avoid_until_us: goes to a peer rather than here before; here it failed
+ * @state: where it is
+ * @runnable: it may run: no idempotency key, or the key is reserved
+ * @maybe_started: some upstream may have begun it, so it is never "not run"
+ * again
+ * @caller_gone: its caller is gone; it ends only for the record of its key
+ * @ran_locally: the last attempt was on the local upstream
+ * @placement_tried: the policy has chosen a place for it once already
+ * @avoid_local_until_us: goes to a peer rather than here before; here it
+ * failed
  * @refused: why it came back unrun, the last time
  * @queued: linked into the queue
  * @arrived_us: when it arrived here
@@ -51,13 +53,13 @@
 struct entry {
     struct entry_key key;
     struct engine_request request;
-    enum entry_place place;
-    bool cleared;
-    bool handed;
-    bool orphan;
-    bool ran_here;
-    bool pushed;
-    uint64_t avoid_until_us;
+    enum entry_state state;
+    bool runnable;
+    bool maybe_started;
+    bool caller_gone;
+    bool ran_locally;
+    bool placement_tried;
+    uint64_t avoid_local_until_us;
     enum engine_reason refused;
     bool queued;
     uint64_t arrived_us;
--- a/src/request/estimate.c
+++ b/src/request/estimate.c
@@ -6,15 +6,16 @@
 
 #define RUNS_MAX 32
 #define DEPARTURES_MAX 32
-#define DEPARTURES_TRUSTED 8
+#define DEPARTURES_MIN 8
 #define DEVIATIONS 4.0
-#define KEEP_US (2 * USEC_PER_SEC)
-#define KEEP_RUNS 4.0
+#define ESTIMATE_TTL_US (2 * USEC_PER_SEC)
+#define ESTIMATE_TTL_RUNS 4.0
 
 static bool
 is_known(const struct estimate *estimate, uint64_t now_us)
 {
-    double keep = fmax((double)KEEP_US, KEEP_RUNS * estimate->run_us);
+    double keep =
+        fmax((double)ESTIMATE_TTL_US, ESTIMATE_TTL_RUNS * estimate->run_us);
 
     return estimate->runs > 0 &&
            (double)(now_us - estimate->last_run_us) < keep;
@@ -48,7 +49,7 @@
     if (estimate->last_departure_us != 0) {
         double gap = (double)(now_us - estimate->last_departure_us);
 
-        if (now_us >= estimate->gap_at_us + KEEP_US) {
+        if (now_us >= estimate->gap_at_us + ESTIMATE_TTL_US) {
             estimate->departures = 0;
         }
         if (estimate->departures < DEPARTURES_MAX) {
@@ -67,7 +68,7 @@
 }
 
 uint64_t
-estimate_run_most_us(const struct estimate *estimate, uint64_t now_us)
+estimate_run_max_us(const struct estimate *estimate, uint64_t now_us)
 {
     if (!is_known(estimate, now_us)) {
         return 0;
@@ -76,13 +77,14 @@
 }
 
 uint64_t
-estimate_gap_us(const struct estimate *estimate, double slots, uint64_t now_us)
+estimate_start_interval_us(const struct estimate *estimate, double slots,
+                           uint64_t now_us)
 {
     if (!is_known(estimate, now_us)) {
         return 0;
     }
-    if (estimate->departures >= DEPARTURES_TRUSTED &&
-        now_us < estimate->gap_at_us + KEEP_US) {
+    if (estimate->departures >= DEPARTURES_MIN &&
+        now_us < estimate->gap_at_us + ESTIMATE_TTL_US) {
         return (uint64_t)estimate->gap_us;
     }
     return (uint64_t)(estimate->run_us / fmax(1.0, slots));
--- a/src/request/estimate.h
+++ b/src/request/estimate.h
@@ -48,14 +48,15 @@
 uint64_t
 estimate_run_us(const struct estimate *estimate, uint64_t now_us);
 
-/** estimate_run_most_us() - time that most runs need, 0 if unknown */
+/** estimate_run_max_us() - time that most runs need, 0 if unknown */
 uint64_t
-estimate_run_most_us(const struct estimate *estimate, uint64_t now_us);
+estimate_run_max_us(const struct estimate *estimate, uint64_t now_us);
 
-/** estimate_gap_us() - time between two starts out of a queue; @slots are
- * the slots that serve it as far as is known, those of idle peers too */
+/** estimate_start_interval_us() - time between two starts out of a queue;
+ * @slots are the slots that serve it as far as is known, those of idle peers
+ * too */
 uint64_t
-estimate_gap_us(const struct estimate *estimate, double slots,
-                uint64_t now_us);
+estimate_start_interval_us(const struct estimate *estimate, double slots,
+                           uint64_t now_us);
 
 #endif
--- a/src/request/finish.c
+++ b/src/request/finish.c
@@ -5,14 +5,14 @@
 #include "request/remote.h"
 
 static void
-leave_place(struct engine *engine, struct entry *entry)
+stop_attempt(struct engine *engine, struct entry *entry)
 {
     if (entry->queued) {
         queue_remove(&engine->queue, entry);
     }
-    if (entry->place == ENTRY_AT_PEER) {
+    if (entry->state == ENTRY_AT_PEER) {
         engine_send(engine, entry->peer, ENGINE_PEER_CANCEL, entry);
-        remote_leave(engine, entry);
+        remote_detach(engine, entry);
     }
 }
 
@@ -22,52 +22,52 @@
 {
     struct engine_action *action;
 
-    leave_place(engine, entry);
+    stop_attempt(engine, entry);
     if (engine_is_local(engine, entry)) {
         engine->open--;
-        quota_drop(&engine->quota, entry->request.caller);
+        quota_release(&engine->quota, entry->request.caller);
     }
-    if (entry->place != ENTRY_RUNNING) {
+    if (entry->state != ENTRY_RUNNING) {
         entry_remove(engine->entries, entry);
         return;
     }
     action = engine_emit(engine, ENGINE_ABORT);
     action->id = entry->key.id;
     action->origin = entry->key.origin;
-    entry->place = ENTRY_ABORTED;
+    entry->state = ENTRY_ABORTED;
     entry->started_us = engine->now_us;
 }
 
-/* An answer is also an offer of the slot that it frees. */
+/* An answer is also an slot_advert of the slot that it frees. */
 static void
-offer_slot(struct engine *engine, const struct entry *entry,
-           struct engine_action *action)
+add_slot_advert(struct engine *engine, const struct entry *entry,
+                struct engine_action *action)
 {
     if (queue_total(&engine->queue) > 0 || engine->stopping) {
         return;
     }
-    action->msg.free_slots = (uint16_t)upstream_free(
+    action->msg.free_slots = (uint16_t)upstream_free_slots(
         &engine->upstream, entry->request.service, engine->now_us);
-    engine->dispatch.asked++;
-    engine->dispatch.asked_at_us = engine->now_us;
+    engine->dispatch.slots_requested++;
+    engine->dispatch.pulled_at_us = engine->now_us;
 }
 
 static struct engine_action *
-tell_origin(struct engine *engine, const struct entry *entry,
-            enum engine_outcome outcome, enum engine_reason reason)
+notify_origin(struct engine *engine, const struct entry *entry,
+              enum engine_outcome outcome, enum engine_reason reason)
 {
     struct engine_action *action;
 
     action = engine_send(engine, entry->key.origin, ENGINE_PEER_DONE, entry);
     action->msg.outcome = outcome;
     action->msg.reason = reason;
-    offer_slot(engine, entry, action);
+    add_slot_advert(engine, entry, action);
     return action;
 }
 
 static struct engine_action *
-tell_caller(struct engine *engine, uint64_t id, enum engine_outcome outcome,
-            enum engine_reason reason)
+notify_caller(struct engine *engine, uint64_t id, enum engine_outcome outcome,
+              enum engine_reason reason)
 {
     struct engine_action *action;
     uint32_t retry_after_ms = 0;
@@ -85,16 +85,16 @@
 }
 
 static struct engine_action *
-tell(struct engine *engine, const struct entry *entry,
-     enum engine_outcome outcome, enum engine_reason reason)
+notify(struct engine *engine, const struct entry *entry,
+       enum engine_outcome outcome, enum engine_reason reason)
 {
     struct engine_action *action;
 
     if (engine_is_local(engine, entry)) {
-        action = tell_caller(engine, entry->key.id, outcome, reason);
+        action = notify_caller(engine, entry->key.id, outcome, reason);
     }
     else {
-        action = tell_origin(engine, entry, outcome, reason);
+        action = notify_origin(engine, entry, outcome, reason);
     }
     action->outcome = outcome;
     action->reason = reason;
@@ -105,8 +105,8 @@
 finish(struct engine *engine, struct entry *entry, enum engine_outcome outcome,
        enum engine_reason reason, const uint8_t *answer, size_t answer_len)
 {
-    tell(engine, entry, outcome, reason);
-    entry->cleared = true; /* whatever its reservation says from now on */
+    notify(engine, entry, outcome, reason);
+    entry->runnable = true; /* whatever its reservation says from now on */
     if (entry->request.keyed && engine_is_local(engine, entry)) {
         keyed_end(engine, entry, outcome, answer, answer_len);
     }
@@ -125,8 +125,9 @@
 finish_unserved(struct engine *engine, struct entry *entry,
                 enum engine_reason reason)
 {
-    finish(engine, entry, entry->handed ? ENGINE_UNKNOWN : ENGINE_NOT_RUN,
-           reason, NULL, 0);
+    finish(engine, entry,
+           entry->maybe_started ? ENGINE_UNKNOWN : ENGINE_NOT_RUN, reason,
+           NULL, 0);
 }
 
 void
@@ -137,10 +138,10 @@
 }
 
 void
-finish_settled(struct engine *engine, struct entry *entry,
-               enum engine_outcome outcome, enum engine_reason reason)
+finish_by_key(struct engine *engine, struct entry *entry,
+              enum engine_outcome outcome, enum engine_reason reason)
 {
-    tell(engine, entry, outcome, reason);
+    notify(engine, entry, outcome, reason);
     release(engine, entry);
 }
 
@@ -150,14 +151,14 @@
 {
     struct engine_action *action;
 
-    action = tell(engine, entry, ENGINE_ANSWERED, ENGINE_REASON_NONE);
+    action = notify(engine, entry, ENGINE_ANSWERED, ENGINE_REASON_NONE);
     action->replayed = true;
     action->msg.idem = *msg;
     release(engine, entry);
 }
 
 void
-finish_abandoned(struct engine *engine, struct entry *entry)
+finish_without_reply(struct engine *engine, struct entry *entry)
 {
     release(engine, entry);
 }
@@ -167,7 +168,7 @@
 {
     struct engine_action *action;
 
-    action = tell_caller(engine, id, ENGINE_NOT_RUN, reason);
+    action = notify_caller(engine, id, ENGINE_NOT_RUN, reason);
     action->outcome = ENGINE_NOT_RUN;
     action->reason = reason;
 }
--- a/src/request/finish.h
+++ b/src/request/finish.h
@@ -26,19 +26,19 @@
 finish_unknown(struct engine *engine, struct entry *entry,
                enum engine_reason reason);
 
-/** finish_settled() - the key's record decided; the key stays as it is */
+/** finish_by_key() - the key's record decided; the key stays as it is */
 void
-finish_settled(struct engine *engine, struct entry *entry,
-               enum engine_outcome outcome, enum engine_reason reason);
+finish_by_key(struct engine *engine, struct entry *entry,
+              enum engine_outcome outcome, enum engine_reason reason);
 
 /** finish_replayed() - the earlier answer of the key, in @msg */
 void
 finish_replayed(struct engine *engine, struct entry *entry,
                 const struct idem_msg *msg);
 
-/** finish_abandoned() - nobody is left to tell: only stop the work */
+/** finish_without_reply() - nobody is left to tell: only stop the work */
 void
-finish_abandoned(struct engine *engine, struct entry *entry);
+finish_without_reply(struct engine *engine, struct entry *entry);
 
 /** finish_refused() - a request that never became an entry */
 void
--- a/src/request/health.c
+++ b/src/request/health.c
@@ -2,15 +2,15 @@
 
 #include "base/clock.h"
 
-#define SHUN_FIRST_US (200 * USEC_PER_MSEC)
-#define SHUN_DOUBLINGS 5
+#define EJECTION_BASE_US (200 * USEC_PER_MSEC)
+#define EJECTION_DOUBLINGS_MAX 5
 
 void
 health_answered(struct health *health, uint64_t took_us)
 {
     health->failures = 0;
-    health->shuns = 0;
-    health->shunned_until_us = 0;
+    health->ejections = 0;
+    health->ejected_until_us = 0;
     health->trial = false;
     if (health->run_us == 0) {
         health->run_us = took_us;
@@ -22,23 +22,24 @@
 health_failed(struct health *health)
 {
     health->failures++;
-    return health->trial || health->failures >= HEALTH_FAILURES;
+    return health->trial || health->failures >= HEALTH_FAILURES_MAX;
 }
 
 void
-health_shun(struct health *health, uint64_t now_us)
+health_eject(struct health *health, uint64_t now_us)
 {
-    unsigned doublings =
-        health->shuns < SHUN_DOUBLINGS ? health->shuns : SHUN_DOUBLINGS;
+    unsigned doublings = health->ejections < EJECTION_DOUBLINGS_MAX
+                             ? health->ejections
+                             : EJECTION_DOUBLINGS_MAX;
 
-    health->shunned_until_us = now_us + (SHUN_FIRST_US << doublings);
-    health->shuns++;
+    health->ejected_until_us = now_us + (EJECTION_BASE_US << doublings);
+    health->ejections++;
     health->failures = 0;
     health->trial = true;
 }
 
 bool
-health_shunned(const struct health *health, uint64_t now_us)
+health_is_ejected(const struct health *health, uint64_t now_us)
 {
-    return now_us < health->shunned_until_us;
+    return now_us < health->ejected_until_us;
 }
--- a/src/request/health.h
+++ b/src/request/health.h
@@ -13,20 +13,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define HEALTH_FAILURES 3
+#define HEALTH_FAILURES_MAX 3
 
 /**
  * struct health - one upstream
  * @failures: in a row
- * @shuns: times shunned without an answer in between
- * @shunned_until_us: gets nothing before
+ * @ejections: times shunned without an answer in between
+ * @ejected_until_us: gets nothing before
  * @trial: shunned until lately: one request at a time
  * @run_us: smoothed time of runs sent there, 0 if none
  */
 struct health {
     unsigned failures;
-    unsigned shuns;
-    uint64_t shunned_until_us;
+    unsigned ejections;
+    uint64_t ejected_until_us;
     bool trial;
     uint64_t run_us;
 };
@@ -40,12 +40,12 @@
 bool
 health_failed(struct health *health);
 
-/** health_shun() - give it nothing for a while */
+/** health_eject() - give it nothing for a while */
 void
-health_shun(struct health *health, uint64_t now_us);
+health_eject(struct health *health, uint64_t now_us);
 
-/** health_shunned() - whether it gets nothing now */
+/** health_is_ejected() - whether it gets nothing now */
 bool
-health_shunned(const struct health *health, uint64_t now_us);
+health_is_ejected(const struct health *health, uint64_t now_us);
 
 #endif
--- a/src/request/keyed.c
+++ b/src/request/keyed.c
@@ -3,7 +3,7 @@
 #include "request/finish.h"
 
 static const uint8_t *
-hold_answer(struct engine *engine, const uint8_t *answer, size_t len)
+copy_answer(struct engine *engine, const uint8_t *answer, size_t len)
 {
     uint8_t *copy;
 
@@ -11,7 +11,7 @@
         return NULL;
     }
     copy = g_memdup2(answer, MAX(len, 1));
-    g_ptr_array_add(engine->held, copy);
+    g_ptr_array_add(engine->copied_answers, copy);
     return copy;
 }
 
@@ -27,27 +27,27 @@
 /* The first request of the key decides the answer of this one, or nobody
  * could be asked. */
 static void
-settle(struct engine *engine, struct entry *entry,
-       const struct idem_action *todo)
+apply_verdict(struct engine *engine, struct entry *entry,
+              const struct idem_action *todo)
 {
     switch (todo->type) {
     case IDEM_PROCEED:
-        entry->cleared = true;
+        entry->runnable = true;
         return;
     case IDEM_REPLAY:
         finish_replayed(engine, entry, &todo->msg);
         return;
     case IDEM_IN_PROGRESS:
-        finish_settled(engine, entry, ENGINE_IN_PROGRESS, ENGINE_REASON_NONE);
+        finish_by_key(engine, entry, ENGINE_IN_PROGRESS, ENGINE_REASON_NONE);
         return;
     case IDEM_OUTCOME_UNKNOWN:
-        finish_settled(engine, entry, ENGINE_UNKNOWN, ENGINE_LOST);
+        finish_by_key(engine, entry, ENGINE_UNKNOWN, ENGINE_LOST);
         return;
     case IDEM_MISMATCH:
-        finish_settled(engine, entry, ENGINE_KEY_MISMATCH, ENGINE_REASON_NONE);
+        finish_by_key(engine, entry, ENGINE_KEY_MISMATCH, ENGINE_REASON_NONE);
         return;
     case IDEM_REFUSE:
-        finish_settled(engine, entry, ENGINE_NOT_RUN, ENGINE_KEY_QUORUM);
+        finish_by_key(engine, entry, ENGINE_NOT_RUN, ENGINE_KEY_QUORUM);
         return;
     case IDEM_SEND:
         return;
@@ -55,7 +55,7 @@
 }
 
 static void
-carry_out(struct engine *engine, const struct idem_action *todo)
+apply_action(struct engine *engine, const struct idem_action *todo)
 {
     struct entry *entry;
 
@@ -64,26 +64,26 @@
         return;
     }
     entry = entry_find(engine->entries, engine->self, todo->token);
-    if (entry != NULL && entry->place == ENTRY_WAITING && !entry->cleared) {
-        settle(engine, entry, todo);
+    if (entry != NULL && entry->state == ENTRY_WAITING && !entry->runnable) {
+        apply_verdict(engine, entry, todo);
     }
 }
 
 /* Answers are copied first: the next call into idem would free them. */
 static void
-pump(struct engine *engine)
+run_idem_actions(struct engine *engine)
 {
     struct idem_actions *out = &engine->idem_out;
 
     for (size_t i = engine->idem_done; i < out->count; i++) {
         struct idem_msg *msg = &out->items[i].msg;
 
-        msg->answer = hold_answer(engine, msg->answer, msg->answer_len);
+        msg->answer = copy_answer(engine, msg->answer, msg->answer_len);
     }
     while (engine->idem_done < out->count) {
         struct idem_action todo = out->items[engine->idem_done++];
 
-        carry_out(engine, &todo);
+        apply_action(engine, &todo);
     }
     out->count = 0;
     engine->idem_done = 0;
@@ -96,9 +96,9 @@
                         engine->now_us, &engine->idem_out);
 
     if (rc < 0) {
-        finish_settled(engine, entry, ENGINE_NOT_RUN, ENGINE_KEY_QUORUM);
+        finish_by_key(engine, entry, ENGINE_NOT_RUN, ENGINE_KEY_QUORUM);
     }
-    pump(engine);
+    run_idem_actions(engine);
 }
 
 void
@@ -112,7 +112,7 @@
 
     (void)idem_end(engine->idem, entry->key.id, not_run, state, answer,
                    answer_len, engine->now_us, &engine->idem_out);
-    pump(engine);
+    run_idem_actions(engine);
 }
 
 void
@@ -120,19 +120,19 @@
 {
     (void)idem_receive(engine->idem, from, msg, engine->now_us,
                        &engine->idem_out);
-    pump(engine);
+    run_idem_actions(engine);
 }
 
 void
 keyed_set_view(struct engine *engine, const struct view *view)
 {
     (void)idem_set_view(engine->idem, view, engine->now_us, &engine->idem_out);
-    pump(engine);
+    run_idem_actions(engine);
 }
 
 void
 keyed_tick(struct engine *engine)
 {
     (void)idem_tick(engine->idem, engine->now_us, &engine->idem_out);
-    pump(engine);
+    run_idem_actions(engine);
 }
--- a/src/request/outcome.c
+++ b/src/request/outcome.c
@@ -3,37 +3,37 @@
 #include "request/admit.h"
 #include "request/finish.h"
 
-#define AVOID_US (50 * USEC_PER_MSEC)
+#define AVOID_LOCAL_US (50 * USEC_PER_MSEC)
 
 /* A second attempt goes to another upstream, if one can be had soon. */
 static void
-avoid_here(struct engine *engine, struct entry *entry)
+avoid_local(struct engine *engine, struct entry *entry)
 {
-    if (entry->ran_here &&
+    if (entry->ran_locally &&
         peers_working(&engine->peers, entry->request.service)) {
-        entry->avoid_until_us = engine->now_us + AVOID_US;
+        entry->avoid_local_until_us = engine->now_us + AVOID_LOCAL_US;
     }
 }
 
 static void
-wait_again(struct engine *engine, struct entry *entry)
+requeue(struct engine *engine, struct entry *entry)
 {
-    entry->place = ENTRY_WAITING;
-    if (entry->orphan) {
+    entry->state = ENTRY_WAITING;
+    if (entry->caller_gone) {
         finish_unserved(engine, entry, ENGINE_CANCELLED);
         return;
     }
-    admit_again(engine, entry);
+    admit_requeue(engine, entry);
 }
 
 /* The agent that accepted a request is the only one to try it again, while
  * its caller is there. */
 static bool
-may_try_again(struct engine *engine, const struct entry *entry)
+may_retry_elsewhere(struct engine *engine, const struct entry *entry)
 {
     uint64_t run_us = estimate_run_us(&engine->estimate, engine->now_us);
 
-    return engine_is_local(engine, entry) && !entry->orphan &&
+    return engine_is_local(engine, entry) && !entry->caller_gone &&
            entry->attempts < RETRY_ATTEMPTS_MAX &&
            engine->now_us + run_us < entry->request.deadline_us &&
            retry_take(&engine->retry);
@@ -44,7 +44,7 @@
                  enum engine_reason reason)
 {
     entry->refused = reason;
-    wait_again(engine, entry);
+    requeue(engine, entry);
 }
 
 void
@@ -53,13 +53,13 @@
 {
     entry->attempts++;
     entry->refused = reason;
-    if (!may_try_again(engine, entry)) {
+    if (!may_retry_elsewhere(engine, entry)) {
         finish_unserved(engine, entry, reason);
         return;
     }
     engine->counters.retried++;
-    avoid_here(engine, entry);
-    wait_again(engine, entry);
+    avoid_local(engine, entry);
+    requeue(engine, entry);
 }
 
 void
@@ -67,13 +67,13 @@
              enum engine_reason reason)
 {
     entry->attempts++;
-    entry->handed = true;
+    entry->maybe_started = true;
     entry->refused = reason;
-    if (!entry->request.idempotent || !may_try_again(engine, entry)) {
+    if (!entry->request.idempotent || !may_retry_elsewhere(engine, entry)) {
         finish_unknown(engine, entry, reason);
         return;
     }
     engine->counters.retried++;
-    avoid_here(engine, entry);
-    wait_again(engine, entry);
+    avoid_local(engine, entry);
+    requeue(engine, entry);
 }
--- a/src/request/peers.c
+++ b/src/request/peers.c
@@ -3,7 +3,7 @@
 #define WAITING_FRESH_US USEC_PER_SEC
 #define DECLINED_FIRST_US (2 * USEC_PER_MSEC)
 #define DECLINED_DOUBLINGS 8
-#define SHUNNED_SHARE 3
+#define EJECTED_DIVISOR 3
 #define FULL_LOAD 1000.0
 
 static gpointer
@@ -31,7 +31,7 @@
     peers->by_id =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     peers->by_service = g_hash_table_new_full(NULL, NULL, NULL, list_free);
-    peers->known = g_hash_table_new(NULL, NULL);
+    peers->ever_working = g_hash_table_new(NULL, NULL);
 }
 
 void
@@ -39,7 +39,7 @@
 {
     g_hash_table_destroy(peers->by_service);
     g_hash_table_destroy(peers->by_id);
-    g_hash_table_destroy(peers->known);
+    g_hash_table_destroy(peers->ever_working);
 }
 
 static bool
@@ -50,7 +50,7 @@
 }
 
 static void
-take_over(struct peers *peers, const struct view_member *member)
+update_peer(struct peers *peers, const struct view_member *member)
 {
     struct peer *peer = peers_find(peers, member->id);
 
@@ -63,8 +63,8 @@
     peer->state = member->state;
     peer->health = member->health;
     peer->slots = member->slots;
-    peer->told_busy = member->busy;
-    peer->told_waiting = member->waiting;
+    peer->view_busy = member->busy;
+    peer->view_waiting = member->waiting;
 }
 
 static void
@@ -79,7 +79,7 @@
     }
     g_ptr_array_add(list, peer);
     if (peer_working(peer)) {
-        g_hash_table_add(peers->known, key);
+        g_hash_table_add(peers->ever_working, key);
     }
 }
 
@@ -118,7 +118,7 @@
         const struct view_member *member = &view->members[i];
 
         if (is_peer(member, self)) {
-            take_over(peers, member);
+            update_peer(peers, member);
             list_by_service(peers, peers_find(peers, member->id));
         }
     }
@@ -131,7 +131,7 @@
 }
 
 const GPtrArray *
-peers_of(const struct peers *peers, uint32_t service)
+peers_of_service(const struct peers *peers, uint32_t service)
 {
     static const GPtrArray nobody = {0};
     const GPtrArray *list =
@@ -143,7 +143,7 @@
 bool
 peers_working(const struct peers *peers, uint32_t service)
 {
-    const GPtrArray *list = peers_of(peers, service);
+    const GPtrArray *list = peers_of_service(peers, service);
 
     for (guint i = 0; i < list->len; i++) {
         if (peer_working(g_ptr_array_index(list, i))) {
@@ -156,17 +156,17 @@
 bool
 peers_lost_service(const struct peers *peers, uint32_t service)
 {
-    return g_hash_table_contains(peers->known, service_key(service)) &&
+    return g_hash_table_contains(peers->ever_working, service_key(service)) &&
            !peers_working(peers, service);
 }
 
 bool
-peer_takes(const struct peer *peer, uint64_t now_us)
+peer_accepts(const struct peer *peer, uint64_t now_us)
 {
     return peer_working(peer) && peer->health == MEMBER_ALIVE &&
            now_us >= peer->declined_until_us &&
-           !health_shunned(&peer->traffic, now_us) &&
-           !(peer->traffic.trial && peer->sent > 0);
+           !health_is_ejected(&peer->passive_health, now_us) &&
+           !(peer->passive_health.trial && peer->sent > 0);
 }
 
 double
@@ -187,7 +187,7 @@
 peer_answered(struct peer *peer, uint64_t took_us)
 {
     peer->declines = 0;
-    health_answered(&peer->traffic, took_us);
+    health_answered(&peer->passive_health, took_us);
 }
 
 void
@@ -197,18 +197,18 @@
 
     peer->declines++;
     peer->declined_until_us = now_us + (DECLINED_FIRST_US << doublings);
-    peer->offer = 0;
+    peer->slot_advert = 0;
 }
 
 static unsigned
-count_shunned(const GPtrArray *list, uint64_t now_us)
+count_ejected(const GPtrArray *list, uint64_t now_us)
 {
     unsigned n = 0;
 
     for (guint i = 0; i < list->len; i++) {
         const struct peer *peer = g_ptr_array_index(list, i);
 
-        n += health_shunned(&peer->traffic, now_us) ? 1 : 0;
+        n += health_is_ejected(&peer->passive_health, now_us) ? 1 : 0;
     }
     return n;
 }
@@ -216,12 +216,12 @@
 void
 peer_failed(struct peers *peers, struct peer *peer, uint64_t now_us)
 {
-    const GPtrArray *list = peers_of(peers, peer->service);
+    const GPtrArray *list = peers_of_service(peers, peer->service);
 
-    if (!health_failed(&peer->traffic)) {
+    if (!health_failed(&peer->passive_health)) {
         return;
     }
-    if ((count_shunned(list, now_us) + 1) * SHUNNED_SHARE <= list->len + 1) {
-        health_shun(&peer->traffic, now_us);
+    if ((count_ejected(list, now_us) + 1) * EJECTED_DIVISOR <= list->len + 1) {
+        health_eject(&peer->passive_health, now_us);
     }
 }
--- a/src/request/peers.h
+++ b/src/request/peers.h
@@ -2,7 +2,7 @@
  * DOC: peers - the other agents, from the view and from their messages
  *
  * The view lags by seconds; messages between engines are fresh. What
- * traffic shows of a peer goes before both.
+ * passive_health shows of a peer goes before both.
  */
 #ifndef SWIFTARCH_REQUEST_PEERS_H
 #define SWIFTARCH_REQUEST_PEERS_H
@@ -22,21 +22,21 @@
  * @state: as announced
  * @health: as judged by the membership
  * @slots: of its upstream
- * @told_busy: busy slots by the view, late
- * @told_waiting: waiting requests by the view, late
+ * @view_busy: busy slots by the view, late
+ * @view_waiting: waiting requests by the view, late
  * @load: per mille of slot time busy, as it said
  * @load_at_us: when it said so, 0: never
  * @waiting: urgent and ordinary requests waiting there, as it said
  * @waiting_at_us: when it said so
  * @in_flight: PROBE: busy and waiting there, as it said
  * @in_flight_at_us: when it said so, 0: never or used up
- * @offer: slots it offered to run our requests on
- * @offer_until_us: when the offer lapses
- * @told_at_us: when we last told it our status
+ * @slot_advert: slots it offered to run our requests on
+ * @slot_advert_until_us: when the slot_advert lapses
+ * @status_sent_us: when we last told it our status
  * @sent: our requests that it has now
  * @declines: requests it declined in a row
  * @declined_until_us: it gets nothing before, it had no slot
- * @traffic: what traffic shows of it
+ * @passive_health: what passive_health shows of it
  */
 struct peer {
     uint64_t id;
@@ -44,33 +44,33 @@
     enum member_state state;
     enum member_health health;
     uint16_t slots;
-    uint16_t told_busy;
-    uint16_t told_waiting;
+    uint16_t view_busy;
+    uint16_t view_waiting;
     uint16_t load;
     uint64_t load_at_us;
     uint16_t waiting[2];
     uint64_t waiting_at_us;
     unsigned in_flight;
     uint64_t in_flight_at_us;
-    unsigned offer;
-    uint64_t offer_until_us;
-    uint64_t told_at_us;
+    unsigned slot_advert;
+    uint64_t slot_advert_until_us;
+    uint64_t status_sent_us;
     unsigned sent;
     unsigned declines;
     uint64_t declined_until_us;
-    struct health traffic;
+    struct health passive_health;
 };
 
 /**
  * struct peers - all agents but this one
  * @by_id: struct peer by member id
  * @by_service: GPtrArray of struct peer, in order of id, by service
- * @known: services that had a working agent once
+ * @ever_working: services that had a working agent once
  */
 struct peers {
     GHashTable *by_id;
     GHashTable *by_service;
-    GHashTable *known;
+    GHashTable *ever_working;
 };
 
 /** peers_init() - nobody */
@@ -93,9 +93,10 @@
 struct peer *
 peers_find(const struct peers *peers, uint64_t id);
 
-/** peers_of() - peers of @service; an empty list when there are none */
+/** peers_of_service() - peers of @service; an empty list when there are none
+ */
 const GPtrArray *
-peers_of(const struct peers *peers, uint32_t service);
+peers_of_service(const struct peers *peers, uint32_t service);
 
 /** peers_working() - whether any peer of @service takes work */
 bool
@@ -105,9 +106,9 @@
 bool
 peers_lost_service(const struct peers *peers, uint32_t service);
 
-/** peer_takes() - whether @peer may be sent work at all now */
+/** peer_accepts() - whether @peer may be sent work at all now */
 bool
-peer_takes(const struct peer *peer, uint64_t now_us);
+peer_accepts(const struct peer *peer, uint64_t now_us);
 
 /** peer_idle_slots() - slots of @peer that were idle lately, by its load */
 double
--- a/src/request/queue.c
+++ b/src/request/queue.c
@@ -1,7 +1,7 @@
 #include "request/queue.h"
 
 static unsigned
-with_floor(unsigned urgent, unsigned ordinary)
+add_min_share(unsigned urgent, unsigned ordinary)
 {
     unsigned floor_starts = urgent / (QUEUE_ORDINARY_EVERY - 1);
 
@@ -82,11 +82,11 @@
     if (queue->count[TEXT_URGENT] == 0) {
         return TEXT_ORDINARY;
     }
-    return queue_floor_due(queue) ? TEXT_ORDINARY : TEXT_URGENT;
+    return queue_min_share_due(queue) ? TEXT_ORDINARY : TEXT_URGENT;
 }
 
 bool
-queue_floor_due(const struct queue *queue)
+queue_min_share_due(const struct queue *queue)
 {
     return queue->count[TEXT_ORDINARY] > 0 &&
            queue->urgent_streak + 1 >= QUEUE_ORDINARY_EVERY;
@@ -111,7 +111,7 @@
     unsigned before = count_before(queue, class, deadline_us);
 
     if (class == TEXT_URGENT) {
-        return with_floor(before, ordinary);
+        return add_min_share(before, ordinary);
     }
     return before +
            MIN(queue->count[TEXT_URGENT], before * (QUEUE_ORDINARY_EVERY - 1) +
--- a/src/request/queue.h
+++ b/src/request/queue.h
@@ -40,10 +40,10 @@
 enum text_class
 queue_first_class(const struct queue *queue);
 
-/** queue_floor_due() - an ordinary request waits and it is its turn though
+/** queue_min_share_due() - an ordinary request waits and it is its turn though
  * urgent ones may wait */
 bool
-queue_floor_due(const struct queue *queue);
+queue_min_share_due(const struct queue *queue);
 
 /** queue_started() - a request of @class left the queue to be run */
 void
--- a/src/request/quota.c
+++ b/src/request/quota.c
@@ -13,7 +13,7 @@
 }
 
 bool
-quota_take(struct quota *quota, uint32_t caller, unsigned max)
+quota_acquire(struct quota *quota, uint32_t caller, unsigned max)
 {
     gpointer key = GUINT_TO_POINTER(caller);
     guint count = GPOINTER_TO_UINT(g_hash_table_lookup(quota->open, key));
@@ -26,7 +26,7 @@
 }
 
 void
-quota_drop(struct quota *quota, uint32_t caller)
+quota_release(struct quota *quota, uint32_t caller)
 {
     gpointer key = GUINT_TO_POINTER(caller);
     guint count = GPOINTER_TO_UINT(g_hash_table_lookup(quota->open, key));
--- a/src/request/quota.h
+++ b/src/request/quota.h
@@ -21,12 +21,12 @@
 void
 quota_finish(struct quota *quota);
 
-/** quota_take() - count one more of @caller, or false at @max */
+/** quota_acquire() - count one more of @caller, or false at @max */
 bool
-quota_take(struct quota *quota, uint32_t caller, unsigned max);
+quota_acquire(struct quota *quota, uint32_t caller, unsigned max);
 
-/** quota_drop() - one of @caller got its answer */
+/** quota_release() - one of @caller got its answer */
 void
-quota_drop(struct quota *quota, uint32_t caller);
+quota_release(struct quota *quota, uint32_t caller);
 
 #endif
