--- a/src/request/remote.c
+++ b/src/request/remote.c
@@ -7,8 +7,8 @@
 #include "request/outcome.h"
 
 static void
-answer_declined(struct engine *engine, uint64_t to,
-                const struct engine_peer_msg *msg, enum engine_reason reason)
+reply_declined(struct engine *engine, uint64_t to,
+               const struct engine_peer_msg *msg, enum engine_reason reason)
 {
     struct engine_action *action;
 
@@ -25,7 +25,8 @@
 }
 
 static enum engine_reason
-why_decline(const struct engine *engine, const struct engine_request *request)
+decline_reason(const struct engine *engine,
+               const struct engine_request *request)
 {
     if (engine->stopping) {
         return ENGINE_STOPPING;
@@ -36,15 +37,15 @@
     if (request->deadline_us <= engine->now_us) {
         return ENGINE_TOO_LATE;
     }
-    if (upstream_free(&engine->upstream, request->service, engine->now_us) ==
-        0) {
+    if (upstream_free_slots(&engine->upstream, request->service,
+                            engine->now_us) == 0) {
         return ENGINE_QUEUE_FULL;
     }
     return ENGINE_REASON_NONE;
 }
 
 static void
-run_for(struct engine *engine, const struct engine_peer_msg *msg)
+accept_run(struct engine *engine, const struct engine_peer_msg *msg)
 {
     struct entry *entry =
         entry_add(engine->entries, msg->origin, &msg->request, engine->now_us);
@@ -52,10 +53,10 @@
 
     action->id = entry->key.id;
     action->origin = entry->key.origin;
-    entry->cleared = true;
-    entry->place = ENTRY_RUNNING;
+    entry->runnable = true;
+    entry->state = ENTRY_RUNNING;
     entry->started_us = engine->now_us;
-    upstream_take(&engine->upstream, engine->now_us);
+    upstream_acquire_slot(&engine->upstream, engine->now_us);
     engine->counters.runs++;
 }
 
@@ -65,17 +66,17 @@
 {
     enum engine_reason reason;
 
-    dispatch_taken(engine);
+    dispatch_on_remote_run(engine);
     if (!seen_add(&engine->seen, from, msg->request.id, engine->now_us)) {
         engine->counters.dropped++;
         return;
     }
-    reason = why_decline(engine, &msg->request);
+    reason = decline_reason(engine, &msg->request);
     if (reason != ENGINE_REASON_NONE) {
-        answer_declined(engine, from, msg, reason);
+        reply_declined(engine, from, msg, reason);
         return;
     }
-    run_for(engine, msg);
+    accept_run(engine, msg);
 }
 
 /* All but a shedding upstream are the peer's own word: nothing was tried. */
@@ -103,14 +104,14 @@
 }
 
 static void
-peer_lost_it(struct engine *engine, struct entry *entry, struct peer *peer,
-             enum engine_reason reason)
+handle_peer_lost(struct engine *engine, struct entry *entry, struct peer *peer,
+                 enum engine_reason reason)
 {
     if (reason == ENGINE_DEADLINE || reason == ENGINE_CANCELLED) {
         finish_unknown(engine, entry, reason);
         return;
     }
-    if (peer != NULL && !engine_needs_down(engine, peer->service)) {
+    if (peer != NULL && !engine_dependency_down(engine, peer->service)) {
         peer_failed(&engine->peers, peer, engine->now_us);
     }
     outcome_lost(engine, entry, reason);
@@ -128,15 +129,15 @@
     struct peer *peer = peers_find(&engine->peers, from);
     uint64_t took_us;
 
-    if (entry == NULL || entry->place != ENTRY_AT_PEER ||
+    if (entry == NULL || entry->state != ENTRY_AT_PEER ||
         entry->peer != from) {
         engine->counters.dropped++;
         return;
     }
     took_us = engine->now_us - entry->started_us;
-    remote_leave(engine, entry);
+    remote_detach(engine, entry);
     if (peer != NULL && msg->free_slots > 0) {
-        dispatch_told(engine, peer, msg);
+        dispatch_on_report(engine, peer, msg);
     }
     if (msg->outcome == ENGINE_ANSWERED) {
         retry_succeeded(&engine->retry);
@@ -152,7 +153,7 @@
         peer_refused(engine, entry, peer, reason);
     }
     else {
-        peer_lost_it(engine, entry, peer, reason);
+        handle_peer_lost(engine, entry, peer, reason);
     }
 }
 
@@ -164,8 +165,8 @@
     struct entry *entry = entry_find(engine->entries, from, msg->request.id);
 
     (void)seen_add(&engine->seen, from, msg->request.id, engine->now_us);
-    if (entry != NULL && entry->place == ENTRY_RUNNING) {
-        finish_abandoned(engine, entry);
+    if (entry != NULL && entry->state == ENTRY_RUNNING) {
+        finish_without_reply(engine, entry);
     }
 }
 
@@ -191,7 +192,7 @@
     if (msg->free_slots > 0) {
         peer->declined_until_us = 0;
     }
-    dispatch_told(engine, peer, msg);
+    dispatch_on_report(engine, peer, msg);
 }
 
 int
@@ -231,7 +232,7 @@
         return 0;
     case ENGINE_PEER_PROBE:
         if (peer != NULL) {
-            dispatch_status(engine, peer);
+            dispatch_send_status(engine, peer);
         }
         return 0;
     case ENGINE_PEER_IDEM:
@@ -244,20 +245,20 @@
  * has nobody to go to; one that isn't idempotent is rather ended than cut
  * half way. */
 static void
-lost_entry(struct engine *engine, struct entry *entry, uint64_t member)
+fail_entry(struct engine *engine, struct entry *entry, uint64_t member)
 {
-    if (entry->place == ENTRY_AT_PEER && entry->peer == member) {
-        remote_leave(engine, entry);
+    if (entry->state == ENTRY_AT_PEER && entry->peer == member) {
+        remote_detach(engine, entry);
         outcome_lost(engine, entry, ENGINE_LOST);
     }
-    else if (entry->place == ENTRY_RUNNING && entry->key.origin == member &&
+    else if (entry->state == ENTRY_RUNNING && entry->key.origin == member &&
              entry->request.idempotent) {
-        finish_abandoned(engine, entry);
+        finish_without_reply(engine, entry);
     }
 }
 
 void
-remote_lost(struct engine *engine, uint64_t member)
+remote_peer_lost(struct engine *engine, uint64_t member)
 {
     struct peer *peer = peers_find(&engine->peers, member);
     GArray *keys = entry_keys(engine->entries);
@@ -267,12 +268,12 @@
         struct entry *entry = entry_find(engine->entries, key.origin, key.id);
 
         if (entry != NULL) {
-            lost_entry(engine, entry, member);
+            fail_entry(engine, entry, member);
         }
     }
     g_array_unref(keys);
     if (peer != NULL) {
-        peer->offer = 0;
+        peer->slot_advert = 0;
         peer->waiting_at_us = 0;
         peer->in_flight_at_us = 0;
         peer_declined(peer, engine->now_us);
@@ -280,11 +281,11 @@
 }
 
 void
-remote_unsent(struct engine *engine, struct entry *entry)
+remote_send_failed(struct engine *engine, struct entry *entry)
 {
     struct peer *peer = peers_find(&engine->peers, entry->peer);
 
-    remote_leave(engine, entry);
+    remote_detach(engine, entry);
     if (peer != NULL) {
         peer_declined(peer, engine->now_us);
     }
@@ -292,12 +293,12 @@
 }
 
 void
-remote_leave(struct engine *engine, struct entry *entry)
+remote_detach(struct engine *engine, struct entry *entry)
 {
     struct peer *peer = peers_find(&engine->peers, entry->peer);
 
-    g_assert(entry->place == ENTRY_AT_PEER);
-    entry->place = ENTRY_WAITING;
+    g_assert(entry->state == ENTRY_AT_PEER);
+    entry->state = ENTRY_WAITING;
     if (peer != NULL && peer->sent > 0) {
         peer->sent--;
     }
--- a/src/request/remote.h
+++ b/src/request/remote.h
@@ -13,16 +13,17 @@
                const struct engine_peer_msg *msg, const uint8_t *answer,
                size_t answer_len);
 
-/** remote_lost() - @member is gone, and with it all that it had of ours */
+/** remote_peer_lost() - @member is gone, and with it all that it had of ours
+ */
 void
-remote_lost(struct engine *engine, uint64_t member);
+remote_peer_lost(struct engine *engine, uint64_t member);
 
-/** remote_unsent() - a RUN for local @entry never left for its peer */
+/** remote_send_failed() - a RUN for local @entry never left for its peer */
 void
-remote_unsent(struct engine *engine, struct entry *entry);
+remote_send_failed(struct engine *engine, struct entry *entry);
 
-/** remote_leave() - @entry is not at its peer any more */
+/** remote_detach() - @entry is not at its peer any more */
 void
-remote_leave(struct engine *engine, struct entry *entry);
+remote_detach(struct engine *engine, struct entry *entry);
 
 #endif
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -1,19 +1,19 @@
 #include "request/retry.h"
 
-#define ONE_RETRY 100
-#define SAVED_MAX (10 * ONE_RETRY)
-#define SAVED_FIRST (3 * ONE_RETRY)
+#define RETRY_COST 100
+#define RETRY_BUDGET_MAX (10 * RETRY_COST)
+#define RETRY_BUDGET_INITIAL (3 * RETRY_COST)
 
 void
 retry_init(struct retry *retry)
 {
-    retry->hundredths = SAVED_FIRST;
+    retry->hundredths = RETRY_BUDGET_INITIAL;
 }
 
 void
 retry_succeeded(struct retry *retry)
 {
-    if (retry->hundredths + RETRY_PERCENT <= SAVED_MAX) {
+    if (retry->hundredths + RETRY_PERCENT <= RETRY_BUDGET_MAX) {
         retry->hundredths += RETRY_PERCENT;
     }
 }
@@ -21,9 +21,9 @@
 bool
 retry_take(struct retry *retry)
 {
-    if (retry->hundredths < ONE_RETRY) {
+    if (retry->hundredths < RETRY_COST) {
         return false;
     }
-    retry->hundredths -= ONE_RETRY;
+    retry->hundredths -= RETRY_COST;
     return true;
 }
--- a/src/request/runs.c
+++ b/src/request/runs.c
@@ -5,15 +5,16 @@
 
 /* Whether the peers have room for the work of the local upstream. */
 static bool
-peers_have_room(const struct engine *engine)
+peers_have_capacity(const struct engine *engine)
 {
-    const GPtrArray *list = peers_of(&engine->peers, engine->upstream.service);
+    const GPtrArray *list =
+        peers_of_service(&engine->peers, engine->upstream.service);
     double room = 0;
 
     for (guint i = 0; i < list->len; i++) {
         const struct peer *peer = g_ptr_array_index(list, i);
 
-        if (peer_takes(peer, engine->now_us)) {
+        if (peer_accepts(peer, engine->now_us)) {
             room += peer_idle_slots(peer);
         }
     }
@@ -25,11 +26,12 @@
 {
     struct upstream *upstream = &engine->upstream;
 
-    if (engine_needs_down(engine, upstream->service)) {
+    if (engine_dependency_down(engine, upstream->service)) {
         return;
     }
-    if (health_failed(&upstream->traffic) && peers_have_room(engine)) {
-        health_shun(&upstream->traffic, engine->now_us);
+    if (health_failed(&upstream->passive_health) &&
+        peers_have_capacity(engine)) {
+        health_eject(&upstream->passive_health, engine->now_us);
     }
 }
 
@@ -37,10 +39,12 @@
 run_answered(struct engine *engine, struct entry *entry, uint64_t took_us,
              const uint8_t *answer, size_t answer_len)
 {
-    bool excused = engine_needs_down(engine, engine->upstream.service);
+    bool ignore_errors =
+        engine_dependency_down(engine, engine->upstream.service);
 
     estimate_run(&engine->estimate, took_us, engine->now_us);
-    upstream_answered(&engine->upstream, took_us, answer, answer_len, excused);
+    upstream_answered(&engine->upstream, took_us, answer, answer_len,
+                      ignore_errors);
     if (engine_is_local(engine, entry)) {
         retry_succeeded(&engine->retry);
     }
@@ -70,9 +74,9 @@
         runs_failed(engine);
         outcome_lost(engine, entry, ENGINE_LOST);
         return;
-    case ENGINE_UP_SHORT:
+    case ENGINE_UP_TRUNCATED:
         runs_failed(engine);
-        outcome_lost(engine, entry, ENGINE_SHORT);
+        outcome_lost(engine, entry, ENGINE_TRUNCATED);
         return;
     }
 }
--- a/src/request/seen.c
+++ b/src/request/seen.c
@@ -70,7 +70,7 @@
 {
     const struct seen_item *oldest = g_queue_peek_head(&seen->order);
 
-    while (oldest != NULL && oldest->at_us + SEEN_KEEP_US < now_us) {
+    while (oldest != NULL && oldest->at_us + SEEN_TTL_US < now_us) {
         forget_oldest(seen);
         oldest = g_queue_peek_head(&seen->order);
     }
--- a/src/request/seen.h
+++ b/src/request/seen.h
@@ -13,7 +13,7 @@
 
 #include "base/clock.h"
 
-#define SEEN_KEEP_US (60 * USEC_PER_SEC)
+#define SEEN_TTL_US (60 * USEC_PER_SEC)
 #define SEEN_MAX 65536
 
 /**
@@ -38,7 +38,7 @@
 bool
 seen_add(struct seen *seen, uint64_t origin, uint64_t id, uint64_t now_us);
 
-/** seen_expire() - forget what is older than SEEN_KEEP_US */
+/** seen_expire() - forget what is older than SEEN_TTL_US */
 void
 seen_expire(struct seen *seen, uint64_t now_us);
 
--- a/src/request/services.c
+++ b/src/request/services.c
@@ -15,14 +15,14 @@
 {
     struct service *service = data;
 
-    g_array_free(service->needs, TRUE);
+    g_array_free(service->dependencies, TRUE);
     g_free(service);
 }
 
 /* Visits every service reachable from @index once; cycles are harmless. */
 static void
-collect_needs(const struct text *text, size_t index, gboolean *visited,
-              GArray *needs)
+collect_dependencies(const struct text *text, size_t index, gboolean *visited,
+                     GArray *dependencies)
 {
     const struct text_service *from;
     GArray *todo = g_array_new(FALSE, FALSE, sizeof(size_t));
@@ -37,7 +37,7 @@
 
             if (next < text->count && !visited[next]) {
                 visited[next] = TRUE;
-                g_array_append_val(needs, text->services[next].id);
+                g_array_append_val(dependencies, text->services[next].id);
                 g_array_append_val(todo, next);
             }
         }
@@ -55,14 +55,14 @@
     service->id = from->id;
     service->class = from->class;
     service->limits = from->limits;
-    service->needs = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    collect_needs(text, index, visited, service->needs);
+    service->dependencies = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    collect_dependencies(text, index, visited, service->dependencies);
     g_free(visited);
     return service;
 }
 
 static void
-mark_inherits(GHashTable *services)
+mark_inherited_priority(GHashTable *services)
 {
     GHashTableIter iter;
     gpointer value;
@@ -74,12 +74,12 @@
         if (service->class != TEXT_URGENT) {
             continue;
         }
-        for (guint i = 0; i < service->needs->len; i++) {
-            uint32_t id = g_array_index(service->needs, uint32_t, i);
+        for (guint i = 0; i < service->dependencies->len; i++) {
+            uint32_t id = g_array_index(service->dependencies, uint32_t, i);
             struct service *needed =
                 g_hash_table_lookup(services, GUINT_TO_POINTER(id));
 
-            needed->inherits = true;
+            needed->needed_by_urgent = true;
         }
     }
 }
@@ -95,7 +95,7 @@
 
         g_hash_table_insert(services, GUINT_TO_POINTER(service->id), service);
     }
-    mark_inherits(services);
+    mark_inherited_priority(services);
     return services;
 }
 
@@ -109,14 +109,14 @@
 }
 
 enum text_class
-services_class(GHashTable *services, uint32_t id, enum text_class asked)
+services_class(GHashTable *services, uint32_t id, enum text_class requested)
 {
     const struct service *service = services_find(services, id);
 
-    if (service == NULL || asked == TEXT_ORDINARY) {
-        return asked;
+    if (service == NULL || requested == TEXT_ORDINARY) {
+        return requested;
     }
-    if (service->class == TEXT_URGENT || service->inherits) {
+    if (service->class == TEXT_URGENT || service->needed_by_urgent) {
         return TEXT_URGENT;
     }
     return TEXT_ORDINARY;
--- a/src/request/services.h
+++ b/src/request/services.h
@@ -1,5 +1,5 @@
 /**
- * DOC: services - what the engine needs of the configuration in force
+ * DOC: services - what the engine dependencies of the configuration in force
  *
  * A service that an urgent one depends on, directly or not, counts as
  * urgent for calls that ask for it (Priority with u below 3, which the
@@ -19,16 +19,16 @@
  * struct service - one service
  * @id: service id
  * @class: as configured
- * @inherits: an urgent service depends on it
+ * @needed_by_urgent: an urgent service depends on it
  * @limits: as configured
- * @needs: ids of all it depends on, directly or not
+ * @dependencies: ids of all it depends on, directly or not
  */
 struct service {
     uint32_t id;
     enum text_class class;
-    bool inherits;
+    bool needed_by_urgent;
     struct text_limits limits;
-    GArray *needs;
+    GArray *dependencies;
 };
 
 /** services_new() - copy of @text, found by id */
@@ -41,7 +41,7 @@
 
 /** services_class() - class a request for service @id gets */
 enum text_class
-services_class(GHashTable *services, uint32_t id, enum text_class asked);
+services_class(GHashTable *services, uint32_t id, enum text_class requested);
 
 /** services_limits() - limits of service @id, defaults when unknown */
 struct text_limits
--- a/src/request/state.h
+++ b/src/request/state.h
@@ -30,26 +30,27 @@
  * @announced_at_us: when that was
  * @announce_at_us: when peers are told next that requests wait here
  * @announce_gap_us: time until then grows while nobody comes for them
- * @offered_at_us: when a slot was last offered for balance
- * @offer_gap_us: time until the next offer grows while none is taken
- * @beat_at_us: when some peers are told our load next
- * @asked_at_us: when a peer was last asked for waiting work
- * @asked: requests asked for that have not come
+ * @slot_advert_at_us: when a slot was last offered for balance
+ * @slot_advert_interval_us: time until the next offer grows while none is
+ * taken
+ * @load_report_at_us: when some peers are told our load next
+ * @pulled_at_us: when a peer was last slots_requested for waiting work
+ * @slots_requested: requests slots_requested for that have not come
  * @hold_until_us: a slot is kept for a request of a peer until then
- * @own_starts: local starts since a slot was last kept
+ * @local_starts: local starts since a slot was last kept
  */
 struct dispatch {
     unsigned announced[2];
     uint64_t announced_at_us;
     uint64_t announce_at_us;
     uint64_t announce_gap_us;
-    uint64_t offered_at_us;
-    uint64_t offer_gap_us;
-    uint64_t beat_at_us;
-    uint64_t asked_at_us;
-    unsigned asked;
+    uint64_t slot_advert_at_us;
+    uint64_t slot_advert_interval_us;
+    uint64_t load_report_at_us;
+    uint64_t pulled_at_us;
+    unsigned slots_requested;
     uint64_t hold_until_us;
-    unsigned own_starts;
+    unsigned local_starts;
 };
 
 /**
@@ -70,9 +71,9 @@
  * @idem: idempotency keys
  * @idem_out: actions of @idem not yet carried out
  * @idem_done: how many of them have been
- * @held: answers that actions of the last call point to
+ * @copied_answers: answers that actions of the last call point to
  * @open: local requests without a final answer
- * @returns_us: refused callers have been told to come back until then
+ * @next_retry_at_us: refused callers have been told to come back until then
  * @stopping: a planned stop has begun
  * @counters: what happened so far
  * @now_us: time of the current call
@@ -95,9 +96,9 @@
     struct idem *idem;
     struct idem_actions idem_out;
     size_t idem_done;
-    GPtrArray *held;
+    GPtrArray *copied_answers;
     unsigned open;
-    uint64_t returns_us;
+    uint64_t next_retry_at_us;
     bool stopping;
     struct engine_counters counters;
     uint64_t now_us;
@@ -120,9 +121,9 @@
     return entry->key.origin == engine->self;
 }
 
-/** engine_needs_down() - a service that @service depends on has no working
- * upstream any more */
+/** engine_dependency_down() - a service that @service depends on has no
+ * working upstream any more */
 bool
-engine_needs_down(const struct engine *engine, uint32_t service);
+engine_dependency_down(const struct engine *engine, uint32_t service);
 
 #endif
--- a/src/request/upstream.c
+++ b/src/request/upstream.c
@@ -6,34 +6,34 @@
 
 #include "base/clock.h"
 
-#define PAUSE_FIRST_US (10 * USEC_PER_MSEC)
-#define PAUSE_DOUBLINGS 6
+#define BACKOFF_BASE_US (10 * USEC_PER_MSEC)
+#define BACKOFF_DOUBLINGS_MAX 6
 #define LOAD_WINDOW_US (5.0 * (double)USEC_PER_SEC)
 #define STATUS_OFFSET 9
 #define FULL_LOAD 1000.0
 
 unsigned
-upstream_slots(const struct upstream *upstream, uint64_t now_us)
+upstream_usable_slots(const struct upstream *upstream, uint64_t now_us)
 {
     uint64_t warm;
     unsigned slots;
 
-    if (!upstream->accepting || now_us < upstream->paused_until_us ||
-        health_shunned(&upstream->traffic, now_us)) {
+    if (!upstream->accepting || now_us < upstream->backoff_until_us ||
+        health_is_ejected(&upstream->passive_health, now_us)) {
         return 0;
     }
-    if (upstream->slots <= 1 || upstream->traffic.trial ||
-        upstream->pauses > 0) {
+    if (upstream->slots <= 1 || upstream->passive_health.trial ||
+        upstream->backoffs > 0) {
         return upstream->slots > 0 ? 1 : 0;
     }
-    if (upstream->warm_from_us == 0) {
+    if (upstream->slow_start_since_us == 0) {
         return upstream->slots;
     }
-    warm = now_us - upstream->warm_from_us;
-    if (warm >= UPSTREAM_WARM_US) {
+    warm = now_us - upstream->slow_start_since_us;
+    if (warm >= UPSTREAM_SLOW_START_US) {
         return upstream->slots;
     }
-    slots = (unsigned)(upstream->slots * warm / UPSTREAM_WARM_US);
+    slots = (unsigned)(upstream->slots * warm / UPSTREAM_SLOW_START_US);
     return slots > 0 ? slots : 1;
 }
 
@@ -45,27 +45,27 @@
 }
 
 unsigned
-upstream_free(const struct upstream *upstream, uint32_t service,
-              uint64_t now_us)
+upstream_free_slots(const struct upstream *upstream, uint32_t service,
+                    uint64_t now_us)
 {
     unsigned slots;
 
     if (!upstream_serves(upstream, service)) {
         return 0;
     }
-    slots = upstream_slots(upstream, now_us);
+    slots = upstream_usable_slots(upstream, now_us);
     return slots > upstream->busy ? slots - upstream->busy : 0;
 }
 
 bool
-upstream_attracts(const struct upstream *upstream, uint64_t now_us)
+upstream_may_pull(const struct upstream *upstream, uint64_t now_us)
 {
-    return upstream->errors < UPSTREAM_ERRORS && upstream->pauses == 0 &&
-           !upstream->traffic.trial;
+    return upstream->errors < UPSTREAM_ERRORS_MAX && upstream->backoffs == 0 &&
+           !upstream->passive_health.trial;
 }
 
 static void
-age_load(struct upstream *upstream, uint64_t now_us)
+decay_load(struct upstream *upstream, uint64_t now_us)
 {
     double elapsed = (double)(now_us - upstream->load_at_us);
     double busy = upstream->slots > 0
@@ -78,17 +78,17 @@
 }
 
 void
-upstream_take(struct upstream *upstream, uint64_t now_us)
+upstream_acquire_slot(struct upstream *upstream, uint64_t now_us)
 {
-    age_load(upstream, now_us);
+    decay_load(upstream, now_us);
     upstream->busy++;
 }
 
 void
-upstream_drop(struct upstream *upstream, uint64_t now_us)
+upstream_release_slot(struct upstream *upstream, uint64_t now_us)
 {
     assert(upstream->busy > 0);
-    age_load(upstream, now_us);
+    decay_load(upstream, now_us);
     upstream->busy--;
 }
 
@@ -101,15 +101,15 @@
 
 void
 upstream_answered(struct upstream *upstream, uint64_t took_us,
-                  const uint8_t *answer, size_t answer_len, bool excused)
+                  const uint8_t *answer, size_t answer_len, bool ignore_errors)
 {
-    health_answered(&upstream->traffic, took_us);
-    upstream->pauses = 0;
-    upstream->paused_until_us = 0;
+    health_answered(&upstream->passive_health, took_us);
+    upstream->backoffs = 0;
+    upstream->backoff_until_us = 0;
     if (answer == NULL || !is_server_error(answer, answer_len)) {
         upstream->errors = 0;
     }
-    else if (!excused && upstream->errors < UPSTREAM_ERRORS) {
+    else if (!ignore_errors && upstream->errors < UPSTREAM_ERRORS_MAX) {
         upstream->errors++;
     }
 }
@@ -117,16 +117,17 @@
 void
 upstream_refused(struct upstream *upstream, uint64_t now_us)
 {
-    unsigned doublings = upstream->pauses < PAUSE_DOUBLINGS ? upstream->pauses
-                                                            : PAUSE_DOUBLINGS;
+    unsigned doublings = upstream->backoffs < BACKOFF_DOUBLINGS_MAX
+                             ? upstream->backoffs
+                             : BACKOFF_DOUBLINGS_MAX;
 
-    upstream->pauses++;
-    upstream->paused_until_us = now_us + (PAUSE_FIRST_US << doublings);
+    upstream->backoffs++;
+    upstream->backoff_until_us = now_us + (BACKOFF_BASE_US << doublings);
 }
 
 unsigned
 upstream_load(struct upstream *upstream, uint64_t now_us)
 {
-    age_load(upstream, now_us);
+    decay_load(upstream, now_us);
     return (unsigned)(upstream->load * FULL_LOAD + 0.5);
 }
--- a/src/request/upstream.h
+++ b/src/request/upstream.h
@@ -17,20 +17,20 @@
 
 #include "request/health.h"
 
-#define UPSTREAM_WARM_US (10 * USEC_PER_SEC)
-#define UPSTREAM_ERRORS 5
+#define UPSTREAM_SLOW_START_US (10 * USEC_PER_SEC)
+#define UPSTREAM_ERRORS_MAX 5
 
 /**
  * struct upstream - the local upstream
  * @service: its service, 0 while there is none
  * @slots: requests it runs at once
  * @accepting: it takes new work
- * @warm_from_us: when its cold start began, 0 when warm
+ * @slow_start_since_us: when its cold start began, 0 when warm
  * @busy: slots in use
- * @pauses: times it refused in a row
- * @paused_until_us: gets nothing before
+ * @backoffs: times it refused in a row
+ * @backoff_until_us: gets nothing before
  * @errors: answers in a row that were server errors
- * @traffic: what traffic shows of it
+ * @passive_health: what passive_health shows of it
  * @load: smoothed share of slots busy
  * @load_at_us: when @load was last worked out
  */
@@ -38,46 +38,47 @@
     uint32_t service;
     unsigned slots;
     bool accepting;
-    uint64_t warm_from_us;
+    uint64_t slow_start_since_us;
     unsigned busy;
-    unsigned pauses;
-    uint64_t paused_until_us;
+    unsigned backoffs;
+    uint64_t backoff_until_us;
     unsigned errors;
-    struct health traffic;
+    struct health passive_health;
     double load;
     uint64_t load_at_us;
 };
 
-/** upstream_slots() - slots that may be used now */
+/** upstream_usable_slots() - slots that may be used now */
 unsigned
-upstream_slots(const struct upstream *upstream, uint64_t now_us);
+upstream_usable_slots(const struct upstream *upstream, uint64_t now_us);
 
 /** upstream_serves() - whether it will serve @service, if not right now */
 bool
 upstream_serves(const struct upstream *upstream, uint32_t service);
 
-/** upstream_free() - slots free now for @service */
+/** upstream_free_slots() - slots free now for @service */
 unsigned
-upstream_free(const struct upstream *upstream, uint32_t service,
-              uint64_t now_us);
+upstream_free_slots(const struct upstream *upstream, uint32_t service,
+                    uint64_t now_us);
 
-/** upstream_attracts() - whether it may ask peers for work */
+/** upstream_may_pull() - whether it may ask peers for work */
 bool
-upstream_attracts(const struct upstream *upstream, uint64_t now_us);
+upstream_may_pull(const struct upstream *upstream, uint64_t now_us);
 
-/** upstream_take() - a slot is taken */
+/** upstream_acquire_slot() - a slot is taken */
 void
-upstream_take(struct upstream *upstream, uint64_t now_us);
+upstream_acquire_slot(struct upstream *upstream, uint64_t now_us);
 
-/** upstream_drop() - a slot is free again */
+/** upstream_release_slot() - a slot is free again */
 void
-upstream_drop(struct upstream *upstream, uint64_t now_us);
+upstream_release_slot(struct upstream *upstream, uint64_t now_us);
 
-/** upstream_answered() - a whole answer came; @excused: errors are no
+/** upstream_answered() - a whole answer came; @ignore_errors: errors are no
  * wonder, something it depends on is down */
 void
 upstream_answered(struct upstream *upstream, uint64_t took_us,
-                  const uint8_t *answer, size_t answer_len, bool excused);
+                  const uint8_t *answer, size_t answer_len,
+                  bool ignore_errors);
 
 /** upstream_refused() - it took no work: shed or unreached */
 void
--- a/tests/agent/test_property.c
+++ b/tests/agent/test_property.c
@@ -270,7 +270,7 @@
     static const enum engine_upstream ends[] = {
         ENGINE_UP_ANSWERED, ENGINE_UP_ANSWERED,  ENGINE_UP_ANSWERED,
         ENGINE_UP_REFUSED,  ENGINE_UP_UNREACHED, ENGINE_UP_LOST,
-        ENGINE_UP_SHORT};
+        ENGINE_UP_TRUNCATED};
     struct back_owner *owner = world->agent.back.owner;
 
     if (world->runs->len == 0) {
@@ -462,7 +462,8 @@
             g_assert_cmpuint(world->callers[i].waiting->len, ==, 0);
         }
     }
-    g_assert_cmpuint(engine_open(world->agent.requests.engine), ==, 0);
+    g_assert_cmpuint(engine_open_requests(world->agent.requests.engine), ==,
+                     0);
     g_assert_cmpuint(engine_busy(world->agent.requests.engine), ==, 0);
 }
 
--- a/tests/agent/test_session.c
+++ b/tests/agent/test_session.c
@@ -314,7 +314,7 @@
     ask(session, "POST /lot/2 HTTP/1.1\r\nHost: h\r\n"
                  "Content-Length: 0\r\n\r\n");
     advance(session, 10);
-    end_run(session, 4, ENGINE_UP_SHORT, NULL);
+    end_run(session, 4, ENGINE_UP_TRUNCATED, NULL);
     ask(session, "POST /lot/3 HTTP/1.1\r\nHost: h\r\n"
                  "Content-Length: 0\r\n\r\n");
     advance(session, 10);
@@ -349,7 +349,8 @@
     advance(session, 10);
     end_run(session, 8, ENGINE_UP_ANSWERED, "whole");
     front_closed(&session->agent.front, &session->caller);
-    g_assert_cmpuint(engine_open(session->agent.requests.engine), ==, 0);
+    g_assert_cmpuint(engine_open_requests(session->agent.requests.engine), ==,
+                     0);
     g_assert_cmpuint(engine_busy(session->agent.requests.engine), ==, 0);
 }
 
--- a/tests/golden/scene_control.c
+++ b/tests/golden/scene_control.c
@@ -465,7 +465,8 @@
     case SCENE_PEER:
         prove_dead(scene, host, (int)msg->a);
         if (msg->b != 0) {
-            engine_unsent(host->engine, id, msg->b, now_us, &host->actions);
+            engine_send_failed(host->engine, id, msg->b, now_us,
+                               &host->actions);
             scene_act(scene, msg->to);
         }
         engine_peer_lost(host->engine, id, now_us, &host->actions);
--- a/tests/golden/script.c
+++ b/tests/golden/script.c
@@ -240,8 +240,8 @@
                   " sees %u alive%s",
                   host->name, (unsigned)host->config.have,
                   flow_count(host->flows, &embryos), engine_busy(host->engine),
-                  engine_waiting(host->engine), engine_open(host->engine),
-                  alive, others->str);
+                  engine_waiting(host->engine),
+                  engine_open_requests(host->engine), alive, others->str);
     }
 }
 
--- a/tests/idem/losses.c
+++ b/tests/idem/losses.c
@@ -105,10 +105,10 @@
     for (unsigned deaths = 0; deaths <= 4; deaths++) {
         for (size_t lose = 0; lose < G_N_ELEMENTS(loses); lose++) {
             for (size_t i = 0; i < G_N_ELEMENTS(after_us); i++) {
-                unsigned doubled = print_row(deaths, i % 2 == 0, after_us[i],
-                                             loses[lose], seeds);
+                unsigned duplicate_runs = print_row(
+                    deaths, i % 2 == 0, after_us[i], loses[lose], seeds);
 
-                hurt += deaths <= 1 ? doubled : 0;
+                hurt += deaths <= 1 ? duplicate_runs : 0;
             }
         }
     }
--- a/tests/idem/scene.h
+++ b/tests/idem/scene.h
@@ -8,7 +8,7 @@
 #include "lib/harness.h"
 #include "sim.h"
 
-#define SCENE_SETTLED_US (30 * USEC_PER_SEC)
+#define SCENE_ELIGIBLE_US (30 * USEC_PER_SEC)
 
 /** SCENE() - a test of @nodes agents on a good network, @after_us after they
  * started; nothing may go wrong in it */
--- a/tests/idem/sim.c
+++ b/tests/idem/sim.c
@@ -133,14 +133,14 @@
     struct event event = {
         .type = EVENT_MESSAGE,
         .to = to,
-        .to_life = sim->nodes[to].life,
+        .to_generation = sim->nodes[to].generation,
         .from = from,
         .msg = action->msg,
     };
 
     sim->messages++;
     sim->bytes += WIRE_BYTES + action->msg.answer_len;
-    if (sim->cut_us[from][to] > sim->now_us ||
+    if (sim->partitioned_until_us[from][to] > sim->now_us ||
         (unsigned)g_rand_int_range(sim->rand, 0, 1000) < sim->net.lose) {
         return;
     }
@@ -181,7 +181,7 @@
         request->phase = SIM_RUNNING;
         request->ran = true;
         if (sim_runs(sim, request->key) > 1) {
-            sim->doubled++;
+            sim->duplicate_runs++;
             sim_fail(sim, "key %u ran twice (request %" G_GUINT64_FORMAT ")",
                      request->key, request->token);
         }
@@ -198,7 +198,7 @@
 }
 
 void
-sim_carry_out(struct sim *sim, unsigned node, struct idem_actions *out)
+sim_apply_actions(struct sim *sim, unsigned node, struct idem_actions *out)
 {
     for (size_t i = 0; i < out->count; i++) {
         const struct idem_action *action = &out->items[i];
@@ -222,7 +222,7 @@
     struct sim_request request = {
         .token = sim->requests->len + 1,
         .node = node,
-        .life = self->life,
+        .generation = self->generation,
         .key = key,
         .begun_us = sim->now_us,
     };
@@ -233,7 +233,7 @@
     g_array_append_val(sim->requests, request);
     g_assert_cmpint(
         idem_begin(self->idem, request.token, &id, sim->now_us, &out), ==, 0);
-    sim_carry_out(sim, node, &out);
+    sim_apply_actions(sim, node, &out);
     return request.token;
 }
 
@@ -257,7 +257,7 @@
     (void)idem_end(self->idem, token, not_run, state,
                    (const uint8_t *)answer->str, answer->len, sim->now_us,
                    &out);
-    sim_carry_out(sim, request->node, &out);
+    sim_apply_actions(sim, request->node, &out);
 }
 
 void
@@ -271,23 +271,23 @@
         sim_join(sim, event->to);
         break;
     case EVENT_MEMBER:
-        sim_learn(sim, event);
+        sim_apply_member_change(sim, event);
         break;
     case EVENT_MESSAGE:
         (void)idem_receive(self->idem, sim_id(event->from), &event->msg,
                            sim->now_us, &out);
-        sim_carry_out(sim, event->to, &out);
+        sim_apply_actions(sim, event->to, &out);
         break;
     }
 }
 
-/* Those of a life that ended are lost, those of a frozen node wait. */
+/* Those of a generation that ended are lost, those of a frozen node wait. */
 static void
 arrive(struct sim *sim, struct event *event)
 {
     struct sim_node *self = &sim->nodes[event->to];
-    bool lost = !self->up ||
-                (event->type != EVENT_MEMBER && self->life != event->to_life);
+    bool lost = !self->up || (event->type != EVENT_MEMBER &&
+                              self->generation != event->to_generation);
 
     if (!lost && self->frozen) {
         queue_push(&self->inbox, event);
@@ -308,7 +308,7 @@
 
         if (self->up && !self->frozen) {
             (void)idem_tick(self->idem, sim->now_us, &out);
-            sim_carry_out(sim, i, &out);
+            sim_apply_actions(sim, i, &out);
             if (self->joined && !sim->no_sync &&
                 g_rand_int_range(sim->rand, 0, 40) == 0) {
                 sim_join(sim, i);
@@ -319,11 +319,11 @@
 
             if (for_us >= USEC_PER_SEC &&
                 for_us < USEC_PER_SEC + SIM_TICK_US) {
-                sim_tell(sim, i, MEMBER_SUSPECT, 0);
+                sim_announce(sim, i, MEMBER_SUSPECT, 0);
             }
             if (for_us >= 4 * USEC_PER_SEC &&
                 for_us < 4 * USEC_PER_SEC + SIM_TICK_US) {
-                sim_tell(sim, i, MEMBER_DEAD, 0);
+                sim_announce(sim, i, MEMBER_DEAD, 0);
                 sim->lost_us = sim->now_us;
             }
         }
--- a/tests/idem/sim.h
+++ b/tests/idem/sim.h
@@ -27,7 +27,7 @@
  * struct sim_request - one idem_begin()
  * @token: number, from 1
  * @node: coordinator
- * @life: of the coordinator
+ * @generation: of the coordinator
  * @key: index of its key
  * @begun_us: when
  * @phase: how far
@@ -38,7 +38,7 @@
 struct sim_request {
     uint64_t token;
     unsigned node;
-    unsigned life;
+    unsigned generation;
     unsigned key;
     uint64_t begun_us;
     enum sim_phase phase;
@@ -60,7 +60,7 @@
 /** struct sim_node - one process */
 struct sim_node {
     struct idem *idem;
-    unsigned life;
+    unsigned generation;
     bool up;
     bool frozen;
     bool leaving;
@@ -88,10 +88,10 @@
 
 /**
  * struct sim - the world
- * @cut_us: until when two nodes are cut from each other
+ * @partitioned_until_us: until when two nodes are cut from each other
  * @no_sync: nobody copies the list of members of another
  * @failure: what went wrong first, or NULL
- * @doubled: keys that ran more than once
+ * @duplicate_runs: keys that ran more than once
  * @lost_us: when a memory was lost last
  * @messages: sent between agents
  * @bytes: of them, as they are on the wire, about
@@ -103,13 +103,13 @@
     uint64_t next_tick_us;
     uint64_t seq;
     struct sim_node nodes[SIM_NODES];
-    uint64_t cut_us[SIM_NODES][SIM_NODES];
+    uint64_t partitioned_until_us[SIM_NODES][SIM_NODES];
     struct queue events;
     GArray *requests;
     GString *answers[SIM_KEYS];
     bool no_sync;
     char *failure;
-    unsigned doubled;
+    unsigned duplicate_runs;
     uint64_t lost_us;
     uint64_t messages;
     uint64_t bytes;
@@ -152,15 +152,16 @@
 void
 sim_thaw(struct sim *sim, unsigned node);
 
-/** sim_cut() - break the connection of two nodes for @for_us; 0 heals it */
+/** sim_partition() - break the connection of two nodes for @for_us; 0 heals it
+ */
 void
-sim_cut(struct sim *sim, unsigned a, unsigned b, uint64_t for_us);
+sim_partition(struct sim *sim, unsigned a, unsigned b, uint64_t for_us);
 
-/** sim_see() - @observer comes to believe @health of @about, whatever the
- * truth */
+/** sim_set_observed_health() - @observer comes to believe @health of @about,
+ * whatever the truth */
 void
-sim_see(struct sim *sim, unsigned observer, unsigned about,
-        enum member_health health);
+sim_set_observed_health(struct sim *sim, unsigned observer, unsigned about,
+                        enum member_health health);
 
 /** sim_begin() - a caller's request; its token, 0 if the node is down */
 uint64_t
@@ -182,9 +183,9 @@
 unsigned
 sim_runs(const struct sim *sim, unsigned key);
 
-/** sim_settle() - all faults end, all runs end, time goes by; then checks
+/** sim_quiesce() - all faults end, all runs end, time goes by; then checks
  * that nothing is stuck and that replicas agree */
 void
-sim_settle(struct sim *sim);
+sim_quiesce(struct sim *sim);
 
 #endif
--- a/tests/idem/sim_members.c
+++ b/tests/idem/sim_members.c
@@ -15,7 +15,7 @@
 }
 
 void
-sim_show_view(struct sim *sim, unsigned node)
+sim_publish_view(struct sim *sim, unsigned node)
 {
     struct sim_node *self = &sim->nodes[node];
     struct idem_actions out = {0};
@@ -35,7 +35,7 @@
     }
     g_assert_cmpint(idem_set_view(self->idem, view, sim->now_us, &out), ==, 0);
     free(view);
-    sim_carry_out(sim, node, &out);
+    sim_apply_actions(sim, node, &out);
 }
 
 static struct view_member
@@ -55,8 +55,8 @@
 }
 
 void
-sim_tell(struct sim *sim, unsigned about, enum member_health health,
-         uint64_t after_us)
+sim_announce(struct sim *sim, unsigned about, enum member_health health,
+             uint64_t after_us)
 {
     uint64_t seq = ++sim->seq;
 
@@ -86,7 +86,7 @@
     if (self->up) {
         return;
     }
-    self->life++;
+    self->generation++;
     self->up = true;
     self->frozen = false;
     self->leaving = false;
@@ -98,9 +98,9 @@
     memset(self->known, 0, sizeof(self->known));
     self->known[node].member = describe(sim, node, MEMBER_ALIVE);
     self->known[node].member.since_us = sim->now_us;
-    sim_show_view(sim, node);
-    sim_tell(sim, node, MEMBER_ALIVE, 0);
-    join.to_life = self->life;
+    sim_publish_view(sim, node);
+    sim_announce(sim, node, MEMBER_ALIVE, 0);
+    join.to_generation = self->generation;
     join.queue.at_us = sim->now_us + sim_random_us(sim, USEC_PER_SEC);
     queue_push(&sim->events, &join);
 }
@@ -145,7 +145,7 @@
         }
         break;
     }
-    sim_show_view(sim, node);
+    sim_publish_view(sim, node);
 }
 
 static void
@@ -176,9 +176,9 @@
     stop(sim, node);
     sim->lost_us = sim->now_us;
     if (!noticed) {
-        sim_tell(sim, node, MEMBER_SUSPECT, USEC_PER_SEC);
+        sim_announce(sim, node, MEMBER_SUSPECT, USEC_PER_SEC);
     }
-    sim_tell(sim, node, MEMBER_DEAD, noticed ? 0 : 3 * USEC_PER_SEC);
+    sim_announce(sim, node, MEMBER_DEAD, noticed ? 0 : 3 * USEC_PER_SEC);
 }
 
 void
@@ -189,8 +189,8 @@
     if (self->up && !self->frozen && !self->leaving) {
         self->leaving = true;
         self->known[node].member.state = MEMBER_LEAVING;
-        sim_show_view(sim, node);
-        sim_tell(sim, node, MEMBER_ALIVE, 0);
+        sim_publish_view(sim, node);
+        sim_announce(sim, node, MEMBER_ALIVE, 0);
     }
 }
 
@@ -215,7 +215,7 @@
     self->frozen = false;
     self->incarnation++;
     self->known[node].member.incarnation = self->incarnation;
-    sim_tell(sim, node, MEMBER_ALIVE, 0);
+    sim_announce(sim, node, MEMBER_ALIVE, 0);
     while (queue_pop(&self->inbox, UINT64_MAX, &event)) {
         sim_deliver(sim, &event);
         g_free(event.answer);
@@ -223,25 +223,25 @@
 }
 
 void
-sim_see(struct sim *sim, unsigned observer, unsigned about,
-        enum member_health health)
+sim_set_observed_health(struct sim *sim, unsigned observer, unsigned about,
+                        enum member_health health)
 {
     struct sim_known *known = &sim->nodes[observer].known[about];
 
     known->member.health = health;
     known->seq = ++sim->seq;
-    sim_show_view(sim, observer);
+    sim_publish_view(sim, observer);
 }
 
 void
-sim_cut(struct sim *sim, unsigned a, unsigned b, uint64_t for_us)
+sim_partition(struct sim *sim, unsigned a, unsigned b, uint64_t for_us)
 {
-    sim->cut_us[a][b] = for_us > 0 ? sim->now_us + for_us : 0;
-    sim->cut_us[b][a] = sim->cut_us[a][b];
+    sim->partitioned_until_us[a][b] = for_us > 0 ? sim->now_us + for_us : 0;
+    sim->partitioned_until_us[b][a] = sim->partitioned_until_us[a][b];
 }
 
 void
-sim_learn(struct sim *sim, const struct event *event)
+sim_apply_member_change(struct sim *sim, const struct event *event)
 {
     struct sim_known *known = &sim->nodes[event->to].known[event->about];
     uint64_t since_us = known->member.since_us;
@@ -258,5 +258,5 @@
     }
     known->member = event->member;
     known->member.since_us = since_us;
-    sim_show_view(sim, event->to);
+    sim_publish_view(sim, event->to);
 }
--- a/tests/idem/sim_private.h
+++ b/tests/idem/sim_private.h
@@ -14,7 +14,8 @@
  * @queue: its moment
  * @type: what
  * @to: node it happens to
- * @to_life: EVENT_MESSAGE, EVENT_JOIN: life of that node it is meant for
+ * @to_generation: EVENT_MESSAGE, EVENT_JOIN: generation of that node it is
+ * meant for
  * @from: EVENT_MESSAGE: sender
  * @msg: EVENT_MESSAGE: message
  * @answer: EVENT_MESSAGE: its answer, owned
@@ -26,7 +27,7 @@
     struct queue_event queue;
     enum event_type type;
     unsigned to;
-    unsigned to_life;
+    unsigned to_generation;
     unsigned from;
     struct idem_msg msg;
     uint8_t *answer;
@@ -51,30 +52,30 @@
 unsigned
 sim_node_of(uint64_t id);
 
-/** sim_carry_out() - send messages, note verdicts; empties @out */
+/** sim_apply_actions() - send messages, note verdicts; empties @out */
 void
-sim_carry_out(struct sim *sim, unsigned node, struct idem_actions *out);
+sim_apply_actions(struct sim *sim, unsigned node, struct idem_actions *out);
 
 /** sim_deliver() - an event arrives at a node that is up and not frozen */
 void
 sim_deliver(struct sim *sim, struct event *event);
 
-/** sim_show_view() - give a node its view */
+/** sim_publish_view() - give a node its view */
 void
-sim_show_view(struct sim *sim, unsigned node);
+sim_publish_view(struct sim *sim, unsigned node);
 
-/** sim_tell() - every other process learns of it at a moment of its own,
+/** sim_announce() - every other process learns of it at a moment of its own,
  * @after_us or a little later */
 void
-sim_tell(struct sim *sim, unsigned about, enum member_health health,
-         uint64_t after_us);
+sim_announce(struct sim *sim, unsigned about, enum member_health health,
+             uint64_t after_us);
 
 /** sim_join() - copy the list of members of one who is there */
 void
 sim_join(struct sim *sim, unsigned node);
 
-/** sim_learn() - a change of membership arrives */
+/** sim_apply_member_change() - a change of membership arrives */
 void
-sim_learn(struct sim *sim, const struct event *event);
+sim_apply_member_change(struct sim *sim, const struct event *event);
 
 #endif
--- a/tests/idem/sim_settle.c
+++ b/tests/idem/sim_quiesce.c
@@ -20,9 +20,9 @@
                      records->items[i]->queued);
         }
     }
-    if (idem_unpushed(sim->nodes[node].idem) != 0) {
+    if (idem_unacked_records(sim->nodes[node].idem) != 0) {
         sim_fail(sim, "node %u has %zu records that nobody acknowledged", node,
-                 idem_unpushed(sim->nodes[node].idem));
+                 idem_unacked_records(sim->nodes[node].idem));
     }
 }
 
@@ -57,12 +57,12 @@
 }
 
 void
-sim_settle(struct sim *sim)
+sim_quiesce(struct sim *sim)
 {
     for (unsigned i = 0; i < SIM_NODES; i++) {
         sim_thaw(sim, i);
         for (unsigned j = 0; j < SIM_NODES; j++) {
-            sim_cut(sim, i, j, 0);
+            sim_partition(sim, i, j, 0);
         }
     }
     sim->net.lose = 0;
--- a/tests/idem/test_limits.c
+++ b/tests/idem/test_limits.c
@@ -3,7 +3,7 @@
 #define SUITE "/idem"
 
 /* A table at its bound refuses new keys and still knows the old ones. */
-SCENE(full, 3, SCENE_SETTLED_US)
+SCENE(full, 3, SCENE_ELIGIBLE_US)
 {
     scene_run(sim, 0, 1, IDEM_DONE);
     for (unsigned i = 0; i < 1000; i++) {
@@ -15,7 +15,7 @@
     EXPECT(0, 1, IDEM_REPLAY);
 }
 
-SCENE(time_to_live, 5, SCENE_SETTLED_US)
+SCENE(time_to_live, 5, SCENE_ELIGIBLE_US)
 {
     scene_run(sim, 0, 1, IDEM_DONE);
     sim->now_us += IDEM_TTL_US - 120 * USEC_PER_SEC;
@@ -30,7 +30,7 @@
 
 /* Three newcomers at once: the records go out at a bounded rate, and are
  * all there before the newcomers count. */
-SCENE(join_storm, 4, SCENE_SETTLED_US)
+SCENE(join_storm, 4, SCENE_ELIGIBLE_US)
 {
     uint64_t most = 0;
 
@@ -57,7 +57,7 @@
      * queue, three newcomers each, and their ACKs. */
     g_assert_cmpuint(most, <=, 4 * 2 * 73 * 3 * 2);
     for (unsigned i = 0; i < 7; i++) {
-        g_assert_cmpuint(idem_unpushed(sim->nodes[i].idem), ==, 0);
+        g_assert_cmpuint(idem_unacked_records(sim->nodes[i].idem), ==, 0);
     }
 }
 
@@ -88,7 +88,7 @@
 }
 
 /* What ran without an answer that could be kept is never run again. */
-SCENE(answer_too_long, 5, SCENE_SETTLED_US)
+SCENE(answer_too_long, 5, SCENE_ELIGIBLE_US)
 {
     g_autofree uint8_t *answer = g_malloc0(IDEM_ANSWER_MAX + 1);
     struct idem_actions out = {0};
--- a/tests/idem/test_property.c
+++ b/tests/idem/test_property.c
@@ -118,14 +118,14 @@
 
 /* A planned stop ends when the records are handed on. */
 static void
-stop_the_leaving(struct sim *sim)
+stop_leaving_nodes(struct sim *sim)
 {
     for (unsigned i = 0; i < SIM_NODES; i++) {
         struct sim_node *node = &sim->nodes[i];
 
         if (node->up && node->leaving && !node->frozen &&
             sim->now_us > node->started_us && may_lose(sim) &&
-            idem_unpushed(node->idem) == 0) {
+            idem_unacked_records(node->idem) == 0) {
             sim_crash(sim, i, true);
         }
     }
@@ -136,9 +136,10 @@
 static void
 cut(struct sim *sim, unsigned a, unsigned b)
 {
-    if (a != b && (sim->cut_us[a][b] == 0 ||
-                   sim->cut_us[a][b] + IDEM_SETTLE_US < sim->now_us)) {
-        sim_cut(sim, a, b, CUT_US);
+    if (a != b && (sim->partitioned_until_us[a][b] == 0 ||
+                   sim->partitioned_until_us[a][b] + IDEM_ELIGIBLE_AFTER_US <
+                       sim->now_us)) {
+        sim_partition(sim, a, b, CUT_US);
     }
 }
 
@@ -193,7 +194,7 @@
     case OP_TYPES:
         g_assert_not_reached();
     }
-    stop_the_leaving(sim);
+    stop_leaving_nodes(sim);
 }
 
 /* Run a plan; the steps it took to fail, 0 if it held. */
@@ -221,7 +222,7 @@
         failed = i + 1;
     }
     if (sim.failure == NULL) {
-        sim_settle(&sim);
+        sim_quiesce(&sim);
     }
     if (sim.failure == NULL) {
         failed = 0;
@@ -281,10 +282,10 @@
     g_test_fail();
 }
 
-/* Each doubled a key once: two coordinators of a service that was 10 s old
- * went by sets that share members, with quorums that don't (1122422); a
+/* Each duplicate_runs a key once: two coordinators of a service that was 10 s
+ * old went by sets that share members, with quorums that don't (1122422); a
  * replica settled and left within 10 s of one's view (1177494). */
-TEST(seeds_that_doubled_a_key)
+TEST(seeds_with_duplicate_runs)
 {
     static const uint32_t seeds[] = {1122422, 1177494};
 
--- a/tests/idem/test_rules.c
+++ b/tests/idem/test_rules.c
@@ -14,7 +14,7 @@
                 (int64_t)sim->now_us, &set);
     for (size_t i = 0; i < set.count; i++) {
         for (unsigned j = 0; j < SIM_NODES; j++) {
-            if (sim_id(j) == set.lives[i]->id) {
+            if (sim_id(j) == set.sessions[i]->id) {
                 nodes[i] = j;
             }
         }
@@ -41,7 +41,7 @@
     g_assert_not_reached();
 }
 
-SCENE(retry, 5, SCENE_SETTLED_US)
+SCENE(retry, 5, SCENE_ELIGIBLE_US)
 {
     EXPECT(0, 1, IDEM_PROCEED);
     EXPECT_ALL(1, IDEM_IN_PROGRESS);
@@ -52,7 +52,7 @@
     EXPECT_ALL(2, IDEM_OUTCOME_UNKNOWN);
 }
 
-SCENE(not_run_frees, 5, SCENE_SETTLED_US)
+SCENE(not_run_frees, 5, SCENE_ELIGIBLE_US)
 {
     EXPECT(0, 1, IDEM_PROCEED);
     sim_end(sim, 1, true, IDEM_UNKNOWN);
@@ -60,7 +60,7 @@
     EXPECT(4, 1, IDEM_PROCEED);
 }
 
-SCENE(mismatch, 5, SCENE_SETTLED_US)
+SCENE(mismatch, 5, SCENE_ELIGIBLE_US)
 {
     struct idem_actions out = {0};
     struct idem_key key = sim_key(1);
@@ -74,10 +74,10 @@
     idem_actions_finish(&out);
 }
 
-SCENE(no_quorum, 5, SCENE_SETTLED_US)
+SCENE(no_quorum, 5, SCENE_ELIGIBLE_US)
 {
     for (unsigned i = 1; i < 5; i++) {
-        sim_cut(sim, 0, i, 2 * USEC_PER_SEC);
+        sim_partition(sim, 0, i, 2 * USEC_PER_SEC);
     }
     EXPECT_REASON(0, 1, IDEM_REFUSE, IDEM_REASON_QUORUM);
     sim_advance(sim, 5 * USEC_PER_SEC);
@@ -85,7 +85,7 @@
 }
 
 /* Who ran it is dead: nobody may run it again, ever. */
-SCENE(owner_dead, 5, SCENE_SETTLED_US)
+SCENE(owner_dead, 5, SCENE_ELIGIBLE_US)
 {
     EXPECT(0, 1, IDEM_PROCEED);
     sim_crash(sim, 0, false);
@@ -99,7 +99,7 @@
 
 /* A coordinator that slept through joins must not use the sets of before:
  * their keys may have run at the new ones. */
-SCENE(sleeper_missed_joins, 5, SCENE_SETTLED_US)
+SCENE(paused_member_missed_joins, 5, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned key = 0;
@@ -115,13 +115,13 @@
     } while ((at[0] >= 5) + (at[1] >= 5) + (at[2] >= 5) < 2);
     for (unsigned i = 0; i < IDEM_REPLICAS; i++) {
         if (at[i] < 5) {
-            sim_cut(sim, 1, at[i], 2 * USEC_PER_SEC);
+            sim_partition(sim, 1, at[i], 2 * USEC_PER_SEC);
         }
     }
     EXPECT(1, key, IDEM_PROCEED);
     sim_thaw(sim, 0);
     for (unsigned i = 5; i < SIM_NODES; i++) {
-        sim_cut(sim, 0, i, 2 * USEC_PER_SEC);
+        sim_partition(sim, 0, i, 2 * USEC_PER_SEC);
     }
     EXPECT_REASON(0, key, IDEM_REFUSE, IDEM_REASON_QUORUM);
     sim_advance(sim, 30 * USEC_PER_SEC);
@@ -130,20 +130,20 @@
 
 /* Who restarts doesn't know that a replica died with its own former life:
  * the survivors alone hold the record, and it must hear all of them. */
-SCENE(restarted_replica, 5, SCENE_SETTLED_US)
+SCENE(restarted_replica, 5, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
 
     find_replicas(sim, 0, at);
     for (unsigned i = 0; i < 5; i++) {
         if (i != at[0] && i != at[2]) {
-            sim_cut(sim, at[0], i, 5 * USEC_PER_SEC);
+            sim_partition(sim, at[0], i, 5 * USEC_PER_SEC);
         }
     }
     EXPECT(at[0], 1, IDEM_PROCEED);
     sim_crash(sim, at[2], true);
     sim_start(sim, at[2]);
-    sim_cut(sim, at[0], at[2], 5 * USEC_PER_SEC);
+    sim_partition(sim, at[0], at[2], 5 * USEC_PER_SEC);
     sim_advance(sim, 2 * USEC_PER_SEC);
     EXPECT_REASON(at[2], 1, IDEM_REFUSE, IDEM_REASON_QUORUM);
     sim_advance(sim, 30 * USEC_PER_SEC);
@@ -152,14 +152,14 @@
 
 /* One replica missed the record, one died with it: of the two survivors both
  * must be heard. */
-SCENE(two_survivors, 5, SCENE_SETTLED_US)
+SCENE(two_survivors, 5, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
 
     find_replicas(sim, 0, at);
     for (unsigned i = 0; i < 5; i++) {
         if (i != at[0] && i != at[2]) {
-            sim_cut(sim, at[0], i, 5 * USEC_PER_SEC);
+            sim_partition(sim, at[0], i, 5 * USEC_PER_SEC);
         }
     }
     EXPECT(at[0], 1, IDEM_PROCEED);
@@ -169,7 +169,7 @@
 }
 
 /* A replica that was paused may have missed what the others agreed on. */
-SCENE(paused_replica, 5, SCENE_SETTLED_US)
+SCENE(paused_replica, 5, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
 
@@ -178,18 +178,18 @@
     sim_advance(sim, IDEM_PAUSE_US + USEC_PER_SEC);
     sim_thaw(sim, at[2]);
     sim_advance(sim, IDEM_START_US + USEC_PER_SEC);
-    sim_cut(sim, at[0], at[1], USEC_PER_SEC);
+    sim_partition(sim, at[0], at[1], USEC_PER_SEC);
     EXPECT_REASON(at[0], 1, IDEM_REFUSE, IDEM_REASON_QUORUM);
 }
 
 /* An owner that says goodbye and then dies: what it didn't bring to the
  * others itself is pushed on once it is dead. */
-SCENE(owner_leaves_then_dies, 3, SCENE_SETTLED_US)
+SCENE(owner_leaves_then_dies, 3, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
 
     find_replicas(sim, 0, at);
-    sim_cut(sim, at[0], at[1], 15 * USEC_PER_SEC);
+    sim_partition(sim, at[0], at[1], 15 * USEC_PER_SEC);
     scene_run(sim, at[0], 1, IDEM_DONE);
     sim_leave(sim, at[0]);
     sim_advance(sim, 4 * USEC_PER_SEC);
@@ -201,7 +201,7 @@
 
 /* A frozen coordinator holds a reservation at one replica, the other two
  * let another run. Its return must not take that one's records along. */
-SCENE(two_reservations, 6, SCENE_SETTLED_US)
+SCENE(two_reservations, 6, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned frozen;
@@ -210,9 +210,9 @@
     find_replicas(sim, 0, at);
     frozen = other_than(at, 6);
     runner = at[0];
-    sim_cut(sim, frozen, at[0], USEC_PER_SEC);
-    sim_cut(sim, frozen, at[1], USEC_PER_SEC);
-    sim_cut(sim, runner, at[2], 10 * USEC_PER_SEC);
+    sim_partition(sim, frozen, at[0], USEC_PER_SEC);
+    sim_partition(sim, frozen, at[1], USEC_PER_SEC);
+    sim_partition(sim, runner, at[2], 10 * USEC_PER_SEC);
     (void)sim_begin(sim, frozen, 1);
     sim_advance(sim, 10 * SIM_MSEC);
     sim_freeze(sim, frozen);
@@ -244,19 +244,19 @@
 }
 
 /* Newcomers get the records first, and have a say afterwards. */
-SCENE(settle, 4, SCENE_SETTLED_US)
+SCENE(settle, 4, SCENE_ELIGIBLE_US)
 {
     for (unsigned i = 4; i < 8; i++) {
         sim_start(sim, i);
     }
-    sim_advance(sim, IDEM_SETTLE_US - USEC_PER_SEC);
+    sim_advance(sim, IDEM_ELIGIBLE_AFTER_US - USEC_PER_SEC);
     g_assert_cmpuint(count_from(sim, 4), ==, 0);
     sim_advance(sim, 3 * USEC_PER_SEC);
     g_assert_cmpuint(count_from(sim, 4), >, 100);
 }
 
 /* A node that others may have taken for dead needs both other replicas. */
-SCENE(return, 5, SCENE_SETTLED_US)
+SCENE(return, 5, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned others[IDEM_REPLICAS];
@@ -270,14 +270,14 @@
     for (size_t i = 0; i < IDEM_REPLICAS; i++) {
         g_assert_cmpuint(others[i], !=, at[0]);
     }
-    sim_cut(sim, at[0], at[1], 5 * USEC_PER_SEC);
+    sim_partition(sim, at[0], at[1], 5 * USEC_PER_SEC);
     EXPECT(at[0], 1, IDEM_REFUSE);
     EXPECT(at[1], 1, IDEM_PROCEED);
 }
 
 /* Another member says that this process's own open request was not run: it
  * can't know. */
-SCENE(foreign_release, 5, SCENE_SETTLED_US)
+SCENE(foreign_release, 5, SCENE_ELIGIBLE_US)
 {
     struct idem_actions out = {0};
     struct idem_msg msg = {.type = IDEM_MSG_RELEASE, .key = sim_key(1)};
@@ -295,7 +295,7 @@
 }
 
 /* Grants that waited in a paused coordinator's sockets are stale. */
-SCENE(paused_coordinator, 5, SCENE_SETTLED_US)
+SCENE(paused_coordinator, 5, SCENE_ELIGIBLE_US)
 {
     uint64_t token = sim_begin(sim, 0, 1);
 
@@ -310,22 +310,22 @@
 /* A replica that one member took for dead settles there anew and leaves
  * within 10 s: it is in neither of that member's sets, and the other holder
  * can't be reached. */
-SCENE(settled_and_left, 6, SCENE_SETTLED_US)
+SCENE(eligible_and_left, 6, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned other;
 
     find_replicas(sim, 1, at);
     other = other_than(at, 6);
-    sim_see(sim, other, at[0], MEMBER_DEAD);
-    sim_see(sim, other, at[0], MEMBER_ALIVE);
-    sim_advance(sim, IDEM_SETTLE_US + 2 * USEC_PER_SEC);
+    sim_set_observed_health(sim, other, at[0], MEMBER_DEAD);
+    sim_set_observed_health(sim, other, at[0], MEMBER_ALIVE);
+    sim_advance(sim, IDEM_ELIGIBLE_AFTER_US + 2 * USEC_PER_SEC);
     for (unsigned i = 0; i < 6; i++) {
         if (i != at[0] && i != at[1]) {
-            sim_cut(sim, at[0], i, 4 * USEC_PER_SEC);
+            sim_partition(sim, at[0], i, 4 * USEC_PER_SEC);
         }
     }
-    sim_cut(sim, other, at[1], 4 * USEC_PER_SEC);
+    sim_partition(sim, other, at[1], 4 * USEC_PER_SEC);
     EXPECT(at[0], 1, IDEM_PROCEED);
     sim_leave(sim, at[0]);
     sim_advance(sim, 50 * SIM_MSEC);
@@ -333,7 +333,7 @@
 }
 
 /* The same with two of them, that nobody else shares a record with. */
-SCENE(two_settled_and_left, 6, SCENE_SETTLED_US)
+SCENE(two_eligible_and_left, 6, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned other;
@@ -341,14 +341,14 @@
     find_replicas(sim, 1, at);
     other = other_than(at, 6);
     for (unsigned i = 0; i < 2; i++) {
-        sim_see(sim, other, at[i], MEMBER_DEAD);
-        sim_see(sim, other, at[i], MEMBER_ALIVE);
+        sim_set_observed_health(sim, other, at[i], MEMBER_DEAD);
+        sim_set_observed_health(sim, other, at[i], MEMBER_ALIVE);
     }
-    sim_advance(sim, IDEM_SETTLE_US + 2 * USEC_PER_SEC);
+    sim_advance(sim, IDEM_ELIGIBLE_AFTER_US + 2 * USEC_PER_SEC);
     for (unsigned i = 0; i < 6; i++) {
         if (i != at[0] && i != at[1]) {
-            sim_cut(sim, at[0], i, 4 * USEC_PER_SEC);
-            sim_cut(sim, at[1], i, 4 * USEC_PER_SEC);
+            sim_partition(sim, at[0], i, 4 * USEC_PER_SEC);
+            sim_partition(sim, at[1], i, 4 * USEC_PER_SEC);
         }
     }
     EXPECT(at[0], 1, IDEM_PROCEED);
@@ -378,7 +378,7 @@
     find_replicas(sim, 0, at);
     for (unsigned i = 0; i < 5; i++) {
         if (i != at[0] && i != at[1]) {
-            sim_cut(sim, at[0], i, 4 * USEC_PER_SEC);
+            sim_partition(sim, at[0], i, 4 * USEC_PER_SEC);
         }
     }
     EXPECT(at[0], 1, IDEM_PROCEED);
@@ -401,25 +401,25 @@
     sim_crash(sim, at[1], true);
     sim_start(sim, at[1]);
     sim_advance(sim, USEC_PER_SEC);
-    sim_cut(sim, other, at[0], 4 * USEC_PER_SEC);
+    sim_partition(sim, other, at[0], 4 * USEC_PER_SEC);
     EXPECT(other, 1, IDEM_REFUSE);
 }
 
 /* Five are cut into two and three: only the three go on, for a minute. */
-SCENE(cut, 5, SCENE_SETTLED_US)
+SCENE(cut, 5, SCENE_ELIGIBLE_US)
 {
     sim->no_sync = true;
     for (unsigned i = 0; i < 2; i++) {
         for (unsigned j = 2; j < 5; j++) {
-            sim_cut(sim, i, j, 3600 * USEC_PER_SEC);
-            sim_see(sim, i, j, MEMBER_DEAD);
-            sim_see(sim, j, i, MEMBER_DEAD);
+            sim_partition(sim, i, j, 3600 * USEC_PER_SEC);
+            sim_set_observed_health(sim, i, j, MEMBER_DEAD);
+            sim_set_observed_health(sim, j, i, MEMBER_DEAD);
         }
     }
     for (unsigned key = 1; key < SIM_KEYS; key++) {
         EXPECT(key % 2, key, IDEM_REFUSE);
     }
-    sim_advance(sim, IDEM_SETTLE_US);
+    sim_advance(sim, IDEM_ELIGIBLE_AFTER_US);
     for (unsigned key = 1; key < SIM_KEYS; key++) {
         EXPECT(key % 2, key, IDEM_REFUSE);
         EXPECT(2 + key % 3, key, IDEM_PROCEED);
@@ -430,7 +430,7 @@
 
 /* All three replicas die at once. The coordinator still knows, nobody runs
  * it again before it has told the new ones. */
-SCENE(all_replicas_dead, 8, SCENE_SETTLED_US)
+SCENE(all_replicas_dead, 8, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned owner;
@@ -439,7 +439,7 @@
     owner = other_than(at, 8);
     scene_run(sim, owner, 1, IDEM_DONE);
     for (unsigned i = 0; i < 8; i++) {
-        sim_cut(sim, owner, i, i != owner ? 4 * USEC_PER_SEC : 0);
+        sim_partition(sim, owner, i, i != owner ? 4 * USEC_PER_SEC : 0);
     }
     for (unsigned i = 0; i < IDEM_REPLICAS; i++) {
         sim_crash(sim, at[i], true);
@@ -455,7 +455,7 @@
 
 /* The owner dies before it told all replicas how it ended: those who know
  * tell the others. */
-SCENE(unfinished_round, 6, SCENE_SETTLED_US)
+SCENE(unfinished_reservation, 6, SCENE_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned owner;
@@ -463,8 +463,8 @@
     find_replicas(sim, 0, at);
     owner = other_than(at, 6);
     EXPECT(owner, 1, IDEM_PROCEED);
-    sim_cut(sim, owner, at[1], 4 * USEC_PER_SEC);
-    sim_cut(sim, owner, at[2], 4 * USEC_PER_SEC);
+    sim_partition(sim, owner, at[1], 4 * USEC_PER_SEC);
+    sim_partition(sim, owner, at[2], 4 * USEC_PER_SEC);
     sim_end(sim, 1, false, IDEM_DONE);
     sim_advance(sim, USEC_PER_SEC);
     sim_crash(sim, owner, true);
@@ -476,7 +476,7 @@
 
 /* Every process is replaced in turn, each one as soon as the last has
  * handed on its records and its successor is there. */
-SCENE(rolling_restart, 5, SCENE_SETTLED_US)
+SCENE(rolling_restart, 5, SCENE_ELIGIBLE_US)
 {
     scene_run(sim, 0, 1, IDEM_DONE);
     EXPECT(0, 2, IDEM_PROCEED);
@@ -484,11 +484,11 @@
     for (unsigned i = 0; i < 5; i++) {
         sim_leave(sim, i);
         sim_advance(sim, 100 * SIM_MSEC);
-        for (unsigned j = 0; j < 100 && idem_unpushed(sim->nodes[i].idem);
-             j++) {
+        for (unsigned j = 0;
+             j < 100 && idem_unacked_records(sim->nodes[i].idem); j++) {
             sim_advance(sim, 100 * SIM_MSEC);
         }
-        g_assert_cmpuint(idem_unpushed(sim->nodes[i].idem), ==, 0);
+        g_assert_cmpuint(idem_unacked_records(sim->nodes[i].idem), ==, 0);
         sim_crash(sim, i, true);
         sim_start(sim, i);
         sim_advance(sim, 12 * USEC_PER_SEC);
--- a/tests/request/admit_test.c
+++ b/tests/request/admit_test.c
@@ -21,7 +21,7 @@
 }
 
 static void
-test_ordinary_floor(struct fixture *f, gconstpointer data)
+test_ordinary_min_share(struct fixture *f, gconstpointer data)
 {
     unsigned urgent_before = 0;
     uint64_t running = 1;
@@ -81,7 +81,7 @@
 
 /* Refused callers are spread over the time that serving them would take. */
 static void
-test_return_spread(struct fixture *f, gconstpointer data)
+test_retry_after_spread(struct fixture *f, gconstpointer data)
 {
     unsigned per_second[8] = {0};
 
@@ -103,8 +103,8 @@
 static void
 test_retry_budget(struct fixture *f, gconstpointer data)
 {
-    fixture_tell_load(f, PEER, 1001);
-    fixture_tell_load(f, OTHER, 1001);
+    fixture_report_load(f, PEER, 1001);
+    fixture_report_load(f, OTHER, 1001);
     for (int i = 0; i < 200; i++) {
         uint64_t id = fixture_arrive(f, TEXT_URGENT, true, 10 * USEC_PER_SEC);
 
@@ -138,7 +138,7 @@
 
 /* What runs when the dependency fails does not condemn the upstream. */
 static void
-test_dependency_excuses(struct fixture *f, gconstpointer data)
+test_dependency_errors_ignored(struct fixture *f, gconstpointer data)
 {
     for (int round = 0; round < 6; round++) {
         uint64_t id;
@@ -148,8 +148,9 @@
         fixture_members(f, MEMBER_READY, 2, false);
         fixture_end(f, SELF, id, ENGINE_UP_LOST);
     }
-    g_assert_cmpuint(f->engine->upstream.traffic.failures, ==, 0);
-    g_assert_cmpuint(upstream_slots(&f->engine->upstream, f->now_us), ==, 2);
+    g_assert_cmpuint(f->engine->upstream.passive_health.failures, ==, 0);
+    g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
+                     ==, 2);
     for (int round = 0; round < 6; round++) {
         uint64_t id;
 
@@ -174,44 +175,48 @@
 }
 
 static void
-test_shun_needs_room(struct fixture *f, gconstpointer data)
+test_ejection_needs_capacity(struct fixture *f, gconstpointer data)
 {
-    fixture_tell_load(f, PEER, 991);
-    fixture_tell_load(f, OTHER, 991);
-    lose_runs(f, HEALTH_FAILURES + 1);
-    g_assert_cmpuint(upstream_slots(&f->engine->upstream, f->now_us), ==, 2);
-    fixture_tell_load(f, PEER, 101);
+    fixture_report_load(f, PEER, 991);
+    fixture_report_load(f, OTHER, 991);
+    lose_runs(f, HEALTH_FAILURES_MAX + 1);
+    g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
+                     ==, 2);
+    fixture_report_load(f, PEER, 101);
     lose_runs(f, 1);
-    g_assert_cmpuint(upstream_slots(&f->engine->upstream, f->now_us), ==, 0);
+    g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
+                     ==, 0);
     fixture_tick_to(f, f->now_us + 300 * MS);
-    g_assert_cmpuint(upstream_slots(&f->engine->upstream, f->now_us), ==, 1);
+    g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
+                     ==, 1);
     fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
     fixture_end(f, SELF, f->next_id, ENGINE_UP_ANSWERED);
-    g_assert_cmpuint(upstream_slots(&f->engine->upstream, f->now_us), ==, 2);
+    g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
+                     ==, 2);
 }
 
 /* Of two peers that fail only one is shunned, and tried again later. */
 static void
-test_peers_shunned(struct fixture *f, gconstpointer data)
+test_peers_ejected(struct fixture *f, gconstpointer data)
 {
     struct peer *peer = peers_find(&f->engine->peers, PEER);
     struct peer *other = peers_find(&f->engine->peers, OTHER);
 
-    for (int i = 0; i < HEALTH_FAILURES; i++) {
-        g_assert_true(peer_takes(peer, f->now_us));
+    for (int i = 0; i < HEALTH_FAILURES_MAX; i++) {
+        g_assert_true(peer_accepts(peer, f->now_us));
         peer_failed(&f->engine->peers, peer, f->now_us);
     }
-    for (int i = 0; i < 2 * HEALTH_FAILURES; i++) {
+    for (int i = 0; i < 2 * HEALTH_FAILURES_MAX; i++) {
         peer_failed(&f->engine->peers, other, f->now_us);
     }
-    g_assert_false(peer_takes(peer, f->now_us));
-    g_assert_true(peer_takes(other, f->now_us));
+    g_assert_false(peer_accepts(peer, f->now_us));
+    g_assert_true(peer_accepts(other, f->now_us));
     fixture_tick_to(f, f->now_us + 300 * MS);
-    g_assert_true(peer_takes(peer, f->now_us));
+    g_assert_true(peer_accepts(peer, f->now_us));
     peer->sent = 1;
-    g_assert_false(peer_takes(peer, f->now_us));
+    g_assert_false(peer_accepts(peer, f->now_us));
     peer_answered(peer, 10 * MS);
-    g_assert_true(peer_takes(peer, f->now_us));
+    g_assert_true(peer_accepts(peer, f->now_us));
 }
 
 /* One that never answers loses no connection, and is shunned all the same;
@@ -224,22 +229,24 @@
         fixture_arrive(f, TEXT_URGENT, false, 50 * MS);
         fixture_tick_to(f, f->now_us + 200 * MS);
     }
-    g_assert_cmpuint(upstream_slots(&f->engine->upstream, f->now_us), ==, 2);
-    for (int i = 0; i < HEALTH_FAILURES; i++) {
+    g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
+                     ==, 2);
+    for (int i = 0; i < HEALTH_FAILURES_MAX; i++) {
         fixture_arrive(f, TEXT_URGENT, false, 500 * MS);
         fixture_tick_to(f, f->now_us + 500 * MS);
     }
-    g_assert_cmpuint(upstream_slots(&f->engine->upstream, f->now_us), ==, 0);
+    g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
+                     ==, 0);
 }
 
 /* An upstream that only fails fast must not look idle to the others. */
 static void
-test_errors_attract_nothing(struct fixture *f, gconstpointer data)
+test_errors_stop_pulling(struct fixture *f, gconstpointer data)
 {
     struct engine_peer_msg msg = {.type = ENGINE_PEER_STATUS,
                                   .waiting = {5, 0}};
 
-    for (int i = 0; i < UPSTREAM_ERRORS; i++) {
+    for (int i = 0; i < UPSTREAM_ERRORS_MAX; i++) {
         uint64_t id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
 
         engine_upstream_end(f->engine, SELF, id, ENGINE_UP_ANSWERED,
@@ -293,7 +300,7 @@
     fixture_arrive(f, TEXT_URGENT, false, 60 * USEC_PER_SEC);
     fixture_arrive(f, TEXT_URGENT, false, 60 * USEC_PER_SEC);
     g_assert_cmpuint(engine_busy(f->engine), ==, 1);
-    fixture_tick_to(f, f->now_us + UPSTREAM_WARM_US);
+    fixture_tick_to(f, f->now_us + UPSTREAM_SLOW_START_US);
     g_assert_cmpuint(engine_busy(f->engine), ==, 2);
 }
 
@@ -314,7 +321,7 @@
     fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
     fixture_assert_finished(f, f->next_id, ENGINE_NOT_RUN, ENGINE_STOPPING);
     fixture_receive(f, ENGINE_PEER_DONE, id, ENGINE_ANSWERED, 0);
-    g_assert_cmpuint(engine_open(f->engine), ==, 0);
+    g_assert_cmpuint(engine_open_requests(f->engine), ==, 0);
     engine_set_upstream(f->engine, SERVICE, 2, true, f->now_us, &f->out);
     fixture_receive(f, ENGINE_PEER_RUN, 50, 0, 0);
     g_assert_null(fixture_find(f, ENGINE_RUN, 50));
@@ -328,7 +335,7 @@
 {
     uint64_t id;
 
-    fixture_tick_to(f, f->now_us + 2 * IDEM_SETTLE_US);
+    fixture_tick_to(f, f->now_us + 2 * IDEM_ELIGIBLE_AFTER_US);
     id = fixture_arrive_keyed(f);
     g_assert_null(fixture_find(f, ENGINE_RUN, id));
     g_assert_cmpuint(engine_waiting(f->engine), ==, 1);
@@ -338,19 +345,19 @@
 
 /* A planned stop must know that a key's outcome is not told everywhere. */
 static void
-test_key_unpushed(struct fixture *f, gconstpointer data)
+test_key_unacked(struct fixture *f, gconstpointer data)
 {
     uint64_t id;
 
-    fixture_tick_to(f, f->now_us + 2 * IDEM_SETTLE_US);
-    g_assert_cmpuint(engine_unpushed(f->engine), ==, 0);
+    fixture_tick_to(f, f->now_us + 2 * IDEM_ELIGIBLE_AFTER_US);
+    g_assert_cmpuint(engine_unacked_records(f->engine), ==, 0);
     id = fixture_arrive_keyed(f);
     fixture_grant(f);
     fixture_end(f, SELF, id, ENGINE_UP_ANSWERED);
-    g_assert_cmpuint(engine_unpushed(f->engine), >, 0);
+    g_assert_cmpuint(engine_unacked_records(f->engine), >, 0);
     fixture_acknowledge(f);
-    fixture_tick_to(f, f->now_us + IDEM_SETTLE_US);
-    g_assert_cmpuint(engine_unpushed(f->engine), ==, 0);
+    fixture_tick_to(f, f->now_us + IDEM_ELIGIBLE_AFTER_US);
+    g_assert_cmpuint(engine_unacked_records(f->engine), ==, 0);
 }
 
 static void
@@ -458,10 +465,10 @@
     fixture_learn_run_time(f, 100 * MS);
     peer_answered(peers_find(&f->engine->peers, PEER), 10 * MS);
     fixture_fill_slots(f);
-    fixture_tell_load(f, PEER, 1001);
+    fixture_report_load(f, PEER, 1001);
     id = fixture_arrive(f, TEXT_URGENT, false, 90 * MS);
     fixture_assert_finished(f, id, ENGINE_NOT_RUN, ENGINE_TOO_LATE);
-    fixture_tell_load(f, PEER, 901);
+    fixture_report_load(f, PEER, 901);
     id = fixture_arrive(f, TEXT_URGENT, false, 90 * MS);
     g_assert_null(fixture_find(f, ENGINE_FINISH, id));
 }
@@ -487,26 +494,26 @@
 {
     g_test_init(&argc, &argv, NULL);
     FIXTURE_ADD("admit", urgent_displaces);
-    FIXTURE_ADD("admit", ordinary_floor);
+    FIXTURE_ADD("admit", ordinary_min_share);
     FIXTURE_ADD("admit", too_late_at_once);
     FIXTURE_ADD("admit", too_late_by_queue);
-    FIXTURE_ADD("admit", return_spread);
+    FIXTURE_ADD("admit", retry_after_spread);
     FIXTURE_ADD("admit", retry_budget);
     FIXTURE_ADD("admit", dependency);
-    FIXTURE_ADD("admit", dependency_excuses);
-    FIXTURE_ADD("admit", shun_needs_room);
-    FIXTURE_ADD("admit", errors_attract_nothing);
+    FIXTURE_ADD("admit", dependency_errors_ignored);
+    FIXTURE_ADD("admit", ejection_needs_capacity);
+    FIXTURE_ADD("admit", errors_stop_pulling);
     FIXTURE_ADD("admit", inherits_priority);
     FIXTURE_ADD("admit", caller_limit);
     FIXTURE_ADD("admit", warming);
     FIXTURE_ADD("admit", drain_and_stop);
     FIXTURE_ADD("admit", key_reserved_first);
-    FIXTURE_ADD("admit", key_unpushed);
+    FIXTURE_ADD("admit", key_unacked);
     FIXTURE_ADD("admit", no_upstream);
     FIXTURE_ADD("admit", hold_for_urgent);
     FIXTURE_ADD("admit", bad_input);
     FIXTURE_ADD("admit", hung_upstream);
-    FIXTURE_ADD("admit", peers_shunned);
+    FIXTURE_ADD("admit", peers_ejected);
     FIXTURE_ADD("admit", serves_draining_peers);
     FIXTURE_ADD("admit", slow_upstream);
     FIXTURE_ADD("admit", slow_upstream_full_peers);
--- a/tests/request/cell.c
+++ b/tests/request/cell.c
@@ -1,4 +1,4 @@
-#include "rules.h"
+#include "invariants.h"
 
 #define TICK_US (10 * USEC_PER_MSEC)
 #define PER_MILLE 1000
@@ -11,7 +11,7 @@
     struct timeline_event base;
     enum event_type type;
     unsigned node;
-    unsigned life;
+    unsigned generation;
     uint64_t from;
     struct engine_peer_msg msg;
     uint64_t origin;
@@ -51,7 +51,7 @@
 
     event->type = type;
     event->node = node;
-    event->life = cell->nodes[node].life;
+    event->generation = cell->nodes[node].generation;
     return event;
 }
 
@@ -94,45 +94,45 @@
         event->how = ENGINE_UP_UNREACHED;
     }
     else if (kind < no_run + cell->faults.cut) {
-        event->how = kind % 2 == 0 ? ENGINE_UP_LOST : ENGINE_UP_SHORT;
+        event->how = kind % 2 == 0 ? ENGINE_UP_LOST : ENGINE_UP_TRUNCATED;
     }
     if (kind >= no_run) {
-        rules_run(cell, action->id);
+        invariants_run(cell, action->id);
     }
     timeline_add(&cell->timeline, &event->base,
                  cell->now_us + between(cell, 2000, CELL_RUN_MAX_US));
 }
 
 static void
-carry_out(struct cell *cell, unsigned node, struct engine_actions *out)
+apply_actions(struct cell *cell, unsigned node, struct engine_actions *out)
 {
     for (size_t i = 0; i < out->count; i++) {
         const struct engine_action *action = &out->items[i];
 
         switch (action->type) {
         case ENGINE_RUN:
-            rules_start(cell, node, action);
+            invariants_start(cell, node, action);
             run(cell, node, action);
             break;
         case ENGINE_ABORT:
             break;
         case ENGINE_SEND:
             if (action->msg.type == ENGINE_PEER_RUN) {
-                rules_send_run(cell, node, action);
+                invariants_send_run(cell, node, action);
             }
             post_message(cell, cell->nodes[node].id, action->to, &action->msg);
-            if (chance(cell, cell->faults.twice)) {
+            if (chance(cell, cell->faults.duplicate)) {
                 post_message(cell, cell->nodes[node].id, action->to,
                              &action->msg);
             }
             break;
         case ENGINE_FINISH:
-            rules_finish(cell, action);
+            invariants_finish(cell, action);
             break;
         }
     }
     engine_actions_finish(out);
-    rules_node(cell, node);
+    invariants_node(cell, node);
 }
 
 static bool
@@ -143,7 +143,7 @@
 }
 
 static enum member_health
-judged(struct cell *cell, const struct cell_node *node)
+observed_health(struct cell *cell, const struct cell_node *node)
 {
     if (!node->alive) {
         return MEMBER_DEAD;
@@ -172,14 +172,14 @@
         member->state =
             cell->nodes[i].draining ? MEMBER_DRAINING : MEMBER_READY;
         member->health =
-            i == node ? MEMBER_ALIVE : judged(cell, &cell->nodes[i]);
+            i == node ? MEMBER_ALIVE : observed_health(cell, &cell->nodes[i]);
         member->service = CELL_SERVICE;
         member->slots = CELL_SLOTS;
-        member->incarnation = 1 + cell->nodes[i].life;
+        member->incarnation = 1 + cell->nodes[i].generation;
         member->since_us = cell->nodes[i].started_us;
     }
     engine_set_view(cell->nodes[node].engine, view, cell->now_us, &out);
-    carry_out(cell, node, &out);
+    apply_actions(cell, node, &out);
     g_free(view);
 }
 
@@ -190,7 +190,7 @@
 
     engine_set_upstream(cell->nodes[node].engine, CELL_SERVICE, CELL_SLOTS,
                         !cell->nodes[node].draining, cell->now_us, &out);
-    carry_out(cell, node, &out);
+    apply_actions(cell, node, &out);
 }
 
 static void
@@ -203,7 +203,7 @@
     service.limits.queue = CELL_QUEUE;
     service.limits.requests_per_caller = CELL_QUEUE;
     engine_set_text(cell->nodes[node].engine, &text, cell->now_us, &out);
-    carry_out(cell, node, &out);
+    apply_actions(cell, node, &out);
 }
 
 static void
@@ -217,7 +217,7 @@
     at->frozen_until_us = 0;
     at->urgent_starts = 0;
     at->was_frozen = false;
-    at->life++;
+    at->generation++;
     at->started_us = cell->now_us;
     set_text(cell, node);
     set_upstream(cell, node);
@@ -233,7 +233,7 @@
     engine_free(at->engine);
     at->engine = NULL;
     at->alive = false;
-    at->life++;
+    at->generation++;
     for (unsigned i = 0; i < cell->count; i++) {
         struct event *event;
 
@@ -270,7 +270,7 @@
         set_view(cell, event->node);
         break;
     }
-    carry_out(cell, event->node, &out);
+    apply_actions(cell, event->node, &out);
 }
 
 /* What was on its way to a node that crashed is gone with its connections;
@@ -280,12 +280,12 @@
 {
     const struct cell_node *at = &cell->nodes[event->node];
 
-    if (at->alive && event->life == at->life &&
+    if (at->alive && event->generation == at->generation &&
         cell->now_us < at->frozen_until_us) {
         timeline_add(&cell->timeline, &event->base, at->frozen_until_us);
         return;
     }
-    if (at->alive && event->life == at->life) {
+    if (at->alive && event->generation == at->generation) {
         deliver(cell, event);
     }
     g_free((gpointer)event->msg.idem.answer);
@@ -300,7 +300,7 @@
 
         if (is_up(cell, i)) {
             engine_tick(cell->nodes[i].engine, cell->now_us, &out);
-            carry_out(cell, i, &out);
+            apply_actions(cell, i, &out);
         }
     }
 }
@@ -323,7 +323,7 @@
         cell->now_us = stop;
         if (stop == next_tick) {
             tick_all(cell);
-            rules_answers(cell);
+            invariants_answers(cell);
         }
     }
 }
@@ -348,9 +348,9 @@
         .hash = {1 + cell->next_id / KEY_SHARED, 1},
         .fingerprint = 1,
     };
-    rules_arrive(cell, node, &request);
+    invariants_arrive(cell, node, &request);
     engine_arrive(cell->nodes[node].engine, &request, cell->now_us, &out);
-    carry_out(cell, node, &out);
+    apply_actions(cell, node, &out);
     return request.id;
 }
 
@@ -366,18 +366,18 @@
 random_cancel(struct cell *cell)
 {
     uint64_t back = between(cell, 0, 20);
-    const struct rules_record *record;
+    const struct invariants_record *record;
     struct engine_actions out = {0};
 
     if (cell->next_id <= back) {
         return;
     }
-    record = rules_record(cell, cell->next_id - back);
+    record = invariants_record(cell, cell->next_id - back);
     if (is_up(cell, record->node) &&
-        cell->nodes[record->node].life == record->life) {
+        cell->nodes[record->node].generation == record->generation) {
         engine_cancel(cell->nodes[record->node].engine, record->id,
                       cell->now_us, &out);
-        carry_out(cell, record->node, &out);
+        apply_actions(cell, record->node, &out);
     }
 }
 
@@ -446,7 +446,7 @@
     }
     cell_advance(cell, 3 * USEC_PER_SEC);
     for (unsigned i = 0; i < cell->count; i++) {
-        rules_empty(cell, i);
+        invariants_empty(cell, i);
     }
 }
 
--- a/tests/request/cell.h
+++ b/tests/request/cell.h
@@ -24,7 +24,7 @@
  * runs, or of steps) */
 struct cell_faults {
     unsigned lose;
-    unsigned twice;
+    unsigned duplicate;
     unsigned slow;
     unsigned shed;
     unsigned unreached;
@@ -45,7 +45,7 @@
     uint64_t thawed_us;
     bool was_frozen;
     bool draining;
-    unsigned life;
+    unsigned generation;
     unsigned urgent_starts;
     bool started;
     GHashTable *running;
--- a/tests/request/fixture.c
+++ b/tests/request/fixture.c
@@ -230,7 +230,7 @@
 }
 
 void
-fixture_tell_load(struct fixture *f, uint64_t from, uint16_t load)
+fixture_report_load(struct fixture *f, uint64_t from, uint16_t load)
 {
     struct engine_peer_msg msg = {.type = ENGINE_PEER_STATUS, .load = load};
 
--- a/tests/request/fixture.h
+++ b/tests/request/fixture.h
@@ -106,8 +106,8 @@
 void
 fixture_fill_slots(struct fixture *f);
 
-/** fixture_tell_load() - @from says its load, per mille plus one */
+/** fixture_report_load() - @from says its load, per mille plus one */
 void
-fixture_tell_load(struct fixture *f, uint64_t from, uint16_t load);
+fixture_report_load(struct fixture *f, uint64_t from, uint16_t load);
 
 #endif
--- a/tests/request/rules.c
+++ b/tests/request/invariants.c
@@ -1,11 +1,11 @@
-#include "rules.h"
+#include "invariants.h"
 
 #include <inttypes.h>
 
 #include "request/admit.h"
 #include "request/dispatch.h"
 
-#define LATE_US (25 * USEC_PER_MSEC)
+#define ANSWER_SLACK_US (25 * USEC_PER_MSEC)
 #define SLOWEST_US (2 * CELL_RUN_MAX_US)
 #define PLACED_FIRST 4
 
@@ -25,15 +25,15 @@
     va_end(args);
 }
 
-struct rules_record *
-rules_record(const struct cell *cell, uint64_t id)
+struct invariants_record *
+invariants_record(const struct cell *cell, uint64_t id)
 {
     return g_hash_table_lookup(cell->requests, &id);
 }
 
 /* Of all requests with one key, one that isn't idempotent runs once. */
 static void
-check_key(struct cell *cell, const struct rules_record *record)
+check_key(struct cell *cell, const struct invariants_record *record)
 {
     if (record->key == 0 || record->idempotent) {
         return;
@@ -46,9 +46,9 @@
 }
 
 void
-rules_run(struct cell *cell, uint64_t id)
+invariants_run(struct cell *cell, uint64_t id)
 {
-    struct rules_record *record = rules_record(cell, id);
+    struct invariants_record *record = invariants_record(cell, id);
 
     record->runs++;
     if (record->finishes > 0 && record->outcome == ENGINE_NOT_RUN) {
@@ -61,15 +61,15 @@
 }
 
 void
-rules_arrive(struct cell *cell, unsigned node,
-             const struct engine_request *request)
+invariants_arrive(struct cell *cell, unsigned node,
+                  const struct engine_request *request)
 {
-    struct rules_record *record = g_new0(struct rules_record, 1);
+    struct invariants_record *record = g_new0(struct invariants_record, 1);
 
     record->id = request->id;
     record->key = request->keyed ? request->key.hash[0] : 0;
     record->node = node;
-    record->life = cell->nodes[node].life;
+    record->generation = cell->nodes[node].generation;
     record->deadline_us = request->deadline_us;
     record->idempotent = request->idempotent;
     g_hash_table_insert(cell->requests, &record->id, record);
@@ -81,7 +81,7 @@
 is_too_slow(const struct cell *cell, const struct cell_node *at,
             const struct entry *entry)
 {
-    return admit_too_slow_here(at->engine, entry) &&
+    return admit_local_too_slow(at->engine, entry) &&
            (at->was_frozen ||
             cell->now_us + SLOWEST_US > entry->request.deadline_us);
 }
@@ -91,7 +91,7 @@
 is_avoiding(const struct cell *cell, const struct cell_node *at,
             const struct entry *entry)
 {
-    return cell->now_us < entry->avoid_until_us &&
+    return cell->now_us < entry->avoid_local_until_us &&
            peers_working(&at->engine->peers, entry->request.service);
 }
 
@@ -103,7 +103,7 @@
     const struct entry *urgent = at->engine->queue.head[TEXT_URGENT];
 
     for (; urgent != NULL; urgent = urgent->next) {
-        if (urgent->cleared && !is_avoiding(cell, at, urgent) &&
+        if (urgent->runnable && !is_avoiding(cell, at, urgent) &&
             !is_too_slow(cell, at, urgent)) {
             return true;
         }
@@ -114,14 +114,14 @@
 /* Some urgent request that could have gone to @peer instead; the engine
  * looks at the first few only. */
 static bool
-urgent_could_go(const struct cell *cell, unsigned node, uint64_t peer)
+urgent_could_be_sent(const struct cell *cell, unsigned node, uint64_t peer)
 {
     const struct engine *engine = cell->nodes[node].engine;
     const struct entry *urgent = engine->queue.head[TEXT_URGENT];
     const struct peer *to = peers_find(&engine->peers, peer);
 
     for (int i = 0; urgent != NULL && i < PLACED_FIRST; i++) {
-        if (urgent->cleared && dispatch_may_go(engine, urgent, to)) {
+        if (urgent->runnable && dispatch_may_send(engine, urgent, to)) {
             return true;
         }
         urgent = urgent->next;
@@ -130,7 +130,7 @@
 }
 
 /* The floor counts urgent starts while ordinary requests wait, see also
- * rules_node(). */
+ * invariants_node(). */
 static void
 count_start(struct cell_node *at, enum text_class class)
 {
@@ -139,7 +139,7 @@
 }
 
 static bool
-is_floor_due(const struct cell_node *at)
+is_min_share_due(const struct cell_node *at)
 {
     return at->urgent_starts + 1 >= QUEUE_ORDINARY_EVERY;
 }
@@ -148,8 +148,8 @@
  * the urgent one would miss its deadline on this much slower upstream, or
  * has just failed here and may still be tried elsewhere. */
 void
-rules_start(struct cell *cell, unsigned node,
-            const struct engine_action *action)
+invariants_start(struct cell *cell, unsigned node,
+                 const struct engine_action *action)
 {
     struct cell_node *at = &cell->nodes[node];
     const struct entry *entry =
@@ -158,7 +158,7 @@
     if (entry == NULL || action->origin != at->id) {
         return;
     }
-    if (entry->request.class == TEXT_ORDINARY && !is_floor_due(at) &&
+    if (entry->request.class == TEXT_ORDINARY && !is_min_share_due(at) &&
         urgent_could_run(cell, node)) {
         fail(cell, "ordinary before waiting urgent at node %u", node);
     }
@@ -169,8 +169,8 @@
  * failed here, or is too slow here, takes no local slot from an urgent one
  * that waits for it. */
 void
-rules_send_run(struct cell *cell, unsigned node,
-               const struct engine_action *action)
+invariants_send_run(struct cell *cell, unsigned node,
+                    const struct engine_action *action)
 {
     struct cell_node *at = &cell->nodes[node];
     const struct entry *entry =
@@ -180,16 +180,17 @@
                                         is_too_slow(cell, at, entry));
 
     if (cell->policy == ENGINE_PULL && class == TEXT_ORDINARY && !only_there &&
-        !is_floor_due(at) && urgent_could_go(cell, node, action->to)) {
+        !is_min_share_due(at) &&
+        urgent_could_be_sent(cell, node, action->to)) {
         fail(cell, "node %u sends ordinary before waiting urgent", node);
     }
     count_start(at, class);
 }
 
 void
-rules_finish(struct cell *cell, const struct engine_action *action)
+invariants_finish(struct cell *cell, const struct engine_action *action)
 {
-    struct rules_record *record = rules_record(cell, action->id);
+    struct invariants_record *record = invariants_record(cell, action->id);
 
     record->finishes++;
     if (record->finishes > 1) {
@@ -211,7 +212,7 @@
 }
 
 void
-rules_node(struct cell *cell, unsigned node)
+invariants_node(struct cell *cell, unsigned node)
 {
     struct cell_node *at = &cell->nodes[node];
 
@@ -228,33 +229,34 @@
 }
 
 void
-rules_answers(struct cell *cell)
+invariants_answers(struct cell *cell)
 {
     GHashTableIter iter;
     gpointer value;
 
     g_hash_table_iter_init(&iter, cell->requests);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const struct rules_record *record = value;
+        const struct invariants_record *record = value;
         const struct cell_node *at = &cell->nodes[record->node];
         uint64_t due = MAX(record->deadline_us, at->frozen_until_us);
 
-        if (record->finishes == 0 && at->life == record->life &&
-            cell->now_us > due + LATE_US) {
+        if (record->finishes == 0 && at->generation == record->generation &&
+            cell->now_us > due + ANSWER_SLACK_US) {
             fail(cell, "%" PRIu64 " has no answer", record->id);
         }
     }
 }
 
 void
-rules_empty(struct cell *cell, unsigned node)
+invariants_empty(struct cell *cell, unsigned node)
 {
     const struct engine *engine = cell->nodes[node].engine;
 
     if (engine_busy(engine) > 0 || engine_waiting(engine) > 0 ||
-        engine_open(engine) > 0 || g_hash_table_size(engine->entries) > 0) {
+        engine_open_requests(engine) > 0 ||
+        g_hash_table_size(engine->entries) > 0) {
         fail(cell, "node %u keeps %u busy, %u waiting, %u open, %u entries",
              node, engine_busy(engine), engine_waiting(engine),
-             engine_open(engine), g_hash_table_size(engine->entries));
+             engine_open_requests(engine), g_hash_table_size(engine->entries));
     }
 }
--- a/tests/request/offer_test.c
+++ b/tests/request/offer_test.c
@@ -8,7 +8,7 @@
 /* Lets @us pass; PEER says every half second how busy it is, and takes the
  * slot each time when @taken. Returns the offers that PEER got. */
 static unsigned
-count_offers(struct fixture *f, uint64_t us, bool taken)
+count_slot_adverts(struct fixture *f, uint64_t us, bool taken)
 {
     uint64_t end_us = f->now_us + us;
     uint64_t told_us = 0;
@@ -17,7 +17,7 @@
     while (f->now_us < end_us) {
         f->out.count = 0;
         if (f->now_us >= told_us + REFRESH_US) {
-            fixture_tell_load(f, PEER, BUSY_LOAD);
+            fixture_report_load(f, PEER, BUSY_LOAD);
             told_us = f->now_us;
         }
         f->now_us += 10 * MS;
@@ -37,9 +37,9 @@
 }
 
 static void
-test_fade_when_untaken(struct fixture *f, gconstpointer data)
+test_backoff_when_unused(struct fixture *f, gconstpointer data)
 {
-    unsigned n = count_offers(f, 10 * USEC_PER_SEC, false);
+    unsigned n = count_slot_adverts(f, 10 * USEC_PER_SEC, false);
 
     g_test_message("%u offers in 10 s, none taken", n);
     g_assert_cmpuint(n, >=, 3);
@@ -47,13 +47,13 @@
 }
 
 static void
-test_go_on_when_taken(struct fixture *f, gconstpointer data)
+test_continue_when_used(struct fixture *f, gconstpointer data)
 {
     unsigned n;
 
-    count_offers(f, 10 * USEC_PER_SEC, false);
-    count_offers(f, 2 * USEC_PER_SEC, true);
-    n = count_offers(f, 2 * USEC_PER_SEC, true);
+    count_slot_adverts(f, 10 * USEC_PER_SEC, false);
+    count_slot_adverts(f, 2 * USEC_PER_SEC, true);
+    n = count_slot_adverts(f, 2 * USEC_PER_SEC, true);
     g_test_message("%u offers in 2 s, all taken", n);
     g_assert_cmpuint(n, >=, 20);
     g_assert_cmpuint(n, <=, 41);
@@ -66,7 +66,7 @@
     unsigned n;
 
     fixture_members(f, MEMBER_READY, 40, true);
-    n = count_offers(f, 10 * USEC_PER_SEC, true);
+    n = count_slot_adverts(f, 10 * USEC_PER_SEC, true);
     g_test_message("%u offers in 10 s from one of 40 idle agents", n);
     g_assert_cmpuint(n, >=, 5);
     g_assert_cmpuint(n, <=, 11);
@@ -76,8 +76,8 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    FIXTURE_ADD("offer", fade_when_untaken);
-    FIXTURE_ADD("offer", go_on_when_taken);
+    FIXTURE_ADD("offer", backoff_when_unused);
+    FIXTURE_ADD("offer", continue_when_used);
     FIXTURE_ADD("offer", share_among_idle);
     return g_test_run();
 }
--- a/tests/request/outcome_test.c
+++ b/tests/request/outcome_test.c
@@ -15,8 +15,8 @@
     fixture_end(f, SELF, id, ENGINE_UP_LOST);
     fixture_assert_finished(f, id, ENGINE_UNKNOWN, ENGINE_LOST);
     id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
-    fixture_end(f, SELF, id, ENGINE_UP_SHORT);
-    fixture_assert_finished(f, id, ENGINE_UNKNOWN, ENGINE_SHORT);
+    fixture_end(f, SELF, id, ENGINE_UP_TRUNCATED);
+    fixture_assert_finished(f, id, ENGINE_UNKNOWN, ENGINE_TRUNCATED);
 }
 
 /* A second attempt prefers a peer for a while, then takes the same. */
@@ -39,7 +39,7 @@
 /* An idempotent request that may have run is never "not run" afterwards. */
 /* With nobody else left it runs again where it failed, at once. */
 static void
-test_retried_here_at_last(struct fixture *f, gconstpointer data)
+test_retried_locally_last(struct fixture *f, gconstpointer data)
 {
     uint64_t id = fixture_arrive(f, TEXT_URGENT, true, USEC_PER_SEC);
 
@@ -109,7 +109,7 @@
     g_assert_null(fixture_find_sent(f, ENGINE_PEER_DONE, PEER));
 }
 
-/* Sends a request to PEER by its offer; returns its id. */
+/* Sends a request to PEER by its slot_advert; returns its id. */
 static uint64_t
 send_to_peer(struct fixture *f, bool idempotent)
 {
@@ -174,7 +174,7 @@
 {
     uint64_t id = send_to_peer(f, false);
 
-    engine_unsent(f->engine, PEER, id, f->now_us, &f->out);
+    engine_send_failed(f->engine, PEER, id, f->now_us, &f->out);
     g_assert_cmpuint(engine_waiting(f->engine), ==, 1);
     engine_cancel(f->engine, id, f->now_us, &f->out);
     fixture_assert_finished(f, id, ENGINE_NOT_RUN, ENGINE_CANCELLED);
@@ -219,7 +219,7 @@
     const struct idem_msg *record;
     uint64_t id;
 
-    fixture_tick_to(f, f->now_us + 2 * IDEM_SETTLE_US);
+    fixture_tick_to(f, f->now_us + 2 * IDEM_ELIGIBLE_AFTER_US);
     id = fixture_arrive_keyed(f);
     fixture_grant(f);
     f->out.count = 0;
@@ -231,7 +231,7 @@
     record = find_idem(f, IDEM_MSG_RECORD);
     g_assert_nonnull(record);
     g_assert_cmpint(record->state, ==, IDEM_DONE);
-    g_assert_cmpuint(engine_open(f->engine), ==, 0);
+    g_assert_cmpuint(engine_open_requests(f->engine), ==, 0);
 }
 
 /* It is not held longer than its deadline. */
@@ -240,7 +240,7 @@
 {
     uint64_t id;
 
-    fixture_tick_to(f, f->now_us + 2 * IDEM_SETTLE_US);
+    fixture_tick_to(f, f->now_us + 2 * IDEM_ELIGIBLE_AFTER_US);
     id = fixture_arrive_keyed(f);
     fixture_grant(f);
     engine_cancel(f->engine, id, f->now_us, &f->out);
@@ -254,7 +254,7 @@
 {
     uint64_t id;
 
-    fixture_tick_to(f, f->now_us + 2 * IDEM_SETTLE_US);
+    fixture_tick_to(f, f->now_us + 2 * IDEM_ELIGIBLE_AFTER_US);
     fixture_fill_slots(f);
     id = fixture_arrive_keyed(f);
     fixture_grant(f);
@@ -270,7 +270,7 @@
 {
     uint64_t id;
 
-    fixture_tick_to(f, f->now_us + 2 * IDEM_SETTLE_US);
+    fixture_tick_to(f, f->now_us + 2 * IDEM_ELIGIBLE_AFTER_US);
     fixture_fill_slots(f);
     id = fixture_arrive_keyed(f);
     fixture_grant(f);
@@ -296,8 +296,8 @@
                     ENGINE_NO_UPSTREAM);
     g_assert_cmpuint(engine_waiting(f->engine), ==, 1);
     g_assert_cmpuint(f->engine->retry.hundredths, ==, budget);
-    g_assert_cmpuint(peers_find(&f->engine->peers, PEER)->traffic.failures, ==,
-                     0);
+    g_assert_cmpuint(
+        peers_find(&f->engine->peers, PEER)->passive_health.failures, ==, 0);
 }
 
 /* Whatever authenticated peers send, the engine keeps its bounds. */
@@ -343,7 +343,7 @@
     g_test_init(&argc, &argv, NULL);
     FIXTURE_ADD("outcome", outcomes);
     FIXTURE_ADD("outcome", retried_elsewhere);
-    FIXTURE_ADD("outcome", retried_here_at_last);
+    FIXTURE_ADD("outcome", retried_locally_last);
     FIXTURE_ADD("outcome", lost_then_refused);
     FIXTURE_ADD("outcome", deadline_while_running);
     FIXTURE_ADD("outcome", run_decided_once);
--- a/tests/request/property_test.c
+++ b/tests/request/property_test.c
@@ -75,14 +75,14 @@
 
 #define ALL_FAULTS                                                            \
     {                                                                         \
-        .lose = 20, .twice = 20, .slow = 30, .shed = 30, .unreached = 20,     \
+        .lose = 20, .duplicate = 20, .slow = 30, .shed = 30, .unreached = 20, \
         .cut = 40, .crash = 10, .freeze = 10, .drain = 10, .cancel = 50       \
     }
 
 static const struct suite suites[] = {
     {"calm", ENGINE_PULL, {0}},
     {"lost-messages", ENGINE_PULL, {.lose = 100}},
-    {"doubled-and-late", ENGINE_PULL, {.twice = 150, .slow = 150}},
+    {"doubled-and-late", ENGINE_PULL, {.duplicate = 150, .slow = 150}},
     {"bad-upstreams", ENGINE_PULL, {.shed = 80, .unreached = 50, .cut = 100}},
     {"crashes", ENGINE_PULL, {.crash = 20}},
     {"freezes", ENGINE_PULL, {.freeze = 20, .slow = 50}},
--- a/tests/request/session_test.c
+++ b/tests/request/session_test.c
@@ -33,10 +33,10 @@
                                             "in progress", "key mismatch"};
 
 static void
-say(struct session *s, const char *format, ...) G_GNUC_PRINTF(2, 3);
+log_line(struct session *s, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
 static void
-say(struct session *s, const char *format, ...)
+log_line(struct session *s, const char *format, ...)
 {
     va_list args;
 
@@ -49,34 +49,34 @@
 }
 
 static void
-say_message(struct session *s, unsigned agent,
+log_message(struct session *s, unsigned agent,
             const struct engine_action *action)
 {
     const struct engine_peer_msg *msg = &action->msg;
 
     switch (msg->type) {
     case ENGINE_PEER_STATUS:
-        say(s, "  %u -> %u STATUS free %u waiting %u+%u", agent + 1,
-            (unsigned)action->to, msg->free_slots, msg->waiting[0],
-            msg->waiting[1]);
+        log_line(s, "  %u -> %u STATUS free %u waiting %u+%u", agent + 1,
+                 (unsigned)action->to, msg->free_slots, msg->waiting[0],
+                 msg->waiting[1]);
         return;
     case ENGINE_PEER_PULL:
-        say(s, "  %u -> %u PULL free %u", agent + 1, (unsigned)action->to,
-            msg->free_slots);
+        log_line(s, "  %u -> %u PULL free %u", agent + 1, (unsigned)action->to,
+                 msg->free_slots);
         return;
     case ENGINE_PEER_DONE:
-        say(s, "  %u -> %u DONE %u %s, reason %d", agent + 1,
-            (unsigned)action->to, (unsigned)msg->request.id,
-            outcome_names[msg->outcome], msg->reason);
+        log_line(s, "  %u -> %u DONE %u %s, reason %d", agent + 1,
+                 (unsigned)action->to, (unsigned)msg->request.id,
+                 outcome_names[msg->outcome], msg->reason);
         return;
     default:
-        say(s, "  %u -> %u %s %u", agent + 1, (unsigned)action->to,
-            peer_names[msg->type], (unsigned)msg->request.id);
+        log_line(s, "  %u -> %u %s %u", agent + 1, (unsigned)action->to,
+                 peer_names[msg->type], (unsigned)msg->request.id);
     }
 }
 
 static void
-carry_out(struct session *s, unsigned agent, struct engine_actions *out)
+apply_actions(struct session *s, unsigned agent, struct engine_actions *out)
 {
     for (size_t i = 0; i < out->count; i++) {
         const struct engine_action *action = &out->items[i];
@@ -85,22 +85,22 @@
 
         switch (action->type) {
         case ENGINE_RUN:
-            say(s, "  %u runs %u of %u", agent + 1, (unsigned)action->id,
-                (unsigned)action->origin);
+            log_line(s, "  %u runs %u of %u", agent + 1, (unsigned)action->id,
+                     (unsigned)action->origin);
             break;
         case ENGINE_ABORT:
-            say(s, "  %u aborts %u of %u", agent + 1, (unsigned)action->id,
-                (unsigned)action->origin);
+            log_line(s, "  %u aborts %u of %u", agent + 1,
+                     (unsigned)action->id, (unsigned)action->origin);
             break;
         case ENGINE_SEND:
-            say_message(s, agent, action);
+            log_message(s, agent, action);
             g_array_append_val(s->messages, message);
             break;
         case ENGINE_FINISH:
-            say(s, "  %u finishes %u: %s, reason %d%s", agent + 1,
-                (unsigned)action->id, outcome_names[action->outcome],
-                action->reason,
-                action->retry_after_ms > 0 ? ", come back later" : "");
+            log_line(s, "  %u finishes %u: %s, reason %d%s", agent + 1,
+                     (unsigned)action->id, outcome_names[action->outcome],
+                     action->reason,
+                     action->retry_after_ms > 0 ? ", come back later" : "");
             break;
         }
     }
@@ -128,7 +128,7 @@
 
         view->self = i;
         engine_set_view(s->engines[i], view, s->now_us, &out);
-        carry_out(s, i, &out);
+        apply_actions(s, i, &out);
     }
     g_free(view);
 }
@@ -140,7 +140,7 @@
 
     engine_set_upstream(s->engines[agent], SERVICE, SLOTS, accepting,
                         s->now_us, &out);
-    carry_out(s, agent, &out);
+    apply_actions(s, agent, &out);
 }
 
 static void
@@ -157,7 +157,7 @@
         g_array_remove_index(s->messages, i);
         engine_peer(s->engines[message.to - 1], message.from, &message.msg,
                     answer, sizeof(answer), s->now_us, &out);
-        carry_out(s, (unsigned)message.to - 1, &out);
+        apply_actions(s, (unsigned)message.to - 1, &out);
     }
 }
 
@@ -172,7 +172,7 @@
 
             if ((s->now_us - START_US) % (10 * USEC_PER_MSEC) == 0) {
                 engine_tick(s->engines[a], s->now_us, &out);
-                carry_out(s, a, &out);
+                apply_actions(s, a, &out);
             }
         }
     }
@@ -186,12 +186,12 @@
         .id = id, .service = SERVICE, .caller = (uint32_t)id, .class = class};
     struct engine_actions out = {0};
 
-    say(s, "%s %u arrives at %u, %u ms left",
-        class == TEXT_URGENT ? "urgent" : "ordinary", (unsigned)id, agent + 1,
-        (unsigned)left_ms);
+    log_line(s, "%s %u arrives at %u, %u ms left",
+             class == TEXT_URGENT ? "urgent" : "ordinary", (unsigned)id,
+             agent + 1, (unsigned)left_ms);
     request.deadline_us = s->now_us + left_ms * USEC_PER_MSEC;
     engine_arrive(s->engines[agent], &request, s->now_us, &out);
-    carry_out(s, agent, &out);
+    apply_actions(s, agent, &out);
 }
 
 static void
@@ -200,11 +200,11 @@
 {
     struct engine_actions out = {0};
 
-    say(s, "run %u of %u ends at %u, how %d", (unsigned)id, (unsigned)origin,
-        agent + 1, how);
+    log_line(s, "run %u of %u ends at %u, how %d", (unsigned)id,
+             (unsigned)origin, agent + 1, how);
     engine_upstream_end(s->engines[agent], origin, id, how, answer,
                         sizeof(answer), s->now_us, &out);
-    carry_out(s, agent, &out);
+    apply_actions(s, agent, &out);
 }
 
 static void
@@ -228,7 +228,7 @@
 {
     struct engine_actions out = {0};
 
-    say(s, "the upstream of 1 drains");
+    log_line(s, "the upstream of 1 drains");
     s->draining = true;
     set_upstream(s, 0, false);
     set_views(s);
@@ -236,16 +236,16 @@
     wait_ms(s, 5);
     end(s, 1, 1, 2, ENGINE_UP_ANSWERED);
     wait_ms(s, 5);
-    say(s, "the caller of 4 goes away");
+    log_line(s, "the caller of 4 goes away");
     engine_cancel(s->engines[0], 4, s->now_us, &out);
-    carry_out(s, 0, &out);
+    apply_actions(s, 0, &out);
     wait_ms(s, 5);
     end(s, 1, 1, 4, ENGINE_UP_ANSWERED);
     arrive(s, 1, 102, TEXT_URGENT, 50);
     wait_ms(s, 120);
-    say(s, "1 stops");
+    log_line(s, "1 stops");
     engine_stop(s->engines[0], s->now_us, &out);
-    carry_out(s, 0, &out);
+    apply_actions(s, 0, &out);
     arrive(s, 0, 5, TEXT_URGENT, 1000);
     wait_ms(s, 20);
 }
@@ -281,7 +281,7 @@
     play_faults(&s);
     compare(s.log->str);
     for (unsigned i = 0; i < AGENTS; i++) {
-        g_assert_cmpuint(engine_open(s.engines[i]), ==, 0);
+        g_assert_cmpuint(engine_open_requests(s.engines[i]), ==, 0);
         g_assert_cmpuint(engine_busy(s.engines[i]), ==, 0);
         engine_free(s.engines[i]);
     }
