--- a/bench/control/measure.c
+++ b/bench/control/measure.c
@@ -261,7 +261,7 @@
 }
 
 static void
-measure_cut(struct net *net, double *columns)
+measure_partition(struct net *net, double *columns)
 {
     struct sums before = sum(net);
 
@@ -427,7 +427,7 @@
     measure_deaths(&net, true, columns);
     measure_rack(&net, columns);
     net_run(&net, 30 * USEC_PER_SEC);
-    measure_cut(&net, columns);
+    measure_partition(&net, columns);
     net_run(&net, 30 * USEC_PER_SEC);
     measure_loss(&net, columns);
     net_finish(&net);
--- a/bench/directory/measure.c
+++ b/bench/directory/measure.c
@@ -14,13 +14,13 @@
 #define DAY_US (UINT64_C(86400) * USEC_PER_SEC)
 #define LOSS 10             /* of 1000 */
 #define MESSAGE_OVERHEAD 68 /* seal 40, IP and UDP 28 */
-#define WARM_US (60 * USEC_PER_SEC)
-#define REST_US (900 * USEC_PER_SEC)
+#define WARMUP_US (60 * USEC_PER_SEC)
+#define IDLE_PERIOD_US (900 * USEC_PER_SEC)
 #define CHANGES 60
 #define DEATHS 20
 #define STARTS 20
 #define POLL_US (20 * USEC_PER_MSEC)
-#define GIVE_UP_US (120 * USEC_PER_SEC)
+#define WAIT_TIMEOUT_US (120 * USEC_PER_SEC)
 #define HOUR_US (3600 * USEC_PER_SEC)
 #define LOOKUPS 20000000u
 #define ADDRESS_IP 0x0b000000u
@@ -82,7 +82,7 @@
     }
     for (size_t i = 0; i < net->count; i++)
         net_start(net, i);
-    net_run(net, net->now_us + WARM_US);
+    net_run(net, net->now_us + WARMUP_US);
 }
 
 /** struct traffic - bytes of the nodes of the whole cell */
@@ -111,7 +111,7 @@
 
     for (size_t i = 0; i < MEASURE_BALANCERS; i++) {
         const struct net_node *node = &net->nodes[i];
-        bool author = node->core.place.author;
+        bool author = node->core.role.author;
         double out = node->bytes_out + MESSAGE_OVERHEAD * node->messages_out;
         double in = node->bytes_in + MESSAGE_OVERHEAD * node->messages_in;
 
@@ -126,13 +126,13 @@
 }
 
 static void
-measure_rest(struct net *net, double *columns)
+measure_idle(struct net *net, double *columns)
 {
     uint64_t since_us = net->now_us;
 
     reset_traffic(net);
-    net_run(net, net->now_us + REST_US);
-    read_traffic(net, since_us, columns + MEASURE_REST_AUTHOR_OUT);
+    net_run(net, net->now_us + IDLE_PERIOD_US);
+    read_traffic(net, since_us, columns + MEASURE_IDLE_AUTHOR_OUT);
 }
 
 /* One more address, or one less. */
@@ -147,7 +147,7 @@
 }
 
 static void
-change_at_pace(struct net *net, uint64_t until_us)
+change_at_rate(struct net *net, uint64_t until_us)
 {
     uint64_t gap_us = DAY_US * FLEET_CELLS / CHANGES_A_DAY / net->cell_count;
 
@@ -174,7 +174,7 @@
     double seconds;
 
     reset_traffic(net);
-    change_at_pace(net, net->now_us + REST_US);
+    change_at_rate(net, net->now_us + IDLE_PERIOD_US);
     seconds = (double)(net->now_us - since_us) / USEC_PER_SEC;
     columns[MEASURE_DAY_CPU_US] =
         (cpu_us() - before_us) / (double)net->count / seconds;
@@ -195,7 +195,7 @@
     bool *seen = g_new0(bool, net->count);
     size_t missing = net->count;
 
-    while (missing > 0 && net->now_us < since_us + GIVE_UP_US) {
+    while (missing > 0 && net->now_us < since_us + WAIT_TIMEOUT_US) {
         net_run(net, net->now_us + POLL_US);
         missing = 0;
         for (size_t i = 0; i < net->count; i++) {
@@ -271,7 +271,8 @@
     g_free(samples.items);
 }
 
-/* The members of its cell know of a death after @learn_us at most. */
+/* The members of its cell know of a death after @propagation_max_us at most.
+ */
 static void
 measure_deaths(struct net *net, double *columns)
 {
@@ -303,7 +304,7 @@
     for (size_t i = 0; i < STARTS; i++) {
         net_start(net, 1 + random_below(&net->random, MEASURE_BALANCERS - 1));
         samples.items[samples.count++] = wait_all(net, &wait, NULL);
-        net_run(net, net->now_us + WARM_US);
+        net_run(net, net->now_us + WARMUP_US);
     }
     fit_sort(samples.items, samples.count);
     columns[MEASURE_START_ONE_MS] = quantile_ms(&samples, 1);
@@ -311,18 +312,18 @@
     for (size_t i = 0; i < MEASURE_BALANCERS; i++)
         net_start(net, i);
     columns[MEASURE_START_CELL_MS] = (double)wait_all(net, &wait, NULL) / 1000;
-    net_run(net, net->now_us + WARM_US);
+    net_run(net, net->now_us + WARMUP_US);
 }
 
 static void
-measure_cut(struct net *net, double *columns)
+measure_partition(struct net *net, double *columns)
 {
     const struct wait wait = {knows_all, 0};
     uint64_t most = 0;
 
     for (size_t i = 0; i < net->count; i++)
         net_set_group(net, i, net->nodes[i].cell >= net->cell_count / 2);
-    change_at_pace(net, net->now_us + HOUR_US);
+    change_at_rate(net, net->now_us + HOUR_US);
     for (size_t i = 0; i < net->count; i++)
         net_set_group(net, i, 0);
     net_run(net, net->now_us + 1);
@@ -389,12 +390,12 @@
     struct net net;
 
     start_region(&net, cells);
-    measure_rest(&net, columns);
+    measure_idle(&net, columns);
     measure_day(&net, columns);
     measure_changes(&net, columns);
     measure_deaths(&net, columns);
     measure_starts(&net, columns);
-    measure_cut(&net, columns);
+    measure_partition(&net, columns);
     measure_memory(&net, columns);
     measure_lookups(&net, columns);
     net_finish(&net);
--- a/bench/directory/measure.h
+++ b/bench/directory/measure.h
@@ -12,10 +12,10 @@
 
 /** enum measure_column - figures of one region */
 enum measure_column {
-    MEASURE_REST_AUTHOR_OUT, /* bytes/s in rest, headers included */
-    MEASURE_REST_AUTHOR_IN,
-    MEASURE_REST_BALANCER_OUT,
-    MEASURE_REST_BALANCER_IN,
+    MEASURE_IDLE_AUTHOR_OUT, /* bytes/s in rest, headers included */
+    MEASURE_IDLE_AUTHOR_IN,
+    MEASURE_IDLE_BALANCER_OUT,
+    MEASURE_IDLE_BALANCER_IN,
     MEASURE_DAY_AUTHOR_OUT, /* with 20,000 changes a day of 520 cells */
     MEASURE_DAY_AUTHOR_IN,
     MEASURE_DAY_BALANCER_OUT,
--- a/bench/packet/bench_forward.c
+++ b/bench/packet/bench_forward.c
@@ -26,7 +26,7 @@
 #include "balancer/worker.h"
 #include "balancer/worker_batch.h"
 #include "balancer/worker_socket.h"
-#include "scene.h"
+#include "route_fixture.h"
 
 #define ENDPOINTS 10
 #define LOOPBACK 0x7f000001u
@@ -139,8 +139,8 @@
 {
     memset(bench, 0, sizeof(*bench));
     bench->batch = aligned_alloc(64, sizeof(*bench->batch));
-    bench->text = scene_text();
-    bench->view = scene_view(ENDPOINTS, "lots");
+    bench->text = route_fixture_text();
+    bench->view = route_fixture_view(ENDPOINTS, "lots");
     for (size_t i = 0; i < ENDPOINTS; i++) {
         bench->sinks[i] = open_sink(&bench->to[i]);
         bench->view->members[i].data = bench->to[i];
@@ -174,10 +174,11 @@
             gue_encode(NULL, bytes);
             batch->out_iov[i].iov_base = bytes;
             batch->out_iov[i].iov_len =
-                BATCH_BARE +
-                scene_tcp(bytes + BATCH_BARE, SCENE_LOTS_IP, caller,
-                          caller % 8 == 0 ? PACKET_TCP_SYN : PACKET_TCP_ACK,
-                          caller % 8 == 0 ? "" : PAYLOAD);
+                BATCH_BARE_GUE_LEN +
+                route_fixture_tcp(
+                    bytes + BATCH_BARE_GUE_LEN, ROUTE_FIXTURE_LOTS_IP, caller,
+                    caller % 8 == 0 ? PACKET_TCP_SYN : PACKET_TCP_ACK,
+                    caller % 8 == 0 ? "" : PAYLOAD);
             batch->out_to[i] = sin;
         }
         int done = sendmmsg(fd, batch->out, n, 0);
@@ -266,7 +267,7 @@
         worker_batch_init(baseline[i].batch);
     }
     if (workers > 1)
-        worker_socket_spread(baseline[0].fd, workers);
+        worker_socket_attach_filter(baseline[0].fd, workers);
     send_packets(bench, addr, count);
 
     struct stopwatch start = stopwatch_start();
--- a/bench/packet/bench_lookup.c
+++ b/bench/packet/bench_lookup.c
@@ -18,14 +18,14 @@
 
 #include "balancer/route.h"
 #include "balancer/worker_batch.h"
-#include "scene.h"
+#include "route_fixture.h"
 
 #define FLOWS 16384
 #define PACKET_SIZE_MAX 64
 #define PASSES 16
 #define REPEATS 9
 #define FLOW_COUNT 400000
-#define NOW_US (SCENE_FIRST_SEEN_US + ROUTE_WARM_US)
+#define NOW_US (ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US)
 
 /** struct packets - one small packet of each flow */
 struct packets {
@@ -69,8 +69,8 @@
 build_packets(struct packets *packets, uint8_t flags)
 {
     for (uint32_t i = 0; i < FLOWS; i++)
-        packets->lens[i] =
-            scene_tcp(packets->bytes[i], SCENE_LOTS_IP, i * 7, flags, "");
+        packets->lens[i] = route_fixture_tcp(
+            packets->bytes[i], ROUTE_FIXTURE_LOTS_IP, i * 7, flags, "");
 }
 
 static double
@@ -121,12 +121,12 @@
         for (size_t first = 0; first < FLOWS; first += WORKER_BATCH) {
             for (size_t j = 0; j < WORKER_BATCH; j++) {
                 uint8_t *bytes = batch->in_iov[j].iov_base;
-                memset(bytes, 0, BATCH_BARE);
+                memset(bytes, 0, BATCH_BARE_GUE_LEN);
                 bytes[1] = 4;
-                memcpy(bytes + BATCH_BARE, packets->bytes[first + j],
+                memcpy(bytes + BATCH_BARE_GUE_LEN, packets->bytes[first + j],
                        packets->lens[first + j]);
                 batch->in[j].msg_len =
-                    (unsigned)(BATCH_BARE + packets->lens[first + j]);
+                    (unsigned)(BATCH_BARE_GUE_LEN + packets->lens[first + j]);
             }
             double start = now_ns();
             worker_batch_decide(batch, WORKER_BATCH, table, &trace, NOW_US);
@@ -173,7 +173,7 @@
 static struct view *
 view_without(const struct view *view, size_t index)
 {
-    struct view *reduced = scene_view(view->count, "lots");
+    struct view *reduced = route_fixture_view(view->count, "lots");
 
     reduced->count--;
     memmove(&reduced->members[index], &reduced->members[index + 1],
@@ -207,7 +207,7 @@
 measure(struct measurements *measurements, const struct text *text,
         struct packets *packets)
 {
-    struct view *view = scene_view(measurements->endpoints, "lots");
+    struct view *view = route_fixture_view(measurements->endpoints, "lots");
     struct view *reduced = view_without(view, measurements->endpoints / 2);
     struct route_table *table = build(view, text, NULL);
     struct route_table *smaller = build(reduced, text, NULL);
@@ -253,14 +253,15 @@
 static long
 measure_flows(const struct text *text)
 {
-    struct view *view = scene_view(10, "lots");
+    struct view *view = route_fixture_view(10, "lots");
     struct route_table *table = build(view, text, NULL);
     struct route_decision decision;
     uint8_t buf[PACKET_SIZE_MAX];
     long before = 0;
 
     for (uint32_t i = 0; i <= FLOW_COUNT; i++) {
-        size_t len = scene_tcp(buf, SCENE_LOTS_IP, i, PACKET_TCP_SYN, "");
+        size_t len = route_fixture_tcp(buf, ROUTE_FIXTURE_LOTS_IP, i,
+                                       PACKET_TCP_SYN, "");
         if (route_decide(table, buf, len, NOW_US, &decision) != PACKET_OK)
             g_error("A packet was dropped.");
         if (i == 0)
@@ -277,7 +278,7 @@
 {
     const size_t sizes[] = {10, 100, 1000, 10000};
     struct packets *packets = g_new0(struct packets, 1);
-    struct text *text = scene_text();
+    struct text *text = route_fixture_text();
     GString *json = g_string_new(NULL);
 
     printf(
--- a/src/balancer/balancer.c
+++ b/src/balancer/balancer.c
@@ -19,7 +19,7 @@
 #include "directory/service.h"
 
 #define POLL_US 5000
-#define QUIET_US (2 * USEC_PER_SEC)
+#define DRAIN_IDLE_US (2 * USEC_PER_SEC)
 #define EXIT_PLANNED 0
 #define EXIT_FAILED 1
 #define EXIT_SETTINGS 2
@@ -41,7 +41,7 @@
  * @httpd: /metrics and /ready
  * @poll: timer of the builder
  * @signals: SIGTERM and SIGINT
- * @met_others: other members were alive in some view
+ * @seen_peers: other members were alive in some view
  * @started_us: when it started
  * @stopping_us: when the planned stop began, 0 before
  * @exit_code: result of the process
@@ -62,7 +62,7 @@
     struct httpd *httpd;
     struct event *poll;
     struct event *signals[2];
-    bool met_others;
+    bool seen_peers;
     uint64_t started_us;
     uint64_t stopping_us;
     int exit_code;
@@ -80,7 +80,7 @@
 }
 
 static enum readiness
-judge(struct balancer *balancer)
+check_readiness(struct balancer *balancer)
 {
     struct readiness_input input = {
         .stopping = balancer->stopping_us != 0,
@@ -88,16 +88,16 @@
                  directory_service_ready(&balancer->directory),
         .self = hash_name(balancer->settings.name),
         .has_seeds = balancer->settings.seed_count > 0,
-        .met_others = balancer->met_others,
+        .seen_peers = balancer->seen_peers,
         .age_us = clock_now_us(&balancer->clock) - balancer->started_us,
     };
     enum readiness readiness;
 
     rcu_read_lock();
     const struct view *view = board_view(&balancer->board);
-    readiness = readiness_judge(&input, view);
-    if (view != NULL && readiness_sees_others(view, input.self))
-        balancer->met_others = true;
+    readiness = readiness_evaluate(&input, view);
+    if (view != NULL && readiness_has_live_peers(view, input.self))
+        balancer->seen_peers = true;
     rcu_read_unlock();
     return readiness;
 }
@@ -132,7 +132,7 @@
     if (strcmp(path, "/metrics") == 0)
         return respond_metrics(balancer, request);
     if (strcmp(path, "/ready") == 0) {
-        enum readiness readiness = judge(balancer);
+        enum readiness readiness = check_readiness(balancer);
         return respond_text(request, readiness == READINESS_READY ? 200 : 503,
                             readiness_text(readiness));
     }
@@ -143,7 +143,7 @@
 static const struct httpd_ops http_ops = {.on_request = on_request};
 
 static void
-announce(struct balancer *balancer, enum member_state state)
+set_member_state(struct balancer *balancer, enum member_state state)
 {
     struct board_local local = board_local(&balancer->board, NULL);
 
@@ -159,13 +159,13 @@
 check_stop(struct balancer *balancer)
 {
     uint64_t now_us = clock_now_us(&balancer->clock);
-    uint64_t quiet_since = worker_pool_last_us(&balancer->pool);
-    uint64_t bound =
+    uint64_t quiet_since = worker_pool_last_packet_us(&balancer->pool);
+    uint64_t deadline =
         balancer->stopping_us + balancer->settings.drain_s * USEC_PER_SEC;
 
     if (quiet_since < balancer->stopping_us)
         quiet_since = balancer->stopping_us;
-    if (now_us >= quiet_since + QUIET_US || now_us >= bound) {
+    if (now_us >= quiet_since + DRAIN_IDLE_US || now_us >= deadline) {
         g_message("Stopped as planned.");
         balancer->exit_code = EXIT_PLANNED;
         event_base_loopbreak(balancer->base);
@@ -180,8 +180,8 @@
     builder_poll(&balancer->builder);
     if (balancer->stopping_us != 0)
         check_stop(balancer);
-    else if (judge(balancer) == READINESS_READY)
-        announce(balancer, MEMBER_READY);
+    else if (check_readiness(balancer) == READINESS_READY)
+        set_member_state(balancer, MEMBER_READY);
 }
 
 static void
@@ -197,7 +197,7 @@
     }
     g_message("A planned stop begins.");
     balancer->stopping_us = clock_now_us(&balancer->clock);
-    announce(balancer, MEMBER_LEAVING);
+    set_member_state(balancer, MEMBER_LEAVING);
 }
 
 static int
--- a/src/balancer/builder.c
+++ b/src/balancer/builder.c
@@ -9,7 +9,7 @@
 #include "base/log.h"
 
 /* A failure that stays is told again after so many polls. */
-#define FAILURES_TOLD_EVERY 1000
+#define FAILURE_LOG_INTERVAL 1000
 
 static bool
 is_current(const struct builder *builder, const struct view *view,
@@ -65,7 +65,7 @@
     rcu_read_unlock();
 
     if (result < 0) {
-        if (builder->failures++ % FAILURES_TOLD_EVERY == 0)
+        if (builder->failures++ % FAILURE_LOG_INTERVAL == 0)
             g_warning("The table can't be built: %s.", strerror(-result));
         return result;
     }
--- a/src/balancer/readiness.c
+++ b/src/balancer/readiness.c
@@ -5,12 +5,13 @@
     [READINESS_STOPPING] = "stopping\n",
     [READINESS_NO_CONFIG] = "no configuration in force\n",
     [READINESS_NO_VIEW] = "not a member of the cell yet\n",
-    [READINESS_ALONE] = "no other member seen yet\n",
-    [READINESS_CUT_OFF] = "cut off from all other members\n",
+    [READINESS_WAITING_FOR_PEERS] = "no other member seen yet\n",
+    [READINESS_ISOLATED] = "cut off from all other members\n",
 };
 
 enum readiness
-readiness_judge(const struct readiness_input *input, const struct view *view)
+readiness_evaluate(const struct readiness_input *input,
+                   const struct view *view)
 {
     if (input->stopping)
         return READINESS_STOPPING;
@@ -18,16 +19,16 @@
         return READINESS_NO_VIEW;
     if (!input->built)
         return READINESS_NO_CONFIG;
-    if (!input->has_seeds || readiness_sees_others(view, input->self))
+    if (!input->has_seeds || readiness_has_live_peers(view, input->self))
         return READINESS_READY;
-    if (input->met_others)
-        return READINESS_CUT_OFF;
-    return input->age_us < READINESS_ALONE_US ? READINESS_ALONE
-                                              : READINESS_READY;
+    if (input->seen_peers)
+        return READINESS_ISOLATED;
+    return input->age_us < READINESS_PEER_WAIT_US ? READINESS_WAITING_FOR_PEERS
+                                                  : READINESS_READY;
 }
 
 bool
-readiness_sees_others(const struct view *view, uint64_t self)
+readiness_has_live_peers(const struct view *view, uint64_t self)
 {
     for (size_t i = 0; i < view->count; i++)
         if (view->members[i].id != self &&
--- a/src/balancer/readiness.h
+++ b/src/balancer/readiness.h
@@ -15,7 +15,7 @@
  * One that never saw anybody waits so long for them and then serves alone;
  * one that has lost the others (its control link is cut) is not ready.
  */
-#define READINESS_ALONE_US (5 * USEC_PER_SEC)
+#define READINESS_PEER_WAIT_US (5 * USEC_PER_SEC)
 
 /** enum readiness - answer of /ready, and why */
 enum readiness {
@@ -23,8 +23,8 @@
     READINESS_STOPPING,
     READINESS_NO_CONFIG,
     READINESS_NO_VIEW,
-    READINESS_ALONE,
-    READINESS_CUT_OFF
+    READINESS_WAITING_FOR_PEERS,
+    READINESS_ISOLATED
 };
 
 /**
@@ -33,7 +33,7 @@
  * @built: a route table is in force
  * @self: own member id
  * @has_seeds: the settings name other processes
- * @met_others: other members were alive in an earlier view
+ * @seen_peers: other members were alive in an earlier view
  * @age_us: time since the start
  */
 struct readiness_input {
@@ -41,17 +41,18 @@
     bool built;
     uint64_t self;
     bool has_seeds;
-    bool met_others;
+    bool seen_peers;
     uint64_t age_us;
 };
 
-/** readiness_judge() - @view may be NULL */
+/** readiness_evaluate() - @view may be NULL */
 enum readiness
-readiness_judge(const struct readiness_input *input, const struct view *view);
+readiness_evaluate(const struct readiness_input *input,
+                   const struct view *view);
 
-/** readiness_sees_others() - whether another member is not dead in @view */
+/** readiness_has_live_peers() - whether another member is not dead in @view */
 bool
-readiness_sees_others(const struct view *view, uint64_t self);
+readiness_has_live_peers(const struct view *view, uint64_t self);
 
 /** readiness_text() - one line that says so */
 const char *
--- a/src/balancer/route.c
+++ b/src/balancer/route.c
@@ -18,7 +18,7 @@
 };
 
 static void
-list_add(struct hop_list *list, uint16_t handle)
+hops_add(struct hop_list *list, uint16_t handle)
 {
     if (list->count < GUE_HOPS_MAX)
         list->handles[list->count++] = handle;
@@ -35,42 +35,46 @@
 
 /* Whether a flow is in the share that a warming endpoint takes by now */
 static bool
-warm_takes(const struct route_endpoint *endpoint, uint64_t flow_hash,
-           uint64_t now_us)
+slow_start_admits(const struct route_endpoint *endpoint, uint64_t flow_hash,
+                  uint64_t now_us)
 {
     uint64_t age = now_us - endpoint->since_us;
     if (now_us < endpoint->since_us)
         age = 0;
-    if (age >= ROUTE_WARM_US)
+    if (age >= ROUTE_SLOW_START_US)
         return true;
 
-    uint64_t share = ROUTE_WARM_START + (ROUTE_WARM_FULL - ROUTE_WARM_START) *
-                                            age / ROUTE_WARM_US;
-    return hash_pair(flow_hash, endpoint->member) % ROUTE_WARM_FULL < share;
+    uint64_t share =
+        ROUTE_SLOW_START_MIN_SHARE +
+        (ROUTE_SLOW_START_FULL_SHARE - ROUTE_SLOW_START_MIN_SHARE) * age /
+            ROUTE_SLOW_START_US;
+    return hash_pair(flow_hash, endpoint->member) %
+               ROUTE_SLOW_START_FULL_SHARE <
+           share;
 }
 
 static size_t
-list_live(struct hop_list *list, const struct route_service *service,
-          const uint16_t *row)
+hops_add_live(struct hop_list *list, const struct route_service *service,
+              const uint16_t *row)
 {
     size_t suspects = 0;
 
     for (size_t i = 0; i < RANK_DEPTH && row[i] != RANK_NONE; i++) {
-        if (service->endpoints[row[i]].standing == ROUTE_SUSPECT)
+        if (service->endpoints[row[i]].state == ROUTE_SUSPECT)
             suspects++;
         else
-            list_add(list, row[i]);
+            hops_add(list, row[i]);
     }
     return suspects;
 }
 
 static void
-list_standing(struct hop_list *list, const struct route_service *service,
-              const uint16_t *row, enum route_standing standing)
+hops_add_state(struct hop_list *list, const struct route_service *service,
+               const uint16_t *row, enum route_endpoint_state state)
 {
     for (size_t i = 0; i < RANK_DEPTH && row[i] != RANK_NONE; i++)
-        if (service->endpoints[row[i]].standing == standing)
-            list_add(list, row[i]);
+        if (service->endpoints[row[i]].state == state)
+            hops_add(list, row[i]);
 }
 
 /* A share is held back only if someone in the row is there to take it. */
@@ -78,68 +82,69 @@
 row_has_ready(const struct route_service *service, const uint16_t *row)
 {
     for (size_t i = 0; i < RANK_DEPTH && row[i] != RANK_NONE; i++)
-        if (service->endpoints[service->open_handles[row[i]]].standing ==
-            ROUTE_OPEN)
+        if (service->endpoints[service->open_handles[row[i]]].state ==
+            ROUTE_READY)
             return true;
     return false;
 }
 
 /* Endpoints that take new flows, at most @room of them */
 static void
-list_open(struct hop_list *list, const struct route_service *service,
-          uint64_t flow_hash, uint64_t now_us, size_t room)
+hops_add_ready(struct hop_list *list, const struct route_service *service,
+               uint64_t flow_hash, uint64_t now_us, size_t room)
 {
     if (service->open == NULL)
         return;
 
     const uint16_t *row = rank_row(&service->open->rank, flow_hash);
-    bool hold_back = row_has_ready(service, row);
+    bool defer_cold = row_has_ready(service, row);
     struct hop_list later = {0};
     for (size_t i = 0; i < RANK_DEPTH && row[i] != RANK_NONE; i++) {
         uint16_t handle = service->open_handles[row[i]];
         const struct route_endpoint *endpoint = &service->endpoints[handle];
         if (list->count + later.count == room)
             break;
-        if (hold_back && endpoint->standing == ROUTE_WARM &&
-            !warm_takes(endpoint, flow_hash, now_us))
-            list_add(&later, handle);
+        if (defer_cold && endpoint->state == ROUTE_SLOW_START &&
+            !slow_start_admits(endpoint, flow_hash, now_us))
+            hops_add(&later, handle);
         else
-            list_add(list, handle);
+            hops_add(list, handle);
     }
     for (size_t i = 0; i < later.count; i++)
-        list_add(list, later.handles[i]);
+        hops_add(list, later.handles[i]);
 }
 
 static size_t
-count_others(const struct route_service *service, const uint16_t *row)
+count_established_only(const struct route_service *service,
+                       const uint16_t *row)
 {
     size_t count = 0;
     for (size_t i = 0; i < RANK_DEPTH && row[i] != RANK_NONE; i++)
-        count += service->endpoints[row[i]].standing >= ROUTE_KEEP;
+        count += service->endpoints[row[i]].state >= ROUTE_DRAINING;
     return count;
 }
 
 static void
-list_for_open(struct hop_list *list, const struct route_service *service,
-              uint64_t flow_hash, uint64_t now_us)
+hops_for_new_flow(struct hop_list *list, const struct route_service *service,
+                  uint64_t flow_hash, uint64_t now_us)
 {
     const uint16_t *row = rank_row(&service->all->rank, flow_hash);
-    size_t reserve = count_others(service, row);
+    size_t reserve = count_established_only(service, row);
 
-    if (reserve > ROUTE_RESERVE)
-        reserve = ROUTE_RESERVE;
-    list_open(list, service, flow_hash, now_us, GUE_HOPS_MAX - reserve);
-    list_standing(list, service, row, ROUTE_KEEP);
-    list_standing(list, service, row, ROUTE_SUSPECT);
+    if (reserve > ROUTE_RESERVED_HOPS)
+        reserve = ROUTE_RESERVED_HOPS;
+    hops_add_ready(list, service, flow_hash, now_us, GUE_HOPS_MAX - reserve);
+    hops_add_state(list, service, row, ROUTE_DRAINING);
+    hops_add_state(list, service, row, ROUTE_SUSPECT);
 }
 
 static void
-list_for_known(struct hop_list *list, const struct route_service *service,
-               uint64_t flow_hash)
+hops_for_established(struct hop_list *list,
+                     const struct route_service *service, uint64_t flow_hash)
 {
     const uint16_t *row = rank_row(&service->all->rank, flow_hash);
-    if (list_live(list, service, row) > 0)
-        list_standing(list, service, row, ROUTE_SUSPECT);
+    if (hops_add_live(list, service, row) > 0)
+        hops_add_state(list, service, row, ROUTE_SUSPECT);
 }
 
 static void
@@ -155,7 +160,7 @@
             &service->endpoints[list->handles[i]];
         gue->hops[i].member = endpoint->member;
         gue->hops[i].data = endpoint->data;
-        if (endpoint->standing == ROUTE_SUSPECT)
+        if (endpoint->state == ROUTE_SUSPECT)
             gue->flags |= GUE_SUSPECTS;
     }
 }
@@ -181,9 +186,9 @@
     bool open = opens_flow(packet) && !address->retired;
     struct hop_list list = {0};
     if (open)
-        list_for_open(&list, service, flow_hash, now_us);
+        hops_for_new_flow(&list, service, flow_hash, now_us);
     else
-        list_for_known(&list, service, flow_hash);
+        hops_for_established(&list, service, flow_hash);
     fill_gue(&decision->gue, service, &list, open);
     return PACKET_OK;
 }
--- a/src/balancer/route.h
+++ b/src/balancer/route.h
@@ -10,13 +10,13 @@
  * rank order, whatever they announce; suspected ones after them; dead ones
  * never. Hop list of a packet that may open one (a TCP SYN, any datagram):
  * first the endpoints that take new flows, in rank order, then the other
- * live ones, then the suspected ones; up to ROUTE_RESERVE places are kept
- * for those others, which may own the flow already.
+ * live ones, then the suspected ones; up to ROUTE_RESERVED_HOPS places are
+ * kept for those others, which may own the flow already.
  *
  * Cold starts: a warming endpoint takes its place among those that take
  * new flows for a share of the flows only, and the last place among them
  * for the others. The share grows evenly from 1/4 to all within
- * ROUTE_WARM_US of its first being seen. Which flows are in the share
+ * ROUTE_SLOW_START_US of its first being seen. Which flows are in the share
  * depends on the flow's hash and the member only, so balancers agree but
  * for the time at which they first saw the member. Where all candidates of
  * a flow are warming, as after a start of the whole site, rank alone decides.
@@ -39,17 +39,18 @@
 #include "packet/rank.h"
 #include "text/text.h"
 
-#define ROUTE_WARM_US (10 * USEC_PER_SEC)
-#define ROUTE_WARM_START 256 /* first share, of ROUTE_WARM_FULL */
-#define ROUTE_WARM_FULL 1024
-#define ROUTE_RESERVE 2
-
-/** enum route_standing - what an endpoint may be given */
-enum route_standing {
-    ROUTE_OPEN,   /* any packet */
-    ROUTE_WARM,   /* any packet, but a share of the new flows */
-    ROUTE_KEEP,   /* packets of flows it has: draining or leaving */
-    ROUTE_SUSPECT /* the same, and only after the others */
+#define ROUTE_SLOW_START_US (10 * USEC_PER_SEC)
+#define ROUTE_SLOW_START_MIN_SHARE                                            \
+    256 /* first share, of ROUTE_SLOW_START_FULL_SHARE */
+#define ROUTE_SLOW_START_FULL_SHARE 1024
+#define ROUTE_RESERVED_HOPS 2
+
+/** enum route_endpoint_state - what an endpoint may be given */
+enum route_endpoint_state {
+    ROUTE_READY,      /* any packet */
+    ROUTE_SLOW_START, /* any packet, but a share of the new flows */
+    ROUTE_DRAINING,   /* packets of flows it has: draining or leaving */
+    ROUTE_SUSPECT     /* the same, and only after the others */
 };
 
 /**
@@ -58,14 +59,14 @@
  * @incarnation: of the process when the table was built
  * @since_us: when this process first saw it
  * @data: where it takes packets
- * @standing: what it may be given
+ * @state: what it may be given
  */
 struct route_endpoint {
     uint64_t member;
     uint64_t incarnation;
     uint64_t since_us;
     struct addr data;
-    enum route_standing standing;
+    enum route_endpoint_state state;
 };
 
 struct route_rank;
--- a/src/balancer/route_build.c
+++ b/src/balancer/route_build.c
@@ -74,12 +74,12 @@
 static int
 alloc_services(struct route_table *table, const struct text *text)
 {
-    size_t most = text->count + text->retired_count;
+    size_t max = text->count + text->retired_count;
     assert(text->count <= TEXT_SERVICES_MAX);
     assert(text->retired_count <= TEXT_RETIRED_MAX);
 
-    table->services = calloc(most + 1, sizeof(*table->services));
-    table->addresses = calloc(most + 1, sizeof(*table->addresses));
+    table->services = calloc(max + 1, sizeof(*table->services));
+    table->addresses = calloc(max + 1, sizeof(*table->addresses));
     if (table->services == NULL || table->addresses == NULL)
         return -ENOMEM;
     table->count = text->count;
@@ -99,16 +99,16 @@
     return 0;
 }
 
-static enum route_standing
-standing_of(const struct view_member *member)
+static enum route_endpoint_state
+route_state_of(const struct view_member *member)
 {
     if (member->health == MEMBER_SUSPECT)
         return ROUTE_SUSPECT;
     if (member->state == MEMBER_READY)
-        return ROUTE_OPEN;
+        return ROUTE_READY;
     if (member->state == MEMBER_WARMING)
-        return ROUTE_WARM;
-    return ROUTE_KEEP;
+        return ROUTE_SLOW_START;
+    return ROUTE_DRAINING;
 }
 
 /* Index of the service that a member serves, or -1 */
@@ -133,7 +133,7 @@
     endpoint->incarnation = member->incarnation;
     endpoint->since_us = member->since_us;
     endpoint->data = member->data;
-    endpoint->standing = standing_of(member);
+    endpoint->state = route_state_of(member);
 }
 
 /* The view is sorted by id, and so are the endpoints of each service. */
@@ -191,8 +191,8 @@
 static bool
 takes_new_flows(const struct route_endpoint *endpoint)
 {
-    return endpoint->standing == ROUTE_OPEN ||
-           endpoint->standing == ROUTE_WARM;
+    return endpoint->state == ROUTE_READY ||
+           endpoint->state == ROUTE_SLOW_START;
 }
 
 static int
@@ -219,11 +219,11 @@
     }
 
     /* The nearest earlier rank: of those open then, or of all. */
-    struct route_rank *near = service->all;
+    struct route_rank *nearest = service->all;
     if (previous != NULL && previous->open != NULL &&
         previous->open != previous->all)
-        near = previous->open;
-    return route_rank_new(members, count, near, &service->open);
+        nearest = previous->open;
+    return route_rank_new(members, count, nearest, &service->open);
 }
 
 static int
--- a/src/balancer/span.c
+++ b/src/balancer/span.c
@@ -28,7 +28,8 @@
 }
 
 int
-span_find(const uint8_t *payload, size_t len, struct trace_context *context)
+span_find_parent(const uint8_t *payload, size_t len,
+                 struct trace_context *context)
 {
     const uint8_t *end = payload + len;
     const uint8_t *at = payload;
@@ -57,7 +58,8 @@
     char to[ADDR_TEXT_MAX];
     char detail[DETAIL_MAX];
 
-    if (span_find(packet + parsed->payload, parsed->payload_len, &parent) < 0)
+    if (span_find_parent(packet + parsed->payload, parsed->payload_len,
+                         &parent) < 0)
         return;
     if (!(parent.flags & TRACE_FLAG_SAMPLED))
         return;
--- a/src/balancer/span.h
+++ b/src/balancer/span.h
@@ -21,11 +21,12 @@
            const struct route_decision *decision, uint64_t now_us);
 
 /**
- * span_find() - context of the first traceparent header in @payload
+ * span_find_parent() - context of the first traceparent header in @payload
  *
  * Return: 0 or -ENOENT.
  */
 int
-span_find(const uint8_t *payload, size_t len, struct trace_context *context);
+span_find_parent(const uint8_t *payload, size_t len,
+                 struct trace_context *context);
 
 #endif
--- a/src/balancer/worker.c
+++ b/src/balancer/worker.c
@@ -16,11 +16,11 @@
 #include "balancer/worker_socket.h"
 #include "base/log.h"
 
-#define ERRORS_EVERY_US (10 * USEC_PER_MSEC)
-#define ERRORS_AT_ONCE 16
-#define SEND_TRIES 2
-#define REFUSALS_MAX 64 /* in a row, for one packet */
-#define REPORT_EVERY_US (1 * USEC_PER_SEC)
+#define ERROR_POLL_INTERVAL_US (10 * USEC_PER_MSEC)
+#define ERRORS_PER_POLL 16
+#define SEND_TRIES_MAX 2
+#define REFUSAL_RETRIES_MAX 64 /* in a row, for one packet */
+#define REPORT_INTERVAL_US (1 * USEC_PER_SEC)
 
 /**
  * struct worker - one thread
@@ -30,8 +30,8 @@
  * @started: whether @thread runs
  * @thread: the thread
  * @last_us: when its latest packet came
- * @errors_us: when it last looked for refusals
- * @reported: member last reported as gone
+ * @errors_polled_us: when it last looked for refusals
+ * @reported: member last reported as refused_gateways
  * @reported_us: when
  * @batch: its packets
  */
@@ -42,7 +42,7 @@
     bool started;
     pthread_t thread;
     uint64_t last_us;
-    uint64_t errors_us;
+    uint64_t errors_polled_us;
     uint64_t reported;
     uint64_t reported_us;
     struct worker_batch *batch;
@@ -67,7 +67,7 @@
     const struct route_endpoint *endpoint =
         table != NULL ? route_endpoint_at(table, addr) : NULL;
     if (endpoint != NULL &&
-        now_us >= endpoint->since_us + WORKER_REFUSAL_AGE_US) {
+        now_us >= endpoint->since_us + WORKER_REFUSAL_MIN_AGE_US) {
         member = endpoint->member;
         incarnation = endpoint->incarnation;
     }
@@ -75,9 +75,10 @@
 
     /* What is no endpoint of this cell is a gateway of another. */
     if (endpoint == NULL)
-        forward_note_gone(&worker->batch->gone, addr, now_us);
+        cell_forward_note_refused(&worker->batch->refused_gateways, addr,
+                                  now_us);
     if (member == 0 || (member == worker->reported &&
-                        now_us < worker->reported_us + REPORT_EVERY_US))
+                        now_us < worker->reported_us + REPORT_INTERVAL_US))
         return;
     worker->reported = member;
     worker->reported_us = now_us;
@@ -89,9 +90,9 @@
 {
     struct addr addr;
 
-    worker->errors_us = now_us;
-    for (int i = 0; i < ERRORS_AT_ONCE; i++) {
-        if (!worker_socket_refused(worker->fd, &addr))
+    worker->errors_polled_us = now_us;
+    for (int i = 0; i < ERRORS_PER_POLL; i++) {
+        if (!worker_socket_next_refused(worker->fd, &addr))
             return;
         count(worker, worker->pool->refused, 1);
         report_refusal(worker, addr, now_us);
@@ -107,8 +108,8 @@
 may_retry(int error, unsigned tries)
 {
     if (error == EINTR || error == ECONNREFUSED)
-        return tries < REFUSALS_MAX;
-    return tries < SEND_TRIES;
+        return tries < REFUSAL_RETRIES_MAX;
+    return tries < SEND_TRIES_MAX;
 }
 
 static void
@@ -165,7 +166,7 @@
     count(worker, pool->to_cells, batch->to_cells);
     count(worker, pool->from_cells, batch->from_cells);
     count_drops(worker);
-    if (now_us >= worker->errors_us + ERRORS_EVERY_US)
+    if (now_us >= worker->errors_polled_us + ERROR_POLL_INTERVAL_US)
         read_errors(worker, now_us);
 }
 
@@ -270,7 +271,7 @@
             goto err;
     }
     if (count > 1)
-        result = worker_socket_spread(pool->workers[0].fd, count);
+        result = worker_socket_attach_filter(pool->workers[0].fd, count);
     if (result < 0)
         g_warning("Flows are spread by outer address only: %s.",
                   strerror(-result));
@@ -307,7 +308,7 @@
 }
 
 uint64_t
-worker_pool_last_us(const struct worker_pool *pool)
+worker_pool_last_packet_us(const struct worker_pool *pool)
 {
     uint64_t last_us = 0;
 
--- a/src/balancer/worker.h
+++ b/src/balancer/worker.h
@@ -30,7 +30,7 @@
  * An endpoint seen for less than this is not reported as gone: the refusal
  * may be about the process that had its address before.
  */
-#define WORKER_REFUSAL_AGE_US (1 * USEC_PER_SEC)
+#define WORKER_REFUSAL_MIN_AGE_US (1 * USEC_PER_SEC)
 
 struct worker;
 struct worker_owner;
@@ -114,9 +114,10 @@
 void
 worker_pool_publish(struct worker_pool *pool, struct route_table *table);
 
-/** worker_pool_last_us() - clock when the latest packet came, 0 for never */
+/** worker_pool_last_packet_us() - clock when the latest packet came, 0 for
+ * never */
 uint64_t
-worker_pool_last_us(const struct worker_pool *pool);
+worker_pool_last_packet_us(const struct worker_pool *pool);
 
 /** worker_pool_finish() - end the threads, close sockets, free the table */
 void
--- a/src/balancer/worker_batch.c
+++ b/src/balancer/worker_batch.c
@@ -4,20 +4,22 @@
 
 #include "balancer/span.h"
 
-_Static_assert(FORWARD_HEADER == BATCH_BARE, "both headers are of one length");
+_Static_assert(CELL_FORWARD_HEADER_LEN == BATCH_BARE_GUE_LEN,
+               "both headers are of one length");
 
 static enum packet_drop
 check_encap(const uint8_t *buf, size_t len)
 {
     struct gue gue;
 
-    if (len < BATCH_BARE)
+    if (len < BATCH_BARE_GUE_LEN)
         return PACKET_BAD_ENCAP;
-    if (forward_is_marked(buf, len))
+    if (cell_forward_is_marked(buf, len))
         return PACKET_OK;
     if (buf[0] == 0) /* the usual case, without reading a hop list */
-        return gue_decode(buf, len, &gue) == BATCH_BARE ? PACKET_OK
-                                                        : PACKET_BAD_ENCAP;
+        return gue_decode(buf, len, &gue) == BATCH_BARE_GUE_LEN
+                   ? PACKET_OK
+                   : PACKET_BAD_ENCAP;
     return PACKET_BAD_ENCAP;
 }
 
@@ -41,22 +43,23 @@
     if (drop == PACKET_NO_SERVICE)
         return true;
     return !marked && (drop == PACKET_OK || drop == PACKET_NO_ENDPOINT) &&
-           forward_goes_before(batch->directory, packet);
+           cell_forward_has_priority(batch->directory, packet);
 }
 
 /* The packet isn't this cell's. */
 static enum packet_drop
-forward_one(struct worker_batch *batch, uint8_t *packet, size_t len,
-            const struct packet *parsed, bool marked, uint64_t now_us)
+forward_to_cell(struct worker_batch *batch, uint8_t *packet, size_t len,
+                const struct packet *parsed, bool marked, uint64_t now_us)
 {
-    uint8_t header[FORWARD_HEADER];
+    uint8_t header[CELL_FORWARD_HEADER_LEN];
     struct addr to;
-    enum packet_drop drop = forward_decide(batch->directory, &batch->gone,
-                                           parsed, marked, now_us, &to);
+    enum packet_drop drop =
+        cell_forward_decide(batch->directory, &batch->refused_gateways, parsed,
+                            marked, now_us, &to);
 
     if (drop != PACKET_OK)
         return drop;
-    forward_encode(header);
+    cell_forward_encode(header);
     add_output(batch, packet, len, header, sizeof(header), to);
     batch->to_cells++;
     return PACKET_OK;
@@ -79,14 +82,14 @@
     if (table == NULL)
         return PACKET_NO_ENDPOINT;
 
-    bool marked = forward_is_marked(encap, len);
-    uint8_t *packet = encap + BATCH_BARE;
+    bool marked = cell_forward_is_marked(encap, len);
+    uint8_t *packet = encap + BATCH_BARE_GUE_LEN;
     batch->from_cells += marked;
-    len -= BATCH_BARE;
+    len -= BATCH_BARE_GUE_LEN;
     drop = route_decide(table, packet, len, now_us, &decision);
     if (is_foreign(batch, &decision.packet, drop, marked))
-        return forward_one(batch, packet, len, &decision.packet, marked,
-                           now_us);
+        return forward_to_cell(batch, packet, len, &decision.packet, marked,
+                               now_us);
     if (drop != PACKET_OK)
         return drop;
 
@@ -104,7 +107,7 @@
     memset(batch, 0, sizeof(*batch));
     for (unsigned i = 0; i < WORKER_BATCH; i++) {
         batch->in_iov[i].iov_base = batch->buffers[i].bytes + BATCH_HEADROOM;
-        batch->in_iov[i].iov_len = BATCH_BUFFER - BATCH_HEADROOM;
+        batch->in_iov[i].iov_len = BATCH_BUFFER_SIZE - BATCH_HEADROOM;
         batch->in[i].msg_hdr.msg_iov = &batch->in_iov[i];
         batch->in[i].msg_hdr.msg_iovlen = 1;
         batch->out[i].msg_hdr.msg_iov = &batch->out_iov[i];
--- a/src/balancer/worker_batch.h
+++ b/src/balancer/worker_batch.h
@@ -16,20 +16,20 @@
 #include "balancer/route.h"
 #include "balancer/worker.h"
 #include "base/trace.h"
-#include "directory/forward.h"
+#include "directory/cell_forward.h"
 #include "directory/table.h"
 #include "packet/gue.h"
 #include "packet/packet.h"
 
-#define BATCH_BARE 4 /* bare GUE header of what comes */
-#define BATCH_HEADROOM (GUE_HEADER_MAX - BATCH_BARE)
+#define BATCH_BARE_GUE_LEN 4 /* bare GUE header of what comes */
+#define BATCH_HEADROOM (GUE_HEADER_MAX - BATCH_BARE_GUE_LEN)
 
 /* One byte more than allowed, so that too long packets are seen as such */
-#define BATCH_BUFFER (GUE_HEADER_MAX + PACKET_MAX + 1)
+#define BATCH_BUFFER_SIZE (GUE_HEADER_MAX + PACKET_MAX + 1)
 
 /** struct batch_buffer - one packet with the room before it */
 struct batch_buffer {
-    _Alignas(64) uint8_t bytes[BATCH_BUFFER];
+    _Alignas(64) uint8_t bytes[BATCH_BUFFER_SIZE];
 };
 
 /**
@@ -43,7 +43,7 @@
  * @drops: packets dropped in this batch, for each reason
  * @directory: of the other cells of the region, or NULL; set before each
  *             batch
- * @gone: gateways of other cells that refused packets
+ * @refused_gateways: gateways of other cells that refused packets
  * @to_cells: packets of this batch that go to gateways of other cells
  * @from_cells: packets that came from other cells
  * @buffers: the buffers
@@ -57,7 +57,7 @@
     unsigned out_count;
     uint32_t drops[PACKET_DROP_COUNT];
     const struct directory_table *directory;
-    struct forward_gone gone;
+    struct cell_forward_refused refused_gateways;
     uint32_t to_cells;
     uint32_t from_cells;
     struct batch_buffer buffers[WORKER_BATCH];
--- a/src/balancer/worker_socket.c
+++ b/src/balancer/worker_socket.c
@@ -15,7 +15,7 @@
 /* Offsets into the UDP payload: bare GUE, then IPv4 without options */
 #define OFFSET_SRC (4 + 12)
 #define OFFSET_PORTS (4 + 20)
-#define GOLDEN_32 0x9e3779b1u
+#define HASH_MULTIPLIER_32 0x9e3779b1u
 
 /* How long a worker waits for packets before it looks whether to end, in
  * milliseconds */
@@ -41,7 +41,7 @@
 }
 
 static int
-share(int fd)
+set_reuseport(int fd)
 {
     return set_int(fd, SOL_SOCKET, SO_REUSEPORT, 1);
 }
@@ -52,12 +52,12 @@
     struct sockaddr_in sin = addr_to_sockaddr(*addr);
     socklen_t len = sizeof(sin);
 
-    if (!first && share(fd) < 0)
+    if (!first && set_reuseport(fd) < 0)
         return -1;
     if (bind(fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 ||
         getsockname(fd, (struct sockaddr *)&sin, &len) < 0)
         return -1;
-    if (first && share(fd) < 0)
+    if (first && set_reuseport(fd) < 0)
         return -1;
     *addr = addr_from_sockaddr(&sin);
     return 0;
@@ -98,7 +98,7 @@
 }
 
 int
-worker_socket_spread(int fd, unsigned count)
+worker_socket_attach_filter(int fd, unsigned count)
 {
     /* A packet too short for the loads ends the program with socket 0. */
     struct sock_filter code[] = {
@@ -106,7 +106,7 @@
         BPF_STMT(BPF_MISC | BPF_TAX, 0),
         BPF_STMT(BPF_LD | BPF_W | BPF_ABS, OFFSET_PORTS),
         BPF_STMT(BPF_ALU | BPF_XOR | BPF_X, 0),
-        BPF_STMT(BPF_ALU | BPF_MUL | BPF_K, GOLDEN_32),
+        BPF_STMT(BPF_ALU | BPF_MUL | BPF_K, HASH_MULTIPLIER_32),
         BPF_STMT(BPF_ALU | BPF_RSH | BPF_K, 16),
         BPF_STMT(BPF_ALU | BPF_MOD | BPF_K, count),
         BPF_STMT(BPF_RET | BPF_A, 0),
@@ -123,7 +123,7 @@
 }
 
 bool
-worker_socket_refused(int fd, struct addr *addr)
+worker_socket_next_refused(int fd, struct addr *addr)
 {
     struct sockaddr_in sin;
     uint8_t control[CONTROL_SIZE];
--- a/src/balancer/worker_socket.h
+++ b/src/balancer/worker_socket.h
@@ -21,7 +21,7 @@
 worker_socket_open(struct addr *addr, bool first, struct error *err);
 
 /**
- * worker_socket_spread() - hand each flow to one of @count sockets
+ * worker_socket_attach_filter() - hand each flow to one of @count sockets
  *
  * For the sockets that share the address of @fd. A hash of the inner
  * caller address and ports picks the socket, since the fabric may send all
@@ -30,15 +30,15 @@
  * Return: 0 or a negative errno (the kernel then hashes the outer header).
  */
 int
-worker_socket_spread(int fd, unsigned count);
+worker_socket_attach_filter(int fd, unsigned count);
 
 /**
- * worker_socket_refused() - next refusal that the kernel noted
+ * worker_socket_next_refused() - next refusal that the kernel noted
  * @addr: where nobody takes packets
  *
  * Return: true with @addr filled; false when there is no more.
  */
 bool
-worker_socket_refused(int fd, struct addr *addr);
+worker_socket_next_refused(int fd, struct addr *addr);
 
 #endif
--- a/src/directory/directory.c
+++ b/src/directory/directory.c
@@ -17,9 +17,10 @@
     core->self = self;
     core->random.state = seed;
     bucket_init(&core->bytes, DIRECTORY_RATE, DIRECTORY_BURST, now_us);
-    core->cell_us = now_us + random_below(&core->random, DIRECTORY_CELL_US);
+    core->cell_us =
+        now_us + random_below(&core->random, DIRECTORY_CELL_INTERVAL_US);
     core->region_us =
-        now_us + random_below(&core->random, DIRECTORY_REGION_US);
+        now_us + random_below(&core->random, DIRECTORY_REGION_INTERVAL_US);
 }
 
 void
@@ -45,20 +46,21 @@
 }
 
 void
-directory_set_place(struct directory_core *core,
-                    const struct directory_place *place)
+directory_set_role(struct directory_core *core,
+                   const struct directory_role *role)
 {
-    assert(place->author_count <= DIRECTORY_AUTHORS);
-    assert(place->balancer_count <= DIRECTORY_PEERS_MAX);
-    core->place = *place;
+    assert(role->author_count <= DIRECTORY_AUTHORS);
+    assert(role->balancer_count <= DIRECTORY_PEERS_MAX);
+    core->role = *role;
 }
 
 void
-directory_set_own(struct directory_core *core, struct directory_entry *own)
+directory_set_local_entry(struct directory_core *core,
+                          struct directory_entry *own)
 {
     assert(own->cell == core->cell);
     if (core->own == NULL || core->own->version.sum != own->version.sum)
-        core->contests = 0;
+        core->override_count = 0;
     directory_entry_unref(core->own);
     core->own = own;
 }
@@ -100,7 +102,7 @@
                       : DIRECTORY_CELLS_MAX - 1;
 
     if (core->count >= room) {
-        core->stats.full++;
+        core->stats.rejected++;
         return false;
     }
     memmove(&core->slots[at + 1], &core->slots[at],
@@ -120,7 +122,7 @@
 
     if (known && directory_version_compare(
                      &entry->version, &core->slots[at].entry->version) <= 0) {
-        core->stats.old++;
+        core->stats.stale++;
         return false;
     }
     if (!known && !insert(core, at, entry->cell))
@@ -131,13 +133,14 @@
     core->slots[at].since_us = now_us;
     core->stats.merged++;
     core->changed = true;
-    core->hot = DIRECTORY_HOT_ROUNDS;
-    core->region_us = MIN(core->region_us, now_us + DIRECTORY_HOT_US);
+    core->fast_rounds = DIRECTORY_FAST_ROUNDS;
+    core->region_us =
+        MIN(core->region_us, now_us + DIRECTORY_FAST_INTERVAL_US);
     return true;
 }
 
 static void
-publish_own(struct directory_core *core, uint64_t now_us, uint64_t wall_ms)
+author_entry(struct directory_core *core, uint64_t now_us, uint64_t wall_ms)
 {
     const struct directory_slot *held = directory_find(core, core->cell);
     struct directory_entry *entry = directory_entry_copy(core->own);
@@ -150,7 +153,7 @@
     if (directory_merge(core, entry, now_us))
         core->stats.authored++;
     directory_entry_unref(entry);
-    core->own_us = 0;
+    core->author_at_us = 0;
     core->renew_us = 0;
 }
 
@@ -161,34 +164,35 @@
 {
     if (core->renew_us <= held->since_us)
         core->renew_us =
-            held->since_us + random_between(&core->random, DIRECTORY_RENEW_US,
-                                            DIRECTORY_RENEW_US * 5 / 4);
+            held->since_us +
+            random_between(&core->random, DIRECTORY_RENEW_INTERVAL_US,
+                           DIRECTORY_RENEW_INTERVAL_US * 5 / 4);
     return now_us >= core->renew_us;
 }
 
 static bool
-contest_due(struct directory_core *core, uint64_t now_us)
+override_due(struct directory_core *core, uint64_t now_us)
 {
-    uint64_t settle = DIRECTORY_SETTLE_US
-                      << MIN(core->contests, DIRECTORY_CONTESTS_MAX);
+    uint64_t settle = DIRECTORY_BACKOFF_US << MIN(core->override_count,
+                                                  DIRECTORY_BACKOFF_SHIFT_MAX);
 
-    if (core->own_us == 0)
-        core->own_us =
+    if (core->author_at_us == 0)
+        core->author_at_us =
             now_us + random_between(&core->random, settle, 3 * settle);
-    if (now_us < core->own_us)
+    if (now_us < core->author_at_us)
         return false;
-    core->contests++;
+    core->override_count++;
     return true;
 }
 
 static bool
-must_author(struct directory_core *core, uint64_t now_us)
+author_due(struct directory_core *core, uint64_t now_us)
 {
     const struct directory_slot *held = directory_find(core, core->cell);
     const struct directory_version *own;
     const struct directory_version *version;
 
-    if (!core->place.author || core->own == NULL)
+    if (!core->role.author || core->own == NULL)
         return false;
     if (held == NULL)
         return true;
@@ -199,8 +203,8 @@
     /* Who lags behind the cell's text says nothing for it. */
     if (own->config_version == version->config_version &&
         own->sum != version->sum)
-        return contest_due(core, now_us);
-    core->own_us = 0;
+        return override_due(core, now_us);
+    core->author_at_us = 0;
     return own->config_version == version->config_version &&
            renewal_due(core, held, now_us);
 }
@@ -209,14 +213,14 @@
 static bool
 choose_cell_peer(struct directory_core *core, struct addr *peer)
 {
-    const struct directory_place *place = &core->place;
-    size_t authors = place->author_count;
-    size_t balancers = place->balancer_count;
+    const struct directory_role *role = &core->role;
+    size_t authors = role->author_count;
+    size_t balancers = role->balancer_count;
 
     if (authors > 0 && (balancers == 0 || random_below(&core->random, 4) == 0))
-        *peer = place->authors[random_below(&core->random, authors)];
+        *peer = role->authors[random_below(&core->random, authors)];
     else if (balancers > 0)
-        *peer = place->balancers[random_below(&core->random, balancers)];
+        *peer = role->balancers[random_below(&core->random, balancers)];
     else
         return false;
     return true;
@@ -264,12 +268,13 @@
     if (now_us < core->cell_us)
         return;
     if (!choose_cell_peer(core, &peer)) {
-        core->cell_us = now_us + DIRECTORY_HOT_US;
+        core->cell_us = now_us + DIRECTORY_FAST_INTERVAL_US;
         return;
     }
     core->cell_us =
-        now_us + random_between(&core->random, DIRECTORY_CELL_US * 3 / 4,
-                                DIRECTORY_CELL_US * 5 / 4);
+        now_us + random_between(&core->random,
+                                DIRECTORY_CELL_INTERVAL_US * 3 / 4,
+                                DIRECTORY_CELL_INTERVAL_US * 5 / 4);
     directory_send_digest(core, peer, out);
 }
 
@@ -277,18 +282,18 @@
 tick_region(struct directory_core *core, uint64_t now_us,
             struct directory_actions *out)
 {
-    uint64_t period = DIRECTORY_REGION_US;
+    uint64_t period = DIRECTORY_REGION_INTERVAL_US;
     struct addr peer;
 
     if (now_us < core->region_us)
         return;
-    if (core->hot > 0) {
-        core->hot--;
-        period = DIRECTORY_HOT_US;
+    if (core->fast_rounds > 0) {
+        core->fast_rounds--;
+        period = DIRECTORY_FAST_INTERVAL_US;
     }
     core->region_us =
         now_us + random_between(&core->random, period * 3 / 4, period * 5 / 4);
-    if (core->place.author && choose_region_peer(core, &peer))
+    if (core->role.author && choose_region_peer(core, &peer))
         directory_send_digest(core, peer, out);
 }
 
@@ -296,10 +301,10 @@
 directory_tick(struct directory_core *core, uint64_t now_us, uint64_t wall_ms,
                struct directory_actions *out)
 {
-    if (!core->place.holds)
+    if (!core->role.holds)
         return;
-    if (must_author(core, now_us))
-        publish_own(core, now_us, wall_ms);
+    if (author_due(core, now_us))
+        author_entry(core, now_us, wall_ms);
     tick_cell(core, now_us, out);
     tick_region(core, now_us, out);
 }
@@ -309,12 +314,12 @@
 {
     uint64_t next = core->cell_us;
 
-    if (!core->place.holds)
+    if (!core->role.holds)
         return UINT64_MAX;
-    if (core->place.author)
+    if (core->role.author)
         next = MIN(next, core->region_us);
-    if (core->place.author && core->own_us != 0)
-        next = MIN(next, core->own_us);
+    if (core->role.author && core->author_at_us != 0)
+        next = MIN(next, core->author_at_us);
     return next;
 }
 
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -8,15 +8,16 @@
  * often; nothing ever goes back.
  *
  * Each process that holds a directory (the balancers) sends a digest to
- * another of its cell every DIRECTORY_CELL_US; authors also send one to
- * another cell every DIRECTORY_REGION_US, and a few at once after they
- * learned something. What differs is exchanged both ways. All but the
+ * another of its cell every DIRECTORY_CELL_INTERVAL_US; authors also send one
+ * to another cell every DIRECTORY_REGION_INTERVAL_US, and a few at once after
+ * they learned something. What differs is exchanged both ways. All but the
  * digests is paid for from a budget of bytes, so that nothing that happens
  * (a region healing, a data centre starting) costs a process more than
  * DIRECTORY_RATE for long.
  *
- * Entries age but stay: authors renew theirs every DIRECTORY_RENEW_US, so
- * an entry that is older than that says that its cell is silent.
+ * Entries age but stay: authors renew theirs every
+ * DIRECTORY_RENEW_INTERVAL_US, so an entry that is older than that says that
+ * its cell is silent.
  */
 #ifndef SWIFTARCH_DIRECTORY_DIRECTORY_H
 #define SWIFTARCH_DIRECTORY_DIRECTORY_H
@@ -31,17 +32,17 @@
 #include "directory/entry.h"
 #include "directory/message.h"
 
-#define DIRECTORY_CELL_US (2 * USEC_PER_SEC)
-#define DIRECTORY_REGION_US (1 * USEC_PER_SEC)
-#define DIRECTORY_HOT_US (250 * USEC_PER_MSEC)
-#define DIRECTORY_HOT_ROUNDS 3
-#define DIRECTORY_RENEW_US (300 * USEC_PER_SEC)
+#define DIRECTORY_CELL_INTERVAL_US (2 * USEC_PER_SEC)
+#define DIRECTORY_REGION_INTERVAL_US (1 * USEC_PER_SEC)
+#define DIRECTORY_FAST_INTERVAL_US (250 * USEC_PER_MSEC)
+#define DIRECTORY_FAST_ROUNDS 3
+#define DIRECTORY_RENEW_INTERVAL_US (300 * USEC_PER_SEC)
 /* Both authors see the same after a while; before, they'd take turns. Where
  * they don't, as in a cell that is cut in two, turns get rare. */
-#define DIRECTORY_SETTLE_US (500 * USEC_PER_MSEC)
-#define DIRECTORY_CONTESTS_MAX 7     /* doublings of the time above */
-#define DIRECTORY_RATE 2048          /* bytes a second, digests apart */
-#define DIRECTORY_BURST (64u * 1024) /* bytes */
+#define DIRECTORY_BACKOFF_US (500 * USEC_PER_MSEC)
+#define DIRECTORY_BACKOFF_SHIFT_MAX 7 /* doublings of the time above */
+#define DIRECTORY_RATE 2048           /* bytes a second, digests apart */
+#define DIRECTORY_BURST (64u * 1024)  /* bytes */
 #define DIRECTORY_PEERS_MAX 256
 #define DIRECTORY_SEEDS_MAX 16
 #define DIRECTORY_ACTIONS_MAX 4
@@ -63,7 +64,7 @@
 };
 
 /**
- * struct directory_place - where this process stands in its cell
+ * struct directory_role - where this process stands in its cell
  * @holds: it keeps a directory; others neither send nor answer
  * @author: it is an author of its cell
  * @authors: control addresses of the other authors
@@ -71,7 +72,7 @@
  * @balancers: control addresses of the other balancers of the cell
  * @balancer_count: how many
  */
-struct directory_place {
+struct directory_role {
     bool holds;
     bool author;
     struct addr authors[DIRECTORY_AUTHORS];
@@ -83,11 +84,11 @@
 /** struct directory_stats - counts since the start */
 struct directory_stats {
     uint64_t digests;
-    uint64_t heard;   /* messages after which a peer had no more to tell */
-    uint64_t merged;  /* entries that were news */
-    uint64_t old;     /* entries that were not */
-    uint64_t full;    /* cells without room */
-    uint64_t delayed; /* messages for which there was no budget */
+    uint64_t synced;   /* messages after which a peer had no more to tell */
+    uint64_t merged;   /* entries that were news */
+    uint64_t stale;    /* entries that were not */
+    uint64_t rejected; /* cells without room */
+    uint64_t delayed;  /* messages for which there was no budget */
     uint64_t authored;
 };
 
@@ -105,13 +106,13 @@
  * struct directory_core - see DOC
  * @cell: own cell
  * @self: own control address
- * @place: place in the cell
+ * @role: role in the cell
  * @slots: by cell, ascending
  * @count: entries held, that of the own cell included
  * @own: what the own cell serves as seen from here, or NULL
- * @own_us: when to author @own, which differs from the entry held; 0 when
- *          it doesn't
- * @contests: times that @own, unchanged, was authored over another's
+ * @author_at_us: when to author @own, which differs from the entry held; 0
+ * when it doesn't
+ * @override_count: times that @own, unchanged, was authored over another's
  * @changed: set when an entry was replaced; the owner clears it
  */
 struct directory_core {
@@ -119,18 +120,18 @@
     struct addr self;
     struct random random;
     struct bucket bytes;
-    struct directory_place place;
+    struct directory_role role;
     struct addr seeds[DIRECTORY_SEEDS_MAX];
     size_t seed_count;
     struct directory_slot slots[DIRECTORY_CELLS_MAX];
     size_t count;
     struct directory_entry *own;
-    uint64_t own_us;
-    unsigned contests;
+    uint64_t author_at_us;
+    unsigned override_count;
     uint64_t renew_us;
     uint64_t cell_us;
     uint64_t region_us;
-    unsigned hot;
+    unsigned fast_rounds;
     bool changed;
     struct directory_stats stats;
 };
@@ -148,17 +149,18 @@
 void
 directory_add_seed(struct directory_core *core, struct addr seed);
 
-/** directory_set_place() - the list of members changed; copied */
+/** directory_set_role() - the list of members changed; copied */
 void
-directory_set_place(struct directory_core *core,
-                    const struct directory_place *place);
+directory_set_role(struct directory_core *core,
+                   const struct directory_role *role);
 
 /**
- * directory_set_own() - what the own cell serves, as seen from here
+ * directory_set_local_entry() - what the own cell serves, as seen from here
  * @own: sealed; the counter is ignored; takes the caller's reference
  */
 void
-directory_set_own(struct directory_core *core, struct directory_entry *own);
+directory_set_local_entry(struct directory_core *core,
+                          struct directory_entry *own);
 
 /** directory_find() - slot of a cell, or NULL */
 const struct directory_slot *
--- a/src/directory/entry.c
+++ b/src/directory/entry.c
@@ -96,7 +96,7 @@
 }
 
 static void
-drop_repeated(struct directory_entry *entry)
+drop_duplicates(struct directory_entry *entry)
 {
     size_t kept = 0;
 
@@ -119,12 +119,12 @@
 }
 
 void
-directory_entry_seal(struct directory_entry *entry)
+directory_entry_finalize(struct directory_entry *entry)
 {
     uint64_t sum;
 
     qsort(entry->addresses, entry->count, sizeof(uint64_t), compare_addresses);
-    drop_repeated(entry);
+    drop_duplicates(entry);
     sum = hash_bytes(entry->addresses, entry->count * sizeof(uint64_t),
                      entry->gateway_count << 8 | entry->author_count);
     for (size_t i = 0; i < entry->gateway_count; i++) {
--- a/src/directory/entry.h
+++ b/src/directory/entry.h
@@ -99,12 +99,12 @@
 directory_entry_unref(struct directory_entry *entry);
 
 /**
- * directory_entry_seal() - sort the addresses, drop what is named twice
+ * directory_entry_finalize() - sort the addresses, drop what is named twice
  * and compute the sum
  *
  * An address that is named both retired and not is not retired.
  */
 void
-directory_entry_seal(struct directory_entry *entry);
+directory_entry_finalize(struct directory_entry *entry);
 
 #endif
--- a/src/directory/exchange.c
+++ b/src/directory/exchange.c
@@ -64,15 +64,15 @@
 }
 
 static void
-take_back(struct directory_actions *out)
+drop_last_message(struct directory_actions *out)
 {
     directory_msg_finish(&out->items[--out->count].msg);
 }
 
 /* Takes back the latest message when there is no budget for it. */
 static void
-pay(struct directory_core *core, uint64_t now_us,
-    struct directory_actions *out)
+charge_budget(struct directory_core *core, uint64_t now_us,
+              struct directory_actions *out)
 {
     struct directory_msg *msg = &out->items[out->count - 1].msg;
     size_t size = directory_msg_size(msg);
@@ -80,7 +80,7 @@
     if (bucket_take(&core->bytes, (uint32_t)size, now_us))
         return;
     core->stats.delayed++;
-    take_back(out);
+    drop_last_message(out);
 }
 
 static void
@@ -97,7 +97,7 @@
             groups |= 1u << i;
     }
     if (groups == 0) {
-        core->stats.heard++;
+        core->stats.synced++;
         return;
     }
     summary = add_message(core, DIRECTORY_SUMMARY, msg->from, out);
@@ -115,7 +115,7 @@
         item->version = entry->version;
         summary->item_count++;
     }
-    pay(core, now_us, out);
+    charge_budget(core, now_us, out);
 }
 
 /** struct sender - fills messages with entries until there is no budget */
@@ -171,7 +171,7 @@
             break;
     }
     if (sender.msg != NULL)
-        pay(core, now_us, out);
+        charge_budget(core, now_us, out);
 }
 
 /* The same content, renewed: the version tells all of it. */
@@ -195,8 +195,8 @@
 
 /* Sends what is later here, or not known there. */
 static void
-answer_summary(struct directory_core *core, const struct directory_msg *msg,
-               uint64_t now_us, struct directory_actions *out)
+reply_to_summary(struct directory_core *core, const struct directory_msg *msg,
+                 uint64_t now_us, struct directory_actions *out)
 {
     struct sender sender = {.core = core,
                             .to = msg->from,
@@ -219,37 +219,38 @@
             break;
     }
     if (sender.msg != NULL)
-        pay(core, now_us, out);
+        charge_budget(core, now_us, out);
 }
 
 /* Tells of renewals with a summary of no group. */
 static void
-answer_renewals(struct directory_core *core, const struct directory_msg *msg,
-                uint64_t now_us, struct directory_actions *out)
+reply_with_renewals(struct directory_core *core,
+                    const struct directory_msg *msg, uint64_t now_us,
+                    struct directory_actions *out)
 {
-    struct directory_msg *answer =
+    struct directory_msg *reply =
         add_message(core, DIRECTORY_SUMMARY, msg->from, out);
 
-    if (answer == NULL)
+    if (reply == NULL)
         return;
-    answer->items = g_new(struct directory_item, msg->item_count);
+    reply->items = g_new(struct directory_item, msg->item_count);
     for (size_t i = 0; i < msg->item_count; i++) {
         const struct directory_item *item = &msg->items[i];
         const struct directory_slot *slot = directory_find(core, item->cell);
-        struct directory_item *told = &answer->items[answer->item_count];
+        struct directory_item *reply_item = &reply->items[reply->item_count];
 
         if (slot == NULL ||
             !is_renewal(&item->version, &slot->entry->version) ||
             slot->entry->version.counter <= item->version.counter)
             continue;
-        told->cell = item->cell;
-        told->version = slot->entry->version;
-        answer->item_count++;
+        reply_item->cell = item->cell;
+        reply_item->version = slot->entry->version;
+        reply->item_count++;
     }
-    if (answer->item_count > 0)
-        pay(core, now_us, out);
+    if (reply->item_count > 0)
+        charge_budget(core, now_us, out);
     else
-        take_back(out);
+        drop_last_message(out);
 }
 
 static void
@@ -266,8 +267,8 @@
 }
 
 static void
-ask(struct directory_core *core, const struct directory_msg *msg,
-    uint64_t now_us, struct directory_actions *out)
+request_entries(struct directory_core *core, const struct directory_msg *msg,
+                uint64_t now_us, struct directory_actions *out)
 {
     struct directory_msg *want =
         add_message(core, DIRECTORY_WANT, msg->from, out);
@@ -288,11 +289,11 @@
             want->want[want->want_count++] = item->cell;
     }
     if (want->want_count > 0) {
-        pay(core, now_us, out);
+        charge_budget(core, now_us, out);
     }
     else {
-        core->stats.heard++;
-        take_back(out);
+        core->stats.synced++;
+        drop_last_message(out);
     }
 }
 
@@ -300,16 +301,16 @@
 receive_summary(struct directory_core *core, const struct directory_msg *msg,
                 uint64_t now_us, struct directory_actions *out)
 {
-    ask(core, msg, now_us, out);
-    answer_renewals(core, msg, now_us, out);
-    answer_summary(core, msg, now_us, out);
+    request_entries(core, msg, now_us, out);
+    reply_with_renewals(core, msg, now_us, out);
+    reply_to_summary(core, msg, now_us, out);
 }
 
 void
 directory_receive(struct directory_core *core, const struct directory_msg *msg,
                   uint64_t now_us, struct directory_actions *out)
 {
-    if (!core->place.holds)
+    if (!core->role.holds)
         return;
     switch (msg->kind) {
     case DIRECTORY_DIGEST:
@@ -322,7 +323,7 @@
         receive_want(core, msg, now_us, out);
         break;
     case DIRECTORY_ENTRIES:
-        core->stats.heard++;
+        core->stats.synced++;
         for (size_t i = 0; i < msg->entry_count; i++)
             directory_merge(core, msg->entries[i], now_us);
         break;
--- a/src/directory/describe.c
+++ b/src/directory/local_entry.c
@@ -1,4 +1,4 @@
-#include "directory/describe.h"
+#include "directory/local_entry.h"
 
 #include <assert.h>
 #include <errno.h>
@@ -60,8 +60,8 @@
 }
 
 static void
-describe_members(const char *cell, const struct view *view,
-                 struct directory_entry *entry)
+add_members(const char *cell, const struct view *view,
+            struct directory_entry *entry)
 {
     const struct view_member *members[DIRECTORY_GATEWAYS];
     uint64_t key = cell_key(cell);
@@ -86,8 +86,9 @@
 }
 
 int
-directory_describe(const char *cell, const struct view *view,
-                   const struct text *text, struct directory_entry **result)
+directory_local_entry_new(const char *cell, const struct view *view,
+                          const struct text *text,
+                          struct directory_entry **result)
 {
     struct directory_entry *entry;
 
@@ -102,35 +103,35 @@
         entry->addresses[text->count + i] =
             address_of(&text->retired[i].service, true);
     entry->version.config_version = text->version;
-    describe_members(cell, view, entry);
-    directory_entry_seal(entry);
+    add_members(cell, view, entry);
+    directory_entry_finalize(entry);
     *result = entry;
     return 0;
 }
 
 void
-directory_place_from(const char *cell, const struct view *view,
-                     struct directory_place *place)
+directory_role_from_view(const char *cell, const struct view *view,
+                         struct directory_role *role)
 {
     const struct view_member *authors[DIRECTORY_AUTHORS];
     const struct view_member *self = &view->members[view->self];
     size_t count =
         highest(view, cell_key(cell), is_author, DIRECTORY_AUTHORS, authors);
 
-    memset(place, 0, sizeof(*place));
+    memset(role, 0, sizeof(*role));
     for (size_t i = 0; i < count; i++) {
         if (authors[i] == self)
-            place->author = true;
+            role->author = true;
         else
-            place->authors[place->author_count++] = authors[i]->control;
+            role->authors[role->author_count++] = authors[i]->control;
     }
-    place->holds = self->role == MEMBER_BALANCER;
+    role->holds = self->role == MEMBER_BALANCER;
     for (size_t i = 0; i < view->count; i++) {
         const struct view_member *member = &view->members[i];
 
         if (member == self || !is_author(member) ||
-            place->balancer_count == DIRECTORY_PEERS_MAX)
+            role->balancer_count == DIRECTORY_PEERS_MAX)
             continue;
-        place->balancers[place->balancer_count++] = member->control;
+        role->balancers[role->balancer_count++] = member->control;
     }
 }
--- a/src/directory/describe.h
+++ b/src/directory/local_entry.h
@@ -4,15 +4,15 @@
  * Functions of the view and the text alone, so that authors that know the
  * same say the same.
  */
-#ifndef SWIFTARCH_DIRECTORY_DESCRIBE_H
-#define SWIFTARCH_DIRECTORY_DESCRIBE_H
+#ifndef SWIFTARCH_DIRECTORY_LOCAL_ENTRY_H
+#define SWIFTARCH_DIRECTORY_LOCAL_ENTRY_H
 
 #include "control/view.h"
 #include "directory/directory.h"
 #include "text/text.h"
 
 /**
- * directory_describe() - entry of the cell, sealed, but for the counter
+ * directory_local_entry_new() - entry of the cell, sealed, but for the counter
  * @cell: name of the cell
  * @entry: result
  *
@@ -22,12 +22,13 @@
  * Return: 0, -ENOMEM, or -EAGAIN for a text that no platform has versioned.
  */
 int
-directory_describe(const char *cell, const struct view *view,
-                   const struct text *text, struct directory_entry **entry);
+directory_local_entry_new(const char *cell, const struct view *view,
+                          const struct text *text,
+                          struct directory_entry **entry);
 
-/** directory_place_from() - place of the view's own member in @cell */
+/** directory_role_from_view() - role of the view's own member in @cell */
 void
-directory_place_from(const char *cell, const struct view *view,
-                     struct directory_place *place);
+directory_role_from_view(const char *cell, const struct view *view,
+                         struct directory_role *role);
 
 #endif
--- a/src/directory/message.c
+++ b/src/directory/message.c
@@ -256,7 +256,7 @@
         return ret;
     }
     entry->author_count = in->n_authors;
-    directory_entry_seal(entry);
+    directory_entry_finalize(entry);
     *result = entry;
     return 0;
 }
--- a/src/directory/service.c
+++ b/src/directory/service.c
@@ -7,25 +7,25 @@
 #include <urcu.h>
 
 #include "base/log.h"
-#include "directory/describe.h"
+#include "directory/local_entry.h"
 #include "directory/message.h"
 
-struct service_counter_name {
+struct directory_counter_name {
     const char *name;
     bool gauge;
 };
 
-static const struct service_counter_name names[SERVICE_COUNTERS] = {
-    [SERVICE_CELLS] = {"directory_cells", true},
-    [SERVICE_ADDRESSES] = {"directory_addresses", true},
-    [SERVICE_CONFLICTS] = {"directory_conflicts", true},
-    [SERVICE_OLDEST_S] = {"directory_oldest_entry_seconds", true},
-    [SERVICE_DIGESTS] = {"directory_digests_total", false},
-    [SERVICE_MERGED] = {"directory_entries_merged_total", false},
-    [SERVICE_AUTHORED] = {"directory_entries_authored_total", false},
-    [SERVICE_DELAYED] = {"directory_messages_delayed_total", false},
-    [SERVICE_REFUSED] = {"directory_cells_refused_total", false},
-    [SERVICE_BAD] = {"directory_messages_bad_total", false},
+static const struct directory_counter_name names[DIRECTORY_COUNTER_COUNT] = {
+    [DIRECTORY_COUNTER_CELLS] = {"directory_cells", true},
+    [DIRECTORY_COUNTER_ADDRESSES] = {"directory_addresses", true},
+    [DIRECTORY_COUNTER_CONFLICTS] = {"directory_conflicts", true},
+    [DIRECTORY_COUNTER_OLDEST_S] = {"directory_oldest_entry_seconds", true},
+    [DIRECTORY_COUNTER_DIGESTS] = {"directory_digests_total", false},
+    [DIRECTORY_COUNTER_MERGED] = {"directory_entries_merged_total", false},
+    [DIRECTORY_COUNTER_AUTHORED] = {"directory_entries_authored_total", false},
+    [DIRECTORY_COUNTER_DELAYED] = {"directory_messages_delayed_total", false},
+    [DIRECTORY_COUNTER_REJECTED] = {"directory_cells_refused_total", false},
+    [DIRECTORY_COUNTER_MALFORMED] = {"directory_messages_bad_total", false},
 };
 
 static struct directory_service *
@@ -62,30 +62,30 @@
 {
     const struct directory_core *core = &service->core;
     const struct directory_table *table = service->table;
-    uint64_t values[SERVICE_COUNTERS] = {
-        [SERVICE_CELLS] = core->count,
-        [SERVICE_ADDRESSES] = table != NULL ? table->addresses : 0,
-        [SERVICE_CONFLICTS] = service->conflicts,
-        [SERVICE_DIGESTS] = core->stats.digests,
-        [SERVICE_MERGED] = core->stats.merged,
-        [SERVICE_AUTHORED] = core->stats.authored,
-        [SERVICE_DELAYED] = core->stats.delayed,
-        [SERVICE_REFUSED] = core->stats.full,
-        [SERVICE_BAD] = service->bad,
+    uint64_t values[DIRECTORY_COUNTER_COUNT] = {
+        [DIRECTORY_COUNTER_CELLS] = core->count,
+        [DIRECTORY_COUNTER_ADDRESSES] = table != NULL ? table->addresses : 0,
+        [DIRECTORY_COUNTER_CONFLICTS] = service->conflicts,
+        [DIRECTORY_COUNTER_DIGESTS] = core->stats.digests,
+        [DIRECTORY_COUNTER_MERGED] = core->stats.merged,
+        [DIRECTORY_COUNTER_AUTHORED] = core->stats.authored,
+        [DIRECTORY_COUNTER_DELAYED] = core->stats.delayed,
+        [DIRECTORY_COUNTER_REJECTED] = core->stats.rejected,
+        [DIRECTORY_COUNTER_MALFORMED] = service->malformed,
     };
 
     for (size_t i = 0; i < core->count; i++) {
         uint64_t age_s = (now_us - core->slots[i].since_us) / USEC_PER_SEC;
 
-        if (age_s > values[SERVICE_OLDEST_S])
-            values[SERVICE_OLDEST_S] = age_s;
+        if (age_s > values[DIRECTORY_COUNTER_OLDEST_S])
+            values[DIRECTORY_COUNTER_OLDEST_S] = age_s;
     }
-    for (size_t i = 0; i < SERVICE_COUNTERS; i++)
+    for (size_t i = 0; i < DIRECTORY_COUNTER_COUNT; i++)
         counter_set(service->counters, service->handles[i], values[i]);
 }
 
 static void
-take_board(struct directory_service *service)
+load_blackboard(struct directory_service *service)
 {
     /* Only this thread replaces them. */
     const struct view *view = service->board->view;
@@ -93,29 +93,29 @@
     const char *cell = service->settings->cell;
     uint64_t version = text != NULL ? text->version : 0;
     struct directory_entry *own;
-    struct directory_place place;
+    struct directory_role role;
 
     if (view == NULL ||
-        (view->seq == service->view_seq && version == service->text_version))
+        (view->seq == service->view_seq && version == service->config_version))
         return;
-    directory_place_from(cell, view, &place);
-    directory_set_place(&service->core, &place);
-    if (text != NULL && directory_describe(cell, view, text, &own) == 0)
-        directory_set_own(&service->core, own);
+    directory_role_from_view(cell, view, &role);
+    directory_set_role(&service->core, &role);
+    if (text != NULL && directory_local_entry_new(cell, view, text, &own) == 0)
+        directory_set_local_entry(&service->core, own);
     service->view_seq = view->seq;
-    service->text_version = version;
+    service->config_version = version;
 }
 
 static void
-judge_ready(struct directory_service *service, uint64_t now_us)
+update_ready(struct directory_service *service, uint64_t now_us)
 {
     const struct directory_core *core = &service->core;
     bool alone =
-        service->settings->seed_count == 0 && core->place.balancer_count == 0;
+        service->settings->seed_count == 0 && core->role.balancer_count == 0;
 
     if (service->start_us == 0)
         service->start_us = now_us;
-    if (alone || core->stats.heard > 0 ||
+    if (alone || core->stats.synced > 0 ||
         now_us >= service->start_us + DIRECTORY_READY_US)
         __atomic_store_n(&service->ready, true, __ATOMIC_RELAXED);
 }
@@ -154,8 +154,8 @@
     struct directory_service *service = of_extension(extension);
     struct directory_actions out = {0};
 
-    take_board(service);
-    judge_ready(service, now_us);
+    load_blackboard(service);
+    update_ready(service, now_us);
     directory_tick(&service->core, now_us, wall_ms, &out);
     send_all(service, &out);
     if (service->core.changed)
@@ -173,7 +173,7 @@
     struct directory_msg msg;
 
     if (directory_msg_decode(body, len, &msg) < 0) {
-        service->bad++;
+        service->malformed++;
         return;
     }
     directory_receive(&service->core, &msg, now_us, &out);
@@ -197,7 +197,7 @@
     service->settings = settings;
     service->board = board;
     service->counters = counters;
-    for (size_t i = 0; i < SERVICE_COUNTERS; i++) {
+    for (size_t i = 0; i < DIRECTORY_COUNTER_COUNT; i++) {
         int handle = names[i].gauge
                          ? counter_register_gauge(counters, names[i].name, "")
                          : counter_register(counters, names[i].name, "");
--- a/src/directory/service.h
+++ b/src/directory/service.h
@@ -19,19 +19,19 @@
 
 #define DIRECTORY_READY_US (5 * USEC_PER_SEC)
 
-/** enum service_counter - handles in struct directory_service */
-enum service_counter {
-    SERVICE_CELLS,
-    SERVICE_ADDRESSES,
-    SERVICE_CONFLICTS,
-    SERVICE_OLDEST_S,
-    SERVICE_DIGESTS,
-    SERVICE_MERGED,
-    SERVICE_AUTHORED,
-    SERVICE_DELAYED,
-    SERVICE_REFUSED,
-    SERVICE_BAD,
-    SERVICE_COUNTERS
+/** enum directory_counter - handles in struct directory_service */
+enum directory_counter {
+    DIRECTORY_COUNTER_CELLS,
+    DIRECTORY_COUNTER_ADDRESSES,
+    DIRECTORY_COUNTER_CONFLICTS,
+    DIRECTORY_COUNTER_OLDEST_S,
+    DIRECTORY_COUNTER_DIGESTS,
+    DIRECTORY_COUNTER_MERGED,
+    DIRECTORY_COUNTER_AUTHORED,
+    DIRECTORY_COUNTER_DELAYED,
+    DIRECTORY_COUNTER_REJECTED,
+    DIRECTORY_COUNTER_MALFORMED,
+    DIRECTORY_COUNTER_COUNT
 };
 
 /**
@@ -47,25 +47,25 @@
  * @start_us: when the first step was
  * @ready: see directory_service_ready(); atomic
  * @view_seq: view last taken
- * @text_version: text last taken
+ * @config_version: text last taken
  * @conflicts: addresses claimed twice, as last logged
- * @bad: messages that could not be read
+ * @malformed: messages that could not be read
  */
 struct directory_service {
     struct extension extension;
     const struct settings *settings;
     struct board *board;
     struct counter_table *counters;
-    int handles[SERVICE_COUNTERS];
+    int handles[DIRECTORY_COUNTER_COUNT];
     struct directory_core core;
     struct directory_table *table;
     bool started;
     bool ready;
     uint64_t start_us;
     uint64_t view_seq;
-    uint64_t text_version;
+    uint64_t config_version;
     size_t conflicts;
-    uint64_t bad;
+    uint64_t malformed;
 };
 
 /**
--- a/src/directory/table.c
+++ b/src/directory/table.c
@@ -30,8 +30,8 @@
 
 /* Whether @address of @cell goes before what the slot holds. */
 static bool
-goes_before(const struct directory_table *table, uint64_t address,
-            uint64_t cell, const struct directory_table_slot *slot)
+has_priority(const struct directory_table *table, uint64_t address,
+             uint64_t cell, const struct directory_table_slot *slot)
 {
     uint64_t retired = address & ADDRESS_RETIRED;
     uint64_t other = slot->address & ADDRESS_RETIRED;
@@ -62,7 +62,7 @@
         if (!claims->contested[at])
             table->conflicts++;
         claims->contested[at] = true;
-        if (!goes_before(table, address, table->cells[index].id, slot))
+        if (!has_priority(table, address, table->cells[index].id, slot))
             return;
     }
     slot->address = address;
@@ -81,7 +81,7 @@
         if (table->cells[probe(table, key)->cell].own)
             table->addresses--;
         else
-            table->lost++;
+            table->overridden++;
     }
 }
 
--- a/src/directory/table.h
+++ b/src/directory/table.h
@@ -42,7 +42,7 @@
  * @cell_count: how many
  * @addresses: distinct addresses
  * @conflicts: of them, how many several cells claim
- * @lost: addresses of the own cell that are another one's by these rules
+ * @overridden: addresses of the own cell that are another one's by these rules
  * @slots: hash table
  * @slot_mask: its size less one, which is a power of two
  */
@@ -52,7 +52,7 @@
     size_t cell_count;
     size_t addresses;
     size_t conflicts;
-    size_t lost;
+    size_t overridden;
     struct directory_table_slot *slots;
     uint32_t slot_mask;
 };
--- a/tests/balancer/batch_test.c
+++ b/tests/balancer/batch_test.c
@@ -13,7 +13,7 @@
 
 #include "balancer/worker.h"
 #include "balancer/worker_batch.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "lib/harness.h"
 #include "lib/loopback.h"
 
@@ -106,11 +106,12 @@
 static size_t
 make_packet(uint8_t *bytes, uint32_t number)
 {
-    uint32_t ip = number % 7 == 6 ? 0x0a640063 : SCENE_LOTS_IP;
+    uint32_t ip = number % 7 == 6 ? 0x0a640063 : ROUTE_FIXTURE_LOTS_IP;
     size_t len = gue_encode(NULL, bytes);
 
-    len += scene_tcp(bytes + len, ip, number,
-                     number % 3 ? PACKET_TCP_ACK : PACKET_TCP_SYN, "GET /");
+    len += route_fixture_tcp(bytes + len, ip, number,
+                             number % 3 ? PACKET_TCP_ACK : PACKET_TCP_SYN,
+                             "GET /");
     return number % 11 == 10 ? len - 1 : len;
 }
 
@@ -122,8 +123,8 @@
     struct clock clock;
     struct trace trace = {.fd = -1};
     struct error err;
-    struct text *text = scene_text();
-    struct view *view = scene_view(9, "lots");
+    struct text *text = route_fixture_text();
+    struct view *view = route_fixture_view(9, "lots");
     struct route_table *table;
     struct addr addr;
     int sink = loopback_open(SOCK_DGRAM, &addr);
--- a/tests/balancer/builder_test.c
+++ b/tests/balancer/builder_test.c
@@ -4,7 +4,7 @@
 #include "balancer/builder.h"
 #include "balancer/readiness.h"
 #include "base/hash.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "lib/harness.h"
 
 #define SUITE "/builder"
@@ -51,7 +51,7 @@
 static struct view *
 view_of(uint64_t seq, size_t count)
 {
-    struct view *view = scene_view(count, "lots");
+    struct view *view = route_fixture_view(count, "lots");
     view->seq = seq;
     return view;
 }
@@ -65,7 +65,7 @@
     g_assert_cmpint(builder_poll(&setup->builder), ==, 0);
     g_assert_null(setup->pool.table);
 
-    g_assert_true(board_publish_text(&setup->board, scene_text(), 0));
+    g_assert_true(board_publish_text(&setup->board, route_fixture_text(), 0));
     g_assert_cmpint(builder_poll(&setup->builder), ==, 1);
     g_assert_cmpuint(setup->pool.table->services[0].count, ==, 2);
     g_assert_cmpint(builder_poll(&setup->builder), ==, 0);
@@ -74,7 +74,7 @@
     g_assert_cmpint(builder_poll(&setup->builder), ==, 1);
     g_assert_cmpuint(setup->pool.table->services[0].count, ==, 3);
 
-    text = scene_text();
+    text = route_fixture_text();
     text->version = 7;
     g_assert_true(board_publish_text(&setup->board, text, 0));
     g_assert_cmpint(builder_poll(&setup->builder), ==, 1);
@@ -87,29 +87,30 @@
 
 TEST(readiness)
 {
-    struct view *alone = scene_view(1, "lots");
-    struct view *two = scene_view(2, "lots");
+    struct view *alone = route_fixture_view(1, "lots");
+    struct view *two = route_fixture_view(2, "lots");
     struct readiness_input input = {
         .self = alone->members[0].id, .built = true, .has_seeds = true};
 
-    g_assert_cmpint(readiness_judge(&input, NULL), ==, READINESS_NO_VIEW);
-    g_assert_cmpint(readiness_judge(&input, alone), ==, READINESS_ALONE);
-    g_assert_cmpint(readiness_judge(&input, two), ==, READINESS_READY);
-    input.age_us = READINESS_ALONE_US;
-    g_assert_cmpint(readiness_judge(&input, alone), ==, READINESS_READY);
-    input.met_others = true;
-    g_assert_cmpint(readiness_judge(&input, alone), ==, READINESS_CUT_OFF);
+    g_assert_cmpint(readiness_evaluate(&input, NULL), ==, READINESS_NO_VIEW);
+    g_assert_cmpint(readiness_evaluate(&input, alone), ==,
+                    READINESS_WAITING_FOR_PEERS);
+    g_assert_cmpint(readiness_evaluate(&input, two), ==, READINESS_READY);
+    input.age_us = READINESS_PEER_WAIT_US;
+    g_assert_cmpint(readiness_evaluate(&input, alone), ==, READINESS_READY);
+    input.seen_peers = true;
+    g_assert_cmpint(readiness_evaluate(&input, alone), ==, READINESS_ISOLATED);
     two->members[two->members[0].id == input.self].health = MEMBER_DEAD;
-    g_assert_cmpint(readiness_judge(&input, two), ==, READINESS_CUT_OFF);
+    g_assert_cmpint(readiness_evaluate(&input, two), ==, READINESS_ISOLATED);
     two->members[two->members[0].id == input.self].health = MEMBER_SUSPECT;
-    g_assert_cmpint(readiness_judge(&input, two), ==, READINESS_READY);
+    g_assert_cmpint(readiness_evaluate(&input, two), ==, READINESS_READY);
     input.built = false;
-    g_assert_cmpint(readiness_judge(&input, two), ==, READINESS_NO_CONFIG);
+    g_assert_cmpint(readiness_evaluate(&input, two), ==, READINESS_NO_CONFIG);
     input.built = true;
     input.self = 12345;
-    g_assert_cmpint(readiness_judge(&input, two), ==, READINESS_NO_VIEW);
+    g_assert_cmpint(readiness_evaluate(&input, two), ==, READINESS_NO_VIEW);
     input.stopping = true;
-    g_assert_cmpint(readiness_judge(&input, two), ==, READINESS_STOPPING);
+    g_assert_cmpint(readiness_evaluate(&input, two), ==, READINESS_STOPPING);
     free(alone);
     free(two);
 }
--- a/tests/balancer/fabric_test.c
+++ b/tests/balancer/fabric_test.c
@@ -153,8 +153,8 @@
     struct addr data;
 };
 
-/** struct site - a fabric, two balancers and a caller on one loop */
-struct site {
+/** struct fixture - a fabric, two balancers and a caller on one loop */
+struct fixture {
     struct event_base *base;
     struct clock clock;
     struct config config;
@@ -177,68 +177,69 @@
 static const struct httpd_ops http_ops = {.on_request = on_request};
 
 static void
-site_init(struct site *site)
+fixture_init(struct fixture *fixture)
 {
     struct error err;
     struct addr addr;
 
-    site->base = event_base_new();
-    clock_runtime_init(&site->clock);
-    site->sender = loopback_open(SOCK_DGRAM | SOCK_NONBLOCK, &addr);
-    site->config.listen = (struct addr){LOOPBACK, 0};
-    site->config.seed = 1;
-    site->config.client_delay_us = 1000;
-    site->config.health_interval_ms = 100;
-    site->config.balancer_count = 2;
+    fixture->base = event_base_new();
+    clock_runtime_init(&fixture->clock);
+    fixture->sender = loopback_open(SOCK_DGRAM | SOCK_NONBLOCK, &addr);
+    fixture->config.listen = (struct addr){LOOPBACK, 0};
+    fixture->config.seed = 1;
+    fixture->config.client_delay_us = 1000;
+    fixture->config.health_interval_ms = 100;
+    fixture->config.balancer_count = 2;
     for (size_t i = 0; i < 2; i++) {
-        struct balancer *balancer = &site->balancers[i];
+        struct balancer *balancer = &fixture->balancers[i];
         balancer->handler.ops = &http_ops;
         balancer->status = 200;
         balancer->fd =
             loopback_open(SOCK_DGRAM | SOCK_NONBLOCK, &balancer->data);
-        balancer->httpd = httpd_new(site->base, (struct addr){LOOPBACK, 0},
+        balancer->httpd = httpd_new(fixture->base, (struct addr){LOOPBACK, 0},
                                     &balancer->handler, &err);
-        site->config.balancers[i].data = balancer->data;
-        site->config.balancers[i].http = httpd_addr(balancer->httpd);
+        fixture->config.balancers[i].data = balancer->data;
+        fixture->config.balancers[i].http = httpd_addr(balancer->httpd);
     }
-    site->config.caller_count = 1;
-    site->config.callers[0].ip = 0x0a090001;
-    site->caller =
-        loopback_open(SOCK_DGRAM | SOCK_NONBLOCK, &site->config.callers[0].to);
-    site->fabric = fabric_new(site->base, &site->config, &site->clock, &err);
-    g_assert_nonnull(site->fabric);
+    fixture->config.caller_count = 1;
+    fixture->config.callers[0].ip = 0x0a090001;
+    fixture->caller = loopback_open(SOCK_DGRAM | SOCK_NONBLOCK,
+                                    &fixture->config.callers[0].to);
+    fixture->fabric =
+        fabric_new(fixture->base, &fixture->config, &fixture->clock, &err);
+    g_assert_nonnull(fixture->fabric);
 }
 
 static void
-site_finish(struct site *site)
+fixture_finish(struct fixture *fixture)
 {
-    fabric_free(site->fabric);
+    fabric_free(fixture->fabric);
     for (size_t i = 0; i < 2; i++) {
-        httpd_free(site->balancers[i].httpd);
-        close(site->balancers[i].fd);
+        httpd_free(fixture->balancers[i].httpd);
+        close(fixture->balancers[i].fd);
     }
-    close(site->caller);
-    close(site->sender);
-    event_base_free(site->base);
+    close(fixture->caller);
+    close(fixture->sender);
+    event_base_free(fixture->base);
 }
 
 /* A packet to @ip with a number in its last byte */
 static void
-send_numbered(struct site *site, uint32_t ip, uint8_t number)
+send_numbered(struct fixture *fixture, uint32_t ip, uint8_t number)
 {
     uint8_t bytes[25] = {0, 4};
     uint32_t dst = htonl(ip);
 
     memcpy(bytes + 20, &dst, sizeof(dst));
     bytes[24] = number;
-    loopback_send(site->sender, fabric_addr(site->fabric), bytes,
+    loopback_send(fixture->sender, fabric_addr(fixture->fabric), bytes,
                   sizeof(bytes));
 }
 
 static uint64_t
-count_handled(struct site *site)
+count_handled(struct fixture *fixture)
 {
-    struct fabric_counts counts = fabric_counts(site->fabric);
+    struct fabric_counts counts = fabric_counts(fixture->fabric);
     return counts.to_balancers + counts.to_callers + counts.no_balancer +
            counts.cut + counts.lost + counts.malformed;
 }
@@ -261,74 +262,74 @@
 
 /* Run the loop until @done says so, at most LOOP_LIMIT_US */
 static void
-run_until(struct site *site, bool (*done)(struct site *site))
+run_until(struct fixture *fixture, bool (*done)(struct fixture *fixture))
 {
-    uint64_t end_us = clock_now_us(&site->clock) + LOOP_LIMIT_US;
+    uint64_t end_us = clock_now_us(&fixture->clock) + LOOP_LIMIT_US;
 
-    while (!done(site)) {
-        g_assert_cmpuint(clock_now_us(&site->clock), <, end_us);
-        event_base_loop(site->base, EVLOOP_ONCE);
+    while (!done(fixture)) {
+        g_assert_cmpuint(clock_now_us(&fixture->clock), <, end_us);
+        event_base_loop(fixture->base, EVLOOP_ONCE);
     }
 }
 
 static bool
-both_up(struct site *site)
+both_up(struct fixture *fixture)
 {
-    return fabric_counts(site->fabric).health_changes == 2;
+    return fabric_counts(fixture->fabric).health_changes == 2;
 }
 
 static bool
-one_down(struct site *site)
+one_down(struct fixture *fixture)
 {
-    return fabric_counts(site->fabric).health_changes == 3;
+    return fabric_counts(fixture->fabric).health_changes == 3;
 }
 
 static bool
-all_sent(struct site *site)
+all_sent(struct fixture *fixture)
 {
-    return count_handled(site) >= PACKETS && fabric_idle(site->fabric);
+    return count_handled(fixture) >= PACKETS && fabric_idle(fixture->fabric);
 }
 
 static bool
-second_sent(struct site *site)
+second_sent(struct fixture *fixture)
 {
-    return count_handled(site) >= (uint64_t)2 * PACKETS &&
-           fabric_idle(site->fabric);
+    return count_handled(fixture) >= (uint64_t)2 * PACKETS &&
+           fabric_idle(fixture->fabric);
 }
 
-TEST_F(site, spray)
+TEST_F(fixture, spray)
 {
-    run_until(site, both_up);
+    run_until(fixture, both_up);
     for (int i = 0; i < PACKETS; i++)
-        send_numbered(site, i % 2 ? 0x0a090001 : 0x0a640001, (uint8_t)i);
-    run_until(site, all_sent);
-    size_t first = count_in_order(site->balancers[0].fd);
-    size_t second = count_in_order(site->balancers[1].fd);
+        send_numbered(fixture, i % 2 ? 0x0a090001 : 0x0a640001, (uint8_t)i);
+    run_until(fixture, all_sent);
+    size_t first = count_in_order(fixture->balancers[0].fd);
+    size_t second = count_in_order(fixture->balancers[1].fd);
     g_assert_cmpuint(first, >, PACKETS / 8);
     g_assert_cmpuint(second, >, PACKETS / 8);
     g_assert_cmpuint(first + second, ==, PACKETS / 2);
-    g_assert_cmpuint(count_in_order(site->caller), ==, PACKETS / 2);
+    g_assert_cmpuint(count_in_order(fixture->caller), ==, PACKETS / 2);
 
-    site->balancers[0].status = 503;
-    run_until(site, one_down);
+    fixture->balancers[0].status = 503;
+    run_until(fixture, one_down);
     for (int i = 0; i < PACKETS; i++)
-        send_numbered(site, 0x0a640001, (uint8_t)i);
-    run_until(site, second_sent);
-    g_assert_cmpuint(count_in_order(site->balancers[0].fd), ==, 0);
-    g_assert_cmpuint(count_in_order(site->balancers[1].fd), ==, PACKETS);
+        send_numbered(fixture, 0x0a640001, (uint8_t)i);
+    run_until(fixture, second_sent);
+    g_assert_cmpuint(count_in_order(fixture->balancers[0].fd), ==, 0);
+    g_assert_cmpuint(count_in_order(fixture->balancers[1].fd), ==, PACKETS);
 }
 
 /* New settings: a cut link; the balancers stay up. */
-TEST_F(site, reload)
+TEST_F(fixture, reload)
 {
-    run_until(site, both_up);
-    site->config.cut[0] = site->config.callers[0].to;
-    site->config.cut_count = 1;
-    g_assert_cmpint(fabric_reload(site->fabric, &site->config), ==, 0);
+    run_until(fixture, both_up);
+    fixture->config.cut[0] = fixture->config.callers[0].to;
+    fixture->config.cut_count = 1;
+    g_assert_cmpint(fabric_reload(fixture->fabric, &fixture->config), ==, 0);
     for (int i = 0; i < PACKETS; i++)
-        send_numbered(site, 0x0a090001, (uint8_t)i);
-    run_until(site, all_sent);
-    g_assert_cmpuint(fabric_counts(site->fabric).cut, ==, PACKETS);
-    g_assert_cmpuint(fabric_counts(site->fabric).health_changes, ==, 2);
-    g_assert_cmpuint(count_in_order(site->caller), ==, 0);
+        send_numbered(fixture, 0x0a090001, (uint8_t)i);
+    run_until(fixture, all_sent);
+    g_assert_cmpuint(fabric_counts(fixture->fabric).cut, ==, PACKETS);
+    g_assert_cmpuint(fabric_counts(fixture->fabric).health_changes, ==, 2);
+    g_assert_cmpuint(count_in_order(fixture->caller), ==, 0);
 }
--- a/tests/balancer/program_test.c
+++ b/tests/balancer/program_test.c
@@ -12,7 +12,7 @@
 #include "base/hash.h"
 #include "control/control.h"
 #include "packet/gue.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "lib/harness.h"
 #include "lib/loopback.h"
 #include "lib/sample.h"
@@ -166,7 +166,7 @@
 static void
 publish_view(uint64_t seq, struct addr data)
 {
-    struct view *view = scene_view(2, "lots");
+    struct view *view = route_fixture_view(2, "lots");
 
     view->seq = seq;
     for (size_t i = 0; i < 2; i++) {
@@ -190,7 +190,8 @@
     uint8_t bytes[256];
     size_t len = gue_encode(NULL, bytes);
 
-    len += scene_tcp(bytes + len, SCENE_LOTS_IP, 1, PACKET_TCP_ACK, "");
+    len += route_fixture_tcp(bytes + len, ROUTE_FIXTURE_LOTS_IP, 1,
+                             PACKET_TCP_ACK, "");
     loopback_send(fd, fake.settings->data, bytes, len);
 }
 
@@ -218,7 +219,7 @@
     g_assert_cmpint(http_get("/ready", answer), ==, 503);
     publish_view(1, data);
     g_assert_cmpint(http_get("/ready", answer), ==, 503);
-    g_assert_true(board_publish_text(fake.board, scene_text(), 0));
+    g_assert_true(board_publish_text(fake.board, route_fixture_text(), 0));
     wait_ready(200);
     send_packet(caller);
     expect_packet(endpoint);
@@ -249,7 +250,7 @@
 
     run_start(&run);
     publish_view(1, data);
-    g_assert_true(board_publish_text(fake.board, scene_text(), 0));
+    g_assert_true(board_publish_text(fake.board, route_fixture_text(), 0));
     wait_ready(200);
 
     close(endpoint); /* a refusal reaches the control thread */
--- /dev/null
+++ b/tests/balancer/retire_fixture.c
@@ -0,0 +1,234 @@
+#include "retire_fixture.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include "base/hash.h"
+#include "route_fixture.h"
+
+#define HOLD_MS (24 * FIXTURE_HOUR_MS)
+#define FIRST_MS UINT64_C(1700000000000)
+
+const char *const fixture_names[FIXTURE_NAMES] = {"albums", "desk", "lots",
+                                                  "names"};
+
+unsigned
+fixture_random(struct fixture *fixture, unsigned below)
+{
+    return (unsigned)g_rand_int_range(fixture->random, 0, (gint32)below);
+}
+
+/* "names" is a UDP service, so it may share an address. */
+bool
+fixture_is_udp(unsigned name)
+{
+    return name == FIXTURE_NAMES - 1;
+}
+
+static char *
+write_text(const struct fixture_plan *plan)
+{
+    GString *out = g_string_new("{\"services\": [");
+    bool any = false;
+
+    for (unsigned i = 0; i < FIXTURE_NAMES; i++) {
+        if (plan->address[i] == FIXTURE_ADDRESSES)
+            continue;
+        g_string_append_printf(
+            out,
+            "%s{\"name\": \"%s\", \"address\": \"10.100.0.%u\", \"port\": "
+            "%d, \"protocol\": \"%s\", \"class\": \"urgent\"}",
+            any ? ", " : "", fixture_names[i], plan->address[i] + 1,
+            ROUTE_FIXTURE_PORT, fixture_is_udp(i) ? "udp" : "tcp");
+        any = true;
+    }
+    g_string_append(out, "]}");
+    return g_string_free(out, FALSE);
+}
+
+/* The next text, or NULL when what is published forbids it or it is none. */
+static struct text *
+next_text(struct fixture *fixture, const struct fixture_plan *plan)
+{
+    struct text_retired retired[TEXT_RETIRED_MAX];
+    struct text_change change = {.name = "t",
+                                 .from = fixture->texts[fixture->latest],
+                                 .now_ms = fixture->now_ms,
+                                 .hold_ms = HOLD_MS};
+    struct text_envelope envelope = {.write_id = "1", .author = "a"};
+    g_autofree char *source = write_text(plan);
+    struct text *text = NULL;
+    struct text *full = NULL;
+    g_autofree char *report = NULL;
+    size_t count;
+
+    if (text_parse(source, strlen(source), "t", &text, &report) == 0) {
+        change.to = text;
+        if (text_retire(&change, retired, &count, &report) == 0) {
+            size_t len;
+            char *list = text_retired_write(retired, count);
+            envelope.text = text->source;
+            envelope.text_len = text->source_len;
+            envelope.retired = count > 0 ? list : NULL;
+            envelope.retired_len = strlen(list);
+            char *value = text_envelope_write(&envelope, &len);
+            g_assert_cmpint(text_parse_envelope(value, len,
+                                                fixture->latest + 2, &full,
+                                                &report),
+                            ==, 0);
+            g_assert_cmpuint(full->retired_count, ==, count);
+            g_free(value);
+            g_free(list);
+        }
+    }
+    fixture->refused += full == NULL;
+    text_free(text);
+    return full;
+}
+
+/* The ranks do not depend on the text, so all versions share them. */
+static void
+keep_version(struct fixture *fixture, size_t version, struct text *text)
+{
+    fixture->texts[version] = text;
+    fixture->published_ms[version] = fixture->now_ms;
+    g_assert_cmpint(
+        route_table_new(fixture->view, text,
+                        version > 0 ? fixture->tables[version - 1] : NULL,
+                        &fixture->tables[version]),
+        ==, 0);
+}
+
+/* What a peer learns from another is what the platform would tell it. */
+static struct text *
+from_peer(const struct text *text)
+{
+    struct text *again = NULL;
+    char *report = NULL;
+
+    g_assert_cmpint(text_parse_envelope(text->source, text->source_len,
+                                        text->version, &again, &report),
+                    ==, 0);
+    g_assert_cmpuint(again->retired_count, ==, text->retired_count);
+    return again;
+}
+
+static struct fixture_plan
+change_plan(struct fixture *fixture)
+{
+    struct fixture_plan plan = fixture->plan;
+    unsigned name = fixture_random(fixture, FIXTURE_NAMES);
+
+    if (fixture_random(fixture, 4) == 0) { /* rename, or swap */
+        unsigned other = fixture_random(fixture, FIXTURE_NAMES);
+        unsigned address = plan.address[name];
+        plan.address[name] = plan.address[other];
+        plan.address[other] = address;
+    }
+    else {
+        plan.address[name] = fixture_random(fixture, FIXTURE_ADDRESSES + 1);
+    }
+    return plan;
+}
+
+static void
+agent_set(struct fixture *fixture, struct fixture_agent *agent, size_t version)
+{
+    struct text *text = fixture->texts[version];
+    uint32_t id = hash_service(fixture_names[agent->name]);
+
+    agent->version = version;
+    agent->service = text_find_served(text, id);
+    addresses_set(&agent->addresses, text, id);
+    flow_set_view(agent->flows, fixture->view, agent->service != NULL ? id : 0,
+                  !agent->addresses.removed, fixture->now_us);
+}
+
+/* Nobody lags by as much as addresses are held. */
+static size_t
+oldest_allowed(const struct fixture *fixture)
+{
+    size_t version = fixture->latest;
+
+    while (version > 0 &&
+           fixture->published_ms[version] + HOLD_MS > fixture->now_ms)
+        version--;
+    return version;
+}
+
+static size_t
+newer(struct fixture *fixture, size_t version)
+{
+    size_t least = MAX(version, oldest_allowed(fixture));
+
+    return least +
+           fixture_random(fixture, (unsigned)(fixture->latest - least + 1));
+}
+
+void
+fixture_advance_versions(struct fixture *fixture)
+{
+    bool all = fixture_random(fixture, 5) == 0; /* to the latest */
+
+    for (size_t i = 0; i < FIXTURE_BALANCERS; i++)
+        fixture->balancers[i] =
+            newer(fixture, all ? fixture->latest : fixture->balancers[i]);
+    for (size_t i = 0; i < FIXTURE_AGENTS; i++)
+        agent_set(fixture, &fixture->agents[i],
+                  newer(fixture,
+                        all ? fixture->latest : fixture->agents[i].version));
+}
+
+void
+fixture_publish(struct fixture *fixture)
+{
+    struct fixture_plan plan = change_plan(fixture);
+    struct text *text = next_text(fixture, &plan);
+
+    if (text == NULL)
+        return;
+    fixture->plan = plan;
+    keep_version(fixture, ++fixture->latest, from_peer(text));
+    text_free(text);
+}
+
+void
+fixture_init(struct fixture *fixture, uint32_t seed)
+{
+    struct text *text;
+    char *report;
+
+    *fixture = (struct fixture){.random = g_rand_new_with_seed(seed),
+                                .now_ms = FIRST_MS,
+                                .now_us = 100 * USEC_PER_SEC,
+                                .plan = {{0, 1, 2, 0}}};
+    g_autofree char *source = write_text(&fixture->plan);
+    g_assert_cmpint(text_parse(source, strlen(source), "t", &text, &report),
+                    ==, 0);
+    fixture->view = route_fixture_view(FIXTURE_AGENTS, fixture_names[0]);
+    for (unsigned i = 0; i < FIXTURE_AGENTS; i++) {
+        fixture->agents[i].name = i % FIXTURE_NAMES;
+        fixture->view->members[i].service =
+            hash_service(fixture_names[i % FIXTURE_NAMES]);
+    }
+    keep_version(fixture, 0, text);
+    for (unsigned i = 0; i < FIXTURE_AGENTS; i++) {
+        fixture->agents[i].flows = flow_table_new(fixture->view->members[i].id,
+                                                  4 * FIXTURE_FLOWS_MAX);
+        agent_set(fixture, &fixture->agents[i], 0);
+    }
+    fixture->now_us += 60 * USEC_PER_SEC;
+}
+
+void
+fixture_finish(struct fixture *fixture)
+{
+    for (size_t i = 0; i < FIXTURE_AGENTS; i++)
+        flow_table_free(fixture->agents[i].flows);
+    for (size_t i = 0; i <= fixture->latest; i++) {
+        route_table_free(fixture->tables[i]);
+        text_free(fixture->texts[i]);
+    }
+    free(fixture->view);
+    g_rand_free(fixture->random);
+}
--- a/tests/balancer/scene.c
+++ b/tests/balancer/route_fixture.c
@@ -1,4 +1,4 @@
-#include "scene.h"
+#include "route_fixture.h"
 
 #include <glib.h>
 
@@ -15,7 +15,7 @@
     " \"protocol\": \"udp\", \"class\": \"ordinary\"}]}";
 
 struct text *
-scene_text(void)
+route_fixture_text(void)
 {
     struct text *text = sample_parse(source);
 
@@ -24,7 +24,7 @@
 }
 
 struct view *
-scene_view(size_t count, const char *service)
+route_fixture_view(size_t count, const char *service)
 {
     struct view *view = view_new(count);
 
@@ -36,7 +36,7 @@
         g_snprintf(name, sizeof(name), "%s-%zu", service, i);
         sample_agent(member, name, service);
         member->incarnation = 1000 + i;
-        member->since_us = SCENE_FIRST_SEEN_US;
+        member->since_us = ROUTE_FIXTURE_FIRST_SEEN_US;
         member->data.ip = 0x7f000001 + (uint32_t)(i / 60000);
         member->data.port = (uint16_t)(1 + i % 60000);
     }
@@ -45,22 +45,22 @@
 }
 
 size_t
-scene_tcp(uint8_t *buf, uint32_t ip, uint32_t caller, uint8_t flags,
-          const char *payload)
+route_fixture_tcp(uint8_t *buf, uint32_t ip, uint32_t caller, uint8_t flags,
+                  const char *payload)
 {
     const struct packet packet = {.src = 0x0a090000 + caller / 50000,
                                   .dst = ip,
                                   .sport = (uint16_t)(1024 + caller % 50000),
-                                  .dport = SCENE_PORT,
+                                  .dport = ROUTE_FIXTURE_PORT,
                                   .flags = flags};
 
     return segment_tcp(buf, &packet, payload);
 }
 
 size_t
-scene_udp(uint8_t *buf, uint32_t ip, uint32_t caller)
+route_fixture_udp(uint8_t *buf, uint32_t ip, uint32_t caller)
 {
-    return packet_build_udp(0x0a090000 + caller / 50000,
-                            (uint16_t)(1024 + caller % 50000), ip, SCENE_PORT,
-                            (const uint8_t *)"query", 5, buf);
+    return packet_build_udp(
+        0x0a090000 + caller / 50000, (uint16_t)(1024 + caller % 50000), ip,
+        ROUTE_FIXTURE_PORT, (const uint8_t *)"query", 5, buf);
 }
--- a/tests/balancer/route_table_test.c
+++ b/tests/balancer/route_table_test.c
@@ -2,7 +2,7 @@
 
 #include "balancer/route.h"
 #include "balancer/route_rank.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "lib/harness.h"
 
 #define SUITE "/route-table"
@@ -50,8 +50,8 @@
 /* Only what changed is ranked anew. */
 TEST(sharing)
 {
-    struct text *text = scene_text();
-    struct view *view = scene_view(5, "lots");
+    struct text *text = route_fixture_text();
+    struct view *view = route_fixture_view(5, "lots");
     struct route_table *first = build(view, text, NULL);
 
     view->members[0].busy = 2;
--- a/tests/balancer/route_test.c
+++ b/tests/balancer/route_test.c
@@ -2,79 +2,80 @@
 
 #include "balancer/route.h"
 #include "base/hash.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "lib/harness.h"
 
 #define SUITE "/route"
 #define FLOWS 3000
-#define WARM_NOW_US (SCENE_FIRST_SEEN_US + ROUTE_WARM_US)
+#define AFTER_SLOW_START_US (ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US)
 
-/** struct scene - a table and what it was built from */
-struct scene {
+/** struct fixture - a table and what it was built from */
+struct fixture {
     struct text *text;
     struct view *view;
     struct route_table *table;
 };
 
 static void
-scene_init(struct scene *scene, size_t endpoints)
+fixture_init(struct fixture *fixture, size_t endpoints)
 {
-    scene->text = scene_text();
-    scene->view = scene_view(endpoints, "lots");
-    scene->table = NULL;
+    fixture->text = route_fixture_text();
+    fixture->view = route_fixture_view(endpoints, "lots");
+    fixture->table = NULL;
 }
 
 static void
-scene_build(struct scene *scene)
+fixture_build(struct fixture *fixture)
 {
     struct route_table *table;
 
-    scene->view->seq++;
+    fixture->view->seq++;
     g_assert_cmpint(
-        route_table_new(scene->view, scene->text, scene->table, &table), ==,
-        0);
-    route_table_free(scene->table);
-    scene->table = table;
+        route_table_new(fixture->view, fixture->text, fixture->table, &table),
+        ==, 0);
+    route_table_free(fixture->table);
+    fixture->table = table;
 }
 
 static void
-scene_finish(struct scene *scene)
+fixture_finish(struct fixture *fixture)
 {
-    route_table_free(scene->table);
-    text_free(scene->text);
-    free(scene->view);
+    route_table_free(fixture->table);
+    text_free(fixture->text);
+    free(fixture->view);
 }
 
 static struct gue
-decide(const struct scene *scene, uint32_t caller, uint8_t flags,
+decide(const struct fixture *fixture, uint32_t caller, uint8_t flags,
        uint64_t now_us)
 {
     uint8_t buf[PACKET_MAX];
     struct route_decision decision;
-    size_t len = scene_tcp(buf, SCENE_LOTS_IP, caller, flags, "");
+    size_t len =
+        route_fixture_tcp(buf, ROUTE_FIXTURE_LOTS_IP, caller, flags, "");
 
-    g_assert_cmpint(route_decide(scene->table, buf, len, now_us, &decision),
+    g_assert_cmpint(route_decide(fixture->table, buf, len, now_us, &decision),
                     ==, PACKET_OK);
     return decision.gue;
 }
 
 static const struct view_member *
-member_of(const struct scene *scene, uint64_t id)
+member_of(const struct fixture *fixture, uint64_t id)
 {
-    const struct view_member *member = view_find(scene->view, id);
+    const struct view_member *member = view_find(fixture->view, id);
     g_assert_nonnull(member);
     return member;
 }
 
 /* Place of a hop in the list that the rules ask for: lower comes first */
 static int
-place_known(const struct view_member *member)
+expected_order_established(const struct view_member *member)
 {
     return member->health == MEMBER_SUSPECT;
 }
 
 static int
-place_open(const struct view_member *member)
+expected_order_new_flow(const struct view_member *member)
 {
     if (member->health == MEMBER_SUSPECT)
         return 2;
@@ -84,8 +85,8 @@
 }
 
 static void
-check_hops(const struct scene *scene, const struct gue *gue, uint32_t caller,
-           bool open)
+check_hops(const struct fixture *fixture, const struct gue *gue,
+           uint32_t caller, bool open)
 {
     uint8_t buf[PACKET_MAX];
     struct packet packet;
@@ -93,14 +94,16 @@
     int place = 0;
     uint64_t score = UINT64_MAX;
 
-    size_t len = scene_tcp(buf, SCENE_LOTS_IP, caller, PACKET_TCP_ACK, "");
+    size_t len = route_fixture_tcp(buf, ROUTE_FIXTURE_LOTS_IP, caller,
+                                   PACKET_TCP_ACK, "");
     packet_parse(buf, len, 0, &packet);
     uint32_t bucket = rank_bucket(packet_flow_hash(&packet));
 
     for (size_t i = 0; i < gue->count; i++) {
         const struct view_member *member =
-            member_of(scene, gue->hops[i].member);
-        int own = open ? place_open(member) : place_known(member);
+            member_of(fixture, gue->hops[i].member);
+        int own = open ? expected_order_new_flow(member)
+                       : expected_order_established(member);
         g_assert_cmpint(member->health, !=, MEMBER_DEAD);
         g_assert_cmpint(member->role, ==, MEMBER_AGENT);
         g_assert_cmpuint(member->service, ==, gue->service);
@@ -123,78 +126,82 @@
 TEST(rules)
 {
     for (int round = 0; round < 30; round++) {
-        struct scene scene;
+        struct fixture fixture;
         size_t usable = 0;
-        scene_init(&scene, (size_t)g_test_rand_int_range(1, 30));
-        for (size_t i = 0; i < scene.view->count; i++) {
-            struct view_member *member = &scene.view->members[i];
+        fixture_init(&fixture, (size_t)g_test_rand_int_range(1, 30));
+        for (size_t i = 0; i < fixture.view->count; i++) {
+            struct view_member *member = &fixture.view->members[i];
             member->state = (enum member_state)g_test_rand_int_range(0, 4);
             member->health = (enum member_health)g_test_rand_int_range(0, 3);
             usable += member->health != MEMBER_DEAD;
         }
-        scene_build(&scene);
+        fixture_build(&fixture);
         for (uint32_t caller = 0; usable > 0 && caller < 300; caller++) {
             struct gue known =
-                decide(&scene, caller, PACKET_TCP_ACK, WARM_NOW_US);
+                decide(&fixture, caller, PACKET_TCP_ACK, AFTER_SLOW_START_US);
             struct gue open =
-                decide(&scene, caller, PACKET_TCP_SYN, WARM_NOW_US);
-            check_hops(&scene, &known, caller, false);
-            check_hops(&scene, &open, caller, true);
+                decide(&fixture, caller, PACKET_TCP_SYN, AFTER_SLOW_START_US);
+            check_hops(&fixture, &known, caller, false);
+            check_hops(&fixture, &open, caller, true);
             g_assert_cmpuint(known.count, ==, MIN(usable, GUE_HOPS_MAX));
             g_assert_cmpuint(open.count, >=, MIN(usable, 4));
         }
-        scene_finish(&scene);
+        fixture_finish(&fixture);
     }
 }
 
-TEST_F(scene, drop_reasons, 3)
+TEST_F(fixture, drop_reasons, 3)
 {
     uint8_t buf[PACKET_MAX];
     struct route_decision decision;
 
-    scene_build(scene);
-    size_t len = scene_tcp(buf, 0x0a640009, 1, PACKET_TCP_SYN, "");
-    g_assert_cmpint(route_decide(scene->table, buf, len, 0, &decision), ==,
+    fixture_build(fixture);
+    size_t len = route_fixture_tcp(buf, 0x0a640009, 1, PACKET_TCP_SYN, "");
+    g_assert_cmpint(route_decide(fixture->table, buf, len, 0, &decision), ==,
                     PACKET_NO_SERVICE);
-    len = scene_tcp(buf, SCENE_ALBUMS_IP, 1, PACKET_TCP_SYN, "");
-    g_assert_cmpint(route_decide(scene->table, buf, len, 0, &decision), ==,
+    len =
+        route_fixture_tcp(buf, ROUTE_FIXTURE_ALBUMS_IP, 1, PACKET_TCP_SYN, "");
+    g_assert_cmpint(route_decide(fixture->table, buf, len, 0, &decision), ==,
                     PACKET_NO_ENDPOINT);
-    len = scene_udp(buf, SCENE_ALBUMS_IP, 1);
-    g_assert_cmpint(route_decide(scene->table, buf, len, 0, &decision), ==,
+    len = route_fixture_udp(buf, ROUTE_FIXTURE_ALBUMS_IP, 1);
+    g_assert_cmpint(route_decide(fixture->table, buf, len, 0, &decision), ==,
                     PACKET_NO_SERVICE);
-    len = scene_tcp(buf, SCENE_LOTS_IP, 1, PACKET_TCP_SYN, "x");
-    g_assert_cmpint(route_decide(scene->table, buf, len - 1, 0, &decision), ==,
-                    PACKET_TRUNCATED);
+    len =
+        route_fixture_tcp(buf, ROUTE_FIXTURE_LOTS_IP, 1, PACKET_TCP_SYN, "x");
+    g_assert_cmpint(route_decide(fixture->table, buf, len - 1, 0, &decision),
+                    ==, PACKET_TRUNCATED);
 }
 
 /* One address and port, two transports, two services with endpoints each */
-TEST_F(scene, services_apart, 40)
+TEST_F(fixture, services_apart, 40)
 {
     uint8_t buf[PACKET_MAX];
     struct route_decision decision;
 
-    for (size_t i = 0; i < scene->view->count; i++) {
+    for (size_t i = 0; i < fixture->view->count; i++) {
         const char *services[] = {"lots", "albums", "names", "gone"};
-        scene->view->members[i].service =
+        fixture->view->members[i].service =
             i % 5 == 4 ? 0 : hash_service(services[i % 5]);
     }
-    scene->view->members[0].role = MEMBER_BALANCER;
-    scene_build(scene);
+    fixture->view->members[0].role = MEMBER_BALANCER;
+    fixture_build(fixture);
     for (uint32_t caller = 0; caller < FLOWS; caller++) {
         bool udp = caller % 3 == 2;
-        uint32_t ip = caller % 3 == 1 ? SCENE_ALBUMS_IP : SCENE_LOTS_IP;
-        size_t len = udp ? scene_udp(buf, ip, caller)
-                         : scene_tcp(buf, ip, caller, PACKET_TCP_SYN, "");
+        uint32_t ip =
+            caller % 3 == 1 ? ROUTE_FIXTURE_ALBUMS_IP : ROUTE_FIXTURE_LOTS_IP;
+        size_t len =
+            udp ? route_fixture_udp(buf, ip, caller)
+                : route_fixture_tcp(buf, ip, caller, PACKET_TCP_SYN, "");
         const char *names[] = {"lots", "albums", "names"};
         uint32_t service = hash_service(names[caller % 3]);
 
-        g_assert_cmpint(route_decide(scene->table, buf, len, 0, &decision), ==,
-                        PACKET_OK);
+        g_assert_cmpint(route_decide(fixture->table, buf, len, 0, &decision),
+                        ==, PACKET_OK);
         g_assert_cmpuint(decision.gue.service, ==, service);
         g_assert_cmpint(!!(decision.gue.flags & GUE_OPEN), ==, true);
         for (size_t i = 0; i < decision.gue.count; i++) {
             const struct view_member *member =
-                member_of(scene, decision.gue.hops[i].member);
+                member_of(fixture, decision.gue.hops[i].member);
             g_assert_cmpuint(member->service, ==, service);
             g_assert_cmpint(member->role, ==, MEMBER_AGENT);
         }
@@ -202,20 +209,22 @@
 }
 
 /* A drained endpoint keeps its place for known flows, and gets no new one. */
-TEST_F(scene, drain, 7)
+TEST_F(fixture, drain, 7)
 {
     struct gue before[FLOWS];
 
-    scene_build(scene);
+    fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++)
-        before[i] = decide(scene, i, PACKET_TCP_ACK, WARM_NOW_US);
-    scene->view->members[3].state = MEMBER_DRAINING;
-    uint64_t drained = scene->view->members[3].id;
-    scene_build(scene);
+        before[i] = decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
+    fixture->view->members[3].state = MEMBER_DRAINING;
+    uint64_t drained = fixture->view->members[3].id;
+    fixture_build(fixture);
 
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known = decide(scene, i, PACKET_TCP_ACK, WARM_NOW_US);
-        struct gue open = decide(scene, i, PACKET_TCP_SYN, WARM_NOW_US);
+        struct gue known =
+            decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
+        struct gue open =
+            decide(fixture, i, PACKET_TCP_SYN, AFTER_SLOW_START_US);
         g_assert_cmpuint(known.hops[0].member, ==, before[i].hops[0].member);
         g_assert_cmpuint(open.hops[0].member, !=, drained);
         if (before[i].hops[0].member != drained)
@@ -229,19 +238,22 @@
 
 /* The best of those that take no new flow are on the list all the same:
  * they may own the flow of a repeated SYN or of a datagram. */
-TEST_F(scene, reserve, 20)
+TEST_F(fixture, reserve, 20)
 {
     for (size_t i = 0; i < 8; i++)
-        scene->view->members[i].state = MEMBER_LEAVING;
-    scene_build(scene);
+        fixture->view->members[i].state = MEMBER_LEAVING;
+    fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known = decide(scene, i, PACKET_TCP_ACK, WARM_NOW_US);
-        struct gue open = decide(scene, i, PACKET_TCP_SYN, WARM_NOW_US);
+        struct gue known =
+            decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
+        struct gue open =
+            decide(fixture, i, PACKET_TCP_SYN, AFTER_SLOW_START_US);
         size_t wanted = 0;
-        for (size_t j = 0; j < known.count && wanted < ROUTE_RESERVE; j++) {
+        for (size_t j = 0; j < known.count && wanted < ROUTE_RESERVED_HOPS;
+             j++) {
             uint64_t member = known.hops[j].member;
             bool found = false;
-            if (member_of(scene, member)->state == MEMBER_READY)
+            if (member_of(fixture, member)->state == MEMBER_READY)
                 continue;
             for (size_t k = 0; k < open.count; k++)
                 found |= open.hops[k].member == member;
@@ -251,7 +263,7 @@
     }
 }
 
-TEST_F(scene, which_open, 3)
+TEST_F(fixture, which_open, 3)
 {
     const struct {
         uint8_t flags;
@@ -262,25 +274,27 @@
         {PACKET_TCP_RST, false}, {PACKET_TCP_RST | PACKET_TCP_ACK, false},
     };
 
-    scene_build(scene);
+    fixture_build(fixture);
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct gue gue = decide(scene, 1, cases[i].flags, WARM_NOW_US);
+        struct gue gue =
+            decide(fixture, 1, cases[i].flags, AFTER_SLOW_START_US);
         g_assert_cmpint(!!(gue.flags & GUE_OPEN), ==, cases[i].open);
     }
 }
 
 /* When all of a row's best are draining, new flows still find the others. */
-TEST_F(scene, many_draining, 30)
+TEST_F(fixture, many_draining, 30)
 {
     size_t first[2] = {0};
 
     for (size_t i = 0; i < 28; i++)
-        scene->view->members[i].state = MEMBER_DRAINING;
-    scene_build(scene);
+        fixture->view->members[i].state = MEMBER_DRAINING;
+    fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue open = decide(scene, i, PACKET_TCP_SYN, WARM_NOW_US);
-        uint64_t one = scene->view->members[28].id;
-        uint64_t two = scene->view->members[29].id;
+        struct gue open =
+            decide(fixture, i, PACKET_TCP_SYN, AFTER_SLOW_START_US);
+        uint64_t one = fixture->view->members[28].id;
+        uint64_t two = fixture->view->members[29].id;
         g_assert_true(open.hops[0].member == one ||
                       open.hops[0].member == two);
         first[open.hops[0].member == two]++;
@@ -291,30 +305,33 @@
 }
 
 /* A suspect moves to the end; once dead it is gone; back, all is as before. */
-TEST_F(scene, suspect_and_dead, 4)
+TEST_F(fixture, suspect_and_dead, 4)
 {
     uint64_t suspect;
 
-    suspect = scene->view->members[1].id;
-    scene->view->members[1].health = MEMBER_SUSPECT;
-    scene_build(scene);
+    suspect = fixture->view->members[1].id;
+    fixture->view->members[1].health = MEMBER_SUSPECT;
+    fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known = decide(scene, i, PACKET_TCP_ACK, WARM_NOW_US);
+        struct gue known =
+            decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
         g_assert_cmpuint(known.hops[3].member, ==, suspect);
         g_assert_cmpuint(known.flags, ==, GUE_SUSPECTS);
     }
-    scene->view->members[1].health = MEMBER_DEAD;
-    scene_build(scene);
+    fixture->view->members[1].health = MEMBER_DEAD;
+    fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known = decide(scene, i, PACKET_TCP_ACK, WARM_NOW_US);
+        struct gue known =
+            decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
         g_assert_cmpuint(known.count, ==, 3);
         g_assert_cmpuint(known.flags, ==, 0);
     }
-    scene->view->members[1].health = MEMBER_ALIVE;
-    scene_build(scene);
+    fixture->view->members[1].health = MEMBER_ALIVE;
+    fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known = decide(scene, i, PACKET_TCP_ACK, WARM_NOW_US);
-        check_hops(scene, &known, i, false);
+        struct gue known =
+            decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
+        check_hops(fixture, &known, i, false);
         g_assert_cmpuint(known.count, ==, 4);
     }
 }
@@ -322,49 +339,52 @@
 /* With an old view the owner is still on the list of the new one. */
 TEST(stale_view)
 {
-    struct scene old, new;
+    struct fixture old, new;
 
-    scene_init(&old, 7);
-    scene_build(&old);
-    scene_init(&new, 9);
+    fixture_init(&old, 7);
+    fixture_build(&old);
+    fixture_init(&new, 9);
     new.view->members[0].state = MEMBER_LEAVING;
-    scene_build(&new);
+    fixture_build(&new);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue by_old = decide(&old, i, PACKET_TCP_SYN, WARM_NOW_US);
-        struct gue by_new = decide(&new, i, PACKET_TCP_ACK, WARM_NOW_US);
+        struct gue by_old =
+            decide(&old, i, PACKET_TCP_SYN, AFTER_SLOW_START_US);
+        struct gue by_new =
+            decide(&new, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
         bool found = false;
         for (size_t hop = 0; hop < by_new.count; hop++)
             found |= by_new.hops[hop].member == by_old.hops[0].member;
         g_assert_true(found);
     }
-    scene_finish(&old);
-    scene_finish(&new);
+    fixture_finish(&old);
+    fixture_finish(&new);
 }
 
 static size_t
-count_first(const struct scene *scene, uint64_t member, uint64_t now_us)
+count_first(const struct fixture *fixture, uint64_t member, uint64_t now_us)
 {
     size_t count = 0;
     for (uint32_t i = 0; i < FLOWS; i++)
-        count +=
-            decide(scene, i, PACKET_TCP_SYN, now_us).hops[0].member == member;
+        count += decide(fixture, i, PACKET_TCP_SYN, now_us).hops[0].member ==
+                 member;
     return count;
 }
 
-TEST_F(scene, cold_start, 4)
+TEST_F(fixture, cold_start, 4)
 {
     uint64_t warming;
 
-    warming = scene->view->members[2].id;
-    scene_build(scene);
-    size_t full = count_first(scene, warming, WARM_NOW_US);
+    warming = fixture->view->members[2].id;
+    fixture_build(fixture);
+    size_t full = count_first(fixture, warming, AFTER_SLOW_START_US);
 
-    scene->view->members[2].state = MEMBER_WARMING;
-    scene_build(scene);
-    size_t at_0 = count_first(scene, warming, SCENE_FIRST_SEEN_US);
+    fixture->view->members[2].state = MEMBER_WARMING;
+    fixture_build(fixture);
+    size_t at_0 = count_first(fixture, warming, ROUTE_FIXTURE_FIRST_SEEN_US);
     size_t at_5 =
-        count_first(scene, warming, SCENE_FIRST_SEEN_US + ROUTE_WARM_US / 2);
-    size_t at_10 = count_first(scene, warming, WARM_NOW_US);
+        count_first(fixture, warming,
+                    ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US / 2);
+    size_t at_10 = count_first(fixture, warming, AFTER_SLOW_START_US);
     g_assert_cmpuint(at_0, >, full / 8);
     g_assert_cmpuint(at_0, <, full * 3 / 8);
     g_assert_cmpuint(at_5, >, full / 2);
@@ -374,23 +394,24 @@
     /* A flow once in the share stays in it, and known flows don't move. */
     for (uint32_t i = 0; i < FLOWS; i++) {
         struct gue early =
-            decide(scene, i, PACKET_TCP_SYN, SCENE_FIRST_SEEN_US);
-        struct gue late = decide(scene, i, PACKET_TCP_SYN,
-                                 SCENE_FIRST_SEEN_US + ROUTE_WARM_US / 2);
+            decide(fixture, i, PACKET_TCP_SYN, ROUTE_FIXTURE_FIRST_SEEN_US);
+        struct gue late =
+            decide(fixture, i, PACKET_TCP_SYN,
+                   ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US / 2);
         if (early.hops[0].member == warming)
             g_assert_cmpuint(late.hops[0].member, ==, warming);
         struct gue known =
-            decide(scene, i, PACKET_TCP_ACK, SCENE_FIRST_SEEN_US);
-        check_hops(scene, &known, i, false);
+            decide(fixture, i, PACKET_TCP_ACK, ROUTE_FIXTURE_FIRST_SEEN_US);
+        check_hops(fixture, &known, i, false);
     }
 
     /* All warming, as after a start of the whole site: rank decides. */
     for (size_t i = 0; i < 4; i++)
-        scene->view->members[i].state = MEMBER_WARMING;
-    scene_build(scene);
+        fixture->view->members[i].state = MEMBER_WARMING;
+    fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
         struct gue open =
-            decide(scene, i, PACKET_TCP_SYN, SCENE_FIRST_SEEN_US);
-        check_hops(scene, &open, i, true);
+            decide(fixture, i, PACKET_TCP_SYN, ROUTE_FIXTURE_FIRST_SEEN_US);
+        check_hops(fixture, &open, i, true);
     }
 }
--- a/tests/balancer/session_test.c
+++ b/tests/balancer/session_test.c
@@ -8,7 +8,7 @@
 
 #include "balancer/route.h"
 #include "base/hash.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "lib/harness.h"
 
 #define SUITE "/session"
@@ -73,18 +73,22 @@
     char label[32];
 
     for (uint32_t flow = 0; flow < FLOWS; flow++) {
-        size_t len = scene_tcp(buf, SCENE_LOTS_IP, flow, PACKET_TCP_SYN, "");
+        size_t len = route_fixture_tcp(buf, ROUTE_FIXTURE_LOTS_IP, flow,
+                                       PACKET_TCP_SYN, "");
         g_snprintf(label, sizeof(label), "flow %u syn", flow);
         write_packet(session, label, buf, len);
-        len = scene_tcp(buf, SCENE_LOTS_IP, flow, PACKET_TCP_ACK, "GET");
+        len = route_fixture_tcp(buf, ROUTE_FIXTURE_LOTS_IP, flow,
+                                PACKET_TCP_ACK, "GET");
         g_snprintf(label, sizeof(label), "flow %u ack", flow);
         write_packet(session, label, buf, len);
     }
-    write_packet(session, "datagram", buf, scene_udp(buf, SCENE_LOTS_IP, 1));
+    write_packet(session, "datagram", buf,
+                 route_fixture_udp(buf, ROUTE_FIXTURE_LOTS_IP, 1));
     write_packet(session, "albums", buf,
-                 scene_tcp(buf, SCENE_ALBUMS_IP, 1, PACKET_TCP_SYN, ""));
+                 route_fixture_tcp(buf, ROUTE_FIXTURE_ALBUMS_IP, 1,
+                                   PACKET_TCP_SYN, ""));
     write_packet(session, "stranger", buf,
-                 scene_tcp(buf, 0x0a640063, 1, PACKET_TCP_SYN, ""));
+                 route_fixture_tcp(buf, 0x0a640063, 1, PACKET_TCP_SYN, ""));
 }
 
 /* The balancer learns of a change @after seconds after the one before. */
@@ -109,7 +113,8 @@
 }
 
 static void
-enter(struct session *session, unsigned number, enum member_state state)
+set_member_state(struct session *session, unsigned number,
+                 enum member_state state)
 {
     struct view_member *member = agent(session, number);
 
@@ -119,16 +124,16 @@
 }
 
 static void
-play(struct session *session)
+run_scenario(struct session *session)
 {
     step(session, 0, "no endpoint yet");
     for (unsigned i = 0; i < 7; i++)
-        enter(session, i, MEMBER_WARMING);
+        set_member_state(session, i, MEMBER_WARMING);
     step(session, 0, "seven start at once");
     for (unsigned i = 0; i < 7; i++)
         agent(session, i)->state = MEMBER_READY;
     step(session, 20, "all are ready");
-    enter(session, 7, MEMBER_WARMING);
+    set_member_state(session, 7, MEMBER_WARMING);
     step(session, 0, "lots-7 joins, cold");
     step(session, 10, "lots-7 is warm");
     agent(session, 2)->state = MEMBER_DRAINING;
@@ -155,14 +160,14 @@
     g_autofree char *path =
         g_test_build_filename(G_TEST_DIST, "session.golden", NULL);
     struct session session = {
-        .text = scene_text(),
-        .all = scene_view(AGENTS, "lots"),
+        .text = route_fixture_text(),
+        .all = route_fixture_view(AGENTS, "lots"),
         .now_us = 100 * USEC_PER_SEC,
         .out = g_string_new(NULL),
     };
     g_autofree char *golden = NULL;
 
-    play(&session);
+    run_scenario(&session);
     if (g_getenv("GOLDEN_UPDATE") != NULL)
         g_assert_true(g_file_set_contents(path, session.out->str, -1, NULL));
     g_assert_true(g_file_get_contents(path, &golden, NULL, NULL));
--- a/tests/balancer/span_test.c
+++ b/tests/balancer/span_test.c
@@ -4,13 +4,13 @@
 #include <unistd.h>
 
 #include "balancer/span.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "lib/harness.h"
 
 #define SUITE "/span"
 #define LOOPBACK 0x7f000001u
 
-TEST(span_find)
+TEST(span_find_parent)
 {
     const char *id = "00-0af7651916cd43dd8448eb211c80319c-"
                      "b7ad6b7169203331-01";
@@ -32,11 +32,13 @@
             g_strconcat(cases[i].before, id, cases[i].after, NULL);
         size_t len = strlen(all);
         uint8_t *exact = g_memdup2(all, len);
-        g_assert_cmpint(span_find(exact, len, &context), ==, cases[i].result);
+        g_assert_cmpint(span_find_parent(exact, len, &context), ==,
+                        cases[i].result);
         g_free(exact);
         for (size_t cut = 0; cut < len - strlen(cases[i].after); cut++) {
             exact = g_memdup2(all, cut);
-            g_assert_cmpint(span_find(exact, cut, &context), ==, -ENOENT);
+            g_assert_cmpint(span_find_parent(exact, cut, &context), ==,
+                            -ENOENT);
             g_free(exact);
         }
     }
@@ -63,7 +65,7 @@
     for (int sample = 0; sample <= 1; sample++) {
         g_autofree char *payload = g_strdup(sampled);
         strstr(payload, "-01\r")[2] = sample ? '1' : '0';
-        size_t len = scene_tcp(buf, 1, 1, PACKET_TCP_ACK, payload);
+        size_t len = route_fixture_tcp(buf, 1, 1, PACKET_TCP_ACK, payload);
         packet_parse(buf, len, 0, &decision.packet);
         span_write(&trace, buf, &decision, 42);
     }
--- a/tests/balancer/worker_test.c
+++ b/tests/balancer/worker_test.c
@@ -8,7 +8,7 @@
 #include "balancer/worker.h"
 #include "balancer/worker_batch.h"
 #include "base/hash.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "lib/harness.h"
 #include "lib/loopback.h"
 
@@ -60,13 +60,14 @@
     struct route_table *table;
 
     setup->owner.ops = &ops;
-    clock_manual_init(&setup->clock, SCENE_FIRST_SEEN_US + ROUTE_WARM_US);
+    clock_manual_init(&setup->clock,
+                      ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US);
     counter_table_init(&setup->counters);
     setup->trace.fd = -1;
     setup->sender = loopback_open(SOCK_DGRAM, &addr);
     setup->endpoint = loopback_open(SOCK_DGRAM, &addr);
-    setup->text = scene_text();
-    setup->view = scene_view(1, "lots");
+    setup->text = route_fixture_text();
+    setup->view = route_fixture_view(1, "lots");
     setup->view->members[0].data = addr;
 
     int result = worker_pool_init(&setup->pool, (struct addr){LOOPBACK, 0},
@@ -101,8 +102,9 @@
 make_packet(uint8_t *bytes, uint32_t caller, const char *payload)
 {
     gue_encode(NULL, bytes);
-    return BATCH_BARE + scene_tcp(bytes + BATCH_BARE, SCENE_LOTS_IP, caller,
-                                  PACKET_TCP_ACK, payload);
+    return BATCH_BARE_GUE_LEN +
+           route_fixture_tcp(bytes + BATCH_BARE_GUE_LEN, ROUTE_FIXTURE_LOTS_IP,
+                             caller, PACKET_TCP_ACK, payload);
 }
 
 static uint64_t
@@ -131,14 +133,14 @@
         ssize_t n = recv(setup->endpoint, got, sizeof(got), 0);
         g_assert_cmpint(n, >, 0);
         int header = gue_decode(got, (size_t)n, &gue);
-        g_assert_cmpint(header, >, BATCH_BARE);
+        g_assert_cmpint(header, >, BATCH_BARE_GUE_LEN);
         g_assert_cmpuint(gue.count, ==, 1);
         g_assert_cmpuint(gue.service, ==, hash_service("lots"));
-        g_assert_cmpmem(got + header, (size_t)(n - header), bytes + BATCH_BARE,
-                        len - BATCH_BARE);
+        g_assert_cmpmem(got + header, (size_t)(n - header),
+                        bytes + BATCH_BARE_GUE_LEN, len - BATCH_BARE_GUE_LEN);
     }
     wait_for_value(setup, setup->pool.forwarded, 200);
-    g_assert_cmpuint(worker_pool_last_us(&setup->pool), ==,
+    g_assert_cmpuint(worker_pool_last_packet_us(&setup->pool), ==,
                      setup->clock.now_us);
 }
 
@@ -151,7 +153,7 @@
 
     memset(payload, 'x', PACKET_MAX - 40);
     size_t len = make_packet(bytes, 1, payload);
-    g_assert_cmpuint(len, ==, BATCH_BARE + PACKET_MAX);
+    g_assert_cmpuint(len, ==, BATCH_BARE_GUE_LEN + PACKET_MAX);
     send_raw(setup, bytes, len);
     g_assert_cmpint(recv(setup->endpoint, got, sizeof(got), 0), >, PACKET_MAX);
     send_raw(setup, bytes, len + 1);
@@ -169,14 +171,15 @@
     bytes[1] = 41;
     send_raw(setup, bytes, len);
     size_t header = gue_encode(&gue, bytes); /* only the bare form may come */
-    len = scene_tcp(bytes + header, SCENE_LOTS_IP, 1, PACKET_TCP_ACK, "");
+    len = route_fixture_tcp(bytes + header, ROUTE_FIXTURE_LOTS_IP, 1,
+                            PACKET_TCP_ACK, "");
     send_raw(setup, bytes, header + len);
     wait_for_value(setup, setup->pool.dropped[PACKET_BAD_ENCAP], 3);
 
     len = make_packet(bytes, 1, "abc");
     send_raw(setup, bytes, len - 1);
     wait_for_value(setup, setup->pool.dropped[PACKET_TRUNCATED], 1);
-    bytes[BATCH_BARE + 8] ^= 1;
+    bytes[BATCH_BARE_GUE_LEN + 8] ^= 1;
     send_raw(setup, bytes, len);
     wait_for_value(setup, setup->pool.dropped[PACKET_BAD_IP_CHECKSUM], 1);
     wait_for_value(setup, setup->pool.received, 5);
@@ -225,7 +228,7 @@
     g_usleep(20000);
     g_assert_cmpuint(refused(setup), ==, 0);
 
-    setup->view->members[0].since_us = SCENE_FIRST_SEEN_US;
+    setup->view->members[0].since_us = ROUTE_FIXTURE_FIRST_SEEN_US;
     route_table_new(setup->view, setup->text, setup->pool.table, &table);
     worker_pool_publish(&setup->pool, table);
     send_raw(setup, bytes, len);
@@ -240,7 +243,7 @@
     uint64_t sent = 0;
 
     for (int i = 0; i < CHANGES; i++) {
-        struct view *view = scene_view(1 + (size_t)i % 9, "lots");
+        struct view *view = route_fixture_view(1 + (size_t)i % 9, "lots");
         struct route_table *table;
         for (size_t j = 0; j < view->count; j++)
             view->members[j].data = setup->view->members[0].data;
@@ -337,7 +340,7 @@
 TEST(refusals_apart)
 {
     struct setup setup = {0};
-    struct view *view = scene_view(2, "lots");
+    struct view *view = route_fixture_view(2, "lots");
     struct route_table *table;
     uint8_t bytes[2048];
     uint64_t sent = 0;
@@ -352,8 +355,8 @@
     for (uint32_t i = 0; i < 4000; i++) {
         struct route_decision decision;
         size_t len = make_packet(bytes, i, "");
-        route_decide(table, bytes + BATCH_BARE, len - BATCH_BARE,
-                     setup.clock.now_us, &decision);
+        route_decide(table, bytes + BATCH_BARE_GUE_LEN,
+                     len - BATCH_BARE_GUE_LEN, setup.clock.now_us, &decision);
         live += addr_equal(decision.gue.hops[0].data, view->members[0].data);
         send_raw(&setup, bytes, len);
         for (sent++; sent % 100 == 0 && got < live; got++)
--- a/tests/directory/net.c
+++ b/tests/directory/net.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "directory/describe.h"
+#include "directory/local_entry.h"
 #include "directory/message.h"
 
 #define NET_IP 0x0a000001u
@@ -19,14 +19,14 @@
     struct queue_event base;
     enum net_event_type type;
     size_t node;
-    uint64_t life;
+    uint64_t incarnation;
     GBytes *body;
 };
 
 static void
 push(struct net *net, struct net_event event)
 {
-    event.life = net->nodes[event.node].life;
+    event.incarnation = net->nodes[event.node].incarnation;
     queue_push(&net->queue, &event);
 }
 
@@ -43,23 +43,24 @@
 }
 
 static void
-learn_later(struct net *net, size_t node, enum net_event_type type)
+schedule_update(struct net *net, size_t node, enum net_event_type type)
 {
     struct net_event event = {.type = type, .node = node};
 
-    event.base.at_us = net->now_us + random_below(&net->random, net->learn_us);
+    event.base.at_us =
+        net->now_us + random_below(&net->random, net->propagation_max_us);
     push(net, event);
 }
 
 /* Each node of the cell learns that its members changed. */
 static void
-members_changed(struct net *net, size_t cell)
+schedule_view_updates(struct net *net, size_t cell)
 {
     const struct net_cell *in = &net->cells[cell];
 
     for (size_t i = in->first; i < in->first + in->count; i++) {
         if (net->nodes[i].running)
-            learn_later(net, i, EVENT_VIEW);
+            schedule_update(net, i, EVENT_VIEW);
     }
 }
 
@@ -90,7 +91,7 @@
 }
 
 static struct directory_entry *
-describe(struct net *net, size_t node, const struct view *view)
+make_local_entry(struct net *net, size_t node, const struct view *view)
 {
     const struct net_text *from = &net->nodes[node].text;
     struct directory_entry *entry = NULL;
@@ -108,29 +109,31 @@
         service->port = 80;
         service->proto = TEXT_TCP;
     }
-    g_assert_cmpint(directory_describe(net->cells[net->nodes[node].cell].name,
-                                       view, &text, &entry),
-                    ==, 0);
+    g_assert_cmpint(
+        directory_local_entry_new(net->cells[net->nodes[node].cell].name, view,
+                                  &text, &entry),
+        ==, 0);
     g_free(text.services);
     g_free(text.retired);
     return entry;
 }
 
 static void
-learn(struct net *net, size_t node, bool text)
+apply_update(struct net *net, size_t node, bool text)
 {
     struct net_node *self = &net->nodes[node];
     struct net_cell *cell = &net->cells[self->cell];
-    struct directory_place place;
+    struct directory_role role;
     struct view *view;
 
     if (text)
         self->text = cell->text;
     view = make_view(net, node);
-    directory_place_from(cell->name, view, &place);
-    directory_set_place(&self->core, &place);
+    directory_role_from_view(cell->name, view, &role);
+    directory_set_role(&self->core, &role);
     if (self->text.version > 0)
-        directory_set_own(&self->core, describe(net, node, view));
+        directory_set_local_entry(&self->core,
+                                  make_local_entry(net, node, view));
     free(view);
 }
 
@@ -148,7 +151,7 @@
     self->bytes_out += size;
     self->messages_out++;
     if (action->msg.kind != DIRECTORY_DIGEST)
-        self->paid_out += size;
+        self->budgeted_out += size;
     self->largest = MAX(self->largest, size);
     if (to == SIZE_MAX || !net->nodes[to].running ||
         net->nodes[to].group != self->group ||
@@ -217,7 +220,7 @@
 {
     const struct net_node *node = &net->nodes[event->node];
 
-    if (node->running && node->life == event->life) {
+    if (node->running && node->incarnation == event->incarnation) {
         switch (event->type) {
         case EVENT_TICK:
             tick(net, event->node);
@@ -226,10 +229,10 @@
             receive(net, event);
             break;
         case EVENT_VIEW:
-            learn(net, event->node, false);
+            apply_update(net, event->node, false);
             break;
         case EVENT_TEXT:
-            learn(net, event->node, true);
+            apply_update(net, event->node, true);
             break;
         }
     }
@@ -257,7 +260,7 @@
     queue_init(&net->queue, sizeof(struct net_event));
     net->now_us = USEC_PER_SEC;
     net->delay_us = 1000;
-    net->learn_us = USEC_PER_SEC;
+    net->propagation_max_us = USEC_PER_SEC;
     net->cell_count = cells;
     net->cells = g_new0(struct net_cell, cells);
     for (size_t i = 0; i < cells; i++) {
@@ -299,12 +302,12 @@
     memset(&self->text, 0, sizeof(self->text));
     self->running = true;
     self->start_us = net->now_us;
-    self->paid_out = 0;
+    self->budgeted_out = 0;
     self->skew_ms =
         (int64_t)random_below(&net->random, 2 * NET_SKEW_MS) - NET_SKEW_MS;
-    learn(net, node, false);
-    learn_later(net, node, EVENT_TEXT);
-    members_changed(net, self->cell);
+    apply_update(net, node, false);
+    schedule_update(net, node, EVENT_TEXT);
+    schedule_view_updates(net, self->cell);
     push(net, (struct net_event){.type = EVENT_TICK,
                                  .node = node,
                                  .base.at_us = net->now_us});
@@ -318,11 +321,11 @@
     if (!self->running)
         return;
     self->running = false;
-    self->life++;
+    self->incarnation++;
     directory_core_finish(&self->core);
     directory_table_free(self->table);
     self->table = NULL;
-    members_changed(net, self->cell);
+    schedule_view_updates(net, self->cell);
 }
 
 void
@@ -331,7 +334,7 @@
     if (net->nodes[node].group == group)
         return;
     net->nodes[node].group = group;
-    members_changed(net, net->nodes[node].cell);
+    schedule_view_updates(net, net->nodes[node].cell);
 }
 
 void
@@ -342,7 +345,7 @@
     net->cells[cell].text.version++;
     for (size_t i = in->first; i < in->first + in->count; i++) {
         if (net->nodes[i].running)
-            learn_later(net, i, EVENT_TEXT);
+            schedule_update(net, i, EVENT_TEXT);
     }
 }
 
--- a/tests/directory/net.h
+++ b/tests/directory/net.h
@@ -13,7 +13,7 @@
 
 #include "control/view.h"
 #include "directory/directory.h"
-#include "directory/forward.h"
+#include "directory/cell_forward.h"
 #include "directory/table.h"
 #include "lib/queue.h"
 
@@ -37,7 +37,7 @@
  * @group: nodes of different groups don't hear each other
  * @skew_ms: its wall clock against the others'
  * @bytes_out: sent, digests included
- * @paid_out: sent, digests apart
+ * @budgeted_out: sent, digests apart
  */
 struct net_node {
     struct directory_core core;
@@ -51,12 +51,12 @@
     unsigned group;
     int64_t skew_ms;
     uint64_t start_us;
-    uint64_t life; /* events of an earlier life are dropped */
+    uint64_t incarnation; /* events of an earlier incarnation are dropped */
     uint64_t bytes_out;
     uint64_t bytes_in;
     uint64_t messages_out;
     uint64_t messages_in;
-    uint64_t paid_out;
+    uint64_t budgeted_out;
     size_t largest;
 };
 
@@ -73,7 +73,7 @@
  * struct net - see DOC
  * @loss: messages lost, of 1000
  * @delay_us: one way, plus as much again at random
- * @learn_us: longest time until a node learns a view or a text
+ * @propagation_max_us: longest time until a node learns a view or a text
  * @on_table: a node's table was rebuilt, or NULL
  */
 struct net {
@@ -84,7 +84,7 @@
     uint64_t now_us;
     unsigned loss;
     uint64_t delay_us;
-    uint64_t learn_us;
+    uint64_t propagation_max_us;
     struct random random;
     struct queue queue;
     void (*on_table)(struct net *net, size_t node);
--- a/tests/directory/test_directory.c
+++ b/tests/directory/test_directory.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "directory/directory.h"
-#include "directory/forward.h"
+#include "directory/cell_forward.h"
 #include "directory/message.h"
 #include "directory/table.h"
 #include "packet/gue.h"
@@ -30,7 +30,7 @@
     entry->gateways[0].control.port = 5000;
     entry->author_count = 1;
     entry->authors[0] = entry->gateways[0].control;
-    directory_entry_seal(entry);
+    directory_entry_finalize(entry);
     return entry;
 }
 
@@ -132,9 +132,9 @@
         merge(&core, make_entry("a", 1, 1, SOME_IP, false));
         g_assert_cmpint(directory_table_new(&core, &table), ==, 0);
         g_assert_cmpuint(table->conflicts, ==, 1);
-        g_assert_cmpuint(table->lost, ==, retired || !lower);
-        g_assert_cmpuint(table->addresses, ==, table->lost);
-        g_assert_true(forward_goes_before(table, &packet) ==
+        g_assert_cmpuint(table->overridden, ==, retired || !lower);
+        g_assert_cmpuint(table->addresses, ==, table->overridden);
+        g_assert_true(cell_forward_has_priority(table, &packet) ==
                       (retired || !lower));
         directory_table_free(table);
         directory_core_finish(&core);
@@ -142,7 +142,7 @@
 }
 
 /* A flood of cells stops at the limit; the own cell still finds room. */
-TEST(full)
+TEST(rejected)
 {
     struct directory_core core;
     char name[DIRECTORY_NAME_MAX];
@@ -153,7 +153,7 @@
         merge(&core, make_entry(name, 1, 1, SOME_IP + i, false));
     }
     g_assert_cmpuint(core.count, ==, DIRECTORY_CELLS_MAX - 1);
-    g_assert_cmpuint(core.stats.full, >, 0);
+    g_assert_cmpuint(core.stats.rejected, >, 0);
     g_assert_true(merge(&core, make_entry("own", 1, 1, SOME_IP, false)));
     directory_core_finish(&core);
 }
@@ -163,44 +163,44 @@
 {
     struct packet packet = {.dst = SOME_IP, .dport = 80, .proto = TCP};
     uint8_t bare[GUE_HEADER_MAX] = {0};
-    uint8_t mark[FORWARD_HEADER];
+    uint8_t mark[CELL_FORWARD_HEADER_LEN];
     struct directory_table *table;
     struct directory_core core;
     struct gue gue;
     struct addr to;
 
-    forward_encode(mark);
+    cell_forward_encode(mark);
     gue_encode(NULL, bare);
-    g_assert_true(forward_is_marked(mark, sizeof(mark)));
-    g_assert_false(forward_is_marked(mark, sizeof(mark) - 1));
-    g_assert_false(forward_is_marked(bare, sizeof(bare)));
+    g_assert_true(cell_forward_is_marked(mark, sizeof(mark)));
+    g_assert_false(cell_forward_is_marked(mark, sizeof(mark) - 1));
+    g_assert_false(cell_forward_is_marked(bare, sizeof(bare)));
     g_assert_cmpint(gue_decode(mark, sizeof(mark), &gue), ==, -EBADMSG);
 
     start(&core);
     merge(&core, make_entry("a", 1, 1, SOME_IP, false));
     g_assert_cmpint(directory_table_new(&core, &table), ==, 0);
-    g_assert_cmpint(forward_decide(table, NULL, &packet, false, 0, &to), ==,
-                    PACKET_OK);
+    g_assert_cmpint(cell_forward_decide(table, NULL, &packet, false, 0, &to),
+                    ==, PACKET_OK);
     g_assert_cmpuint(to.ip, ==, IP);
     g_assert_cmpuint(to.port, ==, 4000);
-    g_assert_cmpint(forward_decide(table, NULL, &packet, true, 0, &to), ==,
-                    PACKET_HOP_LIMIT);
-    g_assert_cmpint(forward_decide(NULL, NULL, &packet, false, 0, &to), ==,
-                    PACKET_NO_SERVICE);
+    g_assert_cmpint(cell_forward_decide(table, NULL, &packet, true, 0, &to),
+                    ==, PACKET_HOP_LIMIT);
+    g_assert_cmpint(cell_forward_decide(NULL, NULL, &packet, false, 0, &to),
+                    ==, PACKET_NO_SERVICE);
     packet.dport = 81;
-    g_assert_cmpint(forward_decide(table, NULL, &packet, false, 0, &to), ==,
-                    PACKET_NO_SERVICE);
+    g_assert_cmpint(cell_forward_decide(table, NULL, &packet, false, 0, &to),
+                    ==, PACKET_NO_SERVICE);
     directory_table_free(table);
     directory_core_finish(&core);
 }
 
 /* A gateway that refused is passed over while there are others, for a
  * while; each turn has another gateway. */
-TEST(gone)
+TEST(refused)
 {
     struct directory_entry *entry = make_entry("a", 1, 1, SOME_IP, false);
     struct packet packet = {.dst = SOME_IP, .dport = 80, .proto = TCP};
-    struct forward_gone gone = {0};
+    struct cell_forward_refused refused = {0};
     struct directory_table *table;
     struct directory_core core;
     struct addr first;
@@ -209,29 +209,32 @@
     entry->gateway_count = 2;
     entry->gateways[1] = entry->gateways[0];
     entry->gateways[1].data.port++;
-    directory_entry_seal(entry);
+    directory_entry_finalize(entry);
     start(&core);
     merge(&core, entry);
     g_assert_cmpint(directory_table_new(&core, &table), ==, 0);
 
-    forward_decide(table, &gone, &packet, false, 0, &first);
-    forward_decide(table, &gone, &packet, false, FORWARD_TURN_US - 1, &to);
+    cell_forward_decide(table, &refused, &packet, false, 0, &first);
+    cell_forward_decide(table, &refused, &packet, false,
+                        CELL_FORWARD_ROTATION_US - 1, &to);
     g_assert_true(addr_equal(first, to));
-    forward_decide(table, &gone, &packet, false, FORWARD_TURN_US, &to);
+    cell_forward_decide(table, &refused, &packet, false,
+                        CELL_FORWARD_ROTATION_US, &to);
     g_assert_false(addr_equal(first, to));
 
-    forward_note_gone(&gone, first, 0);
-    for (uint64_t at = 0; at < FORWARD_GONE_US; at += FORWARD_TURN_US) {
-        forward_decide(table, &gone, &packet, false, at, &to);
+    cell_forward_note_refused(&refused, first, 0);
+    for (uint64_t at = 0; at < CELL_FORWARD_REFUSED_US;
+         at += CELL_FORWARD_ROTATION_US) {
+        cell_forward_decide(table, &refused, &packet, false, at, &to);
         g_assert_false(addr_equal(first, to));
     }
-    forward_note_gone(&gone, to, 0);
-    forward_decide(table, &gone, &packet, false, 0, &to);
+    cell_forward_note_refused(&refused, to, 0);
+    cell_forward_decide(table, &refused, &packet, false, 0, &to);
     g_assert_true(addr_equal(first, to));
     /* Notes of many others push the oldest out. */
-    for (uint32_t i = 0; i < FORWARD_GONE_MAX; i++)
-        forward_note_gone(&gone, (struct addr){1 + i, 1}, 0);
-    forward_decide(table, &gone, &packet, false, 0, &to);
+    for (uint32_t i = 0; i < CELL_FORWARD_REFUSED_MAX; i++)
+        cell_forward_note_refused(&refused, (struct addr){1 + i, 1}, 0);
+    cell_forward_decide(table, &refused, &packet, false, 0, &to);
     g_assert_true(addr_equal(first, to));
     directory_table_free(table);
     directory_core_finish(&core);
@@ -267,7 +270,7 @@
     for (size_t i = 0; i < entry->count; i++)
         entry->addresses[i] =
             directory_address(SOME_IP + (uint32_t)i, 80, TCP, i % 2);
-    directory_entry_seal(entry);
+    directory_entry_finalize(entry);
     g_assert_cmpuint(directory_entry_size(entry) + 64, <=,
                      DIRECTORY_MESSAGE_MAX);
     size = encode_one(entry, buf);
@@ -322,7 +325,7 @@
     for (size_t i = 0; i < entry->count; i++)
         entry->addresses[i] =
             directory_address(SOME_IP + (uint32_t)i, 80, TCP, false);
-    directory_entry_seal(entry);
+    directory_entry_finalize(entry);
     return entry;
 }
 
@@ -330,7 +333,7 @@
  * directory answers nothing. */
 TEST(budget)
 {
-    struct directory_place place = {.holds = true};
+    struct directory_role role = {.holds = true};
     struct directory_core core;
     char name[DIRECTORY_NAME_MAX];
     size_t bytes = 0;
@@ -341,7 +344,7 @@
         merge(&core, make_large(name));
     }
     g_assert_cmpuint(ask_for_all(&core, 0), ==, 0);
-    directory_set_place(&core, &place);
+    directory_set_role(&core, &role);
     for (uint64_t i = 0; i < 1000; i++)
         bytes += ask_for_all(&core, i * 10 * USEC_PER_MSEC);
     g_assert_cmpuint(bytes, <=, DIRECTORY_BURST + 10 * DIRECTORY_RATE);
@@ -353,13 +356,13 @@
 /* In a cell whose two authors never agree, turns get rare. */
 TEST(contest)
 {
-    struct directory_place place = {.holds = true, .author = true};
+    struct directory_role role = {.holds = true, .author = true};
     struct directory_actions out = {0};
     struct directory_core core;
 
     start(&core);
-    directory_set_place(&core, &place);
-    directory_set_own(&core, make_entry("own", 1, 0, SOME_IP, false));
+    directory_set_role(&core, &role);
+    directory_set_local_entry(&core, make_entry("own", 1, 0, SOME_IP, false));
     for (uint64_t i = 0; i < 3600; i++) {
         uint64_t now_us = i * USEC_PER_SEC;
         struct directory_entry *other =
@@ -379,20 +382,22 @@
  * doesn't keep who has the same text from doing so. */
 TEST(author)
 {
-    struct directory_place place = {.holds = true, .author = true};
+    struct directory_role role = {.holds = true, .author = true};
     struct directory_actions out = {0};
     struct directory_core core;
 
     start(&core);
-    directory_set_place(&core, &place);
+    directory_set_role(&core, &role);
     merge(&core, make_entry("own", 5, 9000, SOME_IP, false));
-    directory_set_own(&core, make_entry("own", 4, 0, SOME_IP + 1, false));
+    directory_set_local_entry(&core,
+                              make_entry("own", 4, 0, SOME_IP + 1, false));
     for (uint64_t i = 0; i < 60; i++)
         directory_tick(&core, i * USEC_PER_SEC, 100, &out);
     directory_actions_clear(&out);
     g_assert_cmpuint(core.stats.authored, ==, 0);
 
-    directory_set_own(&core, make_entry("own", 5, 0, SOME_IP + 1, false));
+    directory_set_local_entry(&core,
+                              make_entry("own", 5, 0, SOME_IP + 1, false));
     for (uint64_t i = 60; i < 70; i++)
         directory_tick(&core, i * USEC_PER_SEC, 100, &out);
     directory_actions_clear(&out);
--- a/tests/directory/test_property.c
+++ b/tests/directory/test_property.c
@@ -20,13 +20,13 @@
 /** struct world - what the properties compare with
  * @ever: whether a cell ever had an address in its text
  * @versions: latest version seen at a node of a cell's entry
- * @lives: life of the node in which it was seen
+ * @incarnations: incarnation of the node in which it was seen
  */
 struct world {
     struct net net;
     bool ever[CELLS][POOL];
     struct directory_version versions[CELLS * NODES][CELLS];
-    uint64_t lives[CELLS * NODES];
+    uint64_t incarnations[CELLS * NODES];
 };
 
 static size_t
@@ -40,13 +40,13 @@
 }
 
 static void
-check_never_back(struct world *world, size_t node)
+check_monotonic(struct world *world, size_t node)
 {
     const struct net_node *self = &world->net.nodes[node];
 
-    if (world->lives[node] != self->life)
+    if (world->incarnations[node] != self->incarnation)
         memset(world->versions[node], 0, sizeof(world->versions[node]));
-    world->lives[node] = self->life;
+    world->incarnations[node] = self->incarnation;
     for (size_t i = 0; i < CELLS; i++) {
         const struct directory_slot *slot =
             directory_find(&self->core, world->net.cells[i].id);
@@ -91,7 +91,7 @@
 {
     struct world *world = net->data;
 
-    check_never_back(world, node);
+    check_monotonic(world, node);
     check_only_servers(world, node);
 }
 
@@ -205,7 +205,7 @@
 
         g_assert_cmpuint(node->largest, <=, DIRECTORY_MESSAGE_MAX);
         if (node->running)
-            g_assert_cmpuint(node->paid_out, <=,
+            g_assert_cmpuint(node->budgeted_out, <=,
                              DIRECTORY_BURST + DIRECTORY_RATE * seconds);
     }
 }
@@ -220,23 +220,23 @@
                             .sport = (uint16_t)random_next(&net->random),
                             .dport = 80,
                             .proto = TEXT_TCP};
-    uint8_t header[FORWARD_HEADER] = {0, 4, 0, 0};
+    uint8_t header[CELL_FORWARD_HEADER_LEN] = {0, 4, 0, 0};
 
     for (unsigned hops = 0;; hops++) {
         struct net_node *at = &net->nodes[node];
-        bool marked = forward_is_marked(header, sizeof(header));
+        bool marked = cell_forward_is_marked(header, sizeof(header));
         struct addr to;
 
         g_assert_cmpuint(hops, <=, 1);
         if (!at->running)
             return SIZE_MAX;
         if (find_address(&at->text, packet.dst) != NULL &&
-            (marked || !forward_goes_before(at->table, &packet)))
+            (marked || !cell_forward_has_priority(at->table, &packet)))
             return at->cell;
-        if (forward_decide(at->table, NULL, &packet, marked, net->now_us,
-                           &to) != PACKET_OK)
+        if (cell_forward_decide(at->table, NULL, &packet, marked, net->now_us,
+                                &to) != PACKET_OK)
             return SIZE_MAX;
-        forward_encode(header);
+        cell_forward_encode(header);
         node = net_node_at(net, to);
     }
 }
@@ -363,7 +363,7 @@
     net_init(net, sizes, CELLS, seed);
     net->on_table = on_table;
     net->data = world;
-    net->learn_us = 4 * USEC_PER_SEC;
+    net->propagation_max_us = 4 * USEC_PER_SEC;
     for (size_t i = 0; i < POOL; i++)
         serve(world, random_below(&net->random, CELLS), i);
     for (size_t i = 0; i < CELLS; i++) {
@@ -399,12 +399,12 @@
 }
 
 static uint64_t
-most_paid(const struct net *net, const uint64_t *before)
+max_budgeted_out(const struct net *net, const uint64_t *before)
 {
     uint64_t most = 0;
 
     for (size_t i = 0; i < net->count; i++)
-        most = MAX(most, net->nodes[i].paid_out - before[i]);
+        most = MAX(most, net->nodes[i].budgeted_out - before[i]);
     return most;
 }
 
@@ -428,14 +428,14 @@
     for (size_t i = 0; i < net->count; i++)
         g_assert_cmpuint(net->nodes[i].core.count, ==, CELLS);
     for (size_t i = 0; i < net->count; i++)
-        before[i] = net->nodes[i].paid_out;
+        before[i] = net->nodes[i].budgeted_out;
     heal(world);
     net_run(net, net->now_us + QUIET_US);
     check_converged(world);
     check_bounds(world);
     g_test_message("Most that a node paid to heal: %" G_GUINT64_FORMAT
                    " bytes.",
-                   most_paid(net, before));
+                   max_budgeted_out(net, before));
     net_finish(net);
     g_free(world);
 }
--- a/tests/directory/test_site.c
+++ b/tests/directory/test_site.c
@@ -6,9 +6,9 @@
 
 #include "balancer/worker_batch.h"
 #include "control/control.h"
-#include "directory/forward.h"
+#include "directory/cell_forward.h"
 #include "directory/service.h"
-#include "scene.h"
+#include "route_fixture.h"
 #include "standin/platform/server.h"
 #include "lib/harness.h"
 #include "lib/loopback.h"
@@ -181,8 +181,8 @@
     for (size_t i = 0; i < CELLS * NODES; i++)
         start_node(f, i / NODES, i % NODES);
     LOOPBACK_WAIT(all_know(f, 0, OTHER_IP, NODES));
-    LOOPBACK_WAIT(all_know(f, 1, SCENE_LOTS_IP, NODES));
-    g_assert_cmpuint(gateways_for(f, 0, 0, SCENE_LOTS_IP), ==, 0);
+    LOOPBACK_WAIT(all_know(f, 1, ROUTE_FIXTURE_LOTS_IP, NODES));
+    g_assert_cmpuint(gateways_for(f, 0, 0, ROUTE_FIXTURE_LOTS_IP), ==, 0);
 
     put_text(f, 1, 1, "10.101.0.2");
     LOOPBACK_WAIT(all_know(f, 0, OTHER_IP + 1, NODES));
@@ -208,10 +208,11 @@
 
     entry->version.config_version = 1;
     entry->version.counter = 1;
-    entry->addresses[0] = directory_address(ip, SCENE_PORT, TEXT_TCP, false);
+    entry->addresses[0] =
+        directory_address(ip, ROUTE_FIXTURE_PORT, TEXT_TCP, false);
     entry->gateway_count = 1;
     entry->gateways[0].data = (struct addr){LOOPBACK, GATEWAY_PORT};
-    directory_entry_seal(entry);
+    directory_entry_finalize(entry);
     directory_core_init(&core, "own", (struct addr){1, 1}, 1, 0);
     directory_merge(&core, entry, 0);
     directory_entry_unref(entry);
@@ -245,13 +246,14 @@
  * a forwarded packet of an unknown address is dropped. */
 TEST(packets)
 {
-    struct directory_table *directory = directory_of("b", SCENE_LOTS_IP);
+    struct directory_table *directory =
+        directory_of("b", ROUTE_FIXTURE_LOTS_IP);
     struct directory_table *back = directory_of("a", OTHER_IP);
     struct route_table *none;
     struct route_table *lots;
     struct view *empty = view_new(0);
-    struct view *view = scene_view(3, "lots");
-    struct text *text = scene_text();
+    struct view *view = route_fixture_view(3, "lots");
+    struct text *text = route_fixture_text();
     struct text blank = {.version = 1};
     uint8_t buf[GUE_HEADER_MAX + PACKET_MAX] = {0, 4, 0, 0};
     const struct iovec *sent;
@@ -262,7 +264,8 @@
 
     g_assert_cmpint(route_table_new(empty, &blank, NULL, &none), ==, 0);
     g_assert_cmpint(route_table_new(view, text, NULL, &lots), ==, 0);
-    len = 4 + scene_tcp(buf + 4, SCENE_LOTS_IP, 1, PACKET_TCP_SYN, "");
+    len = 4 + route_fixture_tcp(buf + 4, ROUTE_FIXTURE_LOTS_IP, 1,
+                                PACKET_TCP_SYN, "");
 
     decide(&first, none, directory, buf, len);
     g_assert_cmpuint(first.batch->out_count, ==, 1);
@@ -270,7 +273,7 @@
     g_assert_cmpuint(ntohs(first.batch->out_to[0].sin_port), ==, GATEWAY_PORT);
     sent = first.batch->out_iov;
     g_assert_cmpuint(sent->iov_len, ==, len);
-    g_assert_true(forward_is_marked(sent->iov_base, sent->iov_len));
+    g_assert_true(cell_forward_is_marked(sent->iov_base, sent->iov_len));
     g_assert_cmpmem((uint8_t *)sent->iov_base + 4, len - 4, buf + 4, len - 4);
 
     decide(&second, lots, NULL, sent->iov_base, sent->iov_len);
