--- a/tests/lib/harness.h
+++ b/tests/lib/harness.h
@@ -1,9 +1,9 @@
 /**
- * DOC: harness - tests that register themselves with GLib
+ * DOC: harness - registration of test functions with GLib's test runner
  *
- * A test file names its SUITE, such as "/base/auth", and defines its tests by
- * TEST() and TEST_F(). The library has main(); a file whose tests need more
- * has its own and calls harness_run().
+ * A test file defines SUITE, such as "/base/auth", and its tests with TEST()
+ * and TEST_F(). The library provides main(); a test that needs its own main()
+ * calls harness_run() from it.
  */
 #ifndef SWIFTARCH_TESTS_LIB_HARNESS_H
 #define SWIFTARCH_TESTS_LIB_HARNESS_H
@@ -11,10 +11,10 @@
 #include <glib.h>
 
 /**
- * struct harness_test - a test
- * @path: its name for GLib, as in "/base/auth/skew"
- * @run: the test
- * @next: the one defined after it, NULL at the last
+ * struct harness_test - a registered test
+ * @path: GLib test path, such as "/base/auth/skew"
+ * @run: test function
+ * @next: next test in order of definition, NULL at the end
  */
 struct harness_test {
     const char *path;
@@ -22,11 +22,12 @@
     struct harness_test *next;
 };
 
-/** harness_add() - take in @test, which must stay */
+/** harness_add() - register @test, which must have static lifetime */
 void
 harness_add(struct harness_test *test);
 
-/** harness_run() - run the tests after g_test_init(); returns the exit code */
+/** harness_run() - run all registered tests; call g_test_init() first. Returns
+ * the exit code */
 int
 harness_run(void);
 
@@ -37,15 +38,15 @@
         harness_add(&test);                                                   \
     }
 
-/** TEST() - define the test @name of the SUITE */
+/** TEST() - define test @name in SUITE */
 #define TEST(name)                                                            \
     static void test_##name(void);                                            \
     HARNESS_ADD(name, test_##name)                                            \
     static void test_##name(void)
 
-/** TEST_WITH() - define the test @name, which finds a struct @fixture by that
- * name, zeroed; @begin(), with the further arguments, and @end() run before
- * and after */
+/** TEST_WITH() - define test @name, which gets a pointer @fixture to a zeroed
+ * struct @fixture; @begin(), with the further arguments, runs before the test
+ * and @end() after it */
 #define TEST_WITH(fixture, begin, end, name, ...)                             \
     static void test_##name(struct fixture *fixture);                         \
     static void with_##fixture##_##name(void)                                 \
@@ -58,7 +59,7 @@
     HARNESS_ADD(name, with_##fixture##_##name)                                \
     static void test_##name(struct fixture *fixture)
 
-/** TEST_F() - the same with the fixture's own _init() and _finish() */
+/** TEST_F() - TEST_WITH() the fixture's _init() and _finish() */
 #define TEST_F(fixture, name, ...)                                            \
     TEST_WITH(fixture, fixture##_init, fixture##_finish, name, ##__VA_ARGS__)
 
--- a/tests/lib/loopback.h
+++ b/tests/lib/loopback.h
@@ -1,5 +1,5 @@
 /**
- * DOC: loopback - sockets on the loopback, and bounded waits
+ * DOC: loopback - loopback sockets and bounded waits for tests
  */
 #ifndef SWIFTARCH_TESTS_LIB_LOOPBACK_H
 #define SWIFTARCH_TESTS_LIB_LOOPBACK_H
@@ -12,20 +12,21 @@
 #define LOOPBACK_RECEIVE_S 10
 #define LOOPBACK_WAIT_MS 30000
 
-/** loopback_open() - a socket of @type bound to a port that the kernel chose;
- * blocking calls of it end after LOOPBACK_RECEIVE_S */
+/** loopback_open() - open a socket of @type, bound to an ephemeral port that
+ * is stored in @addr; blocking receives time out after LOOPBACK_RECEIVE_S */
 int
 loopback_open(int type, struct addr *addr);
 
-/** loopback_closed() - an address at which nobody listens any more */
+/** loopback_closed() - an address without a listener */
 struct addr
 loopback_closed(int type);
 
-/** loopback_send() - send a datagram whole */
+/** loopback_send() - send a datagram; asserts that all of it was sent */
 void
 loopback_send(int fd, struct addr to, const void *bytes, size_t len);
 
-/** LOOPBACK_WAIT() - until @cond holds, for LOOPBACK_WAIT_MS at most */
+/** LOOPBACK_WAIT() - poll until @cond holds; fails the test after
+ * LOOPBACK_WAIT_MS */
 #define LOOPBACK_WAIT(cond)                                                   \
     do {                                                                      \
         for (int waited_ = 0; !(cond); waited_ += 5) {                        \
--- a/tests/lib/queue.c
+++ b/tests/lib/queue.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define FIRST_CAPACITY 1024
+#define INITIAL_CAPACITY 1024
 
 static struct queue_event *
 event_at(const struct queue *queue, size_t i)
@@ -12,13 +12,13 @@
 }
 
 static int
-before(const struct queue_event *a, const struct queue_event *b)
+is_before(const struct queue_event *a, const struct queue_event *b)
 {
     return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
 
 static void
-put(struct queue *queue, size_t i, const void *event)
+set_event(struct queue *queue, size_t i, const void *event)
 {
     memcpy(event_at(queue, i), event, queue->size);
 }
@@ -43,14 +43,14 @@
                               queue->order++};
 
     if (queue->count > queue->capacity) {
-        queue->capacity = MAX(FIRST_CAPACITY, 2 * queue->capacity);
+        queue->capacity = MAX(INITIAL_CAPACITY, 2 * queue->capacity);
         queue->heap = g_realloc_n(queue->heap, queue->capacity, queue->size);
     }
-    while (at > 0 && before(&key, event_at(queue, (at - 1) / 2))) {
-        put(queue, at, event_at(queue, (at - 1) / 2));
+    while (at > 0 && is_before(&key, event_at(queue, (at - 1) / 2))) {
+        set_event(queue, at, event_at(queue, (at - 1) / 2));
         at = (at - 1) / 2;
     }
-    put(queue, at, event);
+    set_event(queue, at, event);
     event_at(queue, at)->order = key.order;
 }
 
@@ -71,17 +71,17 @@
             break;
         }
         if (child + 1 < queue->count &&
-            before(event_at(queue, child + 1), event_at(queue, child))) {
+            is_before(event_at(queue, child + 1), event_at(queue, child))) {
             child++;
         }
-        if (!before(event_at(queue, child), last)) {
+        if (!is_before(event_at(queue, child), last)) {
             break;
         }
-        put(queue, at, event_at(queue, child));
+        set_event(queue, at, event_at(queue, child));
         at = child;
     }
     if (at < queue->count) {
-        put(queue, at, last);
+        set_event(queue, at, last);
     }
     return 1;
 }
--- a/tests/lib/sample.c
+++ b/tests/lib/sample.c
@@ -10,10 +10,10 @@
 sample_parse(const char *source)
 {
     struct text *text;
-    char *report;
-    int rc = text_parse(source, strlen(source), "t", &text, &report);
+    char *error;
+    int rc = text_parse(source, strlen(source), "t", &text, &error);
 
-    g_assert_cmpstr(report, ==, NULL);
+    g_assert_cmpstr(error, ==, NULL);
     g_assert_cmpint(rc, ==, 0);
     return text;
 }
--- a/tests/lib/sample.h
+++ b/tests/lib/sample.h
@@ -1,5 +1,5 @@
 /**
- * DOC: sample - operators' texts and views for tests
+ * DOC: sample - parsed configuration texts and membership views for tests
  */
 #ifndef SWIFTARCH_TESTS_LIB_SAMPLE_H
 #define SWIFTARCH_TESTS_LIB_SAMPLE_H
@@ -7,21 +7,21 @@
 #include "control/view.h"
 #include "text/text.h"
 
-/** sample_parse() - a text that must be right; its file is called "t" */
+/** sample_parse() - parse a valid text under the file name "t" */
 struct text *
 sample_parse(const char *source);
 
-/** sample_agent() - a member that is an alive, ready agent with two slots */
+/** sample_agent() - fill in a member: an alive, ready agent with two slots */
 void
 sample_agent(struct view_member *member, const char *name,
              const char *service);
 
-/** sample_pair() - a view of the agents @self and @other of one service;
- * free() it */
+/** sample_pair() - a view of the agents @self and @other of one service; the
+ * caller frees it with free() */
 struct view *
 sample_pair(const char *self, const char *other, const char *service);
 
-/** sample_sort() - put members in the order of a view */
+/** sample_sort() - sort the members by id, as views require */
 void
 sample_sort(struct view *view);
 
--- a/tests/lib/segment.c
+++ b/tests/lib/segment.c
@@ -26,7 +26,7 @@
 segment_tcp(uint8_t *buf, const struct packet *packet, const char *payload)
 {
     size_t len = HEADERS_LEN + strlen(payload);
-    uint8_t sum[PSEUDO_LEN + PACKET_MAX] = {0};
+    uint8_t checksummed[PSEUDO_LEN + PACKET_MAX] = {0};
     uint8_t *tcp = buf + IP_LEN;
 
     g_assert_cmpuint(len, <=, PACKET_MAX);
@@ -46,10 +46,10 @@
     tcp[13] = packet->flags;
     put16(tcp + 14, UINT16_MAX);
     memcpy(buf + HEADERS_LEN, payload, len - HEADERS_LEN);
-    memcpy(sum, buf + 12, 8);
-    sum[9] = PROTO_TCP;
-    put16(sum + 10, (uint32_t)(len - IP_LEN));
-    memcpy(sum + PSEUDO_LEN, tcp, len - IP_LEN);
-    put16(tcp + 16, packet_checksum(sum, PSEUDO_LEN + len - IP_LEN));
+    memcpy(checksummed, buf + 12, 8);
+    checksummed[9] = PROTO_TCP;
+    put16(checksummed + 10, (uint32_t)(len - IP_LEN));
+    memcpy(checksummed + PSEUDO_LEN, tcp, len - IP_LEN);
+    put16(tcp + 16, packet_checksum(checksummed, PSEUDO_LEN + len - IP_LEN));
     return len;
 }
--- a/tests/relay/readers_world_test.c
+++ b/tests/relay/readers_world_test.c
@@ -1,8 +1,7 @@
-/* Balancers and agents in event order on a paused clock: who reads the
- * store's latest when some of them die, freeze, lose the store without a sign
- * or are cut off, and how soon everybody has a new configuration. The store's
- * cheap reads are ten seconds old throughout, so that only readers and what
- * agents notify of them can bring a change in time. */
+/* Simulates store readers on a simulated clock: how many balancers read the
+ * store's latest state, and how soon all balancers apply a new configuration
+ * when some restart, freeze or silently lose the store. Stale reads lag by ten
+ * seconds, so that only store readers and agents' reports meet the bounds. */
 #include <stdlib.h>
 
 #include "base/clock.h"
@@ -19,25 +18,35 @@
 #define AGENTS_MAX 60
 #define VERSIONS_MAX 64
 
-/* A balancer with callers is heard by some agent this often. */
+/* Interval of a balancer's frames to a random agent. */
 #define TRAFFIC_US (20 * MS)
 
-/* The same where a data centre has many of both: an agent hears from few of
- * the balancers in a second. */
+/* The interval in large data centres, where an agent receives frames of few
+ * balancers in a second. */
 #define SPARSE_TRAFFIC_US (200 * MS)
 #define PINGED_AGENTS 3
 #define LATEST_READ_US (4 * MS)
 #define STALE_READ_US (10 * USEC_PER_SEC)
 #define PEER_US (10 * MS)
 
-/* A connection that has gone silent shows by its probes. */
+/* A silent connection to the store fails after this time. */
 #define KEEPALIVE_TIMEOUT_US (3 * USEC_PER_SEC)
 
-/* What operators are promised on the largest site, and on the smallest. */
+/* Bounds for the propagation of a configuration: in large data centres or
+ * after a silent loss of the store, and in small ones otherwise. */
 #define BOUND_US (6 * USEC_PER_SEC)
 #define BOUND_CALM_US (3 * USEC_PER_SEC)
 
-/** struct balancer - a balancer; until when what is wrong with it */
+/**
+ * struct balancer - a balancer that may become a store reader
+ * @version: configuration in force
+ * @frozen_until_us: end of its last freeze
+ * @partitioned_us: when it last lost the store
+ * @partitioned_until_us: when it reaches the store again
+ * @peer_query_us: last query of a peer for its configuration
+ * @healthy_since_us: start, or end of its last freeze
+ * @traffic_us: when it sends the next frame to a random agent
+ */
 struct balancer {
     struct store_reader reader;
     uint64_t version;
@@ -52,14 +61,14 @@
 
 struct world;
 
-/** struct host - an agent; its word goes to the balancer that spoke */
+/** struct host - an agent that replies to balancers' pings */
 struct host {
     struct admission_out out;
     struct admission admission;
     struct world *world;
 };
 
-/** struct size - how large the data centre is */
+/** struct size - size of the data centre and interval of its traffic */
 struct size {
     unsigned balancers;
     unsigned agents;
@@ -72,9 +81,13 @@
                                        SPARSE_TRAFFIC_US};
 
 /**
- * struct world - all of it
+ * struct world - state of a run
  * @idle: no balancer has callers
- * @starts: how often a balancer began to read
+ * @starts: how often a balancer became a store reader
+ * @committed_us: commit time of each version of the configuration
+ * @version: last version committed
+ * @worst_us: longest propagation of a version
+ * @reader_us: time spent as store reader, over all balancers
  */
 struct world {
     struct size size;
@@ -111,8 +124,8 @@
 }
 
 static void
-notify(struct admission_out *out, struct addr to,
-       const struct frame_status *status)
+receive_status(struct admission_out *out, struct addr to,
+               const struct frame_status *status)
 {
     struct world *world = container_of(out, struct host, out)->world;
     struct balancer *balancer = &world->balancers[to.ip - balancer_addr(0).ip];
@@ -133,8 +146,8 @@
 {
 }
 
-static const struct admission_out_ops admission_ops = {.notify = notify,
-                                                       .served = served};
+static const struct admission_out_ops admission_ops = {
+    .notify = receive_status, .served = served};
 
 static void
 balancer_start(struct world *world, struct balancer *balancer, unsigned number)
@@ -177,18 +190,19 @@
     g_rand_free(world->rand);
 }
 
-/* What a read brings, if the store answers. */
+/* Applies the versions that a read returns, if the balancer reaches the
+ * store. */
 static void
 read_store(struct world *world, struct balancer *balancer)
 {
-    bool silent = balancer->partitioned_until_us > world->now_us;
+    bool unreachable = balancer->partitioned_until_us > world->now_us;
     bool latest =
         store_reader_next_mode(&balancer->reader, failures(world, balancer),
                                world->now_us) == STORE_READ_LATEST;
     uint64_t age_us = latest ? LATEST_READ_US : STALE_READ_US;
 
     world->reader_us += latest && !is_frozen(world, balancer) ? MS : 0;
-    while (!silent && balancer->version < world->version &&
+    while (!unreachable && balancer->version < world->version &&
            world->committed_us[balancer->version + 1] + age_us <=
                world->now_us) {
         balancer->version++;
@@ -242,7 +256,7 @@
                                          (gint32)world->size.agents));
 }
 
-/* How late the newest version is at a balancer that could have had it. */
+/* Checks how long a running balancer has lacked the next version. */
 static void
 check_staleness(struct world *world, struct balancer *balancer,
                 uint64_t bound_us)
@@ -335,7 +349,7 @@
     balancer_start(world, balancer, (unsigned)(balancer - world->balancers));
 }
 
-TEST_F(world, in_calm_two_or_three_read, 1, &small)
+TEST_F(world, without_faults_two_or_three_read, 1, &small)
 {
     advance_ms(world, 10000, BOUND_CALM_US);
     g_assert_cmpuint(count_readers(world), >=, 2);
@@ -345,7 +359,7 @@
     g_assert_cmpuint(world->reader_us, <=, 3 * 20 * USEC_PER_SEC);
 }
 
-TEST_F(world, without_callers_no_more_read, 5, &small)
+TEST_F(world, without_callers_at_most_three_read, 5, &small)
 {
     world->idle = true;
     advance_ms(world, 10000, BOUND_CALM_US);
@@ -359,7 +373,7 @@
     g_assert_cmpuint(count_readers(world), <=, 3);
 }
 
-TEST_F(world, a_change_is_in_force_soon_though_cheap_reads_are_old, 2, &small)
+TEST_F(world, a_change_propagates_soon_despite_stale_reads, 2, &small)
 {
     advance_ms(world, 3000, BOUND_CALM_US);
     for (unsigned i = 0; i < 10; i++) {
@@ -368,8 +382,7 @@
     }
 }
 
-TEST_F(world, when_all_readers_freeze_or_restart_others_take_their_part, 3,
-       &small)
+TEST_F(world, readers_that_freeze_or_restart_are_replaced, 3, &small)
 {
     for (unsigned i = 0; i < 8; i++) {
         advance_ms(world, 3000, BOUND_CALM_US);
@@ -380,21 +393,20 @@
     }
 }
 
-/* The one case in which nobody knows for a while that nobody reads: until the
- * readers' own probes fail. */
-TEST_F(world, when_all_readers_lose_the_store_unnoticed_the_bound_holds, 7,
+/* The loss is detected only once the readers' own keepalives fail. */
+TEST_F(world, all_readers_silently_losing_the_store_stays_in_the_bound, 7,
        &small)
 {
     advance_ms(world, 3000, BOUND_CALM_US);
     fail_readers(world, lose_store);
     commit(world);
     advance_ms(world, 12000, BOUND_US);
-    /* They weren't replaced before they knew themselves. */
+    /* They were not replaced before they detected the loss. */
     g_assert_cmpuint(world->worst_us, >, 1 * USEC_PER_SEC);
 }
 
-/* Each start costs a call of each kind, and the parts are to stay where they
- * are while nothing is wrong: @max_starts starts in 20 s. */
+/* Without faults readers keep their role: at most @max_starts balancers become
+ * readers in 20 s. */
 static void
 expect_stable_readers(struct world *world, unsigned max_starts)
 {
@@ -409,18 +421,18 @@
     g_assert_cmpuint(world->starts, <=, max_starts);
 }
 
-TEST_F(world, who_reads_stays_the_same_in_a_fleet, 11, &large)
+TEST_F(world, readers_are_stable_in_a_large_data_centre, 11, &large)
 {
     expect_stable_readers(world, 3);
 }
 
-/* More balancers than an agent remembers. */
-TEST_F(world, who_reads_stays_the_same_in_four_fleets, 12, &very_large)
+/* More balancers than an agent tracks. */
+TEST_F(world, readers_are_stable_in_a_very_large_data_centre, 12, &very_large)
 {
     expect_stable_readers(world, 3);
 }
 
-TEST_F(world, a_change_is_in_force_soon_in_a_fleet, 13, &large)
+TEST_F(world, a_change_propagates_soon_in_a_large_data_centre, 13, &large)
 {
     advance_ms(world, 5000, BOUND_US);
     for (unsigned i = 0; i < 5; i++) {
@@ -470,10 +482,10 @@
     world_finish(&world);
 }
 
-/* Seeds of a run in CI; READERS_SEEDS=N plays more by hand. */
+/* Default number of seeds; READERS_SEEDS=N runs others. */
 #define SEEDS 60
 
-TEST(everything_at_once)
+TEST(all_faults_together)
 {
     const char *text = g_getenv("READERS_SEEDS");
     uint32_t seeds = text != NULL ? (uint32_t)strtoul(text, NULL, 10) : SEEDS;
@@ -484,9 +496,9 @@
     }
 }
 
-/* A balancer that had lost the store asked one holder of the newer
- * configuration again and again, and that one was frozen (552). */
-TEST(seeds_that_showed_a_fault)
+/* Guards against a balancer without the store that queries only one peer for
+ * the newer configuration, which is frozen. */
+TEST(regressions)
 {
     run_all_faults(552);
 }
--- a/tests/relay/world.c
+++ b/tests/relay/world.c
@@ -1,3 +1,5 @@
+/* Main loop of the simulation: injects faults, delivers messages and advances
+ * all components in steps of STEP_US. */
 #include "relay/world.h"
 
 #include <string.h>
@@ -38,7 +40,7 @@
     host->fault_us = world->now_us;
     world->fault_us = world->now_us;
     if (reuse) {
-        /* Another host has the address, with an agent of its own. */
+        /* The address now belongs to another host with its own agent. */
         host->service = (host->service + 1) % WORLD_SERVICES;
         admission_finish(&host->admission);
         world_agent_start(host);
@@ -65,13 +67,13 @@
     world->fault_us = world->now_us;
 }
 
-/* Some agents that aren't partition off yet lose the balancers. */
+/* Partitions agents from the balancers until the plan's number is reached. */
 static void
-partitioned_agents(struct world *world)
+start_partition(struct world *world)
 {
     unsigned ms = (unsigned)g_rand_int_range(world->rand, PARTITION_MIN_MS,
                                              PARTITION_MAX_MS);
-    unsigned how = (unsigned)g_rand_int_range(world->rand, 0, 3);
+    unsigned direction = (unsigned)g_rand_int_range(world->rand, 0, 3);
     unsigned left = world->plan->partitioned_agents;
 
     for (unsigned i = 0; i < WORLD_AGENTS; i++) {
@@ -85,8 +87,8 @@
             continue;
         }
         host->partitioned_until_us = world->now_us + ms * USEC_PER_MSEC;
-        host->drops_from = how != 1;
-        host->drops_to = how != 0;
+        host->drops_from = direction != 1;
+        host->drops_to = direction != 0;
         world->fault_us = host->partitioned_until_us;
         left--;
     }
@@ -98,7 +100,7 @@
     const struct world_plan *plan = world->plan;
 
     if (world_chance(world, plan->rehash)) {
-        world->salt++;
+        world->ecmp_salt++;
     }
     if (world_chance(world, plan->agent_restart)) {
         agent_restart(world);
@@ -129,7 +131,7 @@
         world_move_route(world);
     }
     if (plan->partition > 0 && world_chance(world, plan->partition)) {
-        partitioned_agents(world);
+        start_partition(world);
     }
     if (plan->evacuate > 0 &&
         g_rand_int_range(world->evacuations_rand, 0, 1000) <
@@ -148,9 +150,9 @@
 
 /* Time. */
 
-/* What a frame says of evacuations comes before what else it says. */
+/* Applies the evacuations in a frame's header, before the frame itself. */
 static void
-receive_evacuations(struct world *world, const struct message *message)
+apply_evacuations(struct world *world, const struct message *message)
 {
     struct evacuations reported;
 
@@ -180,7 +182,7 @@
     struct frame_query query;
     struct frame_query_reply query_reply;
 
-    receive_evacuations(world, message);
+    apply_evacuations(world, message);
     switch (message->target) {
     case TO_BALANCER:
         packet = world_packet_of(message->bytes);
@@ -319,8 +321,8 @@
     }
 }
 
-/* Whether a configuration has dropped the flow's route since it opened: then
- * its packets may go nowhere. */
+/* Whether a configuration has dropped the flow's route since it opened, so
+ * that its packets may be dropped. */
 static bool
 route_was_dropped(const struct world *world, const struct caller *caller)
 {
@@ -332,7 +334,7 @@
     return false;
 }
 
-/* All hosts lose power: nobody knows of any flow. */
+/* All agents, endpoints and balancers restart without any flow state. */
 static void
 restart_all_hosts(struct world *world)
 {
@@ -355,7 +357,7 @@
     world->fault_us = restart_us;
 }
 
-/* A flow that nobody holds is reported of soon after its caller's packet. */
+/* An orphaned flow is reset within ORPHAN_REPORT_US of its caller's packet. */
 static void
 check_orphan_reported(struct world *world, unsigned number)
 {
@@ -365,7 +367,9 @@
         (caller->state == CALLER_REQUESTING ||
          caller->state == CALLER_CLOSING) &&
         world->now_us - caller->orphaned_us > ORPHAN_REPORT_US) {
-        world_violation(world, "LOST: caller %u isn't told", number);
+        world_violation(world,
+                        "LOST: caller %u of an orphaned flow was not reset",
+                        number);
     }
 }
 
@@ -380,9 +384,9 @@
         if (caller->misrouted >= MISROUTED_MAX &&
             world->now_us - caller->misrouted_us > MISROUTED_US &&
             !route_was_dropped(world, caller)) {
-            world_violation(world,
-                            "FLOW: %u packets of flow %u reached others",
-                            caller->misrouted, i);
+            world_violation(
+                world, "FLOW: %u packets of flow %u reached other endpoints",
+                caller->misrouted, i);
         }
     }
 }
@@ -479,7 +483,7 @@
         faulty_ms /= 2;
     }
     run_until(world, world->now_us + faulty_ms * USEC_PER_MSEC, true);
-    run_until(world, world->now_us + CALM_US, false);
+    run_until(world, world->now_us + FAULT_FREE_US, false);
     world_finish(world);
     g_free(world);
 }
--- a/tests/relay/world.h
+++ b/tests/relay/world.h
@@ -1,10 +1,10 @@
 /**
- * DOC: world - callers, balancers, agents and endpoints in one test
+ * DOC: world - deterministic simulation of a relay deployment
  *
- * The real decisions (forwarder, admission) on a paused clock; the network
- * between them delays and loses, hosts fail, the fabric route_moves flows. The
- * world checks after each step what must always hold and keeps the first
- * violation.
+ * Runs the real forwarder and admission code on a simulated clock. Datagrams
+ * are delayed and lost, processes and endpoints fail, routes move and ECMP
+ * rehashes flows, all from one seed. Invariants are checked after each step;
+ * the first violation ends the run.
  */
 #ifndef SWIFTARCH_TESTS_RELAY_WORLD_H
 #define SWIFTARCH_TESTS_RELAY_WORLD_H
@@ -18,48 +18,54 @@
 #define WORLD_SERVICES 2
 #define WORLD_DATA_CENTRES 3
 
-/** struct world_plan - what may happen, each as chances in 1000 a 10 ms */
+/**
+ * struct world_plan - load and fault rates of a run
+ *
+ * Rates without a unit are chances in 1000, drawn every 10 ms.
+ */
 struct world_plan {
-    unsigned loss;          /* datagrams in 1000 that are lost */
-    unsigned new_flows;     /* flows opened in 10 ms, in 1000 */
-    unsigned rehash;        /* the fabric hands all flows out anew */
-    unsigned agent_restart; /* one agent's process is killed */
-    unsigned balancer_restart;
-    unsigned endpoint_crash; /* and starts again after a while */
-    unsigned endpoint_drain;
-    unsigned reuse;       /* an endpoint's address goes to the other
-                             service */
-    unsigned freeze;      /* one agent stands still for 300 ms */
-    unsigned config;      /* a route is added or dropped */
-    unsigned route_moves; /* a route goes to the other service */
-    unsigned stall;       /* what one balancer sends in 40 ms comes late */
-    unsigned partition;   /* some agents and the balancers lose each other, one
-                       way   or both, for seconds */
-    unsigned partitioned_agents; /* how many at a time */
-    unsigned evacuate;           /* a data centre is evacuated, or is back */
-    unsigned evacuated_max;      /* how many are so at a time */
-    unsigned
-        store_restore;   /* the store comes back from an store_restore copy */
-    unsigned requests;   /* on each flow, 0 for one */
-    unsigned pause_ms;   /* the longest between two of them */
-    unsigned work_ms;    /* what a request takes, 0 for 15 */
-    unsigned timeout_ms; /* what operators say that it may take */
-    bool closing;        /* callers say goodbye, which is answered */
-    bool restart_all;    /* after half of the time every host starts anew */
-    bool reported; /* callers of flows that nobody holds must be reported */
+    unsigned loss;             /* datagrams lost, in 1000 */
+    unsigned new_flows;        /* a caller opens a flow */
+    unsigned rehash;           /* ECMP assigns all flows anew */
+    unsigned agent_restart;    /* an agent is killed and restarted */
+    unsigned balancer_restart; /* a balancer is killed and restarted */
+    unsigned endpoint_crash;   /* an endpoint stops for 200 ms */
+    unsigned endpoint_drain;   /* an endpoint starts draining */
+    unsigned reuse;            /* an endpoint's address is taken over by an
+                                  endpoint of the other service */
+    unsigned freeze;           /* an agent is suspended for 300 ms */
+    unsigned config;           /* a route is added or dropped */
+    unsigned route_moves;      /* a route moves to the other service */
+    unsigned stall;            /* a balancer's output is delayed by 40 ms */
+    unsigned partition;        /* some agents and the balancers are partitioned
+                                  for seconds, in one direction or both */
+    unsigned partitioned_agents; /* agents partitioned at a time */
+    unsigned evacuate;           /* an evacuation starts or ends */
+    unsigned evacuated_max;      /* data centres evacuated at a time */
+    unsigned store_restore;      /* the store is restored from a snapshot */
+    unsigned requests;           /* requests on each flow, 0 for one */
+    unsigned pause_ms;           /* longest pause between two requests */
+    unsigned work_ms;            /* duration of a request, 0 for 15 */
+    unsigned timeout_ms;         /* request timeout of all routes */
+    bool closing;                /* callers send a FIN and await its ACK */
+    bool restart_all;            /* all hosts restart at half-time */
+    bool reported;               /* orphaned flows must be reset in time */
 };
 
-/** struct world_result - what came of it */
+/** struct world_result - outcome of a run */
 struct world_result {
-    char violation[256]; /* the first, empty for none */
-    unsigned opened;     /* flows that callers opened */
-    unsigned answered;   /* requests answered */
-    unsigned closed;     /* goodbyes answered */
-    unsigned failed;     /* callers that gave up */
-    unsigned resets;     /* flows that were reset, each packet of one */
+    char violation[256]; /* first violation, empty for none */
+    unsigned opened;     /* flows opened by callers */
+    unsigned answered;   /* flows with all requests answered */
+    unsigned closed;     /* FINs acknowledged */
+    unsigned failed;     /* flows abandoned or reset */
+    unsigned resets;     /* RST packets to callers */
 };
 
-/** world_run() - play @faulty_ms with faults, then a calm second and a half
+/**
+ * world_run() - run @faulty_ms with faults, then 1.5 s without
+ *
+ * A seed and plan always give the same @result.
  */
 void
 world_run(uint32_t seed, const struct world_plan *plan, unsigned faulty_ms,
--- a/tests/relay/world_balancers.c
+++ b/tests/relay/world_balancers.c
@@ -1,3 +1,4 @@
+/* Balancers: their outputs, configuration, and reads of agents' objects. */
 #include "relay/world_private.h"
 
 #include <string.h>
@@ -14,14 +15,13 @@
 }
 
 static void
-forwarder_resets(struct forwarder_out *out, struct relay_flow flow,
-                 uint32_t seq)
+send_reset(struct forwarder_out *out, struct relay_flow flow, uint32_t seq)
 {
     world_check_reset(container_of(out, struct balancer, out)->world, flow,
                       "a balancer");
 }
 
-/* Whether what is sent to an agent is lost. */
+/* Whether frames to an agent are dropped. */
 static bool
 is_partitioned(const struct balancer *balancer, struct addr agent)
 {
@@ -29,7 +29,8 @@
         &balancer->world->hosts[agent.ip - world_host_addr(0).ip], true);
 }
 
-/* A SYN goes where the configuration in force says. */
+/* A SYN is forwarded to the service of its route in the configuration in
+ * force. */
 static void
 check_service(const struct balancer *balancer,
               const struct frame_forward *frame,
@@ -39,18 +40,18 @@
 
     if (served < 0) {
         world_violation(balancer->world,
-                        "CONFIG: a SYN of a dropped route is carried");
+                        "CONFIG: a SYN of a dropped route is forwarded");
     }
     else if (frame->service != hash_service(world_services[served])) {
         world_violation(balancer->world,
-                        "CONFIG: a SYN is carried to the service "
+                        "CONFIG: a SYN is forwarded to the service "
                         "that its route had before");
     }
 }
 
 static void
-forwarder_forwards(struct forwarder_out *out, struct addr agent,
-                   const struct frame_forward *frame)
+send_forward(struct forwarder_out *out, struct addr agent,
+             const struct frame_forward *frame)
 {
     struct balancer *balancer = container_of(out, struct balancer, out);
     struct relay_packet packet = world_packet_of(frame->bytes);
@@ -70,7 +71,7 @@
 }
 
 static void
-ping(struct forwarder_out *out, struct addr agent, bool unlisted)
+send_ping(struct forwarder_out *out, struct addr agent, bool unlisted)
 {
     struct balancer *balancer = container_of(out, struct balancer, out);
     struct frame_ping ping = {
@@ -92,8 +93,8 @@
 }
 
 static void
-query(struct forwarder_out *out, struct addr agent,
-      const struct frame_query *query)
+send_query(struct forwarder_out *out, struct addr agent,
+           const struct frame_query *query)
 {
     struct balancer *balancer = container_of(out, struct balancer, out);
     uint8_t bytes[FRAME_MAX];
@@ -119,7 +120,8 @@
 }
 
 static void
-behind(struct forwarder_out *out, const struct frame_config_version *newer)
+newer_config(struct forwarder_out *out,
+             const struct frame_config_version *newer)
 {
 }
 
@@ -129,13 +131,13 @@
 }
 
 static void
-forwarder_dropped(struct forwarder_out *out, enum forwarder_drop why,
+forwarder_dropped(struct forwarder_out *out, enum forwarder_drop reason,
                   const struct relay_packet *packet)
 {
 }
 
 static void
-forwarder_decided(struct forwarder_out *out, enum forwarder_decision did,
+forwarder_decided(struct forwarder_out *out, enum forwarder_decision decision,
                   struct relay_flow flow, struct addr agent, unsigned tries,
                   uint64_t age_us)
 {
@@ -143,22 +145,16 @@
 
 static void
 forwarder_concluded(struct forwarder_out *out,
-                    const struct orphan_query *query, unsigned over)
+                    const struct orphan_query *query, unsigned ended)
 {
 }
 
-const struct forwarder_out_ops world_forwarder_ops = {forwarder_forwards,
-                                                      forwarder_resets,
-                                                      ping,
-                                                      query,
-                                                      confirm,
-                                                      behind,
-                                                      readers,
-                                                      forwarder_dropped,
-                                                      forwarder_decided,
-                                                      forwarder_concluded};
+const struct forwarder_out_ops world_forwarder_ops = {
+    send_forward,      send_reset,         send_ping, send_query,
+    confirm,           newer_config,       readers,   forwarder_dropped,
+    forwarder_decided, forwarder_concluded};
 
-/* Configuration and membership. */
+/* Configuration and registrations. */
 
 void
 world_apply_config(struct balancer *balancer, unsigned version)
@@ -190,9 +186,9 @@
     }
 }
 
-/* All that the store says names its epoch. */
+/* Every reply of the store carries its epoch. */
 static void
-learn_epoch(struct balancer *balancer)
+receive_epoch(struct balancer *balancer)
 {
     struct evacuations latest = {.epoch = balancer->world->evacuations.epoch};
 
@@ -200,12 +196,12 @@
                           balancer->world->now_us);
 }
 
-/* The balancer learns what the store says of an agent. */
+/* Reads an agent's object from the store. */
 static void
 read_registration(struct balancer *balancer, const struct host *host)
 {
     balancer->registration_versions[host->number] = host->registration_version;
-    learn_epoch(balancer);
+    receive_epoch(balancer);
     if (host->unregistered_until_us != 0) {
         agents_unlist(&balancer->forwarder.agents, host->addr,
                       balancer->world->now_us);
@@ -240,7 +236,7 @@
     }
 }
 
-/* Whether the balancer knows what the store says of the agents. */
+/* Whether the balancer has read the latest object of every agent. */
 static bool
 has_all_registrations(const struct balancer *balancer)
 {
@@ -271,7 +267,7 @@
         }
     }
     if (balancer->confirm_us != 0 &&
-        world->now_us >= balancer->confirm_us + CONFIRM_US) {
+        world->now_us >= balancer->confirm_us + CONFIRM_DELAY_US) {
         if (has_all_registrations(balancer)) {
             forwarder_confirmed(&balancer->forwarder, balancer->confirm_us,
                                 world->now_us);
@@ -315,8 +311,8 @@
     }
 }
 
-/* The next version, equal to the last so far, or NULL when there are too
- * many. */
+/* A copy of the last configuration as the next one, or NULL when there are
+ * VERSIONS_MAX. */
 static int *
 next_version(struct world *world)
 {
@@ -341,7 +337,6 @@
     }
 }
 
-/* Drops a route or brings it back; routes keep their service. */
 void
 world_change_config(struct world *world)
 {
--- a/tests/relay/world_callers.c
+++ b/tests/relay/world_callers.c
@@ -1,3 +1,4 @@
+/* Callers: open flows, send requests, retransmit and close. */
 #include "relay/world_private.h"
 
 #include <string.h>
@@ -13,7 +14,7 @@
     world->result->failed++;
 }
 
-/* Its links are cut, or were of late: a reset of its flows is allowed then. */
+/* Whether the host is or was recently partitioned: its flows may be reset. */
 static bool
 in_partition_grace(const struct host *host)
 {
@@ -23,7 +24,8 @@
 }
 
 void
-world_check_reset(struct world *world, struct relay_flow flow, const char *who)
+world_check_reset(struct world *world, struct relay_flow flow,
+                  const char *sender)
 {
     for (unsigned i = 0; i < world->caller_count; i++) {
         struct caller *caller = &world->callers[i];
@@ -36,8 +38,8 @@
 
             if (host->up && host->flows[i].open && !in_partition_grace(host) &&
                 host->flows[i].seq == caller->peer_seq) {
-                world_violation(world, "FLOW: %s resets flow %u, which lives",
-                                who, i);
+                world_violation(world, "FLOW: %s reset flow %u, which is open",
+                                sender, i);
             }
         }
         world->result->resets++;
@@ -56,14 +58,14 @@
 static unsigned
 ecmp_balancer(const struct world *world, const struct caller *caller)
 {
-    return (unsigned)((relay_flow_hash(caller->flow) + world->salt) %
+    return (unsigned)((relay_flow_hash(caller->flow) + world->ecmp_salt) %
                       WORLD_BALANCERS);
 }
 
-/* Notes when a caller first sends a packet of a flow that nobody holds any
- * more, while nothing is wrong with any host. */
+/* Records the first packet that a caller sends on an orphaned flow while all
+ * hosts work. */
 static void
-note_orphaned(struct world *world, struct caller *caller)
+record_orphaned(struct world *world, struct caller *caller)
 {
     const struct host *host = &world->hosts[caller->host];
 
@@ -83,7 +85,7 @@
     unsigned number = (unsigned)(caller - world->callers);
 
     if (caller->host >= 0) {
-        note_orphaned(world, caller);
+        record_orphaned(world, caller);
     }
     if (relay_packet_is_syn(&packet)) {
         packet.age_ms = (uint16_t)(ack * 200);
@@ -104,7 +106,7 @@
     *caller = (struct caller){
         .flow = fixture_flow(world->caller_count),
         .route = (unsigned)g_rand_int_range(world->rand, 0, ROUTES),
-        .since_us = world->now_us,
+        .phase_started_us = world->now_us,
         .host = -1,
         .version = world->versions - 1,
     };
@@ -116,17 +118,17 @@
     caller->attempts = 1;
 }
 
-/* Ends of what the caller has sent, and of what it has received. */
+/* Sequence numbers after the last byte sent, and after the last received. */
 static uint32_t
 sent_end(const struct caller *caller)
 {
-    return 101 + caller->answers * REQUEST_LEN;
+    return 101 + caller->requests_answered * REQUEST_LEN;
 }
 
 static uint32_t
 received_end(const struct caller *caller)
 {
-    return caller->peer_seq + 1 + caller->answers * ANSWER_LEN;
+    return caller->peer_seq + 1 + caller->requests_answered * ANSWER_LEN;
 }
 
 void
@@ -137,10 +139,10 @@
     }
     if (caller->state == CALLER_PAUSING) {
         caller->state = CALLER_REQUESTING;
-        caller->since_us = world->now_us;
+        caller->phase_started_us = world->now_us;
         caller->attempts = 0;
     }
-    if (world->now_us - caller->since_us > CALLER_ABANDON_US ||
+    if (world->now_us - caller->phase_started_us > CALLER_ABANDON_US ||
         caller->attempts > RETRANSMITS_MAX) {
         world_caller_fail(world, caller);
         return;
@@ -169,7 +171,8 @@
     caller->attempts++;
 }
 
-/* The endpoint that a SYN+ACK's number is of. */
+/* Opens the flow and finds the endpoint by the sequence number of its
+ * SYN+ACK. */
 static void
 caller_opened(struct world *world, struct caller *caller, unsigned number,
               const struct relay_packet *packet)
@@ -188,14 +191,13 @@
     }
 }
 
-/* The answer is there. Callers with more to ask do so after a pause; those
- * that close say so, together with the acknowledgement that each second packet
- * gets. */
+/* After an answer: pauses before the next request, or acknowledges the answer
+ * and closes. */
 static void
 caller_answered(struct world *world, struct caller *caller)
 {
-    caller->answers++;
-    if (caller->answers < world->plan->requests) {
+    caller->requests_answered++;
+    if (caller->requests_answered < world->plan->requests) {
         unsigned pause_ms = (unsigned)g_rand_int_range(
             world->rand, 0, (gint32)world->plan->pause_ms);
 
@@ -230,12 +232,12 @@
     }
     else if (caller->state == CALLER_REQUESTING && packet.len > 0) {
         if (packet.seq + ANSWER_LEN == received_end(caller)) {
-            /* Another copy of the answer before. */
+            /* A duplicate of the previous answer. */
             return;
         }
         if (packet.seq != received_end(caller)) {
             world_violation(
-                world, "MIXED: caller %u gets another flow's answer", number);
+                world, "MIXED: caller %u got another flow's answer", number);
         }
         caller_answered(world, caller);
     }
--- a/tests/relay/world_evacuations.c
+++ b/tests/relay/world_evacuations.c
@@ -1,9 +1,11 @@
+/* The store: evacuations set by operators, restores of the store from older
+ * snapshots, and the checks on evacuated data centres. */
 #include "relay/world_private.h"
 
 #include "base/clock.h"
 
-/* Balancers that read the store's latest: the others are told by agents. */
-#define READERS 2
+/* Balancers that read the store; the others are notified by agents. */
+#define STORE_READERS 2
 
 static unsigned
 data_centre_number(const struct host *host)
@@ -11,8 +13,7 @@
     return host->number / (WORLD_AGENTS / WORLD_DATA_CENTRES);
 }
 
-/* Data centres matter only where they are evacuated: without that, all hosts
- * stand in one. */
+/* Without evacuations in the plan, all hosts are in one data centre. */
 const char *
 world_data_centre(const struct world *world, const struct host *host)
 {
@@ -23,7 +24,7 @@
 }
 
 static uint32_t
-key_of(const struct world *world, unsigned data_centre)
+data_centre_key(const struct world *world, unsigned data_centre)
 {
     const struct host *host =
         &world->hosts[data_centre * (WORLD_AGENTS / WORLD_DATA_CENTRES)];
@@ -46,7 +47,7 @@
 void
 world_evacuations_schedule(struct balancer *balancer)
 {
-    if (balancer->number < READERS) {
+    if (balancer->number < STORE_READERS) {
         balancer->evacuations_us =
             balancer->world->now_us +
             (uint64_t)g_rand_int_range(balancer->world->evacuations_rand, 0,
@@ -63,9 +64,9 @@
                           true, balancer->world->now_us);
 }
 
-/* Operators have written to the store. */
+/* Advances the revision and schedules the balancers' reads. */
 static void
-note_written(struct world *world)
+publish_evacuations(struct world *world)
 {
     world->evacuations.revision += 2;
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
@@ -79,7 +80,7 @@
     unsigned number = (unsigned)g_rand_int_range(world->evacuations_rand, 0,
                                                  WORLD_DATA_CENTRES);
     struct evacuations *desired = &world->desired;
-    uint32_t key = key_of(world, number);
+    uint32_t key = data_centre_key(world, number);
 
     if (evacuations_contains(desired, key)) {
         remove_evacuation(desired, key);
@@ -93,7 +94,7 @@
         return;
     }
     world->evacuated_us[number] = world->now_us;
-    note_written(world);
+    publish_evacuations(world);
 }
 
 void
@@ -149,7 +150,7 @@
         world->evacuations = world->desired;
         world->evacuations.epoch = epoch;
         world->evacuations.revision = revision;
-        note_written(world);
+        publish_evacuations(world);
     }
     for (unsigned i = 0; i < WORLD_AGENTS; i++) {
         struct host *host = &world->hosts[i];
@@ -162,8 +163,8 @@
     }
 }
 
-/* Whether some host may not know of an evacuation that the store has lost: one
- * that has started since, or any, if it was written just before that. */
+/* Whether a host may lack an evacuation that the store has lost: a host that
+ * started since then, or any host if it was written just before the loss. */
 static bool
 may_miss_evacuation(const struct host *host)
 {
@@ -173,17 +174,17 @@
     bool rewritten =
         world->rewrite_us == 0 &&
         world->now_us >= world->rewritten_us + EVACUATION_BOUND_US;
-    bool unheard = host->fault_us >= world->store_lost_us ||
-                   propagated_us >= world->store_lost_us;
+    bool unreported = host->fault_us >= world->store_lost_us ||
+                      propagated_us >= world->store_lost_us;
 
     for (unsigned i = 0; i < WORLD_BALANCERS; i++) {
-        unheard |= world->balancers[i].fault_us >= world->store_lost_us;
+        unreported |= world->balancers[i].fault_us >= world->store_lost_us;
     }
-    return world->store_lost_us != 0 && unheard && !rewritten;
+    return world->store_lost_us != 0 && unreported && !rewritten;
 }
 
-/* Whether all hosts should know by now what was done last to a host's data
- * centre. */
+/* Whether the last evacuation of the host's data centre, or its end, must have
+ * reached all hosts. */
 static bool
 is_propagated(const struct host *host)
 {
@@ -202,8 +203,9 @@
 static bool
 is_evacuated(const struct host *host)
 {
-    return evacuations_contains(&host->world->desired,
-                                key_of(host->world, data_centre_number(host)));
+    return evacuations_contains(
+        &host->world->desired,
+        data_centre_key(host->world, data_centre_number(host)));
 }
 
 void
@@ -211,7 +213,8 @@
 {
     if (host->world->plan->evacuate > 0 && is_evacuated(host) &&
         is_propagated(host) && !may_miss_evacuation(host)) {
-        world_violation(host->world, "EVACUATED: a SYN goes to endpoint %u",
+        world_violation(host->world,
+                        "EVACUATED: SYN sent to evacuated endpoint %u",
                         host->number);
     }
 }
@@ -225,7 +228,8 @@
         world->now_us < world->restored_us + OLD_EPOCH_US + STARTUP_SYNC_US;
 
     if (!is_evacuated(host) && is_propagated(host) && !old_epoch) {
-        world_violation(host->world, "RETURNED: agent %u still refuses SYNs",
+        world_violation(host->world,
+                        "RETURNED: agent %u refuses SYNs after its evacuation",
                         host->number);
     }
 }
--- a/tests/relay/world_hosts.c
+++ b/tests/relay/world_hosts.c
@@ -1,3 +1,5 @@
+/* Hosts: outputs of the agents, and simulated endpoints that answer requests,
+ * bounce packets of unknown flows and send heartbeats. */
 #include "relay/world_private.h"
 
 #include <string.h>
@@ -9,15 +11,15 @@
 /* Outputs of agents. */
 
 static void
-to_endpoint(struct admission_out *out, const uint8_t *bytes, size_t size)
+send_to_endpoint(struct admission_out *out, const uint8_t *bytes, size_t size)
 {
     struct host *host = container_of(out, struct host, out);
     struct relay_packet packet = world_packet_of(bytes);
 
-    /* Another copy for a flow that the endpoint holds opens nothing. */
+    /* A duplicate SYN of an open flow doesn't open another. */
     if (relay_packet_is_syn(&packet) && host->draining_reported &&
         !host->flows[world_caller_of(bytes)].open) {
-        world_violation(host->world, "DRAIN: a SYN goes to endpoint %u",
+        world_violation(host->world, "DRAIN: SYN sent to draining endpoint %u",
                         host->number);
     }
     if (relay_packet_is_syn(&packet) &&
@@ -28,8 +30,8 @@
 }
 
 static void
-to_caller(struct admission_out *out, struct addr caller, const uint8_t *bytes,
-          size_t size)
+send_to_caller(struct admission_out *out, struct addr caller,
+               const uint8_t *bytes, size_t size)
 {
     struct host *host = container_of(out, struct host, out);
 
@@ -38,16 +40,15 @@
 }
 
 static void
-admission_resets(struct admission_out *out, struct relay_flow flow,
-                 uint32_t seq)
+send_reset(struct admission_out *out, struct relay_flow flow, uint32_t seq)
 {
     world_check_reset(container_of(out, struct host, out)->world, flow,
                       "an agent");
 }
 
 static void
-admission_forwards(struct admission_out *out, struct addr agent,
-                   const struct frame_forward *frame)
+send_forward(struct admission_out *out, struct addr agent,
+             const struct frame_forward *frame)
 {
     struct host *host = container_of(out, struct host, out);
     uint8_t bytes[FRAME_MAX];
@@ -59,8 +60,8 @@
 }
 
 static void
-notify(struct admission_out *out, struct addr balancer,
-       const struct frame_status *status)
+send_status(struct admission_out *out, struct addr balancer,
+            const struct frame_status *status)
 {
     struct host *host = container_of(out, struct host, out);
     uint8_t bytes[FRAME_MAX + 1];
@@ -78,19 +79,19 @@
 }
 
 static void
-serves(struct admission_out *out, struct addr balancer,
-       const struct frame_served *served)
+send_served(struct admission_out *out, struct addr balancer,
+            const struct frame_served *served)
 {
 }
 
 static void
-query_reply(struct admission_out *out, struct addr balancer,
-            const struct frame_query_reply *answer)
+send_query_reply(struct admission_out *out, struct addr balancer,
+                 const struct frame_query_reply *reply)
 {
     struct host *host = container_of(out, struct host, out);
     uint8_t bytes[FRAME_MAX + 1];
     size_t size =
-        frame_query_reply_encode(answer, &host->admission.store.latest, bytes);
+        frame_query_reply_encode(reply, &host->admission.store.latest, bytes);
 
     if (world_is_partitioned(host, false)) {
         return;
@@ -102,7 +103,7 @@
 }
 
 static void
-probe(struct admission_out *out)
+probe_endpoint(struct admission_out *out)
 {
     struct host *host = container_of(out, struct host, out);
 
@@ -110,25 +111,24 @@
 }
 
 static void
-admission_dropped(struct admission_out *out, enum admission_drop why)
+admission_dropped(struct admission_out *out, enum admission_drop reason)
 {
 }
 
 static void
-admission_decided(struct admission_out *out, enum admission_decision did,
-                  struct relay_flow flow, enum frame_reason why,
+admission_decided(struct admission_out *out, enum admission_decision decision,
+                  struct relay_flow flow, enum frame_reason reason,
                   const struct frame_forward *frame)
 {
-    if (why == FRAME_REASON_EVACUATED) {
+    if (reason == FRAME_REASON_EVACUATED) {
         world_check_refusal(container_of(out, struct host, out));
     }
 }
 
 const struct admission_out_ops world_admission_ops = {
-    to_endpoint,        to_caller, admission_resets,
-    admission_forwards, notify,    serves,
-    query_reply,        probe,     admission_dropped,
-    admission_decided};
+    send_to_endpoint,  send_to_caller,   send_reset,       send_forward,
+    send_status,       send_served,      send_query_reply, probe_endpoint,
+    admission_dropped, admission_decided};
 
 static void
 send_from_endpoint(struct host *host, unsigned caller, unsigned flags,
@@ -150,9 +150,9 @@
             return;
         }
     }
-    world_violation(world, "ROUTE: endpoint %u of %s takes a flow to port %u",
-                    host->number, world_services[host->service],
-                    packet->to.port);
+    world_violation(
+        world, "ROUTE: endpoint %u of %s accepts a flow to port %u",
+        host->number, world_services[host->service], packet->to.port);
 }
 
 static unsigned
@@ -176,10 +176,10 @@
                       world_caller_of(bytes), packet, true);
 }
 
-/* What an endpoint does with a packet of a flow that it lacks: it hands it
- * back, but answers data with a reset in its first moments. */
+/* Bounces a packet of an unknown flow to the agent. Within STARTUP_RESET_US of
+ * the endpoint's start, data is reset. */
 static void
-refuse(struct host *host, const uint8_t *bytes)
+reject_unknown_flow(struct host *host, const uint8_t *bytes)
 {
     struct relay_packet packet = world_packet_of(bytes);
 
@@ -192,16 +192,16 @@
     bounce(host, bytes);
 }
 
-/* Whether a fault was less than 2 s ago, or is still to end. */
+/* Whether a fault was less than 2 s ago, or has not ended. */
 static bool
 is_recent(const struct world *world, uint64_t fault_us)
 {
     return world->now_us < fault_us + 2 * USEC_PER_SEC;
 }
 
-/* Notes that a packet of an open flow came to the wrong endpoint. */
+/* Counts a packet of an open flow that reached the wrong endpoint. */
 static void
-note_misrouted(struct host *host, unsigned number)
+record_misrouted(struct host *host, unsigned number)
 {
     struct world *world = host->world;
     struct caller *caller = &world->callers[number];
@@ -227,27 +227,28 @@
 work_us(const struct world *world)
 {
     return world->plan->work_ms > 0 ? world->plan->work_ms * USEC_PER_MSEC
-                                    : WORK_US;
+                                    : REQUEST_WORK_US;
 }
 
-/* Whether a packet holds the request after those that have begun. */
+/* Whether a packet holds the request after the last one started. */
 static bool
 is_next_request(const struct endpoint_flow *flow,
                 const struct relay_packet *packet)
 {
     return flow->answer_us == 0 &&
-           packet->seq == 101 + flow->runs * REQUEST_LEN;
+           packet->seq == 101 + flow->requests_started * REQUEST_LEN;
 }
 
-/* Answers the request that began last. */
+/* Answers the request started last. */
 static void
-answer(struct host *host, unsigned caller)
+send_answer(struct host *host, unsigned caller)
 {
     const struct endpoint_flow *flow = &host->flows[caller];
 
     send_from_endpoint(host, caller, RELAY_ACK,
-                       flow->seq + 1 + (flow->runs - 1) * ANSWER_LEN,
-                       101 + flow->runs * REQUEST_LEN, ANSWER_LEN);
+                       flow->seq + 1 +
+                           (flow->requests_started - 1) * ANSWER_LEN,
+                       101 + flow->requests_started * REQUEST_LEN, ANSWER_LEN);
 }
 
 void
@@ -276,34 +277,34 @@
         return;
     }
     if (!flow->open) {
-        note_misrouted(host, number);
-        refuse(host, bytes);
+        record_misrouted(host, number);
+        reject_unknown_flow(host, bytes);
         return;
     }
     if (packet.ack - flow->seq > 100000) {
-        /* Its own handshake with the caller isn't over, and this is of
-         * another's: endpoints say nothing then. */
-        note_misrouted(host, number);
+        /* Acknowledges another endpoint's SYN+ACK: dropped while this
+         * endpoint's own handshake is pending. */
+        record_misrouted(host, number);
         return;
     }
     caller->misrouted = 0;
     if ((packet.flags & RELAY_FIN) != 0) {
         send_from_endpoint(host, number, RELAY_ACK,
-                           flow->seq + 1 + flow->runs * ANSWER_LEN,
+                           flow->seq + 1 + flow->requests_started * ANSWER_LEN,
                            packet.seq + 1, 0);
         return;
     }
     if (packet.len > 0 && is_next_request(flow, &packet)) {
-        flow->runs++;
+        flow->requests_started++;
         flow->answer_us = host->world->now_us + work_us(host->world);
-        caller->ran++;
-        if (caller->ran > caller->answers + 1) {
-            world_violation(host->world, "UNASKED: request %u runs twice",
-                            number);
+        caller->requests_started++;
+        if (caller->requests_started > caller->requests_answered + 1) {
+            world_violation(host->world,
+                            "UNASKED: caller %u: a request ran twice", number);
         }
     }
-    else if (flow->runs > 0 && flow->answer_us == 0) {
-        answer(host, number);
+    else if (flow->requests_started > 0 && flow->answer_us == 0) {
+        send_answer(host, number);
     }
 }
 
@@ -316,7 +317,7 @@
         if (flow->open && flow->answer_us != 0 &&
             flow->answer_us <= host->world->now_us) {
             flow->answer_us = 0;
-            answer(host, i);
+            send_answer(host, i);
         }
     }
 }
@@ -332,12 +333,13 @@
     };
 
     if (host->number % 2 == 0) {
-        /* Each start has an id of its own. */
+        /* Each incarnation has a new id. */
         g_snprintf(beat.id, sizeof(beat.id), "i-%u-%u", host->number,
                    host->incarnation);
     }
     else {
-        /* The same id starts again, and counts anew. */
+        /* The id stays the same; a later start time and a restarted
+         * sequence mark the incarnation. */
         g_snprintf(beat.id, sizeof(beat.id), "i-%u", host->number);
         beat.started_ms = 1000 + host->incarnation;
     }
@@ -371,7 +373,7 @@
                     ==, 0);
     host->draining_reported = false;
     host->heartbeat_us = 0;
-    /* It looks at its own object first, and writes it if it isn't there. */
+    /* The agent reads its own object first, and writes it if it is missing. */
     admission_handle_evacuations(&host->admission, &latest,
                                  host->world->now_us);
     if (host->unregistered_until_us != 0) {
--- a/tests/relay/world_net.c
+++ b/tests/relay/world_net.c
@@ -1,3 +1,4 @@
+/* Network: delays, orders and loses messages; addresses of all components. */
 #include "relay/world_private.h"
 
 #include <string.h>
@@ -58,7 +59,7 @@
 }
 
 static gint
-compare(gconstpointer a, gconstpointer b, gpointer data)
+compare_arrival(gconstpointer a, gconstpointer b, gpointer data)
 {
     const struct message *left = a;
     const struct message *right = b;
@@ -70,8 +71,8 @@
 }
 
 static void
-post(struct world *world, enum target target, unsigned number,
-     const void *bytes, size_t size, uint64_t due_us)
+enqueue(struct world *world, enum target target, unsigned number,
+        const void *bytes, size_t size, uint64_t due_us)
 {
     struct message *message = g_new(struct message, 1);
 
@@ -81,12 +82,12 @@
     message->number = number;
     message->size = size;
     memcpy(message->bytes, bytes, size);
-    g_sequence_insert_sorted(world->messages, message, compare, NULL);
+    g_sequence_insert_sorted(world->messages, message, compare_arrival, NULL);
 }
 
-/* When a datagram of now arrives, or 0 when it is lost. */
+/* Arrival time of a datagram sent now, 0 if it is lost. */
 static uint64_t
-arrival(struct world *world, GRand *rand)
+arrival_us(struct world *world, GRand *rand)
 {
     uint64_t delay_us = 100 + (uint64_t)g_rand_int_range(rand, 0, 2000);
     bool lost = g_rand_int_range(rand, 0, 1000) < (gint32)world->plan->loss;
@@ -98,11 +99,11 @@
 world_post(struct world *world, enum target target, unsigned number,
            const void *bytes, size_t size, bool local)
 {
-    uint64_t due_us =
-        local ? world->now_us + LOCAL_US : arrival(world, world->rand);
+    uint64_t due_us = local ? world->now_us + LOCAL_DELAY_US
+                            : arrival_us(world, world->rand);
 
     if (due_us != 0) {
-        post(world, target, number, bytes, size, due_us);
+        enqueue(world, target, number, bytes, size, due_us);
     }
 }
 
@@ -110,10 +111,10 @@
 world_post_delayed(struct world *world, enum target target, unsigned number,
                    const void *bytes, size_t size, uint64_t earliest_us)
 {
-    uint64_t due_us = arrival(world, world->rand);
+    uint64_t due_us = arrival_us(world, world->rand);
 
     if (due_us != 0) {
-        post(world, target, number, bytes, size, MAX(due_us, earliest_us));
+        enqueue(world, target, number, bytes, size, MAX(due_us, earliest_us));
     }
 }
 
@@ -121,10 +122,10 @@
 world_post_query(struct world *world, enum target target, unsigned number,
                  const void *bytes, size_t size, uint64_t earliest_us)
 {
-    uint64_t due_us = arrival(world, world->query_rand);
+    uint64_t due_us = arrival_us(world, world->query_rand);
 
     if (due_us != 0) {
-        post(world, target, number, bytes, size, MAX(due_us, earliest_us));
+        enqueue(world, target, number, bytes, size, MAX(due_us, earliest_us));
     }
 }
 
--- a/tests/relay/world_private.h
+++ b/tests/relay/world_private.h
@@ -1,9 +1,10 @@
 /**
- * DOC: world_private - what the parts of world share
+ * DOC: world_private - state shared by the parts of the simulation
  *
- * world_net carries messages, world_callers and world_hosts are the ends of
- * flows with their agents, world_fronts the balancers, world_evacuations what
- * operators do to data centres; world.c lets time pass and things go wrong.
+ * world.c advances the clock and injects faults; world_net.c delivers
+ * messages; world_callers.c simulates callers, world_hosts.c agents and
+ * endpoints, world_balancers.c balancers and their configuration,
+ * world_evacuations.c the store and evacuations.
  */
 #ifndef SWIFTARCH_TESTS_RELAY_WORLD_PRIVATE_H
 #define SWIFTARCH_TESTS_RELAY_WORLD_PRIVATE_H
@@ -15,54 +16,54 @@
 
 #define STEP_US (500)
 #define FAULT_INTERVAL_US (10 * USEC_PER_MSEC)
-#define CALM_US (1500 * USEC_PER_MSEC)
+#define FAULT_FREE_US (1500 * USEC_PER_MSEC)
 #define FLOWS_MAX 4096
 #define ROUTES 4
 #define VERSIONS_MAX 256
 #define CALLER_ABANDON_US (4000 * USEC_PER_MSEC)
 #define ENDPOINT_CAPACITY 10
-#define WORK_US (15 * USEC_PER_MSEC)
+#define REQUEST_WORK_US (15 * USEC_PER_MSEC)
 #define RESTART_US (200 * USEC_PER_MSEC)
 #define FREEZE_US (300 * USEC_PER_MSEC)
 #define PARTITION_MIN_MS 1500
 #define PARTITION_MAX_MS 4000
 
-/* The rule on resets holds again this long after a host's links were cut: the
- * shortest of the users' sites. */
+/* Resets of a host's open flows are allowed until this long after its
+ * partition. */
 #define PARTITION_GRACE_US (4000 * USEC_PER_MSEC)
-#define LOCAL_US 50
-#define CONFIRM_US (4 * USEC_PER_MSEC)
+#define LOCAL_DELAY_US 50
+#define CONFIRM_DELAY_US (4 * USEC_PER_MSEC)
 #define STARTUP_RESET_US (100 * USEC_PER_MSEC)
 #define STALL_US (40 * USEC_PER_MSEC)
 #define HEARTBEAT_US (100 * USEC_PER_MSEC)
 
-/* Packets of a flow that reach others only, and for how long: half of what
- * the rule allows. */
+/* A violation: this many packets in a row reach other endpoints than the
+ * flow's, for longer than MISROUTED_US. */
 #define MISROUTED_MAX 3
 #define MISROUTED_US (1000 * USEC_PER_MSEC)
 #define RETRANSMITS_MAX 8
 
-/* How soon a caller of a flow that nobody holds is told, once all hosts are
- * up and have heard of each other: two questions and the store's answer. */
+/* Bound for the reset of an orphaned flow, from SETTLED_US after the last
+ * fault: two orphan queries and a read of the store. */
 #define ORPHAN_REPORT_US (100 * USEC_PER_MSEC)
 
-/* How soon an evacuation and its end are in force on all hosts that have run
- * for a while: a third of the shortest bound that operators set. A host that
- * has just started hears of them with the first answers of others. */
+/* Bound for the propagation of an evacuation, or of its end, to all hosts. A
+ * host that has just started receives evacuations with the first frames of
+ * others, within STARTUP_SYNC_US. */
 #define EVACUATION_BOUND_US (1000 * USEC_PER_MSEC)
 #define STARTUP_SYNC_US (300 * USEC_PER_MSEC)
 #define SETTLED_US (300 * USEC_PER_MSEC)
 
-/* What an epoch of the store that has ended said is kept for that long. */
+/* How long evacuations of an earlier epoch of the store stay in force. */
 #define OLD_EPOCH_US (10 * USEC_PER_SEC)
 
-/* How soon agents whose objects the store has lost have written them again. */
+/* Delay until objects that the store has lost are written again. */
 #define REWRITE_MIN_MS 100
 #define REWRITE_MAX_MS 4000
 #define REGISTRATION_CHECK_US (20 * USEC_PER_MSEC)
 #define SNAPSHOT_US (700 * USEC_PER_MSEC)
 
-/** enum target - who gets a message */
+/** enum target - receiver of a message */
 enum target {
     TO_BALANCER,
     TO_BALANCER_FRAME,
@@ -72,7 +73,12 @@
     TO_CALLER
 };
 
-/** struct message - on its way */
+/**
+ * struct message - a packet or frame in flight
+ * @due_us: arrival time
+ * @order: sequence number, breaks ties of @due_us
+ * @number: index of the receiver among those of its kind
+ */
 struct message {
     uint64_t due_us;
     uint64_t order;
@@ -82,23 +88,38 @@
     uint8_t bytes[FRAME_MAX];
 };
 
-/* A caller's requests and an endpoint's answers, in bytes. */
+/* Size of a request and of an answer, in bytes. */
 #define REQUEST_LEN 40
 #define ANSWER_LEN 900
 
-/** struct endpoint_flow - a flow as one endpoint holds it
- * @runs: requests of it that have begun
+/**
+ * struct endpoint_flow - an endpoint's state of a flow
+ * @requests_started: requests started so far
+ * @seq: initial sequence number of the endpoint
+ * @answer_us: when the running request is answered, 0 for none
  */
 struct endpoint_flow {
     bool open;
-    unsigned runs;
+    unsigned requests_started;
     uint32_t seq;
     uint64_t answer_us;
 };
 
 struct world;
 
-/** struct host - an agent and its endpoint */
+/**
+ * struct host - an agent and its endpoint
+ * @draining_reported: the agent has received a heartbeat with @draining
+ * @drops_from: the partition drops frames from the agent to balancers
+ * @drops_to: the partition drops frames from balancers to the agent
+ * @sequence: number of the last heartbeat
+ * @fault_us: time of the last fault, or end of a freeze
+ * @registered_service: service in the agent's object in the store
+ * @registration_version: counts changes of that object
+ * @registration_us: when the agent writes its object, 0 for never
+ * @unregistered_until_us: when the agent restores a lost object, 0 if present
+ * @probed: the agent has probed the endpoint's process
+ */
 struct host {
     struct admission_out out;
     struct world *world;
@@ -128,7 +149,16 @@
     struct endpoint_flow flows[FLOWS_MAX];
 };
 
-/** struct balancer - a balancer */
+/**
+ * struct balancer - a balancer and what it has read from the store
+ * @version: configuration in force, an index into world.served
+ * @config_due_us: when it receives the latest configuration
+ * @stalled_until_us: earliest arrival of the frames that it sends
+ * @confirm_us: start of the pending confirmation read, 0 for none
+ * @evacuations_us: when it reads evacuations, 0 for none pending
+ * @registration_versions: last version read of each agent's object
+ * @registration_us: when it may read each agent's object
+ */
 struct balancer {
     struct forwarder_out out;
     struct world *world;
@@ -144,7 +174,7 @@
     uint64_t registration_us[WORLD_AGENTS];
 };
 
-/** enum caller_state - what a caller does */
+/** enum caller_state - phase of a caller's flow */
 enum caller_state {
     CALLER_OPENING,
     CALLER_REQUESTING,
@@ -153,15 +183,26 @@
     CALLER_DONE
 };
 
-/** struct caller - one flow
- * @answers: requests of it that were answered
- * @ran: those that an endpoint has begun to work on
+/**
+ * struct caller - a caller with one flow
+ * @phase_started_us: start of the handshake, of the current request or of the
+ * close
+ * @next_us: time of the next retransmit, or end of a pause
+ * @attempts: transmissions in the current phase
+ * @host: host that accepted the flow, -1 before that
+ * @incarnation: the endpoint's incarnation then
+ * @version: latest configuration when the flow was opened
+ * @misrouted: packets in a row that reached other endpoints
+ * @misrouted_us: arrival of the first of them
+ * @requests_answered: requests answered
+ * @requests_started: requests started by an endpoint
+ * @orphaned_us: first packet sent on the orphaned flow, 0 for none
  */
 struct caller {
     enum caller_state state;
     struct relay_flow flow;
     unsigned route;
-    uint64_t since_us;
+    uint64_t phase_started_us;
     uint64_t next_us;
     unsigned attempts;
     uint32_t peer_seq;
@@ -171,24 +212,28 @@
     unsigned version;
     unsigned misrouted;
     uint64_t misrouted_us;
-    unsigned answers;
-    unsigned ran;
+    unsigned requests_answered;
+    unsigned requests_started;
     uint64_t orphaned_us;
 };
 
 /**
- * struct world - all of it
- * @query_rand: for what only questions about lost flows and the store need
- * @served: services that each version has at each route, -1 for none
- * @evacuations_rand: for what only evacuations need
- * @evacuations: data centres that the store says operators have evacuated
- * @desired: those that they have, also while the store has lost it
- * @snapshot: what the store comes back with
- * @restored_us: when it did so last, 0 for never
- * @store_lost_us: when it began to lack what operators wrote, 0 for never
- * @rewrite_us: when operators write again what it has lost, 0 once they have
- * @rewritten_us: when they did so last
- * @evacuated_us: when that of each changed last, 0 for never
+ * struct world - state of a run
+ * @query_rand: random numbers of orphan queries and of the store
+ * @order: messages posted so far
+ * @ecmp_salt: changes with each rehash
+ * @versions: configurations published so far
+ * @served: service of each route in each version, -1 for none
+ * @fault_us: time of the last fault that affects all flows
+ * @evacuations_rand: random numbers of evacuations
+ * @evacuations: evacuations in the store
+ * @desired: evacuations set by operators, kept while the store has lost them
+ * @snapshot: evacuations that the next restore brings back
+ * @restored_us: last restore of the store, 0 for never
+ * @store_lost_us: when the store first lost evacuations, 0 for never
+ * @rewrite_us: when operators write lost evacuations again, 0 for none due
+ * @rewritten_us: when operators last did
+ * @evacuated_us: last change of each data centre's evacuation, 0 for never
  */
 struct world {
     GRand *rand;
@@ -202,7 +247,7 @@
     struct balancer balancers[WORLD_BALANCERS];
     struct caller callers[FLOWS_MAX];
     unsigned caller_count;
-    unsigned salt;
+    unsigned ecmp_salt;
     unsigned versions;
     int served[VERSIONS_MAX][ROUTES];
     uint64_t fault_us;
@@ -219,46 +264,53 @@
 
 extern const char *const world_services[WORLD_SERVICES];
 
-/* Packets here are a struct of our own: what they say is what the decoder
- * would read. */
+/** struct sim_packet - a packet in its decoded form, with its caller's number
+ */
 struct sim_packet {
     struct relay_packet head;
     unsigned caller;
 };
 
+/** world_chance() - draws true @in_1000 times in 1000 */
 bool
 world_chance(struct world *world, unsigned in_1000);
 
+/** world_violation() - records the first violation, with the time */
 void
 world_violation(struct world *world, const char *fmt, ...);
 
+/** world_packet_of() - decodes a struct sim_packet; points into @bytes */
 struct relay_packet
 world_packet_of(const uint8_t *bytes);
 
 unsigned
 world_caller_of(const uint8_t *bytes);
 
+/** world_post() - sends a message, which may be lost unless @local */
 void
 world_post(struct world *world, enum target target, unsigned number,
            const void *bytes, size_t size, bool local);
 
-/** world_is_partitioned() - whether frames of an agent to balancers are lost,
- * or theirs to it */
+/** world_is_partitioned() - whether frames from balancers to the agent are
+ * dropped (@to_host), or frames from the agent to balancers */
 bool
 world_is_partitioned(const struct host *host, bool to_host);
 
-/** world_post_delayed() - the same, but it doesn't arrive before @earliest_us
- */
+/** world_post_delayed() - like world_post(), but arrives at @earliest_us or
+ * later */
 void
 world_post_delayed(struct world *world, enum target target, unsigned number,
                    const void *bytes, size_t size, uint64_t earliest_us);
 
-/** world_post_query() - the same for questions about lost flows, which leave
- * the fate of other datagrams as it is without them */
+/** world_post_query() - like world_post_delayed() for orphan queries; draws
+ * from query_rand, so that other datagrams' loss and delay don't depend on
+ * queries */
 void
 world_post_query(struct world *world, enum target target, unsigned number,
                  const void *bytes, size_t size, uint64_t earliest_us);
 
+/** world_post_packet() - sends a caller's packet, which may be lost unless
+ * @local */
 void
 world_post_packet(struct world *world, enum target target, unsigned number,
                   unsigned caller, struct relay_packet head, bool local);
@@ -272,13 +324,17 @@
 void
 world_caller_fail(struct world *world, struct caller *caller);
 
+/** world_check_reset() - checks that a reset flow isn't open at an endpoint,
+ * and ends its caller; @sender is for the violation's text */
 void
 world_check_reset(struct world *world, struct relay_flow flow,
-                  const char *who);
+                  const char *sender);
 
+/** world_caller_open() - opens a new flow to a random route */
 void
 world_caller_open(struct world *world);
 
+/** world_caller_tick() - retransmits, or abandons the flow */
 void
 world_caller_tick(struct world *world, struct caller *caller);
 
@@ -291,6 +347,7 @@
 void
 world_endpoint_packet(struct host *host, const uint8_t *bytes);
 
+/** world_endpoint_work() - answers requests that are done */
 void
 world_endpoint_work(struct host *host);
 
@@ -305,6 +362,7 @@
 
 extern const struct forwarder_out_ops world_forwarder_ops;
 
+/** world_apply_config() - gives a balancer the routes of @version */
 void
 world_apply_config(struct balancer *balancer, unsigned version);
 
@@ -314,62 +372,66 @@
 void
 world_balancer_start(struct balancer *balancer);
 
-/** world_data_centre() - name of a host's */
+/** world_data_centre() - name of the host's data centre */
 const char *
 world_data_centre(const struct world *world, const struct host *host);
 
-/** world_evacuate() - operators evacuate a data centre, or take it back */
+/** world_evacuate() - starts or ends the evacuation of a random data centre */
 void
 world_evacuate(struct world *world);
 
-/** world_store_snapshot() - what the store has now is what it may come back
- * with
- */
+/** world_store_snapshot() - saves the store's evacuations for a restore */
 void
 world_store_snapshot(struct world *world);
 
-/** world_store_restore() - the store comes back from that snapshot */
+/** world_store_restore() - restores the snapshot in a new epoch, and loses
+ * the objects of some agents */
 void
 world_store_restore(struct world *world);
 
-/** world_store_tick() - operators and agents write again what it has lost */
+/** world_store_tick() - writes lost evacuations and objects again when due */
 void
 world_store_tick(struct world *world);
 
-/** world_evacuations_read() - those balancers that read the store see it */
+/** world_evacuations_read() - a balancer reads evacuations from the store */
 void
 world_evacuations_read(struct balancer *balancer);
 
-/** world_evacuations_schedule() - a balancer reads them a little later */
+/** world_evacuations_schedule() - schedules that within 500 ms, if the
+ * balancer is a store reader */
 void
 world_evacuations_schedule(struct balancer *balancer);
 
-/** world_check_syn() - an endpoint is given a SYN of a flow of its own */
+/** world_check_syn() - checks that an endpoint that gets a SYN isn't
+ * evacuated */
 void
 world_check_syn(struct host *host);
 
-/** world_check_refusal() - an agent refused a SYN for an evacuation */
+/** world_check_refusal() - checks that an agent that refused a SYN as
+ * evacuated still is, or may not have received the end yet */
 void
 world_check_refusal(struct host *host);
 
-/** world_registration_changed() - the store says something else of an agent:
- * balancers see it a little later */
+/** world_registration_changed() - an agent's object in the store changed;
+ * schedules each balancer's read of it within 500 ms */
 void
 world_registration_changed(struct host *host);
 
-/** world_registration_tick() - agents' objects are written, and balancers see
- * it */
+/** world_registration_tick() - writes agents' objects that are due */
 void
 world_registration_tick(struct world *world);
 
+/** world_change_config() - drops a random route or adds it again */
 void
 world_change_config(struct world *world);
 
-/** world_move_route() - a route goes to the other service; its open flows stay
- * where they are */
+/** world_move_route() - moves a random route to the other service; its open
+ * flows keep their endpoints */
 void
 world_move_route(struct world *world);
 
+/** world_served_at() - service of the packet's route in @version, -1 for none
+ */
 int
 world_served_at(const struct world *world, unsigned version,
                 const struct relay_packet *packet);
--- a/tests/relay/world_test.c
+++ b/tests/relay/world_test.c
@@ -1,3 +1,6 @@
+/* Runs the simulation in world.h with several fault plans and seeds: flows
+ * must reach their endpoints, and requests must be answered, despite the
+ * faults. */
 #include <stdlib.h>
 
 #include "lib/harness.h"
@@ -5,22 +8,22 @@
 
 #define SUITE "/relay/world"
 
-/* Seeds of a run in CI; WORLD_SEEDS=N plays more by hand, from WORLD_FIRST. */
+/* Default number of seeds. WORLD_SEEDS=N runs others, from WORLD_FIRST on. */
 #define SEEDS 16
 #define FAULTY_MS 1500
 
-/* Long enough for an agent to be taken as silent, asked for and back. */
+/* Covers an agent's silence, the orphan queries about it and its return. */
 #define PARTITION_FAULTY_MS 5000
 
 static unsigned
-env_number(const char *name, unsigned otherwise)
+env_number(const char *name, unsigned fallback)
 {
     const char *text = g_getenv(name);
 
-    return text != NULL ? (unsigned)strtoul(text, NULL, 10) : otherwise;
+    return text != NULL ? (unsigned)strtoul(text, NULL, 10) : fallback;
 }
 
-/* Plays seeds of a plan; how many requests in 1000 were answered. */
+/* Runs the seeds of a plan; returns the answered flows in 1000. */
 static unsigned
 run_plan_for(const struct world_plan *plan, unsigned faulty_ms)
 {
@@ -66,15 +69,15 @@
     }
 }
 
-TEST(calm_answers_all)
+TEST(without_faults_all_requests_are_answered)
 {
     static const struct world_plan plan = {.new_flows = 600};
 
-    /* Flows opened in the last moments aren't over yet. */
+    /* Flows opened last are still open. */
     g_assert_cmpuint(run_plan(&plan), >=, 960);
 }
 
-TEST(a_moving_fabric_loses_no_flow)
+TEST(rehashed_flows_are_not_lost)
 {
     static const struct world_plan plan = {.new_flows = 600, .rehash = 200};
 
@@ -89,7 +92,7 @@
     g_assert_cmpuint(run_plan(&plan), >=, 900);
 }
 
-TEST(agents_start_again)
+TEST(agents_restart)
 {
     static const struct world_plan plan = {
         .new_flows = 600, .rehash = 50, .agent_restart = 50, .loss = 5};
@@ -97,7 +100,7 @@
     g_assert_cmpuint(run_plan(&plan), >=, 900);
 }
 
-TEST(balancers_start_again)
+TEST(balancers_restart)
 {
     static const struct world_plan plan = {
         .new_flows = 600, .rehash = 50, .balancer_restart = 50};
@@ -105,16 +108,16 @@
     g_assert_cmpuint(run_plan(&plan), >=, 900);
 }
 
-/* SYNs that are late reach several endpoints, and each answers. */
+/* Delayed SYNs are answered by several endpoints. */
 static const struct world_plan delayed_syns = {
     .new_flows = 600, .rehash = 50, .stall = 100, .closing = true};
 
-TEST(a_late_syn_misleads_no_packet)
+TEST(a_delayed_syn_misroutes_no_packet)
 {
     g_assert_cmpuint(run_plan(&delayed_syns), >=, 900);
 }
 
-TEST(endpoints_leave_and_crash)
+TEST(endpoints_drain_and_crash)
 {
     static const struct world_plan plan = {.new_flows = 600,
                                            .endpoint_crash = 20,
@@ -127,13 +130,13 @@
 static const struct world_plan addresses_move = {
     .new_flows = 600, .reuse = 30, .rehash = 50, .loss = 5};
 
-TEST(addresses_go_to_another_service)
+TEST(addresses_move_to_another_service)
 {
     g_assert_cmpuint(run_plan(&addresses_move), >=, 500);
 }
 
-/* Routes go to the other service and back while flows stay open for many
- * requests, longer than any balancer follows one configuration. */
+/* Routes move between services while flows stay open for many requests, longer
+ * than a configuration stays in force. */
 static const struct world_plan routes_move = {
     .new_flows = 300,
     .rehash = 50,
@@ -163,19 +166,19 @@
     g_assert_cmpuint(run_plan_for(&plan, PARTITION_FAULTY_MS), >=, 100);
 }
 
-/* A reset of an endpoint that had just started. */
-TEST(seeds_of_moved_addresses_that_showed_a_fault)
+/* Guards against a reset by an endpoint that has just started. */
+TEST(regressions_of_moved_addresses)
 {
     static const uint32_t seeds[] = {280};
 
     run_plan_seeds(&addresses_move, seeds, G_N_ELEMENTS(seeds));
 }
 
-/* Nobody knows of the flows from before: their callers are reported. */
+/* All flow state is lost: callers of earlier flows must be reset. */
 static const struct world_plan restart_all = {
     .new_flows = 600, .restart_all = true, .reported = true};
 
-TEST(after_a_loss_of_all_hosts_callers_are_told)
+TEST(after_a_restart_of_all_hosts_callers_are_reset)
 {
     g_assert_cmpuint(run_plan(&restart_all), >=, 800);
 }
@@ -193,15 +196,15 @@
     .closing = true,
 };
 
-TEST(a_loss_of_all_hosts_among_other_faults)
+TEST(a_restart_of_all_hosts_among_other_faults)
 {
     g_assert_cmpuint(run_plan(&restart_all_among_faults), >=, 400);
 }
 
-/* An agent came into the list while a question was open (2647); a SYN waited
- * at an agent whose endpoint had its flow all along (5025); an endpoint's
- * answer to a SYN was read after its next start (20249, 26803, 29642). */
-TEST(seeds_of_a_loss_of_all_hosts_that_showed_a_fault)
+/* Guards against: an agent listed during an orphan query (2647); a SYN queued
+ * although the endpoint holds its flow (5025); a SYN+ACK of an endpoint's
+ * previous incarnation (20249, 26803, 29642). */
+TEST(regressions_of_a_restart_of_all_hosts)
 {
     static const uint32_t seeds[] = {2647, 5025, 20249, 26803, 29642};
 
@@ -221,13 +224,13 @@
     .config = 30,
 };
 
-TEST(everything_at_once)
+TEST(all_faults_together)
 {
     g_assert_cmpuint(run_plan(&all_faults), >=, 400);
 }
 
-/* The same, with balancers that stall and callers that say goodbye. */
-TEST(everything_with_stalls)
+/* Adds stalled balancers and callers that close their flows. */
+TEST(all_faults_with_stalls)
 {
     struct world_plan plan = all_faults;
 
@@ -236,8 +239,8 @@
     g_assert_cmpuint(run_plan(&plan), >=, 400);
 }
 
-/* An agent came into the list while a question about lost flows was open. */
-TEST(seeds_with_stalls_that_showed_a_fault)
+/* Guards against an agent listed during an orphan query. */
+TEST(regressions_of_all_faults_with_stalls)
 {
     static const uint32_t seeds[] = {1539, 2195};
     struct world_plan plan = all_faults;
@@ -247,11 +250,11 @@
     run_plan_seeds(&plan, seeds, G_N_ELEMENTS(seeds));
 }
 
-/* Each showed a fault once: a route dropped between two tries (26), resets of
- * flows that live (4, 36, 201574), a late copy at a draining or another
- * service's endpoint (103154, 106433, 205734, 105668), resets of endpoints
- * that had just started (35, 142, 192, 257). */
-TEST(seeds_that_showed_a_fault)
+/* Guards against: a route dropped between two attempts (26); resets of open
+ * flows (4, 36, 201574); a delayed duplicate SYN at a draining endpoint or at
+ * one of another service (103154, 106433, 205734, 105668); resets by endpoints
+ * that have just started (35, 142, 192, 257). */
+TEST(regressions_of_all_faults)
 {
     static const uint32_t seeds[] = {
         26, 4, 36, 201574, 103154, 106433, 205734, 105668, 35, 142, 192, 257};
@@ -259,7 +262,7 @@
     run_plan_seeds(&all_faults, seeds, G_N_ELEMENTS(seeds));
 }
 
-/* The other data centres have room for all callers. */
+/* The other data centres have capacity for all callers. */
 TEST(an_evacuated_data_centre_loses_no_caller)
 {
     static const struct world_plan plan = {
@@ -272,8 +275,7 @@
     g_assert_cmpuint(run_plan_for(&plan, PARTITION_FAULTY_MS), >=, 960);
 }
 
-/* Also all data centres at once: then callers are refused, and nobody is sent
- * there. */
+/* All data centres may be evacuated at once: callers are refused then. */
 static const struct world_plan evacuations_among_faults = {
     .new_flows = 600,
     .loss = 10,
@@ -295,9 +297,9 @@
         run_plan_for(&evacuations_among_faults, PARTITION_FAULTY_MS), >=, 200);
 }
 
-/* A reader that had not seen a state in between left the agents there in it.
- */
-TEST(seeds_of_evacuations_that_showed_a_fault)
+/* Guards against a store reader that skips an intermediate state and leaves
+ * agents in it. */
+TEST(regressions_of_evacuations)
 {
     struct world_result result;
 
@@ -305,9 +307,9 @@
     g_assert_cmpstr(result.violation, ==, "");
 }
 
-/* The store comes back from a copy that is some seconds old, again and again:
- * evacuations and agents' objects are lost until they are written again. */
-TEST(a_store_that_comes_back_older_among_other_faults)
+/* The store is repeatedly restored from an older snapshot: evacuations and
+ * agents' objects are missing until they are written again. */
+TEST(store_restores_among_other_faults)
 {
     struct world_plan plan = evacuations_among_faults;
 
@@ -319,20 +321,20 @@
     g_assert_cmpuint(run_plan_for(&plan, PARTITION_FAULTY_MS), >=, 100);
 }
 
-/* More requests than slots: they wait on open flows. 100 a second of 200 ms
- * for 18 slots. */
+/* More requests than slots, so they are queued on open flows: 100 requests a
+ * second, of 200 ms each, for 18 slots. */
 static const struct world_plan overload = {
     .new_flows = 1000,
     .work_ms = 200,
     .timeout_ms = 3000,
 };
 
-TEST(requests_wait_where_slots_are_short)
+TEST(requests_are_queued_when_slots_are_taken)
 {
     g_assert_cmpuint(run_plan(&overload), >=, 700);
 }
 
-TEST(requests_wait_among_faults)
+TEST(requests_are_queued_among_faults)
 {
     struct world_plan plan = all_faults;
 
@@ -344,7 +346,7 @@
     g_assert_cmpuint(run_plan(&plan), >=, 200);
 }
 
-TEST(requests_wait_while_addresses_move_and_agents_start_again)
+TEST(requests_are_queued_while_addresses_move_and_agents_restart)
 {
     static const struct world_plan plan = {
         .new_flows = 1000,
@@ -362,19 +364,17 @@
     g_assert_cmpuint(run_plan_for(&plan, PARTITION_FAULTY_MS), >=, 200);
 }
 
-/* A closing caller's packets ended at an endpoint that waited for the end of
- * its own handshake with it. */
-TEST(seeds_of_late_syns_that_showed_a_fault)
+/* Guards against a closing caller's packets that reach an endpoint whose own
+ * handshake with the caller is pending. */
+TEST(regressions_of_delayed_syns)
 {
     static const uint32_t seeds[] = {7, 11, 12, 43, 63, 74, 77};
 
     run_plan_seeds(&delayed_syns, seeds, G_N_ELEMENTS(seeds));
 }
 
-/* Callers whose requests may run twice are reported though an agent that is
- * silent may hold their flow: no flow of an agent that isn't partition off may
- * end so. A tenth, a third and half of the agents are partition off at a time.
- */
+/* Partitioned agents may hold flows that are reset as orphans; flows of other
+ * agents must stay open. */
 static unsigned
 run_partitioned(unsigned agents)
 {
@@ -392,17 +392,17 @@
     return run_plan_for(&plan, PARTITION_FAULTY_MS);
 }
 
-TEST(a_tenth_of_the_agents_cut_off)
+TEST(a_tenth_of_the_agents_partitioned)
 {
     g_assert_cmpuint(run_partitioned(1), >=, 500);
 }
 
-TEST(a_third_of_the_agents_cut_off)
+TEST(a_third_of_the_agents_partitioned)
 {
     g_assert_cmpuint(run_partitioned(3), >=, 300);
 }
 
-TEST(half_of_the_agents_cut_off)
+TEST(half_of_the_agents_partitioned)
 {
     g_assert_cmpuint(run_partitioned(5), >=, 200);
 }
