--- a/scripts/relaybed/__init__.py
+++ b/scripts/relaybed/__init__.py
@@ -1,1 +1,1 @@
-"""A relay site on this machine: real balancers and agents, stand-ins around."""
+"""Relay mode on one machine: real balancers and agents, simulated peers."""
--- a/scripts/relaybed/__main__.py
+++ b/scripts/relaybed/__main__.py
@@ -1,10 +1,11 @@
-"""Run a relay site for some seconds under load, with a fault.
+"""Run relay mode for some seconds under load, with one fault.
 
 python3 -m scripts.relaybed [--fault NAME] [--seconds N] [--binary FILE]
 
 Two data centres, two balancers, four agents with an endpoint each, two
 services. Prints a table and, as its last line, one JSON object. Exits 1 when
-a request failed, an answer was another's, or a packet was changed on its way.
+a request failed or ran twice, an answer belonged to another request, a packet
+was corrupted, or relay-show or relay-explain was incomplete.
 """
 
 import argparse
@@ -24,8 +25,8 @@
 from scripts.relaybed.caller import Caller
 from scripts.relaybed.endpoint import Endpoint
 
-# Loopback addresses of this play alone: ports that the kernel calls free may
-# be taken at another play's addresses.
+# Loopback addresses of this run: ports that are free at 127.0.0.1 may be taken
+# at the addresses of other runs.
 NET = f"127.{16 + os.getpid() % 200}"
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 SERVICES = {"lots": ("198.18.0.1", 8443), "albums": ("198.18.0.2", 8443)}
@@ -39,12 +40,12 @@
 
 
 def number(ip_text):
-    """An address as a number."""
+    """An IPv4 address as an integer."""
     return int(ipaddress.ip_address(ip_text))
 
 
 def free_ports(count):
-    """Ports that the kernel gives, used on all addresses of this site."""
+    """Ephemeral ports, used on all addresses of the fixture."""
     socks = [socket.socket(socket.AF_INET, socket.SOCK_STREAM)
              for _ in range(count)]
     for sock in socks:
@@ -55,24 +56,24 @@
     return ports
 
 
-class Site:
-    """Processes, stand-ins, and what callers saw."""
+class RelayFixture:
+    """Relay processes, the simulated store and endpoints, and the counters."""
 
     def __init__(self, binary, folder):
         self.binary = binary
         self.folder = pathlib.Path(folder)
-        (self.packets, self.frames, self.ready, self.share, self.outbound,
-         self.heartbeats, self.app) = free_ports(7)
+        (self.packets, self.frames, self.ready, self.config_peer_port,
+         self.outbound, self.heartbeats, self.app) = free_ports(7)
         self.store, self.store_port = store_module.serve(("127.0.0.1", 0))
         self.record = {"answered": 0, "failed": 0, "retried": 0,
                        "crossed": 0, "garbled": 0, "shown": False,
                        "explained": False, "ran": {}}
         self.processes = {}
-        self.live = {}
+        self.running_balancers = {}
         self.endpoints = []
 
     def config(self, version):
-        """Publish the operators' configuration."""
+        """Publish the configuration with this version."""
         routes = [{"name": name, "host": ip, "pathPrefix": f"/{port}/",
                    "service": name, "timeoutMs": 3000,
                    "targetLatencyMs": 200, "priority": 1}
@@ -82,14 +83,14 @@
             "limits": {"idleTimeoutMs": 15000}})
 
     def settings(self, role, name, ip):
-        """Settings of a process."""
+        """Write the settings of a process; returns the path of the file."""
         base = {"name": name, "data_centre": "here",
                 "data": f"{ip}:{self.packets}", "ready": f"{ip}:{self.ready}",
                 "store": f"127.0.0.1:{self.store_port}"}
         if role == "relay-balancer":
             base |= {"frames": f"{ip}:{self.frames}",
-                     "share": f"{ip}:{self.share}",
-                     "peers": [f"{NET}.1.{i + 1}:{self.share}"
+                     "share": f"{ip}:{self.config_peer_port}",
+                     "peers": [f"{NET}.1.{i + 1}:{self.config_peer_port}"
                                for i in range(BALANCERS)]}
         else:
             base |= {"upstream": f"{ip}:{self.app}",
@@ -103,17 +104,17 @@
         return path
 
     def start(self, role, name, ip):
-        """Start a process; again under the same name after its end."""
+        """Start a process, or restart it under the same name."""
         path = self.settings(role, name, ip)
         log = (self.folder / f"{name}.log").open("a")
         self.processes[name] = subprocess.Popen(
             [self.binary, role, "--settings", str(path)], stdout=log,
             stderr=log)
         if role == "relay-balancer":
-            self.live[name] = (ip, self.packets)
+            self.running_balancers[name] = (ip, self.packets)
 
-    async def begin(self):
-        """Start all; return once every balancer is ready."""
+    async def start_all(self):
+        """Start all processes; returns once every balancer is ready."""
         self.config(1)
         for i in range(BALANCERS):
             self.start("relay-balancer", f"balancer-{i + 1}",
@@ -129,7 +130,7 @@
             await self.until_ready(f"{NET}.1.{i + 1}")
 
     async def until_ready(self, ip):
-        """Wait until /ready answers 200, for 30 s at most."""
+        """Wait until /ready answers 200; raises RuntimeError after 30 s."""
         for _ in range(600):
             try:
                 reader, writer = await asyncio.open_connection(ip, self.ready)
@@ -142,11 +143,11 @@
             except OSError:
                 pass
             await asyncio.sleep(0.05)
-        raise RuntimeError(f"{ip} was never ready")
+        raise RuntimeError(f"{ip}: /ready did not answer 200 within 30 s")
 
     async def kill(self, name, how=signal.SIGKILL):
-        """End a process and wait for its end."""
-        self.live.pop(name, None)
+        """Send a process a signal and wait until it has exited."""
+        self.running_balancers.pop(name, None)
         process = self.processes[name]
         process.send_signal(how)
         while process.poll() is None:
@@ -157,8 +158,9 @@
         return [f"{NET}.1.{i + 1}:{self.ready}" for i in range(BALANCERS)] + \
             [f"{NET}.2.{i + 1}:{self.ready}" for i in range(len(AGENTS))]
 
-    def explain(self, caller, service):
-        """What all processes know of a flow; whether that is where it is."""
+    def explain_flow(self, caller, service):
+        """Print relay-explain for a flow; whether all balancers have its route,
+        and some balancer and agent its state."""
         done = subprocess.run(
             [self.binary, "relay-explain", caller, service,
              *self.addresses()], check=False, capture_output=True, text=True)
@@ -168,20 +170,20 @@
             "known for" in done.stdout and "agent: here" in done.stdout
 
     def show(self):
-        """What all processes say is in force; whether all answered so."""
+        """Print relay-show; whether all balancers have version 1."""
         done = subprocess.run([self.binary, "relay-show", *self.addresses()],
                               check=False, capture_output=True, text=True)
         print(done.stdout + done.stderr, end="")
         versions = done.stdout.count("version 1, 2 routes")
         return done.returncode == 0 and versions == BALANCERS
 
-    def end_endpoints(self):
-        """End all endpoints, before the event loop ends."""
+    def stop_endpoints(self):
+        """Stop all endpoints; called before the event loop ends."""
         for endpoint in self.endpoints:
             endpoint.crash()
 
-    def end(self):
-        """End what is left."""
+    def stop_processes(self):
+        """Terminate the running processes and wait for them."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.terminate()
@@ -189,58 +191,58 @@
             process.wait(timeout=30)
 
 
-async def inject(site, fault):
-    """What goes wrong, and its end."""
+async def inject(fixture, fault):
+    """Inject a fault and end it."""
     if fault == "agent-kill":
-        await site.kill("agent-1")
+        await fixture.kill("agent-1")
         await asyncio.sleep(0.3)
-        site.start("relay-agent", "agent-1", f"{NET}.2.1")
+        fixture.start("relay-agent", "agent-1", f"{NET}.2.1")
     elif fault in ("balancer-kill", "balancer-stop"):
-        site.live.pop("balancer-1")
+        fixture.running_balancers.pop("balancer-1")
         how = signal.SIGKILL if fault == "balancer-kill" else signal.SIGTERM
-        await site.kill("balancer-1", how)
-        site.start("relay-balancer", "balancer-1", f"{NET}.1.1")
+        await fixture.kill("balancer-1", how)
+        fixture.start("relay-balancer", "balancer-1", f"{NET}.1.1")
     elif fault == "endpoint-crash":
-        site.endpoints[0].crash()
+        fixture.endpoints[0].crash()
         await asyncio.sleep(0.5)
-        await site.endpoints[0].start()
+        await fixture.endpoints[0].start()
     elif fault == "endpoint-drain":
-        site.endpoints[0].state = "draining"
+        fixture.endpoints[0].state = "draining"
         await asyncio.sleep(1)
-        await site.endpoints[0].leave()
+        await fixture.endpoints[0].deregister()
     elif fault == "store-away":
-        site.store.away = True
+        fixture.store.unavailable = True
         await asyncio.sleep(0.5)
-        await site.kill("agent-2")
-        site.start("relay-agent", "agent-2", f"{NET}.2.2")
-        await site.kill("balancer-2")
-        site.start("relay-balancer", "balancer-2", f"{NET}.1.2")
+        await fixture.kill("agent-2")
+        fixture.start("relay-agent", "agent-2", f"{NET}.2.2")
+        await fixture.kill("balancer-2")
+        fixture.start("relay-balancer", "balancer-2", f"{NET}.1.2")
         await asyncio.sleep(1)
-        site.store.away = False
+        fixture.store.unavailable = False
     elif fault == "store-loses":
-        names = list(site.store.objects["swiftarch-agents"])
+        names = list(fixture.store.objects["swiftarch-agents"])
         for name in names:
-            site.store.remove("swiftarch-agents", name)
+            fixture.store.remove("swiftarch-agents", name)
         await asyncio.sleep(0.5)
-        left = set(names) - set(site.store.objects["swiftarch-agents"])
-        site.record["failed"] += len(left)
+        left = set(names) - set(fixture.store.objects["swiftarch-agents"])
+        fixture.record["failed"] += len(left)
     elif fault == "all-kill":
-        for name in list(site.processes):
-            await site.kill(name)
+        for name in list(fixture.processes):
+            await fixture.kill(name)
         for i in range(BALANCERS):
-            site.start("relay-balancer", f"balancer-{i + 1}",
+            fixture.start("relay-balancer", f"balancer-{i + 1}",
                        f"{NET}.1.{i + 1}")
         for i in range(len(AGENTS)):
-            site.start("relay-agent", f"agent-{i + 1}", f"{NET}.2.{i + 1}")
+            fixture.start("relay-agent", f"agent-{i + 1}", f"{NET}.2.{i + 1}")
 
 
 def service_of(i):
-    """Service of a caller's request number @i."""
+    """Service of a caller's request number i."""
     return "albums" if i % 4 == 3 else "lots"
 
 
 def request_of(caller, i):
-    """A caller's request number @i."""
+    """Body of a caller's request number i."""
     return f"{caller.ip}-{i}".encode()
 
 
@@ -249,8 +251,8 @@
     return service_of(int(seconds * PER_CALLER_S) - 1)
 
 
-async def load(site, caller, seconds):
-    """Requests of one caller, evenly."""
+async def load(fixture, caller, seconds):
+    """Send one caller's requests at a constant rate and await them."""
     tasks = []
     count = int(seconds * PER_CALLER_S)
     for i in range(count):
@@ -258,61 +260,61 @@
         ip, port = SERVICES[service]
         request = request_of(caller, i)
         tasks.append(asyncio.create_task(
-            caller.ask((number(ip), port), service, request)))
+            caller.request_with_retries((number(ip), port), service, request)))
         await asyncio.sleep(1 / PER_CALLER_S)
     await asyncio.gather(*tasks)
 
 
-async def run(site, fault, seconds):
-    """The whole play."""
-    await site.begin()
+async def run(fixture, fault, seconds):
+    """Run the load with the fault, then check relay-show and relay-explain."""
+    await fixture.start_all()
     callers = []
     for i in range(CALLERS):
         ip = f"{NET}.3.{i + 1}"
-        caller = Caller(ip, number(ip), site.packets, site.live.values(),
-                        site.record)
+        caller = Caller(ip, number(ip), fixture.packets,
+                        fixture.running_balancers.values(), fixture.record)
         await caller.start()
         callers.append(caller)
-    loads = [asyncio.create_task(load(site, c, seconds)) for c in callers]
+    loads = [asyncio.create_task(load(fixture, c, seconds)) for c in callers]
     await asyncio.sleep(seconds / 3)
-    await inject(site, fault)
+    await inject(fixture, fault)
     await asyncio.gather(*loads)
-    site.record["shown"] = await asyncio.to_thread(site.show)
+    fixture.record["shown"] = await asyncio.to_thread(fixture.show)
     last = request_of(callers[0], int(seconds * PER_CALLER_S) - 1)
-    flow = f"{callers[0].local[0]}:{callers[0].ports_of.get(last)}"
+    flow = f"{callers[0].local[0]}:{callers[0].answered_ports.get(last)}"
     service = ":".join(map(str, SERVICES[last_service(seconds)]))
-    site.record["explained"] = await asyncio.to_thread(site.explain, flow,
-                                                       service)
-    site.end_endpoints()
+    fixture.record["explained"] = await asyncio.to_thread(
+        fixture.explain_flow, flow, service)
+    fixture.stop_endpoints()
 
 
 def main():
-    """Play what the command line asks for."""
+    """Run the fault given on the command line; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--fault", choices=FAULTS, default="none")
     parser.add_argument("--seconds", type=float, default=6)
     parser.add_argument("--binary", default=str(ROOT / "build/src/cli/swiftarch"))
     args = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="relaybed-") as folder:
-        site = Site(args.binary, folder)
+        fixture = RelayFixture(args.binary, folder)
         began = time.monotonic()
         try:
-            asyncio.run(run(site, args.fault, args.seconds))
+            asyncio.run(run(fixture, args.fault, args.seconds))
         finally:
-            site.end()
-        record = site.record
+            fixture.stop_processes()
+        record = fixture.record
         ran = record.pop("ran")
         record |= {"fault": args.fault, "doubled":
                    sum(times > 1 for times in ran.values()),
-                   "store_calls": site.store.calls,
+                   "store_calls": fixture.store.calls,
                    "seconds": round(time.monotonic() - began, 1)}
     for key, value in record.items():
         print(f"{key:12} {value}")
     print(json.dumps(record))
     bad = record["failed"] + record["crossed"] + record["garbled"] + \
         record["doubled"]
-    told = record["shown"] and record["explained"]
-    return 1 if bad or not record["answered"] or not told else 0
+    reports_complete = record["shown"] and record["explained"]
+    return 1 if bad or not record["answered"] or not reports_complete else 0
 
 
 if __name__ == "__main__":
--- a/scripts/relaybed/caller.py
+++ b/scripts/relaybed/caller.py
@@ -1,4 +1,4 @@
-"""Callers: each flow carries one request and wants its whole answer."""
+"""Simulated callers: each flow carries one request."""
 
 import asyncio
 import itertools
@@ -6,27 +6,28 @@
 
 from scripts.relaybed import packet as pk
 
-SYN_AT_S = (0.2, 0.4, 0.8)
-RESEND_S = (0.2, 0.4, 0.8, 1.6)
-TRIES = 3
+SYN_TIMEOUTS_S = (0.2, 0.4, 0.8)
+RETRANSMIT_TIMEOUTS_S = (0.2, 0.4, 0.8, 1.6)
+ATTEMPTS_MAX = 3
 
 
 class Caller(asyncio.DatagramProtocol):
-    """One caller's address; the fabric hands its packets to balancers."""
+    """One caller's socket; spreads its flows over the balancers, as ECMP."""
 
-    def __init__(self, ip_text, ip, port, balancers, record, holds=None):
-        # Whether an endpoint still holds a flow, by its number.
-        self.holds = holds
+    def __init__(self, ip_text, ip, port, balancers, record, flow_is_open=None):
+        # Function of a flow and its endpoint's initial sequence number: whether
+        # that endpoint has the flow open.
+        self.flow_is_open = flow_is_open
         self.local = (ip_text, port)
         self.ip = ip
         self.balancers = balancers
         self.record = record
         self.transport = None
         self.ports = itertools.count(10000)
-        # Another one moves flows to other balancers.
-        self.salt = 0
-        # Port of the flow on which each request was answered.
-        self.ports_of = {}
+        # A change moves flows to other balancers.
+        self.ecmp_salt = 0
+        # Source port of the flow that answered each request.
+        self.answered_ports = {}
         self.waiting = {}
 
     async def start(self):
@@ -36,8 +37,8 @@
             lambda: self, local_addr=self.local)
 
     def send(self, packet):
-        """Through whichever balancer the fabric picks for the flow."""
-        number = self.salt + \
+        """Send a packet to the balancer that the flow's hash selects."""
+        number = self.ecmp_salt + \
             zlib.crc32(repr((packet.src, packet.dst)).encode())
         targets = list(self.balancers)
         if targets:
@@ -53,8 +54,8 @@
         if queue is not None:
             queue.put_nowait(packet)
 
-    async def answer(self, queue, seconds, wanted):
-        """Next packet that is wanted, within the time; else None."""
+    async def receive(self, queue, seconds, wanted):
+        """The next reset or wanted packet; None after the timeout."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while True:
@@ -67,51 +68,52 @@
                 return packet
 
     async def open(self, src, dst, queue):
-        """The handshake; the endpoint's SYN+ACK or None."""
-        for copy, wait in enumerate(SYN_AT_S):
+        """Do the handshake; returns the SYN+ACK, or None if it failed."""
+        for copy, wait in enumerate(SYN_TIMEOUTS_S):
             self.send(pk.Packet(src, dst, pk.SYN, 100, copy))
-            packet = await self.answer(queue, wait,
+            packet = await self.receive(queue, wait,
                                        lambda p: p.flags & pk.SYN)
             if packet is not None:
                 return None if packet.flags & pk.RST else packet
         return None
 
     async def attempt(self, dst, request, queue, src):
-        """One flow with one request; its answer or None."""
+        """Send a request on a new flow; returns its answer or None."""
         opened = await self.open(src, dst, queue)
         if opened is None:
             return None
         ack = opened.seq + 1 & 0xffffffff
-        for wait in RESEND_S:
+        for wait in RETRANSMIT_TIMEOUTS_S:
             self.send(pk.Packet(src, dst, pk.ACK, 101, ack, request))
-            packet = await self.answer(queue, wait, lambda p: p.data)
+            packet = await self.receive(queue, wait, lambda p: p.data)
             if packet is not None:
                 break
         else:
             return None
         if packet.flags & pk.RST:
-            if self.holds is not None and self.holds((src, dst), opened.seq):
+            if self.flow_is_open is not None and \
+                    self.flow_is_open((src, dst), opened.seq):
                 self.record["cut"] += 1
             return None
         self.send(pk.Packet(src, dst, pk.FIN | pk.ACK, 101 + len(request),
                             ack))
         return packet.data
 
-    async def ask(self, dst, service, request):
-        """A request that may be repeated; whether it was answered whole."""
-        for turn in range(TRIES):
+    async def request_with_retries(self, dst, service, request):
+        """Send a request on up to ATTEMPTS_MAX flows and count the outcome."""
+        for attempt_number in range(ATTEMPTS_MAX):
             src = (self.ip, next(self.ports))
             queue = asyncio.Queue()
             key = (src[1], dst)
             self.waiting[key] = queue
-            text = request + f"/{turn}".encode()
+            text = request + f"/{attempt_number}".encode()
             answer = await self.attempt(dst, text, queue, src)
             del self.waiting[key]
             if answer is not None:
-                whole = answer == service.encode() + b":" + text
-                self.ports_of[request] = src[1]
-                self.record["crossed"] += not whole
-                self.record["answered"] += whole
+                complete = answer == service.encode() + b":" + text
+                self.answered_ports[request] = src[1]
+                self.record["crossed"] += not complete
+                self.record["answered"] += complete
                 return
             self.record["retried"] += 1
         self.record["failed"] += 1
--- a/scripts/relaybed/endpoint.py
+++ b/scripts/relaybed/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that ends relayed flows: two slots, a queue, heartbeats."""
+"""A simulated endpoint: two slots, a queue and heartbeats."""
 
 import asyncio
 import itertools
@@ -10,18 +10,19 @@
 SLOTS = 2
 WORK_S = 0.005
 HEARTBEAT_S = 0.2
-# An acknowledgement beyond this isn't of an endpoint's own bytes.
-ACK_MOST = 100000
-# An endpoint that has just started resets flows that it never held.
-FRESH_S = 0.1
-# A new flow so long after its leaving was acknowledged is one too late.
-DRAIN_S = 1
+# Acknowledgements beyond the initial sequence number by more than this belong
+# to another endpoint's handshake.
+ACK_OFFSET_MAX = 100000
+# An endpoint resets unknown flows for this long after its start.
+STARTUP_RESET_S = 0.1
+# New flows later than this after the draining was acknowledged are violations.
+DRAIN_GRACE_S = 1
 
 
 class Endpoint(asyncio.DatagramProtocol):
-    """One endpoint; it speaks only to the agent beside it."""
+    """One endpoint; exchanges packets only with the agent on its host."""
 
-    starts = itertools.count(1)
+    id_counter = itertools.count(1)
 
     def __init__(self, service, address, outbound, heartbeats, record):
         self.service = service
@@ -36,19 +37,19 @@
         self.state = "ready"
         self.sequence = 0
         self.id = ""
-        self.born = 0
+        self.incarnation = 0
         self.drained_at = None
         self.started_at = 0
-        # When the agent beside it started last: until the next heartbeat
-        # that one doesn't know what an earlier one acknowledged.
-        self.agent_at = 0
+        # Last start of the host's agent, which loses the draining state until
+        # the next heartbeat.
+        self.agent_started_at = 0
 
     async def start(self):
-        """Begin, without any flow; under a new id, or as often under the one
-        that it had, at a later time."""
+        """Start without flows, under a new id or under the previous id with a
+        later incarnation."""
         if not self.id or random.random() < 0.5:
-            self.id = f"i-{next(self.starts)}"
-        self.born = max(self.born + 1, int(time.time() * 1000))
+            self.id = f"i-{next(self.id_counter)}"
+        self.incarnation = max(self.incarnation + 1, int(time.time() * 1000))
         self.flows = {}
         self.state = "ready"
         self.drained_at = None
@@ -57,15 +58,15 @@
         self.started_at = loop.time()
         self.transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=self.address)
-        self.task = asyncio.create_task(self.beat())
+        self.task = asyncio.create_task(self.send_heartbeats())
 
     def crash(self):
-        """End without a word."""
+        """Stop without deregistering."""
         self.task.cancel()
         self.transport.close()
 
     async def call(self, method, body):
-        """One call to the agent; whether it answered 200."""
+        """Call the agent's instance API; whether it answered 200."""
         raw = body.encode()
         head = (f"{method} /instances/{self.id} HTTP/1.1\r\nHost: agent\r\n"
                 f"Content-Length: {len(raw)}\r\nConnection: close\r\n\r\n")
@@ -78,27 +79,27 @@
         except (OSError, asyncio.TimeoutError):
             return False
 
-    async def beat(self):
-        """Heartbeats until the end. wait_for() may swallow a cancellation
-        that comes with the answer: the closed transport ends it then."""
+    async def send_heartbeats(self):
+        """Send heartbeats until the transport closes. wait_for() may lose a
+        cancellation that coincides with the response."""
         while not self.transport.is_closing():
             self.sequence += 1
             state = self.state
             known = await self.call("PUT", (
                 f'{{"service":"{self.service}","state":"{state}",'
                 f'"slots":{SLOTS},"sequence":{self.sequence},'
-                f'"born":{self.born}}}'))
+                f'"born":{self.incarnation}}}'))
             if known and state == "draining" and self.drained_at is None:
                 self.drained_at = asyncio.get_running_loop().time()
             await asyncio.sleep(HEARTBEAT_S)
 
-    async def leave(self):
-        """Say goodbye and end."""
-        await self.call("DELETE", f'{{"born":{self.born}}}')
+    async def deregister(self):
+        """Deregister from the agent and stop."""
+        await self.call("DELETE", f'{{"born":{self.incarnation}}}')
         self.crash()
 
     def send(self, packet):
-        """Give a packet to the agent."""
+        """Send a packet to the agent."""
         if not self.transport.is_closing():
             self.transport.sendto(packet.encode(), self.outbound)
 
@@ -110,16 +111,16 @@
         flow = (packet.src, packet.dst)
         if packet.flags & pk.SYN:
             now = asyncio.get_running_loop().time()
-            since = max(self.drained_at or now, self.agent_at)
-            if flow not in self.flows and now > since + DRAIN_S:
+            since = max(self.drained_at or now, self.agent_started_at)
+            if flow not in self.flows and now > since + DRAIN_GRACE_S:
                 self.record["drained"] = self.record.get("drained", 0) + 1
             self.flows.setdefault(flow, [random.getrandbits(32), False])
             self.send(pk.Packet(packet.dst, packet.src, pk.SYN | pk.ACK,
                                 self.flows[flow][0], packet.seq + 1))
         elif flow not in self.flows:
             self.refuse(packet)
-        elif packet.ack - self.flows[flow][0] & 0xffffffff > ACK_MOST:
-            # Its own handshake isn't over: this is of another's.
+        elif packet.ack - self.flows[flow][0] & 0xffffffff > ACK_OFFSET_MAX:
+            # Acknowledges another endpoint's SYN+ACK: dropped.
             return
         elif packet.data:
             if not self.flows[flow][1]:
@@ -131,9 +132,9 @@
             self.flows.pop(flow, None)
 
     def refuse(self, packet):
-        """Hand back what isn't of a flow here; data is reset at first."""
+        """Bounce a packet of an unknown flow, but reset data after a start."""
         age = asyncio.get_running_loop().time() - self.started_at
-        if packet.data and age < FRESH_S:
+        if packet.data and age < STARTUP_RESET_S:
             self.send(pk.Packet(packet.dst, packet.src, pk.RST | pk.ACK,
                                 packet.ack, packet.seq))
             return
--- a/scripts/relaybed/packet.py
+++ b/scripts/relaybed/packet.py
@@ -1,4 +1,4 @@
-"""Packets of relayed flows, as callers and endpoints write them."""
+"""Wire format of the packets of callers and endpoints."""
 
 import dataclasses
 import struct
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass
 class Packet:
-    """One packet; addresses are (ip as a number, port)."""
+    """One packet; addresses are (IPv4 address as an integer, port)."""
 
     src: tuple
     dst: tuple
@@ -22,20 +22,21 @@
     valid: bool = True
 
     def checksum(self):
-        """Keyed sum over all that the carriers must not change."""
+        """Keyed checksum of all fields that relays must not change."""
         text = repr((self.src, self.dst, self.flags & ~BOUNCED, self.seq,
                      self.ack)).encode()
         return zlib.crc32(KEY + text + self.data)
 
     def encode(self):
-        """The packet as bytes."""
+        """Encode the packet."""
         return HEAD.pack(self.dst[1], self.src[0], self.src[1], self.dst[0],
                          self.seq, self.ack, self.checksum(), len(self.data),
                          self.flags, b"\0\0\0", 0) + self.data
 
 
 def decode(raw):
-    """The packet in @raw, or None; a reset of a carrier has no sum."""
+    """Decode a packet; None if it is too short. Resets sent by balancers and
+    agents have no checksum."""
     if len(raw) < HEAD.size:
         return None
     dport, src, sport, dst, seq, ack, total, size, flags, _, _ = \
--- a/scripts/relaybed/proxy.py
+++ b/scripts/relaybed/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy before the store that delays, resets, cuts or goes silent."""
+"""A TCP proxy in front of the store that delays, resets or drops data."""
 
 import asyncio
 
@@ -7,10 +7,10 @@
 
 
 class Proxy:
-    """One listener; what is said on its connections passes as @mode says.
+    """One listener; its mode decides what happens to its connections.
 
-    A connection that was silenced once stays silent, also when the store is
-    back, as far as its ends can tell.
+    A direction whose data was dropped once stays silent after the mode changes,
+    as bytes are missing from its stream.
     """
 
     def __init__(self, port):
@@ -21,36 +21,37 @@
         self.writers = set()
 
     async def start(self):
-        """Listen; the port."""
+        """Listen on an ephemeral port; returns the port."""
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         return self.listener.sockets[0].getsockname()[1]
 
-    def set(self, mode):
-        """Change the mode; resets what is open where that is the mode."""
+    def set_mode(self, mode):
+        """Change the mode; "reset" aborts all open connections."""
         self.mode = mode
         if mode == "reset":
             for writer in list(self.writers):
                 writer.transport.abort()
 
     async def serve(self, reader, writer):
-        """One connection, until either side ends it."""
+        """Relay one connection until either side closes it."""
         if self.mode in ("refuse", "reset"):
             writer.transport.abort()
             return
         try:
-            there = await asyncio.open_connection("127.0.0.1", self.port)
+            upstream = await asyncio.open_connection("127.0.0.1", self.port)
         except OSError:
             writer.transport.abort()
             return
-        ends = {writer, there[1]}
+        ends = {writer, upstream[1]}
         self.writers |= ends
-        tasks = [asyncio.create_task(self.copy(reader, there[1], "asks")),
-                 asyncio.create_task(self.copy(there[0], writer, "answers"))]
+        tasks = [
+            asyncio.create_task(self.copy(reader, upstream[1], "requests")),
+            asyncio.create_task(self.copy(upstream[0], writer, "responses"))]
         self.tasks |= set(tasks)
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
-            # The play is over.
+            # The run has ended.
             pass
         finally:
             for task in tasks:
@@ -60,13 +61,13 @@
             self.writers -= ends
             self.tasks -= set(tasks)
 
-    async def copy(self, reader, writer, what):
-        """One direction."""
+    async def copy(self, reader, writer, direction):
+        """Relay one direction of a connection."""
         silenced = False
         try:
             while data := await reader.read(65536):
                 silenced |= self.mode == "silent" or (
-                    self.mode == "one-way" and what == "answers")
+                    self.mode == "one-way" and direction == "responses")
                 if silenced:
                     continue
                 if self.mode == "delay":
@@ -76,8 +77,8 @@
         except OSError:
             pass
 
-    def end(self):
-        """Stop listening, and all that is open."""
+    def close(self):
+        """Stop listening and close all connections."""
         for task in self.tasks:
             task.cancel()
         self.listener.close()
--- a/scripts/relaybed/store.py
+++ b/scripts/relaybed/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, as far as relay mode uses it, on a thread."""
+"""The part of the platform's store that relay mode uses, on a thread."""
 
 import http.server
 import json
@@ -7,7 +7,7 @@
 import urllib.parse
 
 
-# How old a read is that may be: more than agents take to tell each other.
+# Lag of stale reads, longer than agents take to notify each other.
 STALE_S = 1.0
 
 
@@ -19,12 +19,12 @@
         self.revision = 1
         self.objects = {}
         self.history = []
-        self.away = False
+        self.unavailable = False
         self.calls = 0
-        self.era = 1
+        self.epoch = 1
 
     def put(self, kind, name, value):
-        """Create or replace; the object."""
+        """Create or replace an object; returns it."""
         with self.changed:
             old = self.objects.setdefault(kind, {}).get(name)
             if old is not None and old["spec"] == value:
@@ -38,9 +38,9 @@
             self.changed.notify_all()
             return item
 
-    def older(self, age_s):
-        """Come back from a copy of age_s ago: what was written since is lost,
-        and its revisions are given out again."""
+    def restore(self, age_s):
+        """Restore the state of age_s ago in a new epoch: later writes are lost,
+        and their revisions are assigned again."""
         with self.changed:
             end = time.monotonic() - age_s
             self.history = [entry for entry in self.history
@@ -52,11 +52,11 @@
                 if not removed:
                     named[item["meta"]["name"]] = item
             self.revision = max([1] + [entry[0] for entry in self.history])
-            self.era += 1
+            self.epoch += 1
             self.changed.notify_all()
 
     def remove(self, kind, name):
-        """Remove; whether it was there."""
+        """Remove an object; whether it existed."""
         with self.changed:
             item = self.objects.get(kind, {}).pop(name, None)
             if item is not None:
@@ -67,20 +67,21 @@
             return item is not None
 
     def watch(self, kind, since, wait_s, age_s=0.0):
-        """Events of a kind after a revision that are age_s old, waiting for
-        the first; None for a revision that the store doesn't have."""
+        """Events of a kind after a revision and at least age_s old; waits up
+        to wait_s for the first. None for a revision that the store lacks, or
+        when the epoch changes."""
         end = time.monotonic() + wait_s
         with self.changed:
-            era = self.era
+            epoch = self.epoch
             while True:
-                if self.era != era or since > self.revision:
+                if self.epoch != epoch or since > self.revision:
                     return None
                 now = time.monotonic()
                 seen = [entry for entry in self.history
                         if entry[0] > since and entry[4] <= now - age_s]
                 events = [{"deleted": entry[3], "object": entry[2]}
                           for entry in seen if entry[1] == kind]
-                if events or self.away or now >= end:
+                if events or self.unavailable or now >= end:
                     break
                 self.changed.wait(min(end - now, age_s or end - now))
             if age_s == 0.0:
@@ -89,49 +90,50 @@
                     "at": max([since] + [entry[0] for entry in seen])}
 
     def get(self, kind, name):
-        """One object, None for none."""
+        """One object, or None."""
         with self.changed:
             return self.objects.get(kind, {}).get(name)
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """Calls of the object API."""
+    """HTTP handler of the object API."""
 
     protocol_version = "HTTP/1.1"
     store = None
 
     def log_message(self, *args):
-        """Nothing: the processes' own logs tell."""
+        """Log nothing; the relay processes log their calls."""
 
-    def answer(self, status, body):
-        """Send a JSON answer."""
+    def send_json(self, status, body):
+        """Send a JSON response."""
         raw = json.dumps(body).encode()
         self.send_response(status)
         self.send_header("Content-Type", "application/json")
         self.send_header("Content-Length", str(len(raw)))
-        self.send_header("Store-Era", str(self.store.era))
+        self.send_header("Store-Era", str(self.store.epoch))
         self.end_headers()
         try:
             self.wfile.write(raw)
         except (BrokenPipeError, ConnectionResetError):
-            # Who asked was killed meanwhile.
+            # The client was killed before the response.
             self.close_connection = True
 
-    def parts(self):
-        """Kind, name or None, and query; None when the store is away."""
+    def parse_call(self):
+        """Kind, name or None, and query of a request; sends 503 and returns
+        None when the store is unavailable."""
         self.store.calls += 1
         size = int(self.headers.get("Content-Length", 0))
         self.body = json.loads(self.rfile.read(size)) if size else None
-        if self.store.away:
-            self.answer(503, {})
+        if self.store.unavailable:
+            self.send_json(503, {})
             return None
         url = urllib.parse.urlsplit(self.path)
         names = url.path.split("/")[2:] + [None]
         return names[0], names[1], dict(urllib.parse.parse_qsl(url.query))
 
     def do_GET(self):  # pylint: disable=invalid-name
-        """A list, a watch or one object."""
-        found = self.parts()
+        """List, watch or get."""
+        found = self.parse_call()
         if found is None:
             return
         kind, name, query = found
@@ -139,48 +141,49 @@
             age_s = STALE_S if query.get("staleOk") == "1" else 0.0
             seen = self.store.watch(
                 kind, int(query["watch"]), int(query["waitMs"]) / 1000, age_s)
-            self.answer(410 if seen is None else 200, seen or {})
+            self.send_json(410 if seen is None else 200, seen or {})
             return
         if name is not None:
             item = self.store.get(kind, name)
-            self.answer(404 if item is None else 200, item or {})
+            self.send_json(404 if item is None else 200, item or {})
             return
         items = list(self.store.objects.get(kind, {}).values())
-        self.answer(200, {"items": items, "hasMore": False,
+        self.send_json(200, {"items": items, "hasMore": False,
                           "at": self.store.revision})
 
     def do_PUT(self):  # pylint: disable=invalid-name
-        """Replace."""
-        found = self.parts()
+        """Replace an object."""
+        found = self.parse_call()
         if found is None:
             return
         if found[1] not in self.store.objects.get(found[0], {}):
-            self.answer(404, {})
+            self.send_json(404, {})
             return
-        self.answer(200, self.store.put(found[0], found[1],
+        self.send_json(200, self.store.put(found[0], found[1],
                                         self.body["spec"]))
 
     def do_POST(self):  # pylint: disable=invalid-name
-        """Create."""
-        found = self.parts()
+        """Create an object."""
+        found = self.parse_call()
         if found is None:
             return
         name = self.body["meta"]["name"]
         if name in self.store.objects.get(found[0], {}):
-            self.answer(409, {})
+            self.send_json(409, {})
             return
-        self.answer(200, self.store.put(found[0], name, self.body["spec"]))
+        self.send_json(200, self.store.put(found[0], name, self.body["spec"]))
 
     def do_DELETE(self):  # pylint: disable=invalid-name
-        """Remove."""
-        found = self.parts()
+        """Remove an object."""
+        found = self.parse_call()
         if found is not None:
             gone = self.store.remove(found[0], found[1])
-            self.answer(200 if gone else 404, {})
+            self.send_json(200 if gone else 404, {})
 
 
 def serve(address):
-    """Serve a new store at (ip, port 0 for any); the store and its port."""
+    """Serve a new store at (ip, port), port 0 for any; returns the store and
+    its port."""
     store = Store()
     handler = type("Bound", (Handler,), {"store": store})
     server = http.server.ThreadingHTTPServer(address, handler)
