--- a/tests/relay/world_callers.c
+++ b/tests/relay/world_callers.c
@@ -106,7 +106,7 @@
     *caller = (struct caller){
         .flow = fixture_flow(world->caller_count),
         .route = (unsigned)g_rand_int_range(world->rand, 0, ROUTES),
-        .phase_started_us = world->now_us,
+        .active_since_us = world->now_us,
         .host = -1,
         .version = world->versions - 1,
     };
@@ -139,10 +139,10 @@
     }
     if (caller->state == CALLER_PAUSING) {
         caller->state = CALLER_REQUESTING;
-        caller->phase_started_us = world->now_us;
+        caller->active_since_us = world->now_us;
         caller->attempts = 0;
     }
-    if (world->now_us - caller->phase_started_us > CALLER_ABANDON_US ||
+    if (world->now_us - caller->active_since_us > CALLER_ABANDON_US ||
         caller->attempts > RETRANSMITS_MAX) {
         world_caller_fail(world, caller);
         return;
--- a/tests/relay/world_private.h
+++ b/tests/relay/world_private.h
@@ -185,8 +185,7 @@
 
 /**
  * struct caller - a caller with one flow
- * @phase_started_us: start of the handshake, of the current request or of the
- * close
+ * @active_since_us: start of the handshake, or end of the last pause
  * @next_us: time of the next retransmit, or end of a pause
  * @attempts: transmissions in the current phase
  * @host: host that accepted the flow, -1 before that
@@ -202,7 +201,7 @@
     enum caller_state state;
     struct relay_flow flow;
     unsigned route;
-    uint64_t phase_started_us;
+    uint64_t active_since_us;
     uint64_t next_us;
     unsigned attempts;
     uint32_t peer_seq;
@@ -224,15 +223,15 @@
  * @ecmp_salt: changes with each rehash
  * @versions: configurations published so far
  * @served: service of each route in each version, -1 for none
- * @fault_us: time of the last fault that affects all flows
+ * @fault_us: time of the last fault, or end of a freeze or partition
  * @evacuations_rand: random numbers of evacuations
  * @evacuations: evacuations in the store
  * @desired: evacuations set by operators, kept while the store has lost them
  * @snapshot: evacuations that the next restore brings back
  * @restored_us: last restore of the store, 0 for never
- * @store_lost_us: when the store first lost evacuations, 0 for never
+ * @store_lost_us: start of the last loss of evacuations, 0 for never
  * @rewrite_us: when operators write lost evacuations again, 0 for none due
- * @rewritten_us: when operators last did
+ * @rewritten_us: when they last did, 0 for never
  * @evacuated_us: last change of each data centre's evacuation, 0 for never
  */
 struct world {
