--- a/src/base/auth.c
+++ b/src/base/auth.c
@@ -15,17 +15,17 @@
 #define DIGEST_LEN 32
 #define WINDOW_WORDS (AUTH_WINDOW / 64)
 #define BUCKETS 2048
-#define SEQ_TIME_SHIFT 20
+#define SEQ_TIME_SHIFT 20 /* allows 2^20 messages per ms of uptime */
 #define NO_PEER UINT16_MAX
 
 /**
  * struct auth_peer - replay window of one sender
- * @id: sender
- * @highest: highest sequence seen
- * @seen: bit (sequence % AUTH_WINDOW) of each sequence in the window
- * @next: next peer of the same bucket
- * @newer: peer heard just after this one, NO_PEER at the newest
- * @older: peer heard just before this one, NO_PEER at the oldest
+ * @id: member id of the sender
+ * @highest: highest sequence accepted
+ * @seen: bitmap of accepted sequences, indexed by sequence % AUTH_WINDOW
+ * @next: next peer of the same hash bucket
+ * @newer: next more recently used peer, NO_PEER for the newest
+ * @older: next less recently used peer, NO_PEER for the oldest
  */
 struct auth_peer {
     uint64_t id;
@@ -37,12 +37,12 @@
 };
 
 /**
- * struct auth_table - all replay windows
- * @buckets: first peer of each bucket
- * @newest: peer heard last
- * @oldest: peer heard longest ago, reused first
+ * struct auth_table - replay windows by sender, a hash table with LRU eviction
+ * @buckets: first peer of each hash bucket
+ * @newest: most recently used peer
+ * @oldest: least recently used peer, evicted first
  * @count: slots in use
- * @slots: the windows
+ * @slots: replay windows
  */
 struct auth_table {
     uint16_t buckets[BUCKETS];
@@ -76,7 +76,7 @@
 }
 
 static void
-list_remove(struct auth_table *table, uint16_t slot)
+lru_remove(struct auth_table *table, uint16_t slot)
 {
     struct auth_peer *peer = &table->slots[slot];
 
@@ -91,7 +91,7 @@
 }
 
 static void
-list_push(struct auth_table *table, uint16_t slot)
+lru_push(struct auth_table *table, uint16_t slot)
 {
     struct auth_peer *peer = &table->slots[slot];
 
@@ -123,8 +123,8 @@
         slot = table->slots[slot].next;
     if (slot == NO_PEER)
         return NULL;
-    list_remove(table, slot);
-    list_push(table, slot);
+    lru_remove(table, slot);
+    lru_push(table, slot);
     return &table->slots[slot];
 }
 
@@ -139,7 +139,7 @@
     }
     else {
         slot = table->oldest;
-        list_remove(table, slot);
+        lru_remove(table, slot);
         bucket_remove(table, slot);
     }
     peer = &table->slots[slot];
@@ -148,7 +148,7 @@
     peer->highest = seq;
     peer->next = table->buckets[bucket_of(id)];
     table->buckets[bucket_of(id)] = slot;
-    list_push(table, slot);
+    lru_push(table, slot);
     return peer;
 }
 
@@ -165,7 +165,7 @@
     peer->highest = seq;
 }
 
-/* Whether @seq of @peer is new; marks it as seen. */
+/* Marks @seq as seen; false when it is a replay or older than the window. */
 static bool
 window_accept(struct auth_peer *peer, uint64_t seq)
 {
@@ -206,7 +206,7 @@
 {
     uint8_t digest[DIGEST_LEN];
     size_t len = 0;
-    /* Without a key the context starts again with the one it has. */
+    /* A NULL key restarts the context with the key set by mac_new(). */
     bool ok = EVP_MAC_init(auth->mac, NULL, 0, NULL) == 1;
 
     for (size_t i = 0; i < count; i++)
@@ -214,7 +214,7 @@
              (parts[i].len == 0 ||
               EVP_MAC_update(auth->mac, parts[i].data, parts[i].len) == 1);
     ok = ok && EVP_MAC_final(auth->mac, digest, &len, sizeof(digest)) == 1;
-    /* The digest is fixed and the buffers are sized: it can't fail. */
+    /* Can't fail: the digest and the buffer sizes are fixed. */
     if (!ok || len != sizeof(digest))
         abort();
     memcpy(tag, digest, AUTH_TAG_LEN);
@@ -237,7 +237,7 @@
     auth->key_len = key_len;
     auth->self = self;
     auth->next_seq = wall_ms << SEQ_TIME_SHIFT;
-    /* Slots are touched as they are used, so idle processes stay small. */
+    /* calloc() leaves unused slots unmapped. */
     auth->peers = calloc(1, sizeof(*auth->peers));
     if (auth->peers == NULL || mac_new(auth) < 0) {
         auth_finish(auth);
--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -16,7 +16,7 @@
 static uint64_t
 manual_now_us(struct clock *clock)
 {
-    /* The base is the first member, so the two addresses are the same. */
+    /* The base is the first member, so the cast is valid. */
     return ((struct clock_manual *)clock)->now_us;
 }
 
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,8 +1,8 @@
 /**
- * DOC: clock - the time that all decisions see, in microseconds
+ * DOC: clock - injectable monotonic clock, in microseconds
  *
- * Programs use clock_runtime; tests use clock_manual, which stands still
- * until it is advanced.
+ * Programs use the system's monotonic clock; tests use clock_manual, which
+ * changes only in clock_manual_advance().
  */
 #ifndef SWIFTARCH_BASE_CLOCK_H
 #define SWIFTARCH_BASE_CLOCK_H
@@ -14,20 +14,20 @@
 
 struct clock;
 
-/** struct clock_ops - how a clock tells the time */
+/** struct clock_ops - vtable of a clock */
 struct clock_ops {
     uint64_t (*now_us)(struct clock *clock);
 };
 
-/** struct clock - any clock; the vtable comes first */
+/** struct clock - a clock; implementations embed it as first member */
 struct clock {
     const struct clock_ops *ops;
 };
 
 /**
- * struct clock_manual - a clock that tests set and advance
- * @base: the clock
- * @now_us: time shown, microseconds
+ * struct clock_manual - a clock advanced by tests
+ * @base: clock to pass to the code under test
+ * @now_us: current time, microseconds
  */
 struct clock_manual {
     struct clock base;
@@ -38,15 +38,15 @@
 uint64_t
 clock_now_us(struct clock *clock);
 
-/** clock_runtime_init() - make @clock the monotonic clock of the system */
+/** clock_runtime_init() - use the system's monotonic clock */
 void
 clock_runtime_init(struct clock *clock);
 
-/** clock_manual_init() - make @clock a paused clock showing @now_us */
+/** clock_manual_init() - start a manual clock at @now_us */
 void
 clock_manual_init(struct clock_manual *clock, uint64_t now_us);
 
-/** clock_manual_advance() - move @clock on by @delta_us */
+/** clock_manual_advance() - add @delta_us to the time */
 void
 clock_manual_advance(struct clock_manual *clock, uint64_t delta_us);
 
--- a/src/base/container.h
+++ b/src/base/container.h
@@ -1,12 +1,12 @@
 /**
- * DOC: container - from a member to the struct that holds it
+ * DOC: container - pointer to the struct that contains a member
  */
 #ifndef SWIFTARCH_BASE_CONTAINER_H
 #define SWIFTARCH_BASE_CONTAINER_H
 
 #include <stddef.h>
 
-/** container_of() - the @type whose @member is at @pointer */
+/** container_of() - pointer to the @type whose @member is at @pointer */
 #define container_of(pointer, type, member)                                   \
     ((type *)((char *)(pointer)-offsetof(type, member)))
 
--- a/src/base/counter.c
+++ b/src/base/counter.c
@@ -9,7 +9,7 @@
 #define CACHE_LINE 64
 #define METRIC_PREFIX "swiftarch_"
 
-/** struct counter_cell - one worker's share, alone on its cache line */
+/** struct counter_cell - one worker's value, padded to a cache line */
 struct counter_cell {
     uint64_t value;
     uint8_t pad[CACHE_LINE - sizeof(uint64_t)];
@@ -41,7 +41,7 @@
     return (int)handle;
 }
 
-/* A family is announced once, at its first member. */
+/* The TYPE line of a family precedes its first sample. */
 static bool
 is_first_of_family(const struct counter_table *table, size_t handle)
 {
@@ -83,7 +83,7 @@
         sizeof(struct counter_cell) * COUNTER_MAX * COUNTER_WORKERS_MAX;
 
     memset(table, 0, sizeof(*table));
-    /* calloc() leaves unused pages untouched; align within the block. */
+    /* calloc() leaves unused pages unmapped; cells are aligned in it. */
     table->block = calloc(1, size + CACHE_LINE);
     if (table->block == NULL)
         return -ENOMEM;
@@ -123,7 +123,7 @@
     struct counter_cell *cell = cell_of(table, worker, handle);
     uint64_t value = __atomic_load_n(&cell->value, __ATOMIC_RELAXED);
 
-    /* One writer for each cell: a plain store suffices, readers see it. */
+    /* Each cell has one writer, so no atomic addition is needed. */
     __atomic_store_n(&cell->value, value + n, __ATOMIC_RELAXED);
 }
 
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,5 +1,5 @@
 /**
- * DOC: error - errors that say at which step and with which peer they arose
+ * DOC: error - an errno value with the failed step, its object and a detail
  *
  * Functions return 0 or a negative errno value and fill a struct error.
  */
@@ -11,11 +11,11 @@
 #define ERROR_DETAIL_MAX 256
 
 /**
- * struct error - where and why something failed
- * @code: negative errno value, 0 when nothing failed
- * @step: what was being done, for example "connect"
- * @peer: whom it was done with (address, file or name), may be empty
- * @detail: one sentence for a person
+ * struct error - a failure
+ * @code: negative errno value, 0 for none
+ * @step: operation that failed, for example "connect"
+ * @peer: address, file or name that it failed on, may be empty
+ * @detail: description for the operator
  */
 struct error {
     int code;
@@ -28,18 +28,18 @@
  * error_set() - fill @err
  * @err: error to fill, may be NULL
  * @code: negative errno value
- * @step: step that failed
- * @peer: peer it failed with, or NULL
+ * @step: operation that failed
+ * @peer: address, file or name that it failed on, or NULL
  * @fmt: printf format of the detail
  *
- * Return: @code, so that callers can write return error_set(...).
+ * Return: @code.
  */
 int
 error_set(struct error *err, int code, const char *step, const char *peer,
           const char *fmt, ...) __attribute__((format(printf, 5, 6)));
 
 /**
- * error_format() - one line "step peer: detail (errno text)"
+ * error_format() - format as "step peer: detail (errno text)"
  * @err: error to print
  * @buf: result
  * @size: size of @buf in bytes
--- a/src/base/event_log.c
+++ b/src/base/event_log.c
@@ -12,7 +12,7 @@
 
 #define LINE_MAX_LEN 512
 
-/* Written early when this much waits, so that a burst finds room. */
+/* Bytes after which the buffer is flushed, to leave space for a burst. */
 #define FLUSH_THRESHOLD (EVENT_LOG_BUFFER_SIZE / 2)
 
 static void
@@ -27,7 +27,6 @@
     log->refilled_us = now_us;
 }
 
-/* The time of day is asked for once a line only when it is written. */
 static int
 format_prefix(struct event_log *log, char *line, uint64_t now_us,
               const char *event)
@@ -75,7 +74,7 @@
     log->refilled_us = clock_now_us(clock);
     g_strlcpy(log->host, host, sizeof(log->host));
     if (flags >= 0) {
-        /* A file that can't be made so doesn't block either. */
+        /* Regular files, which reject the flag, don't block. */
         (void)fcntl(fd, F_SETFL, flags | O_NONBLOCK);
     }
 }
@@ -137,7 +136,7 @@
     }
     written = write(log->fd, log->buffer, log->used);
     if (written <= 0) {
-        /* Nobody reads: the lines wait, and later ones are left out. */
+        /* The pipe is full: lines stay buffered, later ones are dropped. */
         return;
     }
     log->used -= (size_t)written;
--- a/src/base/hash.c
+++ b/src/base/hash.c
@@ -3,12 +3,12 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Odd multipliers of splitmix64's finisher. */
+/* Multipliers of splitmix64's finalizer; GOLDEN is 2^64 / golden ratio. */
 #define MIX_1 UINT64_C(0xbf58476d1ce4e5b9)
 #define MIX_2 UINT64_C(0x94d049bb133111eb)
 #define GOLDEN UINT64_C(0x9e3779b97f4a7c15)
 
-/* Different seeds keep the id spaces apart. */
+/* Seeds of member and service ids. */
 #define SEED_NAME UINT64_C(0x6d656d626572)
 #define SEED_SERVICE UINT64_C(0x73657276696365)
 
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -1,5 +1,5 @@
 /**
- * DOC: hash - the hashes that processes must agree on (xxHash, 64 bits)
+ * DOC: hash - 64-bit hashes that are the same in every process and build
  */
 #ifndef SWIFTARCH_BASE_HASH_H
 #define SWIFTARCH_BASE_HASH_H
@@ -11,7 +11,7 @@
 uint64_t
 hash_bytes(const void *data, size_t len, uint64_t seed);
 
-/** hash_pair() - mix two 64-bit values; cheap, for ranking */
+/** hash_pair() - hash of two 64-bit values, for rendezvous scores */
 uint64_t
 hash_pair(uint64_t a, uint64_t b);
 
--- a/src/base/httpc.c
+++ b/src/base/httpc.c
@@ -15,24 +15,23 @@
 #define MSEC_PER_SEC 1000
 #define USEC_PER_MSEC_INT 1000
 
-/* Probes on a quiet connection: a peer that is cut off shows after 3 s,
- * while a waiting call may last much longer. */
+/* Keep-alive probes detect a dead peer after 3 s. */
 #define KEEPALIVE_IDLE_S 1
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_COUNT 2
 
 /**
- * struct httpc - the client
+ * struct httpc - a client
  * @base: event base
- * @peer: whom it calls; its host is the client's own copy
+ * @peer: server; its host is a copy
  * @host: value of the Host header
- * @body_max: longest answer, bytes
- * @connection: libevent's connection or NULL
- * @stale: a connection to be freed once libevent is done with it
+ * @body_max: maximum response body, bytes
+ * @connection: libevent's connection, NULL when not connected
+ * @stale: closed connection, freed outside of its own callback
  * @free_stale_event: frees @stale
- * @call: the open call or NULL
- * @reply_header: header of the answer that the open call reply_header, or NULL
- * @failure: errno of the open call's failure, 0 so far
+ * @call: call in progress or NULL
+ * @reply_header: response header that @call requests, or NULL
+ * @failure: errno of @call's failure, 0 for none
  */
 struct httpc {
     struct event_base *base;
@@ -69,7 +68,7 @@
     free_stale_connection(data);
 }
 
-/* A connection can't be freed inside its own callback. */
+/* Defers freeing: libevent can't free a connection in its own callback. */
 static void
 drop_connection(struct httpc *httpc)
 {
@@ -148,16 +147,17 @@
     evutil_socket_t fd = bufferevent_getfd(bev);
     int on = 1;
     int idle = KEEPALIVE_IDLE_S;
-    int gap = KEEPALIVE_INTERVAL_S;
+    int interval = KEEPALIVE_INTERVAL_S;
     int count = KEEPALIVE_COUNT;
 
     if (fd < 0) {
         return;
     }
-    /* Without them the call's own timeout still holds. */
+    /* Errors are ignored: the call's timeout still applies. */
     (void)setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
     (void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof(idle));
-    (void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &gap, sizeof(gap));
+    (void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval,
+                     sizeof(interval));
     (void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &count, sizeof(count));
     (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
@@ -246,24 +246,24 @@
 static struct evhttp_request *
 new_request(struct httpc *httpc, const struct httpc_request *request)
 {
-    struct evhttp_request *made = evhttp_request_new(on_done, httpc);
+    struct evhttp_request *http_request = evhttp_request_new(on_done, httpc);
     struct evkeyvalq *headers;
 
-    if (made == NULL) {
+    if (http_request == NULL) {
         return NULL;
     }
-    evhttp_request_set_error_cb(made, on_error);
-    headers = evhttp_request_get_output_headers(made);
+    evhttp_request_set_error_cb(http_request, on_error);
+    headers = evhttp_request_get_output_headers(http_request);
     evhttp_add_header(headers, "Host", httpc->host);
     if (request->header != NULL) {
         evhttp_add_header(headers, request->header, request->value);
     }
     if (request->body != NULL) {
         evhttp_add_header(headers, "Content-Type", "application/json");
-        evbuffer_add(evhttp_request_get_output_buffer(made), request->body,
-                     request->len);
+        evbuffer_add(evhttp_request_get_output_buffer(http_request),
+                     request->body, request->len);
     }
-    return made;
+    return http_request;
 }
 
 int
@@ -275,7 +275,7 @@
         .tv_sec = ms / MSEC_PER_SEC,
         .tv_usec = ms % MSEC_PER_SEC * USEC_PER_MSEC_INT,
     };
-    struct evhttp_request *made;
+    struct evhttp_request *http_request;
 
     if (httpc->call != NULL) {
         return -EBUSY;
@@ -283,17 +283,17 @@
     if (connect_peer(httpc) < 0) {
         return -ENOMEM;
     }
-    made = new_request(httpc, request);
-    if (made == NULL) {
+    http_request = new_request(httpc, request);
+    if (http_request == NULL) {
         return -ENOMEM;
     }
     evhttp_connection_set_timeout_tv(httpc->connection, &timeout);
     httpc->failure = 0;
     httpc->reply_header = request->reply_header;
     httpc->call = call;
-    if (evhttp_make_request(httpc->connection, made, commands[request->method],
-                            request->target) != 0) {
-        /* libevent has freed the request and may have told on_done(). */
+    if (evhttp_make_request(httpc->connection, http_request,
+                            commands[request->method], request->target) != 0) {
+        /* libevent has freed the request and may have called on_done(). */
         httpc->call = NULL;
         drop_connection(httpc);
         return -ENOMEM;
--- a/src/base/httpc.h
+++ b/src/base/httpc.h
@@ -1,10 +1,9 @@
 /**
- * DOC: httpc - a small HTTP/1.1 client on an event base (libevent)
+ * DOC: httpc - HTTP/1.1 client for one peer on a libevent event base
  *
- * One client is one connection to one peer: a call at a time, kept open
- * between calls, opened anew after any failure. No call is sent twice. A
- * connection that has gone silent shows by the call's own timeout, and sooner
- * by keep-alive probes.
+ * A client makes one call at a time on one persistent connection, which is
+ * reopened after any failure. Calls are never retried. A dead peer is detected
+ * by TCP keep-alive probes, or at the latest by the call's timeout.
  */
 #ifndef SWIFTARCH_BASE_HTTPC_H
 #define SWIFTARCH_BASE_HTTPC_H
@@ -21,25 +20,24 @@
 struct httpc;
 struct httpc_transport;
 
-/** struct httpc_transport_ops - what carries the bytes, when it isn't TCP
- * alone */
+/** struct httpc_transport_ops - vtable of a transport other than plain TCP */
 struct httpc_transport_ops {
-    /** @open: a bufferevent without a socket yet, which the client frees */
+    /** @open: creates an unconnected bufferevent, freed by the client */
     struct bufferevent *(*open)(struct httpc_transport *transport,
                                 struct event_base *base);
 };
 
-/** struct httpc_transport - any transport; the vtable comes first */
+/** struct httpc_transport - a transport, for example TLS */
 struct httpc_transport {
     const struct httpc_transport_ops *ops;
 };
 
 /**
- * struct httpc_peer - whom a client calls
- * @host: its address or name
- * @port: its port
- * @dns_base: looks dns_base up, NULL where @host is an address
- * @transport: NULL for TCP alone; outlives the client
+ * struct httpc_peer - server that a client connects to
+ * @host: address or name
+ * @port: TCP port
+ * @dns_base: resolver of @host, NULL if @host is an address
+ * @transport: NULL for plain TCP; must outlive the client
  */
 struct httpc_peer {
     const char *host;
@@ -49,12 +47,12 @@
 };
 
 /**
- * struct httpc_reply - how a call ended
- * @status: HTTP status, or a negative errno when no whole answer came
- * @etag: the answer's ETag header, NULL for none
- * @reply_header_value: the header that the request reply_header, NULL for none
- * @body: the answer's body, valid during the callback
- * @len: its length in bytes
+ * struct httpc_reply - result of a call, valid during the callback
+ * @status: HTTP status, or a negative errno without a complete response
+ * @etag: ETag header, NULL for none
+ * @reply_header_value: value of the request's @reply_header, NULL for none
+ * @body: response body
+ * @len: length of @body in bytes
  */
 struct httpc_reply {
     int status;
@@ -64,12 +62,12 @@
     size_t len;
 };
 
-/** struct httpc_call - caller-owned; @done is told once, at the end */
+/** struct httpc_call - owned by the caller; @done is called once */
 struct httpc_call {
     void (*done)(struct httpc_call *call, const struct httpc_reply *reply);
 };
 
-/** enum httpc_method - methods */
+/** enum httpc_method - request methods */
 enum httpc_method {
     HTTPC_GET,
     HTTPC_PUT,
@@ -78,16 +76,15 @@
 };
 
 /**
- * struct httpc_request - what is asked
- * @method: method
+ * struct httpc_request - a request
+ * @method: request method
  * @target: path and query
- * @header: name of a header of its own, or NULL
- * @value: that header's value
- * @reply_header: name of a header of the answer that is told, or NULL;
- * outlives the call
+ * @header: name of an additional request header, or NULL
+ * @value: value of @header
+ * @reply_header: response header to return, or NULL; must outlive the call
  * @body: JSON, or NULL
- * @len: its length in bytes
- * @timeout_ms: silence after which the call fails with -ETIMEDOUT
+ * @len: length of @body in bytes
+ * @timeout_ms: inactivity after which the call fails with -ETIMEDOUT
  */
 struct httpc_request {
     enum httpc_method method;
@@ -100,7 +97,7 @@
     unsigned timeout_ms;
 };
 
-/** enum httpc_status - statuses that the platform answers with */
+/** enum httpc_status - status codes of the platform's API */
 enum httpc_status {
     HTTPC_OK = 200,
     HTTPC_CREATED = 201,
@@ -115,34 +112,39 @@
     HTTPC_UNAVAILABLE = 503,
 };
 
-/** httpc_new() - a client of @peer; NULL without memory */
+/**
+ * httpc_new() - create a client; connects at the first call
+ * @body_max: maximum response body, bytes
+ *
+ * Return: the client, or NULL if out of memory.
+ */
 struct httpc *
 httpc_new(struct event_base *base, const struct httpc_peer *peer,
           size_t body_max);
 
-/** httpc_new_addr() - the same for an address, over TCP */
+/** httpc_new_addr() - httpc_new() for an address over plain TCP */
 struct httpc *
 httpc_new_addr(struct event_base *base, struct addr addr, size_t body_max);
 
-/** httpc_free() - end what is open without a callback; NULL is fine */
+/** httpc_free() - close the connection without a callback; accepts NULL */
 void
 httpc_free(struct httpc *httpc);
 
-/** httpc_busy() - whether a call is open */
+/** httpc_busy() - whether a call is in progress */
 bool
 httpc_busy(const struct httpc *httpc);
 
 /**
- * httpc_start() - make a call
+ * httpc_start() - start a call
  *
- * Return: 0, -EBUSY while another call is open, -ENOMEM. @call is told only
- * after 0, and not before this returns.
+ * Return: 0, -EBUSY during another call, or -ENOMEM. @call's callback runs
+ * only after 0, and never before this returns.
  */
 int
 httpc_start(struct httpc *httpc, const struct httpc_request *request,
             struct httpc_call *call);
 
-/** httpc_cancel() - end the open call; its callback isn't told */
+/** httpc_cancel() - cancel the call in progress without a callback */
 void
 httpc_cancel(struct httpc *httpc);
 
--- a/src/base/httpd.c
+++ b/src/base/httpd.c
@@ -17,10 +17,10 @@
 };
 
 /**
- * struct httpd_request - a request that is being handled
+ * struct httpd_request - a request during its handler
  * @event: libevent's request
- * @path: decoded path
- * @query: decoded query
+ * @path: percent-decoded path
+ * @query: parsed query parameters
  * @responded: httpd_respond() was called
  */
 struct httpd_request {
@@ -69,7 +69,7 @@
     }
 }
 
-/* Path and query of the request; false when they can't be read. */
+/* Decodes path and query; false if either is malformed. */
 static bool
 request_parse_uri(struct httpd_request *request)
 {
@@ -128,7 +128,7 @@
     return http;
 }
 
-/* libevent opens the socket by itself only from a text address. */
+/* Binds the socket itself, since evhttp takes an address only as text. */
 static int
 bind_http(struct httpd *httpd, struct event_base *base, struct addr listen)
 {
@@ -177,7 +177,7 @@
 
 err:
     error_set(err, ret, "listen for HTTP", addr_format(listen, text),
-              "the address can't be listened on");
+              "can't bind or listen on the address");
     httpd_free(httpd);
     return NULL;
 }
--- a/src/base/json_file.c
+++ b/src/base/json_file.c
@@ -21,7 +21,7 @@
     return line;
 }
 
-/* Line of a key by its path; 0 where it isn't. */
+/* Line of the key @name in the current scope, 0 if it is missing. */
 static unsigned
 line_of_key(const struct json_file *json_file, const char *name)
 {
@@ -87,7 +87,7 @@
     text = json_object_get_string(value);
     if (strlen(text) != (size_t)json_object_get_string_len(value)) {
         json_file_fault_value(json_file, name, value,
-                              "text without a null character");
+                              "a string without a null character");
         return NULL;
     }
     return text;
@@ -115,7 +115,7 @@
                     void *field)
 {
     const char *text =
-        json_file_string(json_file, rule->name, value, "a name (text)");
+        json_file_string(json_file, rule->name, value, "a name (string)");
     size_t len;
 
     if (text == NULL)
@@ -134,7 +134,7 @@
                       const struct json_key_rule *rule, json_object *value,
                       void *field)
 {
-    if (json_file_string(json_file, rule->name, value, "text") != NULL)
+    if (json_file_string(json_file, rule->name, value, "a string") != NULL)
         json_file_store_string(json_file, rule, value, field);
 }
 
@@ -202,7 +202,7 @@
     double number = json_object_get_double(value);
     char expected[64];
 
-    /* Written so that NaN, which compares with nothing, is refused. */
+    /* The negated comparison also rejects NaN. */
     if ((!json_object_is_type(value, json_type_int) &&
          !json_object_is_type(value, json_type_double)) ||
         !(number >= rule->min && number <= rule->max)) {
@@ -253,10 +253,10 @@
 }
 
 static void
-fault_syntax(struct json_file *json_file, size_t offset, const char *what)
+fault_syntax(struct json_file *json_file, size_t offset, const char *message)
 {
     fault_start(json_file, line_at(json_file->text, offset));
-    g_string_append_printf(json_file->report, "%s\n", what);
+    g_string_append_printf(json_file->report, "%s\n", message);
 }
 
 static void
@@ -265,33 +265,34 @@
     json_tokener *tokener = json_tokener_new_ex(JSON_DEPTH_MAX);
     enum json_tokener_error code;
     json_object *root;
-    char *what = NULL;
+    char *message = NULL;
 
     if (tokener == NULL) {
         fault_syntax(json_file, 0, "no memory for the JSON parser");
         return;
     }
     json_tokener_set_flags(tokener, JSON_TOKENER_STRICT);
-    /* With the closing null the parser knows that the text has ended. */
+    /* The null informs the parser that no more input follows. */
     root = json_tokener_parse_ex(tokener, json_file->text, (int)len + 1);
     code = json_tokener_get_error(tokener);
     if (code == json_tokener_continue)
         code = json_tokener_error_parse_eof;
     if (code != json_tokener_success)
-        what = g_strdup_printf("not JSON: %s", json_tokener_error_desc(code));
+        message =
+            g_strdup_printf("not JSON: %s", json_tokener_error_desc(code));
     else if (!json_object_is_type(root, json_type_object))
-        what = g_strdup("the file holds no JSON object");
-    if (what != NULL) {
-        fault_syntax(json_file, json_tokener_get_parse_end(tokener), what);
+        message = g_strdup("the file holds no JSON object");
+    if (message != NULL) {
+        fault_syntax(json_file, json_tokener_get_parse_end(tokener), message);
         json_object_put(root);
         root = NULL;
     }
-    g_free(what);
+    g_free(message);
     json_file->root = root;
     json_tokener_free(tokener);
 }
 
-/* json-c keeps the last of repeated json_file; a person may mean the first. */
+/* json-c silently keeps only the last of repeated keys. */
 static void
 check_repeated(struct json_file *json_file)
 {
@@ -366,8 +367,7 @@
     return 0;
 }
 
-/* The error carries the first fault without its file name, which is the
- * peer. */
+/* Sets @err to the first fault; its peer is the file name. */
 static int
 first_fault(const struct json_file *json_file, struct error *err)
 {
--- a/src/base/json_file.h
+++ b/src/base/json_file.h
@@ -1,14 +1,14 @@
 /**
- * DOC: json_file - JSON files read key by key into a struct, all faults at
+ * DOC: json_file - reads JSON files into structs and reports all faults at
  * once
  *
- * A reader names its json_file in a table of struct json_key_rule. Unknown
- * json_file, wrong types, repeated or missing json_file and values out of
- * range are faults, each a line of the report that names the file, the line
- * where the key stands, what was found and what was expected.
+ * A reader declares its keys in a table of struct json_key_rule. Unknown,
+ * repeated and missing keys, wrong types and values out of range are faults.
+ * The report has a line for each, with the file, the line of the key, the
+ * value found and the one expected.
  */
-#ifndef SWIFTARCH_BASE_KEYS_H
-#define SWIFTARCH_BASE_KEYS_H
+#ifndef SWIFTARCH_BASE_JSON_FILE_H
+#define SWIFTARCH_BASE_JSON_FILE_H
 
 #include <json-c/json.h>
 #include <stdbool.h>
@@ -19,20 +19,20 @@
 #define JSON_FILE_SIZE_MAX (1u << 20)
 #define JSON_FILE_ALL_KINDS 1u
 
-/** Field of a struct for a rule */
+/** Offset and size of a struct's member, for a json_key_rule */
 #define JSON_FILE_FIELD(type, member)                                         \
     .offset = offsetof(type, member), .size = sizeof(((type *)0)->member)
 
 /**
- * struct json_file - a file that is being read
- * @path: file
- * @text: what it holds
- * @root: its JSON, NULL when it is none
- * @mask: which kind of reader this is: one bit
- * @kind: the same in words, for faults
+ * struct json_file - a file being read
+ * @path: file name
+ * @text: content of the file
+ * @root: parsed object, NULL after a syntax error
+ * @mask: kind of reader, one bit of json_key_rule.required and .allowed
+ * @kind: name of that kind for faults, for example "an agent"
  * @scope: "" or a path such as "loads[2]." of the object being read
- * @report: a GString of the faults
- * @faults: how many
+ * @report: text of all faults, one per line
+ * @faults: number of faults
  */
 struct json_file {
     const char *path;
@@ -46,15 +46,15 @@
 };
 
 /**
- * struct json_key_rule - how one key is read
+ * struct json_key_rule - type and limits of one key
  * @name: key
- * @required: kinds of reader that can't do without it
- * @allowed: kinds of reader that may have it
- * @read: stores the value or reports a fault
- * @offset: where in the struct
- * @size: bytes there
- * @min: least number
- * @max: greatest number
+ * @required: mask of the kinds of reader that require the key
+ * @allowed: mask of the kinds of reader that accept the key
+ * @read: stores the value in the field or reports a fault
+ * @offset: offset of the field in the struct
+ * @size: size of the field in bytes
+ * @min: smallest number allowed
+ * @max: largest number allowed
  */
 struct json_key_rule {
     const char *name;
@@ -69,62 +69,60 @@
 };
 
 /**
- * json_file_open() - read a file and parse it
- * @mask: kind of reader, JSON_FILE_ALL_KINDS where there is one only
- * @kind: the same in words
+ * json_file_open() - read and parse a file
+ * @mask: kind of reader, JSON_FILE_ALL_KINDS if there is only one
+ * @kind: name of that kind, for faults
  *
- * Return: 0 (with @json_file->root NULL and a fault when it isn't JSON), or
- * the negative errno value that reading the file gave.
+ * Return: 0 (with @json_file->root NULL and a fault after a syntax error), or
+ * a negative errno value if the file can't be read.
  */
 int
 json_file_open(struct json_file *json_file, const char *path, unsigned mask,
                const char *kind, struct error *err);
 
-/** json_file_read() - read @object into @out by @rules */
+/** json_file_read() - read the keys of @object into the struct @out */
 void
 json_file_read(struct json_file *json_file, json_object *object,
                const struct json_key_rule *rules, size_t count, void *out);
 
 /**
- * json_file_close() - free what was read
- * @report: gets all faults, or NULL when there are none (g_free() it); may
- *          be NULL
+ * json_file_close() - free the file and return its faults
+ * @report: gets all faults, freed by g_free(), or NULL for none; may be NULL
  * @err: gets the first fault
  *
- * Return: 0 or -EINVAL when there were faults.
+ * Return: 0, or -EINVAL if there were faults.
  */
 int
 json_file_close(struct json_file *json_file, char **report, struct error *err);
 
-/** json_file_fault() - report a fault of the key @name, at its line */
+/** json_file_fault() - add a fault of the key @name, with its line */
 void
 json_file_fault(struct json_file *json_file, const char *name, const char *fmt,
                 ...) __attribute__((format(printf, 3, 4)));
 
-/** json_file_fault_value() - report that @value isn't what was @expected */
+/** json_file_fault_value() - add a fault with @value and the @expected one */
 void
 json_file_fault_value(struct json_file *json_file, const char *name,
                       json_object *value, const char *expected);
 
-/** json_file_string() - @value as text, or NULL after a fault */
+/** json_file_string() - @value as a string, or NULL after adding a fault */
 const char *
 json_file_string(struct json_file *json_file, const char *name,
                  json_object *value, const char *expected);
 
-/** json_file_store_string() - copy @text to a field of @rule->size bytes */
+/** json_file_store_string() - copy a string to a field of @rule->size bytes */
 void
 json_file_store_string(struct json_file *json_file,
                        const struct json_key_rule *rule, json_object *value,
                        char *field);
 
-/** json_file_read_name() - letters, digits, '.', '_' and '-' into a char array
- */
+/** json_file_read_name() - a name of [A-Za-z0-9._-] into a char array */
 void
 json_file_read_name(struct json_file *json_file,
                     const struct json_key_rule *rule, json_object *value,
                     void *field);
 
-/** json_file_read_string() - any text that fits into a char array */
+/** json_file_read_string() - any string that fits into a char array */
 void
 json_file_read_string(struct json_file *json_file,
                       const struct json_key_rule *rule, json_object *value,
--- a/src/base/json_scan.c
+++ b/src/base/json_scan.c
@@ -9,7 +9,7 @@
     return scan->depth > 0 ? &scan->frames[scan->depth - 1] : NULL;
 }
 
-/* End of the string whose opening quote is at @start. */
+/* Closing quote of the string that starts at @start. */
 static const char *
 string_end(const char *start)
 {
@@ -53,7 +53,7 @@
     g_string_append_len(scan->path, name, (gssize)len);
 }
 
-/* Whether the string at @scan->at is a key: only keys precede colons. */
+/* Skips a string; true if it is a key, that is, followed by a colon. */
 static bool
 scan_string_or_key(struct json_scan *scan)
 {
--- a/src/base/json_scan.h
+++ b/src/base/json_scan.h
@@ -1,8 +1,8 @@
 /**
- * DOC: json_scan - where the keys of a JSON text stand
+ * DOC: json_scan - lists the keys of a JSON text with paths and line numbers
  *
- * json-c keeps neither lines nor repeated keys; this walks over a text that
- * it has already accepted.
+ * json-c provides neither line numbers nor repeated keys. The text must
+ * already have been accepted by json-c.
  */
 #ifndef SWIFTARCH_BASE_JSON_SCAN_H
 #define SWIFTARCH_BASE_JSON_SCAN_H
@@ -13,10 +13,10 @@
 #define JSON_SCAN_DEPTH_MAX 32
 
 /**
- * struct json_scan_frame - an object or array that is open
- * @is_array: which of the two
- * @index: element of the array
- * @path_len: length of its own path
+ * struct json_scan_frame - an enclosing object or array
+ * @is_array: array, or else an object
+ * @index: current element of the array
+ * @path_len: length of the path of the object or array
  */
 struct json_scan_frame {
     bool is_array;
@@ -25,12 +25,12 @@
 };
 
 /**
- * struct json_scan - a walk over a text
+ * struct json_scan - position in a text
  * @at: next character
- * @line: its line, from 1
+ * @line: line of @at, from 1
  * @path: path of the last key, for example "loads[2].rate"
  * @depth: frames in use
- * @frames: what is open
+ * @frames: enclosing objects and arrays, outermost first
  */
 struct json_scan {
     const char *at;
@@ -48,7 +48,7 @@
 void
 json_scan_finish(struct json_scan *scan);
 
-/** json_scan_next() - go to the next key; false when there is none */
+/** json_scan_next() - advance to the next key; false at the end */
 bool
 json_scan_next(struct json_scan *scan);
 
--- a/src/base/link.c
+++ b/src/base/link.c
@@ -24,21 +24,21 @@
     {                                                                         \
         .tv_sec = 2                                                           \
     }
-#define USER_TIMEOUT_MS 10000
+#define USER_TIMEOUT_MS 10000 /* TCP_USER_TIMEOUT */
 #define UNAUTHENTICATED_MAX 256
 
 /**
  * struct link_conn - one connection
  * @hub: its hub
  * @next: next connection of the hub
- * @prev_next: where the pointer to this one is
- * @event: libevent's side of it
+ * @prev_next: pointer to this connection in the list, NULL if not listed
+ * @event: bufferevent of the socket
  * @peer: remote address
- * @key: the same as one number
- * @outbound: we outbound it
+ * @key: @peer as key of the hub's outbound table
+ * @outbound: opened by this hub
  * @wire: nonces and sequences
- * @pending: frames to send once the peer's nonce is known
- * @authenticated: the peer showed that it holds the key
+ * @pending: frames queued until the peer's hello arrives
+ * @authenticated: a valid frame with the site key was received
  */
 struct link_conn {
     struct link_hub *hub;
@@ -101,14 +101,14 @@
     g_free(conn);
 }
 
-/* The owner may answer a loss by sending again, which opens a new one. */
+/* Detaches first, as the callback may send, which opens a new connection. */
 static void
 conn_disconnect(struct link_conn *conn, int reason)
 {
     struct link_hub *hub = conn->hub;
     char text[ADDR_TEXT_MAX];
 
-    g_debug("The link with %s ended: %s.", addr_format(conn->peer, text),
+    g_debug("Connection to %s closed: %s.", addr_format(conn->peer, text),
             g_strerror(-reason));
     conn_detach(conn);
     if (hub->handler->ops->on_disconnect != NULL)
@@ -136,7 +136,7 @@
     return 0;
 }
 
-/* Until the peer's nonce comes frames wait as type (2), length (4), body. */
+/* Queues a frame as type (2), length (4), body until the peer's hello. */
 static int
 conn_queue_pending(struct link_conn *conn, uint16_t type, const uint8_t *body,
                    size_t len)
@@ -194,7 +194,7 @@
     return conn_write_frame(conn, type, body, len);
 }
 
-/* The peer's nonce: from here on our frames can be bound to it. */
+/* Reads the peer's nonce, authenticates and sends the queued frames. */
 static int
 conn_read_hello(struct link_conn *conn, struct evbuffer *in)
 {
@@ -246,7 +246,7 @@
     return 0;
 }
 
-/* Size of the next whole frame, 0 when more bytes have to come. */
+/* Sets @size to that of the next frame, 0 if it is incomplete. */
 static int
 conn_next_frame_size(const struct link_conn *conn, struct evbuffer *in,
                      size_t *size)
@@ -296,12 +296,12 @@
 on_event(struct bufferevent *event, short what, void *data)
 {
     struct link_conn *conn = data;
-    const struct timeval proof = AUTH_TIMEOUT;
+    const struct timeval auth_timeout = AUTH_TIMEOUT;
     int code = EVUTIL_SOCKET_ERROR();
 
     (void)event;
     if (what & BEV_EVENT_CONNECTED)
-        bufferevent_set_timeouts(conn->event, &proof, NULL);
+        bufferevent_set_timeouts(conn->event, &auth_timeout, NULL);
     else if (what & BEV_EVENT_TIMEOUT)
         conn_disconnect(conn, -ETIMEDOUT);
     else if (what & BEV_EVENT_EOF)
@@ -316,13 +316,13 @@
     int on = 1;
     int unacked_ms = USER_TIMEOUT_MS;
 
-    /* Both only shape latency; a socket without them still works. */
+    /* Errors are ignored: the options only affect latency. */
     (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     (void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked_ms,
                      sizeof(unacked_ms));
 }
 
-/* A connection on @fd, which it takes over; -1 for one to be outbound. */
+/* Takes ownership of @fd; -1 creates an outbound connection. */
 static struct link_conn *
 conn_new(struct link_hub *hub, evutil_socket_t fd, struct addr peer)
 {
@@ -345,7 +345,7 @@
     return conn;
 
 err:
-    /* Once made, the bufferevent closes the socket. */
+    /* The bufferevent, if it exists, closes the socket. */
     if (conn->event == NULL && fd >= 0)
         evutil_closesocket(fd);
     conn_free(conn);
@@ -361,7 +361,7 @@
 
     if (conn == NULL)
         return -ENOMEM;
-    /* The write timeout runs while the connection isn't established. */
+    /* The write timeout applies until the connection is established. */
     bufferevent_set_timeouts(conn->event, NULL, &connect_timeout);
     bufferevent_enable(conn->event, EV_READ | EV_WRITE);
     errno = 0;
@@ -383,12 +383,12 @@
           struct sockaddr *sa, int len, void *data)
 {
     struct link_hub *hub = data;
-    const struct timeval proof = AUTH_TIMEOUT;
+    const struct timeval auth_timeout = AUTH_TIMEOUT;
     struct link_conn *conn;
 
     (void)listener;
     (void)len;
-    /* Strangers can't take all our descriptors and memory. */
+    /* Bounds the descriptors and memory of unauthenticated peers. */
     if (hub->unauthenticated >= UNAUTHENTICATED_MAX) {
         hub->rejected++;
         evutil_closesocket(fd);
@@ -399,7 +399,7 @@
     if (conn == NULL)
         return;
     conn_attach(conn);
-    bufferevent_set_timeouts(conn->event, &proof, NULL);
+    bufferevent_set_timeouts(conn->event, &auth_timeout, NULL);
     bufferevent_enable(conn->event, EV_READ | EV_WRITE);
 }
 
@@ -429,7 +429,7 @@
         link_hub_finish(hub);
         return error_set(err, code, "listen for links",
                          addr_format(listen, text),
-                         "the address can't be listened on");
+                         "can't bind or listen on the address");
     }
     return 0;
 }
--- a/src/base/link_wire.c
+++ b/src/base/link_wire.c
@@ -63,7 +63,7 @@
     if (memcmp(hello, magic, MAGIC_LEN) != 0)
         return -EBADMSG;
     memcpy(wire->peer_nonce, hello + MAGIC_LEN, LINK_WIRE_NONCE_LEN);
-    /* Our own hello thrown back would make our frames valid answers. */
+    /* A reflected hello would make our own frames valid as the peer's. */
     if (memcmp(wire->peer_nonce, wire->own_nonce, LINK_WIRE_NONCE_LEN) == 0)
         return -EBADMSG;
     wire->ready = true;
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -9,10 +9,10 @@
 #define LINE_MAX_LEN 1024
 #define DOMAIN_PREFIX "swiftarch-"
 
-/** struct level_name - a level's name and all levels up to it */
+/** struct level_name - a level's name in the settings and GLib's flag */
 struct level_name {
     const char *name;
-    GLogLevelFlags up_to;
+    GLogLevelFlags flag;
 };
 
 static const struct level_name levels[] = {
@@ -21,9 +21,9 @@
     {"debug", G_LOG_LEVEL_DEBUG},
 };
 
-/* GLib keeps one writer for a process, so its settings are one as well. */
+/* Global, as GLib has one log writer for a process. */
 static char process_name[PROCESS_MAX];
-static GLogLevelFlags min_level = G_LOG_LEVEL_MESSAGE;
+static GLogLevelFlags max_flag = G_LOG_LEVEL_MESSAGE;
 static bool installed;
 
 static const char *
@@ -32,7 +32,7 @@
     if (level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL))
         return "error";
     for (size_t i = 0; i < G_N_ELEMENTS(levels); i++) {
-        if (level & levels[i].up_to)
+        if (level & levels[i].flag)
             return levels[i].name;
     }
     return "message";
@@ -52,23 +52,23 @@
 write_line(GLogLevelFlags level, const GLogField *fields, gsize count,
            gpointer data)
 {
-    const char *part = field_text(fields, count, "GLIB_DOMAIN");
+    const char *domain = field_text(fields, count, "GLIB_DOMAIN");
     const char *text = field_text(fields, count, "MESSAGE");
     char line[LINE_MAX_LEN];
     GDateTime *now;
     char *stamp;
 
     (void)data;
-    /* GLib's levels are bits; the higher the bit, the less it matters. */
-    if ((level & G_LOG_LEVEL_MASK) > min_level)
+    /* Higher bits of GLib's levels are less severe. */
+    if ((level & G_LOG_LEVEL_MASK) > max_flag)
         return G_LOG_WRITER_HANDLED;
-    if (g_str_has_prefix(part, DOMAIN_PREFIX))
-        part += strlen(DOMAIN_PREFIX);
+    if (g_str_has_prefix(domain, DOMAIN_PREFIX))
+        domain += strlen(DOMAIN_PREFIX);
     now = g_date_time_new_now_utc();
     stamp = g_date_time_format(now, "%Y-%m-%dT%H:%M:%S.%fZ");
     g_snprintf(line, sizeof(line), "%s %s %s %s: %s", stamp, level_text(level),
-               process_name, part, text);
-    /* One call for each line, so that lines of threads don't mix. */
+               process_name, domain, text);
+    /* One call per line, so that lines of threads don't mix. */
     fprintf(stderr, "%s\n", line);
     g_free(stamp);
     g_date_time_unref(now);
@@ -81,9 +81,9 @@
     for (size_t i = 0; i < G_N_ELEMENTS(levels); i++) {
         if (strcmp(level, levels[i].name) != 0)
             continue;
-        min_level = levels[i].up_to;
+        max_flag = levels[i].flag;
         g_strlcpy(process_name, process, sizeof(process_name));
-        /* GLib aborts when the writer is set twice. */
+        /* GLib aborts if the writer is set twice. */
         if (!installed)
             g_log_set_writer_func(write_line, NULL, NULL);
         installed = true;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,9 +1,9 @@
 /**
- * DOC: log - short sentences through GLib's logging, one domain for each part
+ * DOC: log - writer for GLib's structured logging
  *
- * Each .c file that logs defines G_LOG_DOMAIN as "swiftarch-PART" before it
- * includes this header and uses g_debug, g_info, g_message, g_warning.
- * Every line reads "time level PROCESS PART: sentence", on standard error.
+ * Each .c file that logs defines G_LOG_DOMAIN as "swiftarch-MODULE" before it
+ * includes this header and uses g_debug, g_info, g_message and g_warning.
+ * Lines go to standard error as "time level PROCESS MODULE: message".
  */
 #ifndef SWIFTARCH_BASE_LOG_H
 #define SWIFTARCH_BASE_LOG_H
@@ -11,11 +11,11 @@
 #include <glib.h>
 
 /**
- * log_init() - install the writer
- * @process: name of the process, printed in each line
+ * log_init() - install the writer and set the level
+ * @process: name of the process, part of each line
  * @level: "error", "warning", "message", "info" or "debug"
  *
- * Return: 0 or -EINVAL when @level is none of these.
+ * Return: 0, or -EINVAL for an unknown level.
  */
 int
 log_init(const char *process, const char *level);
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -25,7 +25,7 @@
          json_object *value, void *field)
 {
     const char *text =
-        json_file_string(json_file, rule->name, value, "a URL (text)");
+        json_file_string(json_file, rule->name, value, "a URL (string)");
     const char *host;
 
     if (text == NULL)
@@ -87,7 +87,7 @@
     return count;
 }
 
-/* Both read into the whole struct, since they fill two members. */
+/* Array and count are set together, so the struct is found by its offset. */
 static void
 read_seeds(struct json_file *json_file, const struct json_key_rule *rule,
            json_object *value, void *field)
@@ -111,7 +111,7 @@
         read_addresses(json_file, rule, value, settings->region_seeds);
 }
 
-/* A key file may end in a line end, as editors write it. */
+/* Length of the key without line ends added by an editor. */
 static size_t
 trimmed_length(const char *data, size_t len)
 {
@@ -130,7 +130,7 @@
     size_t len;
 
     if (!g_file_get_contents(path, &data, &size, &gerror)) {
-        json_file_fault(json_file, name, "names no readable file: %s",
+        json_file_fault(json_file, name, "names a file that can't be read: %s",
                         gerror->message);
         g_error_free(gerror);
         return;
@@ -154,7 +154,7 @@
               json_object *value, void *field)
 {
     const char *text =
-        json_file_string(json_file, rule->name, value, "a file name (text)");
+        json_file_string(json_file, rule->name, value, "a file name (string)");
     struct settings *settings =
         (struct settings *)((char *)field - rule->offset);
     char *folder, *path;
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,5 +1,5 @@
 /**
- * DOC: settings - a process's own settings file (JSON), checked key by key
+ * DOC: settings - loads and validates a process's settings file (JSON)
  */
 #ifndef SWIFTARCH_BASE_SETTINGS_H
 #define SWIFTARCH_BASE_SETTINGS_H
@@ -17,39 +17,42 @@
 #define SETTINGS_SEEDS_MAX 16
 #define SETTINGS_OBJECT "config"
 
-/** enum settings_role - which program the file is for */
+/** enum settings_role - program that reads the file */
 enum settings_role {
     SETTINGS_BALANCER,
     SETTINGS_AGENT,
-    SETTINGS_OPERATOR /* platform, seeds, site_key_file only */
+    SETTINGS_OPERATOR /* requires only platform, seeds and site_key_file */
 };
 
 /**
- * struct settings - one process's settings
+ * struct settings - settings of one process
  * @role: program
  * @name: unique name of the process (key "name")
  * @data_centre: key "data_centre"
  * @cell: key "cell", the membership group
  * @data: UDP address for packets (key "data")
- * @control: TCP and UDP address for the other processes (key "control")
+ * @control: TCP and UDP address for control messages (key "control")
  * @http: address of /metrics, /ready and, at an agent, /announce ("http")
  * @platform: base URL of the object API (key "platform")
  * @seeds: control addresses of a few other processes (key "seeds")
- * @seed_count: how many
+ * @seed_count: number of @seeds
  * @region_seeds: control addresses of a few processes in other cells of the
  *                region (key "region_seeds")
- * @region_seed_count: how many
- * @object: platform object that holds the text of the own cell (key
- *          "object", default SETTINGS_OBJECT); see settings_object()
- * @site_key: shared secret, 16 bytes or more (key "site_key_file" names the
- *            file that holds it)
- * @site_key_len: its length in bytes
+ * @region_seed_count: number of @region_seeds
+ * @object: platform object with the service configuration of the own cell
+ *          (key "object", default SETTINGS_OBJECT); see settings_object()
+ * @site_key: shared secret, 16 to 128 bytes, read from the file of the key
+ *            "site_key_file"
+ * @site_key_len: length of @site_key in bytes
  * @log_level: key "log_level", default "message"
- * @workers: balancer: packet workers (key "workers", 1..16, default 1)
- * @fabric: agent: UDP address that takes packets towards callers ("fabric")
- * @drain_s: seconds a planned stop may wait for flows ("drain_s", default 30)
- * @trace_file: key "trace_file", empty is off
- * @trace_sample: key "trace_sample", one request in so many, default 1
+ * @workers: balancer: number of packet workers (key "workers", 1 to 16,
+ *           default 1)
+ * @fabric: agent: UDP address that forwards packets to callers (key "fabric")
+ * @drain_s: maximum time of a planned stop, seconds (key "drain_s",
+ *           default 30)
+ * @trace_file: file for spans, empty to disable tracing (key "trace_file")
+ * @trace_sample: trace one request in this many (key "trace_sample",
+ *                default 1)
  */
 struct settings {
     enum settings_role role;
@@ -76,23 +79,24 @@
 };
 
 /**
- * settings_load() - read and check a settings file
+ * settings_load() - read and validate a settings file
  * @settings: result
- * @role: program that reads it
- * @path: file
- * @err: names file, line or key, what was found and what was expected
+ * @role: program that reads the file
+ * @path: file name
+ * @report: gets all faults, one per line, freed by g_free(), or NULL for none;
+ *          may be NULL
+ * @err: gets the first fault
  *
- * Unknown keys, wrong types, missing keys and values out of range are
- * errors; all faults are named, one a line, in @report (g_free() it).
+ * Unknown, repeated and missing keys, wrong types and values out of range are
+ * faults.
  *
- * Return: 0, -EINVAL, or what reading the file returned.
+ * Return: 0, -EINVAL, or the error of reading the file.
  */
 int
 settings_load(struct settings *settings, enum settings_role role,
               const char *path, char **report, struct error *err);
 
-/** settings_object() - object that holds the cell's text, also when the
- * settings were not loaded from a file */
+/** settings_object() - @object, or SETTINGS_OBJECT if it is empty */
 const char *
 settings_object(const struct settings *settings);
 
--- a/src/base/trace.c
+++ b/src/base/trace.c
@@ -48,7 +48,7 @@
     text[2 * len] = '\0';
 }
 
-/* traceparent takes lower case only. */
+/* traceparent allows only lower-case digits. */
 static int
 hex_digit(char c)
 {
@@ -107,7 +107,8 @@
     size_t len = strlen(text);
 
     if (write(trace->fd, text, len) != (ssize_t)len)
-        g_warning("A span was lost: %s.", g_strerror(errno));
+        g_warning("Can't write a span to the trace file: %s.",
+                  g_strerror(errno));
     g_free(text);
 }
 
@@ -122,14 +123,14 @@
     trace->epoch_us = clock_us(CLOCK_REALTIME) - clock_us(CLOCK_MONOTONIC);
     if (getrandom(&trace->seed, sizeof(trace->seed), 0) != sizeof(trace->seed))
         return error_set(err, -EIO, "open traces", file,
-                         "no random numbers for span ids");
+                         "can't get random bytes for span ids");
     if (file == NULL || file[0] == '\0')
         return 0;
     trace->fd =
         open(file, O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, TRACE_FILE_MODE);
     if (trace->fd < 0)
         return error_set(err, -errno, "open traces", file,
-                         "the file can't be appended to");
+                         "can't open the file for appending");
     return 0;
 }
 
@@ -182,7 +183,7 @@
         return -EINVAL;
     if (!from_hex(text, &version, 1) || version == VERSION_FORBIDDEN)
         return -EINVAL;
-    /* Only later versions may have more after the flags. */
+    /* Only versions above 0 may have fields after the flags. */
     if (text[TRACE_PARENT_LEN] != '\0' &&
         (version == 0 || text[TRACE_PARENT_LEN] != '-'))
         return -EINVAL;
--- a/tests/base/test_auth.c
+++ b/tests/base/test_auth.c
@@ -1,5 +1,5 @@
 /**
- * DOC: test_auth - sealed datagrams: tampering, replay, skew, many senders
+ * DOC: test_auth - rejection of altered, replayed and outdated datagrams
  */
 #include <errno.h>
 #include <string.h>
@@ -83,7 +83,7 @@
     g_assert_cmpint(open_at(&pair->b, &msg, NOW_MS), ==, 0);
 }
 
-TEST_F(pair, tampering)
+TEST_F(pair, rejects_altered_messages)
 {
     struct message msg;
 
@@ -100,11 +100,11 @@
         cut.len = len;
         g_assert_cmpint(open_at(&pair->b, &cut, NOW_MS), ==, -EBADMSG);
     }
-    /* None of that spoilt the true one. */
+    /* Rejected copies must not mark the sequence as seen. */
     g_assert_cmpint(open_at(&pair->b, &msg, NOW_MS), ==, 0);
 }
 
-TEST(other_key)
+TEST(rejects_wrong_key)
 {
     static const uint8_t other[16] = "0123456789abcdeF";
     struct auth a, b;
@@ -119,7 +119,7 @@
     auth_finish(&a);
 }
 
-TEST_F(pair, skew)
+TEST_F(pair, rejects_clock_skew)
 {
     struct message msg;
 
@@ -131,12 +131,12 @@
     g_assert_cmpint(open_at(&pair->b, &msg, NOW_MS - AUTH_SKEW_MS), ==, 0);
 }
 
-/* In any order each message passes once, unless it fell behind the window. */
+/* Reordered messages are accepted once, unless older than the window. */
 TEST_F(pair, replay_in_any_order)
 {
     enum { COUNT = 4 * AUTH_WINDOW };
     g_autofree struct message *msgs = g_new(struct message, COUNT);
-    g_autofree bool *taken = g_new0(bool, COUNT);
+    g_autofree bool *accepted = g_new0(bool, COUNT);
     int highest = -1;
 
     for (int i = 0; i < COUNT; i++)
@@ -144,18 +144,18 @@
     for (int i = 0; i < 4 * COUNT; i++) {
         int middle = i / 4;
         int low = MAX(middle - 2 * AUTH_WINDOW, 0);
-        int at = g_test_rand_int_range(low, MIN(middle + 20, COUNT));
-        bool fresh = !taken[at] && highest - at < AUTH_WINDOW;
+        int index = g_test_rand_int_range(low, MIN(middle + 20, COUNT));
+        bool fresh = !accepted[index] && highest - index < AUTH_WINDOW;
 
-        g_assert_cmpint(open_at(&pair->b, &msgs[at], NOW_MS), ==,
+        g_assert_cmpint(open_at(&pair->b, &msgs[index], NOW_MS), ==,
                         fresh ? 0 : -EALREADY);
-        taken[at] = true;
-        highest = MAX(highest, at);
+        accepted[index] = true;
+        highest = MAX(highest, index);
     }
 }
 
-/* A process that started again isn't taken for a replay of itself. */
-TEST_F(pair, restart)
+/* Messages of a restarted sender aren't rejected as replays. */
+TEST_F(pair, accepts_restarted_sender)
 {
     struct message msg;
 
@@ -170,8 +170,8 @@
     g_assert_cmpint(open_at(&pair->b, &msg, NOW_MS + 1), ==, 0);
 }
 
-/* Only the sender heard longest ago makes room for one too many. */
-TEST(many_senders)
+/* A full table evicts only the least recently used sender. */
+TEST(evicts_least_recent_sender)
 {
     struct message first[AUTH_PEERS_MAX];
     struct message extra;
--- a/tests/base/test_httpd.c
+++ b/tests/base/test_httpd.c
@@ -1,5 +1,5 @@
 /**
- * DOC: test_httpd - requests and answers of the HTTP listener
+ * DOC: test_httpd - requests and responses of the HTTP server
  */
 #include <errno.h>
 #include <event2/buffer.h>
@@ -11,13 +11,13 @@
 
 #define SUITE "/base/httpd"
 
-/** struct echo - a listener with a handler that says what it was asked */
+/** struct echo - a server whose handler returns the parts of the request */
 struct echo {
     struct httpd_handler handler;
     unsigned calls;
     struct event_base *base;
     struct httpd *httpd;
-    struct addr at;
+    struct addr addr;
 };
 
 static int
@@ -53,7 +53,7 @@
     echo->base = event_base_new();
     echo->httpd = httpd_new(echo->base, any, &echo->handler, NULL);
     g_assert_nonnull(echo->httpd);
-    echo->at = httpd_addr(echo->httpd);
+    echo->addr = httpd_addr(echo->httpd);
 }
 
 static void
@@ -70,11 +70,11 @@
         event_base_loopbreak(data);
 }
 
-/* All that the listener sends back for @text. */
+/* Sends @text and returns the complete response. */
 static char *
 exchange(struct echo *echo, const char *text)
 {
-    struct sockaddr_in sin = addr_to_sockaddr(echo->at);
+    struct sockaddr_in sin = addr_to_sockaddr(echo->addr);
     struct bufferevent *event =
         bufferevent_socket_new(echo->base, -1, BEV_OPT_CLOSE_ON_FREE);
     struct evbuffer *in = bufferevent_get_input(event);
@@ -104,9 +104,9 @@
     g_assert_true(g_str_has_suffix(response, end));
 }
 
-TEST_F(echo, requests)
+TEST_F(echo, decodes_requests)
 {
-    g_assert_cmpuint(echo->at.port, !=, 0);
+    g_assert_cmpuint(echo->addr.port, !=, 0);
     expect(echo,
            "GET /a%20b?q=1%2B HTTP/1.1\r\nHost: x\r\nX-Id: 7\r\n"
            "Connection: close\r\n\r\n",
@@ -122,10 +122,10 @@
     g_assert_cmpuint(echo->calls, ==, 3);
 }
 
-TEST_F(echo, address_in_use)
+TEST_F(echo, reports_address_in_use)
 {
     struct error err;
 
-    g_assert_null(httpd_new(echo->base, echo->at, &echo->handler, &err));
+    g_assert_null(httpd_new(echo->base, echo->addr, &echo->handler, &err));
     g_assert_cmpint(err.code, ==, -EADDRINUSE);
 }
--- a/tests/base/test_json_scan.c
+++ b/tests/base/test_json_scan.c
@@ -1,5 +1,5 @@
 /**
- * DOC: test_json_scan - paths and lines of keys
+ * DOC: test_json_scan - paths and line numbers of keys
  */
 #include <json-c/json.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 
 #define SUITE "/base/json-scan"
 
-/* All keys of @text as "line:path " each. */
+/* Lists all keys of @text, each as "line:path ". */
 static char *
 keys_of(const char *text)
 {
@@ -23,7 +23,7 @@
     return g_string_free(out, FALSE);
 }
 
-TEST(paths)
+TEST(paths_and_lines)
 {
     static const char *const cases[][2] = {
         {"{}", ""},
@@ -68,8 +68,8 @@
     return value;
 }
 
-/* Each key of a random text is found once, under a path of its own. */
-TEST(random)
+/* Each key of a random text is found once, under a unique path. */
+TEST(random_text)
 {
     for (int i = 0; i < 500; i++) {
         GHashTable *paths =
--- a/tests/base/test_link.c
+++ b/tests/base/test_link.c
@@ -1,5 +1,5 @@
 /**
- * DOC: test_link - frames between hubs, and unauthenticated_peers at a hub
+ * DOC: test_link - delivery of frames and rejection of unauthenticated peers
  */
 #include <errno.h>
 #include <event2/buffer.h>
@@ -16,7 +16,7 @@
 static const uint8_t key[16] = "0123456789abcdef";
 static const uint8_t other_key[16] = "0123456789abcdeF";
 
-/** struct side - a hub and what its owner saw */
+/** struct side - a hub and its recorded callbacks */
 struct side {
     struct link_handler base;
     struct auth auth;
@@ -82,7 +82,7 @@
     g_byte_array_unref(side->bytes);
 }
 
-/** struct sides - two hubs on one loop */
+/** struct sides - two hubs on one event loop */
 struct sides {
     struct event_base *base;
     struct side a;
@@ -107,7 +107,7 @@
     event_base_free(sides->base);
 }
 
-/* Run the loop until *@seen reaches @count. */
+/* Runs the loop until *@seen reaches @count. */
 static void
 run_until(struct event_base *base, const unsigned *seen, unsigned count)
 {
@@ -117,8 +117,8 @@
     }
 }
 
-/* Frames of all sizes arrive whole, in order, and go back the same way. */
-TEST_F(sides, frames, key)
+/* Frames of all sizes and their replies arrive complete and in order. */
+TEST_F(sides, delivers_frames_in_order, key)
 {
     g_autoptr(GByteArray) sent = g_byte_array_new();
 
@@ -145,7 +145,7 @@
     g_assert_cmpuint(link_hub_queued(&sides->a.hub), ==, 0);
 }
 
-TEST_F(sides, limits, key)
+TEST_F(sides, limits_frame_and_queue_size, key)
 {
     uint8_t *body = g_malloc0(LINK_FRAME_MAX);
     size_t max = LINK_FRAME_MAX - LINK_WIRE_OVERHEAD;
@@ -162,8 +162,8 @@
     g_free(body);
 }
 
-/* A refused connection is told as such: the process there is gone. */
-TEST(refused)
+/* A refused connection is reported as -ECONNREFUSED. */
+TEST(reports_refused_connection)
 {
     struct event_base *base = event_base_new();
     struct side a, b;
@@ -184,7 +184,7 @@
     event_base_free(base);
 }
 
-TEST_F(sides, other_key, other_key)
+TEST_F(sides, rejects_wrong_key, other_key)
 {
     link_send(&sides->a.hub, sides->to, 1, key, 4);
     run_until(sides->base, &sides->b.disconnects, 1);
@@ -201,7 +201,7 @@
         ++*(unsigned *)data;
 }
 
-/* Send @len bytes as a stranger; the hub must hang up. */
+/* Sends @len raw bytes and expects the hub to close the connection. */
 static void
 expect_disconnect(struct event_base *base, struct side *b,
                   const uint8_t *bytes, size_t len)
@@ -221,7 +221,7 @@
     g_assert_cmpuint(b->hub.unauthenticated, ==, 0);
 }
 
-TEST_F(sides, unauthenticated_peers, key)
+TEST_F(sides, disconnects_unauthenticated_peers, key)
 {
     uint8_t hello[LINK_WIRE_HELLO_LEN + LINK_WIRE_OVERHEAD] = "SAL1";
 
@@ -232,27 +232,27 @@
             garbage[at] = (uint8_t)g_test_rand_int();
         expect_disconnect(sides->base, &sides->b, garbage, sizeof(garbage));
     }
-    /* Before the proof no long frame is waited for. */
+    /* A long frame before authentication is rejected by its length. */
     memset(hello + LINK_WIRE_HELLO_LEN, 0, LINK_WIRE_OVERHEAD);
     hello[LINK_WIRE_HELLO_LEN + 1] = 0x10;
     expect_disconnect(sides->base, &sides->b, hello,
                       LINK_WIRE_HELLO_LEN + LINK_WIRE_LENGTH_LEN);
     g_assert_cmpint(sides->b.reason, ==, -EMSGSIZE);
-    /* A proof of the right size with a wrong tag. */
+    /* An authentication frame with a wrong tag. */
     hello[LINK_WIRE_HELLO_LEN + 1] = 0;
     hello[LINK_WIRE_HELLO_LEN + 3] = LINK_WIRE_OVERHEAD - LINK_WIRE_LENGTH_LEN;
     expect_disconnect(sides->base, &sides->b, hello, sizeof(hello));
     g_assert_cmpint(sides->b.reason, ==, -EBADMSG);
-    /* A frame shorter than its own overhead. */
+    /* A frame shorter than the overhead. */
     hello[LINK_WIRE_HELLO_LEN + 3] = 1;
     expect_disconnect(sides->base, &sides->b, hello, sizeof(hello));
-    /* Nothing at all, until the time for the proof is over. */
+    /* An incomplete hello, until the authentication timeout. */
     expect_disconnect(sides->base, &sides->b, hello, 3);
     g_assert_cmpint(sides->b.reason, ==, -ETIMEDOUT);
     g_assert_cmpuint(sides->b.hub.rejected, ==, 103);
 }
 
-/** struct pair - two ends of a connection without sockets */
+/** struct pair - both ends of a connection, without sockets */
 struct pair {
     struct auth auth;
     struct link_wire a;
@@ -292,8 +292,8 @@
     g_assert_cmpint(link_wire_open(wire, auth, bytes, len, frame), ==, ret);
 }
 
-/* Changed, replayed, reordered, reflected and foreign frames are refused. */
-TEST(wire)
+/* Altered, replayed, reordered, reflected and foreign frames are rejected. */
+TEST(wire_rejects_invalid_frames)
 {
     uint8_t first[FRAME_LEN], second[FRAME_LEN];
     struct link_frame frame;
@@ -304,7 +304,7 @@
     put_frame(&pair, first);
     put_frame(&pair, second);
     g_assert_cmpuint(link_wire_frame_size(first), ==, FRAME_LEN);
-    /* The length itself isn't under the tag; it decides where the tag is. */
+    /* The tag doesn't cover the length, which determines its position. */
     for (size_t bit = LINK_WIRE_LENGTH_LEN * 8; bit < FRAME_LEN * 8; bit++) {
         first[bit / 8] ^= (uint8_t)(1 << bit % 8);
         expect_open(&pair.b, &pair.auth, first, FRAME_LEN, -EBADMSG, &frame);
@@ -315,7 +315,7 @@
     expect_open(&pair.b, &pair.auth, second, FRAME_LEN, -EBADMSG, &frame);
     expect_open(&pair.a, &pair.auth, first, FRAME_LEN, -EBADMSG, &frame);
     expect_open(&other.b, &pair.auth, first, FRAME_LEN, -EBADMSG, &frame);
-    /* Another peer's nonce, though the receiver's own is right. */
+    /* A frame with another peer's nonce and the right own nonce. */
     pair.b.peer_nonce[0] ^= 1;
     expect_open(&pair.b, &pair.auth, first, FRAME_LEN, -EBADMSG, &frame);
     pair.b.peer_nonce[0] ^= 1;
--- a/tests/base/test_settings.c
+++ b/tests/base/test_settings.c
@@ -1,5 +1,5 @@
 /**
- * DOC: test_settings - faults of settings files and how they are told
+ * DOC: test_settings - loading of settings files and reports of their faults
  */
 #include <errno.h>
 #include <glib/gstdio.h>
@@ -11,7 +11,7 @@
 #define SUITE "/base/settings"
 #define KEY "0123456789abcdef"
 
-/** struct fixture - a folder with a settings file and a key file */
+/** struct fixture - a directory with a settings file and a key file */
 struct fixture {
     char *folder;
     char *file;
@@ -59,7 +59,7 @@
     "\"site_key_file\": \"site.key\", \"fabric\": \"127.0.0.1:7\",\n"
     "\"drain_s\": 12, \"trace_file\": \"\", \"trace_sample\": 10}\n";
 
-TEST_F(fixture, complete)
+TEST_F(fixture, loads_complete_file)
 {
     g_assert_cmpint(load(fixture, SETTINGS_AGENT, complete), ==, 0);
     g_assert_null(fixture->report);
@@ -76,7 +76,7 @@
     g_assert_cmpstr(fixture->settings.log_level, ==, "message");
 }
 
-TEST_F(fixture, operator)
+TEST_F(fixture, operator_requires_fewer_keys)
 {
     const char *few = "{\"platform\": \"http://127.0.0.1:4\", \"seeds\": [],"
                       "\"site_key_file\": \"site.key\"}";
@@ -86,8 +86,8 @@
     g_assert_cmpint(load(fixture, SETTINGS_BALANCER, few), ==, -EINVAL);
 }
 
-/* All faults come in one report, each with its line and what was expected. */
-TEST_F(fixture, all_faults)
+/* One report has all faults, each with its line and the expected value. */
+TEST_F(fixture, reports_all_faults)
 {
     const char *text = "{\"name\": \"a b\",\n"
                        "\"cell\": 4,\n"
@@ -102,7 +102,7 @@
                        "\"colour\" : true}";
     static const char *const expected[] = {
         "agent.json:1: key \"name\" is \"a b\"; expected a name",
-        "agent.json:2: key \"cell\" is 4; expected a name (text)",
+        "agent.json:2: key \"cell\" is 4; expected a name (string)",
         "agent.json:11: key \"colour\" is given twice",
         "agent.json:3: key \"data\" is \"127.0.0.1\"; expected an address",
         "agent.json:4: key \"drain_s\" is -1; expected a whole number from 0",
@@ -131,7 +131,7 @@
     g_assert_cmpstr(fixture->err.peer, ==, fixture->file);
 }
 
-TEST_F(fixture, not_json)
+TEST_F(fixture, reports_syntax_errors)
 {
     static const struct {
         const char *text;
@@ -155,7 +155,7 @@
     }
 }
 
-TEST_F(fixture, files)
+TEST_F(fixture, reports_unreadable_files)
 {
     g_assert_cmpint(settings_load(&fixture->settings, SETTINGS_AGENT,
                                   fixture->file, &fixture->report,
@@ -174,7 +174,7 @@
     g_assert_nonnull(strstr(fixture->report, ":5: key \"site_key_file\""));
 }
 
-/* A file cut or changed anywhere is refused or read, never worse. */
+/* A corrupted file is either loaded or rejected with a report. */
 TEST_F(fixture, random_corruption)
 {
     for (int i = 0; i < 500; i++) {
--- a/tests/base/test_trace.c
+++ b/tests/base/test_trace.c
@@ -1,5 +1,5 @@
 /**
- * DOC: test_trace - traceparent and span lines
+ * DOC: test_trace - the traceparent header and the lines of spans
  */
 #include <errno.h>
 #include <glib/gstdio.h>
@@ -34,7 +34,7 @@
     trace_finish(&trace);
 }
 
-TEST(rejects)
+TEST(rejects_invalid_traceparent)
 {
     static const char *const bad[] = {
         "",
@@ -95,7 +95,7 @@
     g_rmdir(folder);
 }
 
-TEST(file_fails)
+TEST(reports_unwritable_file)
 {
     struct trace trace;
     struct error err;
--- a/tests/base/test_values.c
+++ b/tests/base/test_values.c
@@ -1,5 +1,5 @@
 /**
- * DOC: test_values - addresses, hashes, counters, clocks and errors
+ * DOC: test_values - addresses, hashes, counters, clocks, errors and the log
  */
 #include <errno.h>
 #include <glib/gstdio.h>
@@ -32,7 +32,7 @@
     }
 }
 
-TEST(addr_rejects)
+TEST(addr_rejects_invalid_text)
 {
     static const char *const bad[] = {
         "",           "1.2.3.4",        "1.2.3.4:",     "1.2.3.4:65536",
@@ -50,7 +50,7 @@
     }
 }
 
-/* Flipping any one bit of either value flips about half of the result. */
+/* Flipping any input bit flips about half of the result's bits. */
 TEST(hash_pair_avalanche)
 {
     for (int bit = 0; bit < 128; bit++) {
@@ -71,7 +71,7 @@
     }
 }
 
-/* Processes of different builds must agree: the values are fixed. */
+/* The hashes must be the same in all builds. */
 TEST(hash_known_values)
 {
     g_assert_cmphex(hash_bytes("", 0, 0), ==, 0xef46db3751d8e999);
@@ -157,7 +157,7 @@
     g_assert_cmpuint(clock_now_us(&runtime), >=, first);
 }
 
-TEST(errors)
+TEST(error_format)
 {
     char long_text[400];
     char buf[128];
@@ -178,12 +178,12 @@
     g_assert_cmpint(error_set(NULL, -EIO, "read", NULL, "x"), ==, -EIO);
 }
 
-/* What two calls leave on standard error, which becomes a file meanwhile. */
-TEST(log)
+/* Redirects standard error to a file to read the lines of two calls. */
+TEST(log_level_and_format)
 {
     g_autofree char *path = NULL;
     int fd = g_file_open_tmp("log-XXXXXX", &path, NULL);
-    int saved = dup(STDERR_FILENO);
+    int saved_fd = dup(STDERR_FILENO);
     g_autofree char *text = NULL;
 
     g_assert_cmpint(log_init("a1", "loud"), ==, -EINVAL);
@@ -193,14 +193,14 @@
                      "Too low.");
     g_log_structured("swiftarch-agent", G_LOG_LEVEL_WARNING, "MESSAGE",
                      "The upstream is lost.");
-    dup2(saved, STDERR_FILENO);
+    dup2(saved_fd, STDERR_FILENO);
     g_assert_true(g_file_get_contents(path, &text, NULL, NULL));
     g_test_message("%s", text);
     g_assert_true(g_str_has_prefix(text, "20"));
     g_assert_true(
         g_str_has_suffix(text, "Z warning a1 agent: The upstream is lost.\n"));
     g_assert_null(strstr(text, "Too low"));
-    close(saved);
+    close(saved_fd);
     close(fd);
     g_unlink(path);
 }
