--- a/bench/packet/bench_forward.c
+++ b/bench/packet/bench_forward.c
@@ -1,15 +1,13 @@
 /**
  * DOC: bench_forward - the balancer's workers against a baseline forwarder
  *
- * Each round fills the sockets of the forwarder with a fixed number of
- * packets over loopback while it stands still, starts it, and takes the
- * time until it has passed on all of them. Rounds of the baseline forwarder
- * and of the balancer take turns, with the same packets, sockets, batch
- * and destinations. The destinations are sockets that nobody reads, so
- * what is compared is the forwarder and not its receivers; with less work
- * in the kernel the balancer's own share weighs more, not less. On a busy
- * machine compare the processor time of the forwarders' threads; packets
- * per second then depend on who else runs.
+ * Each round sends a fixed number of packets over loopback to the sockets of
+ * a stopped forwarder, starts it and measures the time until all of them are
+ * forwarded. Rounds of the baseline ("bare": recvmmsg and sendmmsg only) and
+ * of the balancer alternate, with the same packets, batch size and
+ * destinations. The destination sockets are never read, so that the time of
+ * receivers isn't included. On a busy machine compare the processor time of
+ * the forwarders' threads rather than packets per second.
  */
 #include <argtable2.h>
 #include <glib.h>
@@ -36,7 +34,7 @@
 #define ROUND_LIMIT_S 10.0
 #define FLOW_COUNT 400000
 
-/** struct bench - what all rounds share; the generator sends @batch */
+/** struct bench - state shared by all rounds; the generator uses @batch */
 struct bench {
     int sinks[ENDPOINTS];
     struct addr to[ENDPOINTS];
@@ -46,7 +44,7 @@
     uint32_t next_caller;
 };
 
-/** struct baseline - one thread of the baseline forwarder */
+/** struct baseline - a thread of the baseline forwarder */
 struct baseline {
     const struct bench *bench;
     int fd;
@@ -57,10 +55,10 @@
 };
 
 /**
- * struct result - the rounds of one forwarder
+ * struct result - results of the rounds of one forwarder
  * @rates: packets per second
- * @costs: nanoseconds of processor time per packet, of its threads
- * @count: rounds
+ * @costs: processor time of the threads, nanoseconds per packet
+ * @count: number of rounds
  */
 struct result {
     double rates[ROUNDS_MAX];
@@ -68,7 +66,7 @@
     size_t count;
 };
 
-/** struct stopwatch - wall clock and processor time at a start */
+/** struct stopwatch - start times in seconds: wall clock and workers' CPU */
 struct stopwatch {
     double wall;
     double workers;
@@ -89,7 +87,7 @@
     return clock_s(CLOCK_MONOTONIC);
 }
 
-/* Processor time of all threads but this one, which only waits */
+/* Processor time of all threads except the calling one */
 static double
 workers_s(void)
 {
@@ -128,7 +126,7 @@
 
     if (fd < 0 || bind(fd, (struct sockaddr *)&sin, len) < 0 ||
         getsockname(fd, (struct sockaddr *)&sin, &len) < 0)
-        g_error("A sink can't be opened.");
+        g_error("Can't open a destination socket.");
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
     *addr = addr_from_sockaddr(&sin);
     return fd;
@@ -157,7 +155,7 @@
     free(bench->batch);
 }
 
-/* Packets of distinct flows; one flow in eight opens. */
+/* Sends packets of distinct flows, one in eight of them a SYN. */
 static void
 send_packets(struct bench *bench, struct addr to, size_t count)
 {
@@ -183,7 +181,7 @@
         }
         int done = sendmmsg(fd, batch->out, n, 0);
         if (done <= 0)
-            g_error("The generator can't send.");
+            g_error("sendmmsg() of the generator failed.");
         sent += (size_t)done;
     }
     close(fd);
@@ -203,7 +201,7 @@
     for (unsigned sent = 0; sent < count;) {
         int n = sendmmsg(baseline->fd, batch->out + sent, count - sent, 0);
         if (n <= 0)
-            g_error("The bare forwarder can't send.");
+            g_error("sendmmsg() of the baseline forwarder failed.");
         sent += (unsigned)n;
     }
     __atomic_store_n(&baseline->forwarded, baseline->forwarded + count,
@@ -233,7 +231,7 @@
     return sum;
 }
 
-/* Note a round; g_error() when not all packets came through */
+/* Records a round; aborts if packets are missing */
 static void
 record_result(struct result *result, const struct stopwatch *start,
               uint64_t count, uint64_t done)
@@ -243,7 +241,7 @@
 
     if (done < count)
         g_error("Only %" G_GUINT64_FORMAT " of %" G_GUINT64_FORMAT
-                " packets came through.",
+                " packets were forwarded.",
                 done, count);
     result->rates[result->count] = (double)count / wall;
     result->costs[result->count] = workers * 1e9 / (double)count;
@@ -303,7 +301,7 @@
     if (worker_pool_init(&pool, (struct addr){LOOPBACK, 0}, workers, &owner,
                          &clock, &counters, &trace, &err) < 0 ||
         route_table_new(bench->view, bench->text, NULL, &table) < 0)
-        g_error("The balancer can't start.");
+        g_error("Can't start the balancer.");
     worker_pool_publish(&pool, table);
     send_packets(bench, pool.addr, count);
 
@@ -318,7 +316,7 @@
     counter_table_finish(&counters);
 }
 
-/* Prints one line; returns the ratio of the median rates */
+/* Prints one line; returns the balancer's median rate over the baseline's */
 static double
 compare(struct bench *bench, unsigned workers, size_t rounds, double *rate,
         double *cost_ratio)
@@ -361,12 +359,12 @@
         if (sscanf(line, "Anonymous: %ld kB", &kilobytes) == 1)
             break;
     if (kilobytes < 0)
-        g_error("Resident memory can't be read.");
+        g_error("Can't read the resident memory from smaps_rollup.");
     fclose(file);
     return kilobytes * 1024;
 }
 
-/* Resident memory before and after distinct flows through one balancer */
+/* Growth of resident memory, bytes, over FLOW_COUNT distinct flows */
 static long
 measure_flows(struct bench *bench)
 {
@@ -394,8 +392,8 @@
         double start = now_s();
         while (counter_read(&counters, pool.forwarded) < sent)
             if (now_s() > start + ROUND_LIMIT_S)
-                g_error("Packets were lost on the way.");
-        if (before == 0) /* after the first use of all buffers */
+                g_error("The balancer didn't forward all packets in time.");
+        if (before == 0) /* all buffers are allocated now */
             before = resident_bytes();
     }
     long growth = resident_bytes() - before;
@@ -450,9 +448,9 @@
 {
     struct arg_lit *help = arg_lit0("h", "help", "print this");
     struct arg_int *rounds =
-        arg_int0(NULL, "rounds", "N", "rounds of each, default 40");
+        arg_int0(NULL, "rounds", "N", "rounds per forwarder, default 40");
     struct arg_int *workers =
-        arg_int0(NULL, "workers", "N", "most workers, default 8");
+        arg_int0(NULL, "workers", "N", "maximum number of workers, default 8");
     struct arg_end *end = arg_end(5);
     void *table[] = {help, rounds, workers, end};
 
--- a/bench/packet/bench_lookup.c
+++ b/bench/packet/bench_lookup.c
@@ -1,13 +1,13 @@
 /**
- * DOC: bench_lookup - cost of deciding about a packet, and of the tables
+ * DOC: bench_lookup - time of routing decisions and of table builds
  *
- * All in one thread view_without sockets. A decision includes the check of the
- * packet, as in a worker. The packets of FLOWS distinct flows are decided
- * about in turn, so that all rows of the table are used. "known" is a
- * packet that opens no flow, "open" one that does, "drain" the same while
- * one endpoint drains, "batch" a known one in a worker's batch, with its
- * encapsulation written. "busiest" is the first hops of flows: those of
- * the max_load_ratio endpoint over those of the mean one.
+ * Runs in one thread without sockets. A decision includes the validation of
+ * the packet, as in a worker; packets of FLOWS distinct flows are decided in
+ * turn, so that all rows of the table are used. Columns: "estab" is a packet
+ * of an established flow, "open" a SYN, "drain" a SYN while an endpoint
+ * drains, "batch" a packet of an established flow in a worker's batch, with
+ * its encapsulation. "busiest" is the maximum number of flows of an endpoint
+ * as first hop, over the mean.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -27,13 +27,13 @@
 #define FLOW_COUNT 400000
 #define NOW_US (ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US)
 
-/** struct packets - one small packet of each flow */
+/** struct packets - one packet of each flow */
 struct packets {
     uint8_t bytes[FLOWS][PACKET_SIZE_MAX];
     size_t lens[FLOWS];
 };
 
-/** struct measurements - of one size; times of one packet or one table */
+/** struct measurements - results of a table size, per packet or build */
 struct measurements {
     size_t endpoints;
     double established_ns;
@@ -92,7 +92,7 @@
     return (now_ns() - start) / ((double)PASSES * FLOWS);
 }
 
-/* Median time of a decision */
+/* Median time of a decision, nanoseconds */
 static double
 decide_ns(const struct route_table *table, struct packets *packets,
           uint8_t flags)
@@ -106,7 +106,7 @@
     return times[REPEATS / 2];
 }
 
-/* Median time of a packet in a batch, with its encapsulation */
+/* Median time per packet of a batch with encapsulation, nanoseconds */
 static double
 batch_ns(const struct route_table *table, struct packets *packets)
 {
@@ -148,11 +148,11 @@
     struct route_table *table;
 
     if (route_table_new(view, text, previous, &table) < 0)
-        g_error("A table can't be built.");
+        g_error("Can't build a route table.");
     return table;
 }
 
-/* Median time of a build after @previous */
+/* Median time of a build with @previous, microseconds */
 static double
 build_us(const struct view *view, const struct text *text,
          const struct route_table *previous)
@@ -169,7 +169,7 @@
     return times[REPEATS / 2];
 }
 
-/* The view view_without its member @index */
+/* Copy of @view without the member @index */
 static struct view *
 view_without(const struct view *view, size_t index)
 {
@@ -181,7 +181,7 @@
     return reduced;
 }
 
-/* Flows of the max_load_ratio endpoint over those of the mean one */
+/* Maximum over mean number of flows of an endpoint as first hop */
 static double
 max_load_ratio(const struct route_table *table, struct packets *packets,
                size_t endpoints)
@@ -233,7 +233,7 @@
     free(view);
 }
 
-/* Pages of data; those of the program file come in 64 kB at a time. */
+/* Anonymous pages only, as the program file is mapped in larger steps. */
 static long
 resident_bytes(void)
 {
@@ -245,7 +245,7 @@
         if (sscanf(line, "Anonymous: %ld kB", &kilobytes) == 1)
             break;
     if (kilobytes < 0)
-        g_error("Resident memory can't be read.");
+        g_error("Can't read the resident memory from smaps_rollup.");
     fclose(file);
     return kilobytes * 1024;
 }
@@ -283,7 +283,7 @@
 
     printf(
         "           ns of a packet                    us of a table\n"
-        "endpoints  known   open  drain  batch      build     join    leave "
+        "endpoints  estab   open  drain  batch      build     join    leave "
         "unchanged     bytes  busiest\n");
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         struct measurements f = {.endpoints = sizes[i]};
--- a/src/packet/gue.c
+++ b/src/packet/gue.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 #define BARE_LEN 4
-#define FIXED_LEN 12 /* bare header, then the private data without hops */
+#define FIXED_LEN 12 /* bare header and private data without hops */
 #define HOP_LEN 14
 #define INNER_IPV4 4
 #define FLAG_PRIVATE 0x0001
-#define LAYOUT_TAG 0x51 /* layout of the private data, first version */
-#define KNOWN_FLAGS (GUE_OPEN | GUE_SUSPECTS | GUE_AGENT_FLAGS)
+#define LAYOUT_TAG 0x51 /* version 1 of the private data's layout */
+#define VALID_FLAGS (GUE_OPEN | GUE_SUSPECTS | GUE_AGENT_FLAGS)
 
 static uint64_t
 read_be(const uint8_t *p, size_t len)
@@ -52,13 +52,13 @@
     hop->data.port = (uint16_t)read_be(buf + 12, 2);
 }
 
-/* Private data of exactly the announced length, with a zero padding */
+/* Decodes the private data; its length must match the hops, padding be 0. */
 static int
 decode_private(const uint8_t *buf, size_t header_len, struct gue *gue)
 {
     if (header_len < FIXED_LEN || buf[7] != LAYOUT_TAG)
         return -EBADMSG;
-    if ((buf[4] & ~KNOWN_FLAGS) != 0)
+    if ((buf[4] & ~VALID_FLAGS) != 0)
         return -EBADMSG;
 
     uint8_t count = buf[6];
--- a/src/packet/packet.c
+++ b/src/packet/packet.c
@@ -59,10 +59,7 @@
     write16(p + 2, (uint16_t)value);
 }
 
-/*
- * The sum is the same in either byte order but for a final swap
- * (RFC 1071), so words are added as they lie in memory.
- */
+/* Adds words in host byte order; the folded sum is byte-swapped (RFC 1071). */
 static uint64_t
 checksum_add(uint64_t sum, const uint8_t *buf, size_t len)
 {
@@ -93,7 +90,7 @@
     return read16(bytes);
 }
 
-/* Checksum of a TCP or UDP segment with its pseudo header */
+/* Checksum of a TCP or UDP segment and its pseudo header */
 static uint16_t
 l4_checksum(const uint8_t *ip, const uint8_t *segment, size_t len)
 {
@@ -107,7 +104,7 @@
     return checksum_fold(checksum_add(sum, segment, len));
 }
 
-/* Every segment has one of SYN, RST or ACK; none opens and ends at once. */
+/* Requires SYN, RST or ACK; rejects SYN or RST with FIN, and SYN with RST. */
 static bool
 flags_valid(uint8_t flags)
 {
@@ -178,7 +175,7 @@
     return PACKET_OK;
 }
 
-/* A UDP checksum of 0 says that the sender made none (RFC 768). */
+/* A UDP checksum of 0 means that the sender computed none (RFC 768). */
 static bool
 l4_checksum_valid(const uint8_t *ip, const uint8_t *segment, size_t len)
 {
@@ -261,7 +258,7 @@
     if (packet->proto != PROTO_TCP || (packet->flags & PACKET_TCP_RST))
         return 0;
     if (packet->src == 0 || packet->src >> 28 >= 0xe)
-        return 0; /* multicast, reserved and broadcast have no one to tell */
+        return 0; /* unspecified, multicast, reserved or broadcast source */
 
     uint32_t consumed = packet->payload_len;
     if (packet->flags & PACKET_TCP_SYN)
--- a/src/packet/rank.c
+++ b/src/packet/rank.c
@@ -11,16 +11,16 @@
 #define BUCKET_BITS 12
 #define MEMBERS_MAX 65534
 
-/* Above this share of newcomers a fresh build is cheaper than a patch. */
+/* Above one added member in this many a full build is cheaper than a patch. */
 #define FULL_REBUILD_RATIO 4
 
 _Static_assert(RANK_BUCKETS == 1 << BUCKET_BITS, "bucket bits");
 
 /**
- * struct row - a row while it is being built
- * @count: handles in it
- * @scores: their scores, best first
- * @handles: handles into rank.members
+ * struct row - members of a bucket during a build
+ * @count: number of members
+ * @scores: scores of the members, best first
+ * @handles: indices into rank.members, best first
  */
 struct row {
     size_t count;
@@ -29,10 +29,10 @@
 };
 
 /**
- * struct change - how the members differ from those of an earlier table
- * @new_handles: new handle of each earlier one, RANK_NONE if it left
- * @joined: handles of the newcomers
- * @joined_count: how many
+ * struct change - difference of the members from those of the previous table
+ * @new_handles: new handle by previous handle, RANK_NONE if removed
+ * @joined: handles of added members
+ * @joined_count: number of @joined
  */
 struct change {
     uint16_t *new_handles;
@@ -48,7 +48,7 @@
     return (x > y) - (x < y);
 }
 
-/* Members are sorted, so the lower handle wins a tie on every process. */
+/* Members are sorted, so ties have the same order in every process. */
 static bool
 row_before(uint64_t score, uint16_t handle, uint64_t other_score,
            uint16_t other)
@@ -95,7 +95,7 @@
     row_store(&row, &rank->table[(size_t)bucket * RANK_DEPTH]);
 }
 
-/* The first newcomer that gets in makes the scores of the row known. */
+/* Computes the scores of a row; called only if a member is added to it. */
 static void
 row_load(struct row *row, const struct rank *rank, uint32_t bucket,
          const uint16_t *handles, size_t count)
@@ -139,8 +139,8 @@
 }
 
 /*
- * A row that lost a member lacks the next best of all others, unless it
- * held all members there were.
+ * Updates a row of the previous table. A row that lost a member is rebuilt
+ * from all members, unless it already contained all of them.
  */
 static void
 patch_row(struct rank *rank, uint32_t bucket, const struct rank *previous,
--- a/src/packet/rank.h
+++ b/src/packet/rank.h
@@ -1,11 +1,11 @@
 /**
- * DOC: rank - which endpoints may own a flow, by rendezvous hashing
+ * DOC: rank - table of candidate endpoints of a flow, by rendezvous hashing
  *
- * A flow's hash picks one of RANK_BUCKETS buckets (a constant, so that a
- * join never changes the bucket of a flow); each bucket holds
- * the endpoints with the RANK_DEPTH highest scores hash_pair(member,
- * bucket), best first. No weights: dispatch of requests does the
- * balancing, so a load change never re-ranks a flow.
+ * A flow's hash selects one of RANK_BUCKETS buckets; the number is constant,
+ * so that a new endpoint never changes the bucket of a flow. Each bucket has
+ * the endpoints with the RANK_DEPTH highest scores hash_pair(member, bucket),
+ * best first. Scores have no weights, so load never changes the order; load
+ * is balanced by the dispatch of requests.
  */
 #ifndef SWIFTARCH_PACKET_RANK_H
 #define SWIFTARCH_PACKET_RANK_H
@@ -13,16 +13,16 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define RANK_DEPTH 6
+#define RANK_DEPTH 6 /* endpoints per bucket */
 #define RANK_BUCKETS 4096
-#define RANK_NONE UINT16_MAX
+#define RANK_NONE UINT16_MAX /* no handle */
 
 /**
- * struct rank - ranks of one service
- * @count: endpoints
- * @members: member id of each endpoint (handle = index)
- * @table: RANK_BUCKETS * RANK_DEPTH handles, RANK_NONE at the end of short
- * rows
+ * struct rank - table of one service
+ * @count: number of endpoints
+ * @members: member ids in ascending order; a handle is an index into them
+ * @table: RANK_BUCKETS rows of RANK_DEPTH handles, best first, short rows
+ *         filled up with RANK_NONE
  */
 struct rank {
     uint16_t count;
@@ -31,14 +31,14 @@
 };
 
 /**
- * rank_init() - build the table
- * @members: ids of the endpoints, in any order (copied)
- * @count: at most 65534
- * @previous: table of earlier members, to rebuild only what changed; or NULL
+ * rank_init() - build a table
+ * @members: member ids of the endpoints in any order; copied, duplicates are
+ *           removed
+ * @count: number of @members, at most 65534
+ * @previous: earlier table, whose unchanged rows are reused, or NULL; the
+ *            result doesn't depend on it
  *
- * The result depends on the set of members only, never on @previous.
- *
- * Return: 0 or -ENOMEM, -E2BIG.
+ * Return: 0, -ENOMEM or -E2BIG.
  */
 int
 rank_init(struct rank *rank, const uint64_t *members, size_t count,
@@ -48,15 +48,15 @@
 void
 rank_finish(struct rank *rank);
 
-/** rank_score() - score of a member for a bucket, higher is better */
+/** rank_score() - score of a member in a bucket; higher is better */
 uint64_t
 rank_score(uint64_t member, uint32_t bucket);
 
-/** rank_bucket() - bucket of a flow (top bits of its hash) */
+/** rank_bucket() - bucket of a flow, the top bits of its hash */
 uint32_t
 rank_bucket(uint64_t flow_hash);
 
-/** rank_row() - RANK_DEPTH handles for a flow, best first */
+/** rank_row() - RANK_DEPTH handles of a flow's bucket, best first */
 const uint16_t *
 rank_row(const struct rank *rank, uint64_t flow_hash);
 
--- a/tests/packet/gue_test.c
+++ b/tests/packet/gue_test.c
@@ -1,3 +1,6 @@
+/**
+ * DOC: gue_test - encoding of hop lists and rejection of malformed headers
+ */
 #include <errno.h>
 #include <string.h>
 
@@ -50,7 +53,7 @@
     }
 }
 
-TEST(bare)
+TEST(bare_header)
 {
     uint8_t buf[GUE_HEADER_MAX];
     const uint8_t expected[] = {0, 4, 0, 0};
@@ -62,7 +65,7 @@
     g_assert_cmpuint(gue.count, ==, 0);
 }
 
-TEST(golden)
+TEST(encodes_known_bytes)
 {
     const uint8_t expected[] = {
         0x06, 4, 0, 1,                      /* GUE, 6 words */
@@ -81,8 +84,8 @@
     g_assert_cmpmem(buf, sizeof(expected), expected, sizeof(expected));
 }
 
-/* Every cut is refused, on a heap block of just that size. */
-TEST(truncation)
+/* Truncated headers are rejected; exact heap blocks expose overreads. */
+TEST(rejects_truncated_header)
 {
     uint8_t buf[GUE_HEADER_MAX];
     struct gue gue = random_gue();
@@ -98,8 +101,8 @@
     }
 }
 
-/* What is accepted after a mutation encodes to the very same bytes. */
-TEST(mutation)
+/* A mutated header that is accepted encodes to the same bytes again. */
+TEST(random_mutation)
 {
     size_t accepted = 0;
 
--- a/tests/packet/packet_test.c
+++ b/tests/packet/packet_test.c
@@ -1,3 +1,6 @@
+/**
+ * DOC: packet_test - parsing, validation and building of IPv4 packets
+ */
 #include <stdbool.h>
 #include <string.h>
 
@@ -25,9 +28,9 @@
     set16(buf + 10, packet_checksum(buf, (size_t)(buf[0] & 15) * 4));
 }
 
-/* The plain sum of RFC 1071, word by word, to check the fast one against */
+/* Checksum of RFC 1071 by single bytes, as reference */
 static uint16_t
-slow_checksum(const uint8_t *buf, size_t len)
+reference_checksum(const uint8_t *buf, size_t len)
 {
     uint32_t sum = 0;
     for (size_t i = 0; i < len; i++)
@@ -40,15 +43,15 @@
 static void
 set_l4_checksum(uint8_t *buf, size_t len)
 {
-    uint8_t all[12 + PACKET_MAX] = {0};
+    uint8_t pseudo[12 + PACKET_MAX] = {0};
     size_t at = buf[9] == 6 ? 36 : 26;
 
     set16(buf + at, 0);
-    memcpy(all, buf + 12, 8);
-    all[9] = buf[9];
-    set16(all + 10, (unsigned)(len - 20));
-    memcpy(all + 12, buf + 20, len - 20);
-    set16(buf + at, slow_checksum(all, 12 + len - 20));
+    memcpy(pseudo, buf + 12, 8);
+    pseudo[9] = buf[9];
+    set16(pseudo + 10, (unsigned)(len - 20));
+    memcpy(pseudo + 12, buf + 20, len - 20);
+    set16(buf + at, reference_checksum(pseudo, 12 + len - 20));
 }
 
 static size_t
@@ -75,7 +78,7 @@
     return len;
 }
 
-/* On a heap block of just that size, so that a read outside is seen */
+/* Parses an exact heap block, so that overreads are detected */
 static enum packet_drop
 parse_exact(const uint8_t *buf, size_t len, struct packet *packet)
 {
@@ -84,7 +87,7 @@
     return drop;
 }
 
-TEST(fields)
+TEST(parses_fields)
 {
     uint8_t buf[PACKET_MAX];
     struct packet p;
@@ -110,7 +113,7 @@
     g_assert_cmpuint(p.payload_len, ==, 5);
 }
 
-/** struct patch - bytes to change in a good packet, and what must follow */
+/** struct patch - change to a valid packet and the expected result */
 struct patch {
     const char *name;
     int at;
@@ -152,7 +155,7 @@
     {"all flags", 33, 0xff, false, true, PACKET_BAD_FLAGS},
 };
 
-TEST(table)
+TEST(validates_headers)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(patches); i++) {
         const struct patch *patch = &patches[i];
@@ -176,7 +179,7 @@
     struct packet p;
     size_t len = packet_build_udp(CALLER, 1, SERVICE, 2, zeros, 9, buf);
 
-    buf[25] = 16; /* says 16, holds 17 */
+    buf[25] = 16; /* the datagram has 17 */
     set_l4_checksum(buf, len);
     g_assert_cmpint(parse_exact(buf, len, &p), ==, PACKET_TRUNCATED);
 
@@ -192,8 +195,8 @@
     g_assert_cmpint(parse_exact(buf, PACKET_MAX + 1, &p), ==, PACKET_TOO_LONG);
 }
 
-/* A sum of 0 is sent as all ones, since 0 says that there is none. */
-TEST(udp_sum_of_zero)
+/* A sum of 0 is sent as all ones, since 0 means no checksum. */
+TEST(udp_checksum_of_zero)
 {
     size_t ones = 0;
 
@@ -210,7 +213,7 @@
     g_assert_cmpuint(ones, >, 0);
 }
 
-TEST(truncation)
+TEST(rejects_truncated_packet)
 {
     uint8_t buf[PACKET_MAX];
     struct packet p;
@@ -219,7 +222,7 @@
     for (size_t cut = 0; cut < len; cut++) {
         g_assert_cmpint(parse_exact(buf, cut, &p), ==, PACKET_TRUNCATED);
 
-        /* The same with lengths and checksum that agree with the cut */
+        /* IP length and checksum match the truncated packet. */
         uint8_t shorter[PACKET_MAX];
         memcpy(shorter, buf, len);
         set16(shorter + 2, (unsigned)cut);
@@ -230,8 +233,8 @@
     }
 }
 
-/* Whatever the bytes, the answer is a reason or offsets that lie inside. */
-TEST(mutation)
+/* Mutated packets are dropped, or have their payload inside the buffer. */
+TEST(random_mutation)
 {
     size_t seen[PACKET_DROP_COUNT] = {0};
 
@@ -260,7 +263,7 @@
             g_assert_cmpuint(seen[i], >, 0);
 }
 
-TEST(checksum)
+TEST(checksum_matches_reference)
 {
     uint8_t buf[300];
     for (size_t i = 0; i < sizeof(buf); i++)
@@ -268,7 +271,7 @@
     for (size_t at = 0; at < 8; at++)
         for (size_t len = 0; at + len <= sizeof(buf); len++)
             g_assert_cmpuint(packet_checksum(buf + at, len), ==,
-                             slow_checksum(buf + at, len));
+                             reference_checksum(buf + at, len));
 }
 
 static void
@@ -294,7 +297,7 @@
 
 /* RFC 9293, 3.10.7.1: <SEQ=SEG.ACK><CTL=RST>, or without an ACK
  * <SEQ=0><ACK=SEG.SEQ+SEG.LEN><CTL=RST,ACK> where SYN and FIN count. */
-TEST(reset)
+TEST(builds_reset)
 {
     check_reset(PACKET_TCP_ACK, 5, 0xfffffffe, 0, PACKET_TCP_RST);
     check_reset(PACKET_TCP_SYN | PACKET_TCP_ACK, 0, 0xfffffffe, 0,
@@ -320,7 +323,7 @@
     g_assert_cmpuint(packet_build_reset(&p, buf), ==, 0);
 }
 
-TEST(flow_hash)
+TEST(flow_hash_covers_five_tuple)
 {
     struct packet a = {
         .src = 1, .dst = 2, .sport = 3, .dport = 4, .proto = 6, .seq = 5};
--- a/tests/packet/rank_test.c
+++ b/tests/packet/rank_test.c
@@ -1,3 +1,6 @@
+/**
+ * DOC: rank_test - order of candidates and minimal changes of the table
+ */
 #include <errno.h>
 #include <string.h>
 
@@ -33,7 +36,7 @@
     return handle == RANK_NONE ? 0 : rank->members[handle];
 }
 
-/* What the definition says, by sorting all scores of one bucket */
+/* Checks that each position has as many members with better scores. */
 static void
 check_bucket_order(const struct rank *rank, uint32_t bucket)
 {
@@ -51,7 +54,7 @@
     }
 }
 
-TEST(definition)
+TEST(order_by_score)
 {
     uint64_t ids[40];
     size_t sizes[] = {0, 1, 2, 5, 6, 7, 40};
@@ -67,7 +70,7 @@
     }
 }
 
-/* Any sequence of joins and leaves ends in the table of a fresh build. */
+/* Incremental builds after joins and leaves equal full builds. */
 TEST(incremental_equals_full_build)
 {
     uint64_t ids[64];
@@ -103,8 +106,8 @@
 }
 
 /*
- * With @without = @with less one member: the first places differ only
- * where that member is first, and the order of the others is the same.
+ * Checks that removing @member keeps the order of all others, and that it was
+ * first in its expected number of buckets.
  */
 static void
 check_minimal(const struct rank *with, const struct rank *without,
@@ -124,10 +127,10 @@
         }
     }
 
-    /* Its fair share of flows, within five standard deviations */
-    double share = (double)RANK_BUCKETS / with->count;
-    double off = (double)moved - share;
-    g_assert_cmpfloat(off * off, <, 25 * share);
+    /* Within five standard deviations of the mean */
+    double expected = (double)RANK_BUCKETS / with->count;
+    double deviation = (double)moved - expected;
+    g_assert_cmpfloat(deviation * deviation, <, 25 * expected);
 }
 
 TEST(minimal_disruption)
@@ -143,15 +146,15 @@
         check_minimal(&joined, &without, ids[count - 1]);
 
         memmove(ids, ids + 1, (count - 1) * sizeof(*ids));
-        uint64_t gone = 0;
-        for (size_t i = 0; i < joined.count && gone == 0; i++) {
-            gone = joined.members[i];
+        uint64_t removed = 0;
+        for (size_t i = 0; i < joined.count && removed == 0; i++) {
+            removed = joined.members[i];
             for (size_t j = 0; j < count - 1; j++)
-                if (ids[j] == gone)
-                    gone = 0;
+                if (ids[j] == removed)
+                    removed = 0;
         }
         rank_init(&left, ids, count - 1, &joined);
-        check_minimal(&joined, &left, gone);
+        check_minimal(&joined, &left, removed);
 
         rank_finish(&without);
         rank_finish(&joined);
@@ -159,13 +162,13 @@
     }
 }
 
-TEST(bounds)
+TEST(limits_and_duplicates)
 {
     struct rank rank;
-    uint64_t twice[] = {7, 9, 7};
+    uint64_t duplicates[] = {7, 9, 7};
 
-    g_assert_cmpint(rank_init(&rank, twice, 70000, NULL), ==, -E2BIG);
-    g_assert_cmpint(rank_init(&rank, twice, 3, NULL), ==, 0);
+    g_assert_cmpint(rank_init(&rank, duplicates, 70000, NULL), ==, -E2BIG);
+    g_assert_cmpint(rank_init(&rank, duplicates, 3, NULL), ==, 0);
     g_assert_cmpuint(rank.count, ==, 2);
     g_assert_cmpuint(rank_bucket(0), ==, 0);
     g_assert_cmpuint(rank_bucket(UINT64_MAX), ==, RANK_BUCKETS - 1);
