--- a/bench/packet/bench_forward.c
+++ b/bench/packet/bench_forward.c
@@ -347,7 +347,7 @@
     return *rate / bare_rate;
 }
 
-/* Pages of data; those of the program file come in 64 kB at a time. */
+/* Anonymous pages only, as the program file is mapped in larger steps. */
 static long
 resident_bytes(void)
 {
--- a/src/base/auth.h
+++ b/src/base/auth.h
@@ -26,7 +26,11 @@
 
 struct auth_table;
 
-/** struct auth_part - one of the buffers covered by a tag */
+/**
+ * struct auth_part - one of the buffers covered by a tag
+ * @data: start of the buffer
+ * @len: length in bytes
+ */
 struct auth_part {
     const void *data;
     size_t len;
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -14,7 +14,10 @@
 
 struct clock;
 
-/** struct clock_ops - vtable of a clock */
+/**
+ * struct clock_ops - vtable of a clock
+ * @now_us: returns the current time, microseconds
+ */
 struct clock_ops {
     uint64_t (*now_us)(struct clock *clock);
 };
--- a/src/base/link_wire.h
+++ b/src/base/link_wire.h
@@ -43,7 +43,13 @@
     uint64_t sender;
 };
 
-/** struct link_frame - a verified frame; @body points into its data */
+/**
+ * struct link_frame - a verified frame
+ * @type: frame type, defined by the modules that use links
+ * @sender: member id of the peer
+ * @body: body, inside the data passed to link_wire_open()
+ * @len: length of @body in bytes
+ */
 struct link_frame {
     uint16_t type;
     uint64_t sender;
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -48,8 +48,8 @@
  * @workers: balancer: number of packet workers (key "workers", 1 to 16,
  *           default 1)
  * @fabric: agent: UDP address that forwards packets to callers (key "fabric")
- * @drain_s: maximum time of a planned stop, seconds (key "drain_s",
- *           default 30)
+ * @drain_s: maximum time that a planned stop waits for flows, seconds (key
+ *           "drain_s", default 30)
  * @trace_file: file for spans, empty to disable tracing (key "trace_file")
  * @trace_sample: trace one request in this many (key "trace_sample",
  *                default 1)
