--- a/src/balancer/balancer.c
+++ b/src/balancer/balancer.c
@@ -25,26 +25,26 @@
 #define EXIT_SETTINGS 2
 
 /**
- * struct balancer - the process
- * @owner: of the workers
- * @http_handler: of the HTTP listener
- * @settings: its settings
- * @clock: time
- * @counters: all counters
- * @trace: spans
- * @board: blackboard
+ * struct balancer - state of the balancer process
+ * @owner: receives refusals from @pool
+ * @http_handler: handles requests of @httpd
+ * @settings: process settings
+ * @clock: time source
+ * @counters: counters of all modules
+ * @trace: span writer
+ * @board: view and configuration, published by the control thread
  * @pool: packet workers
- * @builder: keeps the table of @pool
- * @directory: what other cells serve
+ * @builder: rebuilds the route table of @pool
+ * @directory: services of other cells
  * @control: control thread
- * @base: loop of the main thread
- * @httpd: /metrics and /ready
- * @poll: timer of the builder
- * @signals: SIGTERM and SIGINT
- * @seen_peers: other members were alive in some view
- * @started_us: when it started
- * @stopping_us: when the planned stop began, 0 before
- * @exit_code: result of the process
+ * @base: event loop of the main thread
+ * @httpd: serves /metrics and /ready
+ * @poll: periodic timer of on_poll()
+ * @signals: events for SIGTERM and SIGINT
+ * @seen_peers: whether any view so far had another live member
+ * @started_us: start time
+ * @stopping_us: start of the planned stop, 0 before it
+ * @exit_code: exit code of the process
  */
 struct balancer {
     struct worker_owner owner;
@@ -74,8 +74,7 @@
     struct balancer *balancer =
         caa_container_of(owner, struct balancer, owner);
 
-    g_info("An endpoint refused a packet: %016" G_GINT64_MODIFIER "x.",
-           member);
+    g_info("Endpoint refused a packet: %016" G_GINT64_MODIFIER "x.", member);
     control_report_dead(balancer->control, member, incarnation);
 }
 
@@ -128,7 +127,7 @@
     const char *path = httpd_request_path(request);
 
     if (strcmp(httpd_request_method(request), "GET") != 0)
-        return respond_text(request, 405, "only GET\n");
+        return respond_text(request, 405, "only GET is supported\n");
     if (strcmp(path, "/metrics") == 0)
         return respond_metrics(balancer, request);
     if (strcmp(path, "/ready") == 0) {
@@ -136,7 +135,8 @@
         return respond_text(request, readiness == READINESS_READY ? 200 : 503,
                             readiness_text(readiness));
     }
-    return respond_text(request, 404, "only /metrics and /ready\n");
+    return respond_text(request, 404,
+                        "unknown path, expected /metrics or /ready\n");
 }
 
 static const struct worker_ops worker_ops = {.on_refused = on_refused};
@@ -154,7 +154,10 @@
     control_announce(balancer->control);
 }
 
-/* Packets still come until the fabric has seen that we are not ready. */
+/*
+ * Ends the process once no packet has arrived for DRAIN_IDLE_US, or after
+ * drain_s. The fabric keeps sending until it has seen /ready fail.
+ */
 static void
 check_stop(struct balancer *balancer)
 {
@@ -166,7 +169,7 @@
     if (quiet_since < balancer->stopping_us)
         quiet_since = balancer->stopping_us;
     if (now_us >= quiet_since + DRAIN_IDLE_US || now_us >= deadline) {
-        g_message("Stopped as planned.");
+        g_message("Planned stop completed.");
         balancer->exit_code = EXIT_PLANNED;
         event_base_loopbreak(balancer->base);
     }
@@ -190,12 +193,12 @@
     struct balancer *balancer = data;
 
     if (balancer->stopping_us != 0) {
-        g_warning("Stopped at once by a second signal.");
+        g_warning("Second signal received, stopping at once.");
         balancer->exit_code = EXIT_FAILED;
         event_base_loopbreak(balancer->base);
         return;
     }
-    g_message("A planned stop begins.");
+    g_message("Planned stop started.");
     balancer->stopping_us = clock_now_us(&balancer->clock);
     set_member_state(balancer, MEMBER_LEAVING);
 }
@@ -221,7 +224,10 @@
     return 0;
 }
 
-/* Sockets come first: the ports that the kernel gave are announced. */
+/*
+ * Runs before the control thread, which announces the ports that the kernel
+ * assigned.
+ */
 static int
 open_sockets(struct balancer *balancer, struct error *err)
 {
@@ -280,7 +286,8 @@
         return error_set(err, result, "start", NULL, "no memory");
     balancer->base = event_base_new();
     if (balancer->base == NULL)
-        return error_set(err, -ENOMEM, "start", NULL, "no event loop");
+        return error_set(err, -ENOMEM, "start", NULL,
+                         "can't create the event loop");
 
     result = open_sockets(balancer, err);
     if (result < 0)
@@ -318,7 +325,8 @@
     char data[ADDR_TEXT_MAX];
     char http[ADDR_TEXT_MAX];
 
-    g_message("Balancer %s takes packets at %s, HTTP at %s, with %u workers.",
+    g_message("Balancer %s listens for packets on %s and for HTTP on %s, "
+              "%u workers.",
               settings->name, addr_format(settings->data, data),
               addr_format(settings->http, http), settings->workers);
 }
--- a/src/balancer/builder.c
+++ b/src/balancer/builder.c
@@ -8,7 +8,7 @@
 
 #include "base/log.h"
 
-/* A failure that stays is told again after so many polls. */
+/* A persistent failure is logged once per this many polls. */
 #define FAILURE_LOG_INTERVAL 1000
 
 static bool
@@ -66,7 +66,7 @@
 
     if (result < 0) {
         if (builder->failures++ % FAILURE_LOG_INTERVAL == 0)
-            g_warning("The table can't be built: %s.", strerror(-result));
+            g_warning("Can't build the route table: %s.", strerror(-result));
         return result;
     }
     if (table == NULL)
--- a/src/balancer/builder.h
+++ b/src/balancer/builder.h
@@ -1,5 +1,6 @@
 /**
- * DOC: builder - keeps the route table up to date with the board
+ * DOC: builder - rebuilds the route table when the view or the configuration
+ * on the blackboard changes
  */
 #ifndef SWIFTARCH_BALANCER_BUILDER_H
 #define SWIFTARCH_BALANCER_BUILDER_H
@@ -12,18 +13,18 @@
 #include "control/board.h"
 
 /**
- * struct builder - what the table in force was built from
- * @board: read
- * @pool: its table is replaced
+ * struct builder - builder of route tables
+ * @board: source of views and configurations
+ * @pool: workers that receive the tables
  * @counters: table of the counters below
- * @built: whether a table is in force
- * @view_seq: view it was built from
- * @config_version: text it was built from
- * @failures: tables that could not be built, in a row
+ * @built: whether a table has been published
+ * @view_seq: sequence number of the current table's view
+ * @config_version: version of the current table's configuration
+ * @failures: consecutive failed builds
  * @rebuilds: counter of tables built
- * @services: gauge of services in force
- * @endpoints: gauge of endpoints in force
- * @bytes: gauge of the table's memory
+ * @services: gauge of services in the current table
+ * @endpoints: gauge of endpoints in the current table
+ * @bytes: gauge of the current table's memory in bytes
  */
 struct builder {
     struct board *board;
@@ -39,19 +40,23 @@
     int bytes;
 };
 
-/** builder_init() - register the counters; 0 or -ENOSPC */
+/**
+ * builder_init() - initialise a builder and register its counters
+ *
+ * Return: 0, or -ENOSPC when the counter table is full.
+ */
 int
 builder_init(struct builder *builder, struct board *board,
              struct worker_pool *pool, struct counter_table *counters);
 
 /**
- * builder_poll() - build and publish a table if the board has changed
+ * builder_poll() - publish a new table if the view or configuration changed
  *
- * On a thread registered with liburcu, outside a read section. After a
- * failure the table before stays in force and the next poll tries again.
+ * Must run on a thread registered with liburcu, outside a read section.
+ * After a failure the previous table stays in use and the next poll retries.
  *
- * Return: 1 when a table was published, 0 when nothing changed, or what
- * route_table_new() returned.
+ * Return: 1 when a table was published, 0 when nothing changed, or the error
+ * of route_table_new().
  */
 int
 builder_poll(struct builder *builder);
--- a/src/balancer/readiness.c
+++ b/src/balancer/readiness.c
@@ -1,9 +1,9 @@
 #include "balancer/readiness.h"
 
-static const char *const texts[] = {
+static const char *const readiness_texts[] = {
     [READINESS_READY] = "ready\n",
     [READINESS_STOPPING] = "stopping\n",
-    [READINESS_NO_CONFIG] = "no configuration in force\n",
+    [READINESS_NO_CONFIG] = "no configuration yet\n",
     [READINESS_NO_VIEW] = "not a member of the cell yet\n",
     [READINESS_WAITING_FOR_PEERS] = "no other member seen yet\n",
     [READINESS_ISOLATED] = "cut off from all other members\n",
@@ -40,5 +40,5 @@
 const char *
 readiness_text(enum readiness readiness)
 {
-    return texts[readiness];
+    return readiness_texts[readiness];
 }
--- a/src/balancer/readiness.h
+++ b/src/balancer/readiness.h
@@ -1,5 +1,8 @@
 /**
- * DOC: readiness - whether the fabric may send packets here
+ * DOC: readiness - decides the reply of /ready
+ *
+ * The fabric's health checks use /ready to decide whether to send packets to
+ * this balancer.
  */
 #ifndef SWIFTARCH_BALANCER_READINESS_H
 #define SWIFTARCH_BALANCER_READINESS_H
@@ -11,13 +14,13 @@
 #include "control/board.h"
 
 /*
- * A process that sees nobody else alive would drop what others can forward.
- * One that never saw anybody waits so long for them and then serves alone;
- * one that has lost the others (its control link is cut) is not ready.
+ * A balancer without live peers drops packets that other balancers could
+ * forward. A balancer that never saw a peer becomes ready after this time; one
+ * that lost all its peers, because its control link is down, is not ready.
  */
 #define READINESS_PEER_WAIT_US (5 * USEC_PER_SEC)
 
-/** enum readiness - answer of /ready, and why */
+/** enum readiness - ready, or the reason for not being ready */
 enum readiness {
     READINESS_READY,
     READINESS_STOPPING,
@@ -28,13 +31,13 @@
 };
 
 /**
- * struct readiness_input - what it is judged by
- * @stopping: a planned stop has begun
- * @built: a route table is in force
+ * struct readiness_input - state that readiness depends on
+ * @stopping: a planned stop has started
+ * @built: a route table is published and the directory is ready
  * @self: own member id
- * @has_seeds: the settings name other processes
- * @seen_peers: other members were alive in an earlier view
- * @age_us: time since the start
+ * @has_seeds: the settings list other processes
+ * @seen_peers: an earlier view had another live member
+ * @age_us: time since the process started
  */
 struct readiness_input {
     bool stopping;
@@ -45,16 +48,17 @@
     uint64_t age_us;
 };
 
-/** readiness_evaluate() - @view may be NULL */
+/** readiness_evaluate() - decide readiness; @view is NULL before the first */
 enum readiness
 readiness_evaluate(const struct readiness_input *input,
                    const struct view *view);
 
-/** readiness_has_live_peers() - whether another member is not dead in @view */
+/** readiness_has_live_peers() - whether a member other than @self is alive or
+ * suspected */
 bool
 readiness_has_live_peers(const struct view *view, uint64_t self);
 
-/** readiness_text() - one line that says so */
+/** readiness_text() - body of the /ready response, one line */
 const char *
 readiness_text(enum readiness readiness);
 
--- a/src/balancer/route.c
+++ b/src/balancer/route.c
@@ -8,9 +8,9 @@
 #define PROTO_UDP 17
 
 /**
- * struct hop_list - handles of the hops chosen so far
- * @count: how many
- * @handles: handles of route_service.all
+ * struct hop_list - hop list being built
+ * @count: number of hops
+ * @handles: indices into route_service.endpoints
  */
 struct hop_list {
     size_t count;
@@ -33,7 +33,7 @@
            PACKET_TCP_SYN;
 }
 
-/* Whether a flow is in the share that a warming endpoint takes by now */
+/* Whether a flow is in the current share of an endpoint in slow start */
 static bool
 slow_start_admits(const struct route_endpoint *endpoint, uint64_t flow_hash,
                   uint64_t now_us)
@@ -77,7 +77,7 @@
             hops_add(list, row[i]);
 }
 
-/* A share is held back only if someone in the row is there to take it. */
+/* Cold endpoints are deferred only if the row has an endpoint that is not. */
 static bool
 row_has_ready(const struct route_service *service, const uint16_t *row)
 {
@@ -88,30 +88,30 @@
     return false;
 }
 
-/* Endpoints that take new flows, at most @room of them */
+/* Adds endpoints that take new flows, up to @limit hops in total. */
 static void
 hops_add_ready(struct hop_list *list, const struct route_service *service,
-               uint64_t flow_hash, uint64_t now_us, size_t room)
+               uint64_t flow_hash, uint64_t now_us, size_t limit)
 {
     if (service->open == NULL)
         return;
 
     const uint16_t *row = rank_row(&service->open->rank, flow_hash);
     bool defer_cold = row_has_ready(service, row);
-    struct hop_list later = {0};
+    struct hop_list deferred = {0};
     for (size_t i = 0; i < RANK_DEPTH && row[i] != RANK_NONE; i++) {
         uint16_t handle = service->open_handles[row[i]];
         const struct route_endpoint *endpoint = &service->endpoints[handle];
-        if (list->count + later.count == room)
+        if (list->count + deferred.count == limit)
             break;
         if (defer_cold && endpoint->state == ROUTE_SLOW_START &&
             !slow_start_admits(endpoint, flow_hash, now_us))
-            hops_add(&later, handle);
+            hops_add(&deferred, handle);
         else
             hops_add(list, handle);
     }
-    for (size_t i = 0; i < later.count; i++)
-        hops_add(list, later.handles[i]);
+    for (size_t i = 0; i < deferred.count; i++)
+        hops_add(list, deferred.handles[i]);
 }
 
 static size_t
--- a/src/balancer/route.h
+++ b/src/balancer/route.h
@@ -1,29 +1,26 @@
 /**
- * DOC: route - which endpoints a packet goes to, decided without state
+ * DOC: route - selects the endpoints of a packet without per-flow state
  *
- * A route_table is built from one view and one text and never changes
- * afterwards; packet workers read it under RCU. Building and freeing is
- * done by one thread, since tables that follow each other share the ranks
- * of services whose members did not change.
+ * A route table is built from one view and one configuration and is immutable;
+ * packet workers read it under RCU. One thread builds and frees all tables,
+ * because consecutive tables share the ranks of unchanged services.
  *
- * Hop list of a packet that opens no flow: endpoints that are alive, in
- * rank order, whatever they announce; suspected ones after them; dead ones
- * never. Hop list of a packet that may open one (a TCP SYN, any datagram):
- * first the endpoints that take new flows, in rank order, then the other
- * live ones, then the suspected ones; up to ROUTE_RESERVED_HOPS places are
- * kept for those others, which may own the flow already.
+ * Hop list of a packet that opens no flow: live endpoints in rank order in any
+ * announced state, then suspected ones, never dead ones. Hop list of a packet
+ * that may open a flow (a TCP SYN or any datagram): endpoints that take new
+ * flows in rank order, then other live ones, then suspected ones. Up to
+ * ROUTE_RESERVED_HOPS hops are reserved for the last two groups, which may
+ * own the flow already.
  *
- * Cold starts: a warming endpoint takes its place among those that take
- * new flows for a share of the flows only, and the last place among them
- * for the others. The share grows evenly from 1/4 to all within
- * ROUTE_SLOW_START_US of its first being seen. Which flows are in the share
- * depends on the flow's hash and the member only, so balancers agree but
- * for the time at which they first saw the member. Where all candidates of
- * a flow are warming, as after a start of the whole site, rank alone decides.
+ * Slow start: a cold endpoint keeps its rank for a share of the new flows and
+ * comes last among the endpoints that take new flows for the rest. The share
+ * grows linearly from 1/4 to 1 within ROUTE_SLOW_START_US after this process
+ * first saw the member. It is selected by flow hash and member, so balancers
+ * differ only by that time. When all candidates are cold, rank alone decides.
  *
- * Retired addresses: packets to an address that a service had before go to
- * that service's endpoints, by the same rank, and open no flow. A service
- * that was removed has endpoints as long as agents announce it.
+ * Retired addresses: packets to a former address of a service go to the
+ * service's endpoints by the same rank and open no flow. A removed service
+ * has endpoints while agents announce it.
  */
 #ifndef SWIFTARCH_BALANCER_ROUTE_H
 #define SWIFTARCH_BALANCER_ROUTE_H
@@ -41,25 +38,25 @@
 
 #define ROUTE_SLOW_START_US (10 * USEC_PER_SEC)
 #define ROUTE_SLOW_START_MIN_SHARE                                            \
-    256 /* first share, of ROUTE_SLOW_START_FULL_SHARE */
+    256 /* initial share, of ROUTE_SLOW_START_FULL_SHARE */
 #define ROUTE_SLOW_START_FULL_SHARE 1024
 #define ROUTE_RESERVED_HOPS 2
 
-/** enum route_endpoint_state - what an endpoint may be given */
+/** enum route_endpoint_state - which packets an endpoint may receive */
 enum route_endpoint_state {
     ROUTE_READY,      /* any packet */
-    ROUTE_SLOW_START, /* any packet, but a share of the new flows */
-    ROUTE_DRAINING,   /* packets of flows it has: draining or leaving */
-    ROUTE_SUSPECT     /* the same, and only after the others */
+    ROUTE_SLOW_START, /* any packet, but only a share of the new flows */
+    ROUTE_DRAINING,   /* packets of its own flows: draining or leaving */
+    ROUTE_SUSPECT     /* packets of its own flows, after all other hops */
 };
 
 /**
  * struct route_endpoint - one endpoint of a service
  * @member: member id
- * @incarnation: of the process when the table was built
- * @since_us: when this process first saw it
- * @data: where it takes packets
- * @state: what it may be given
+ * @incarnation: incarnation of the agent when the table was built
+ * @since_us: time at which this process first saw the member
+ * @data: address for packets
+ * @state: which packets it may receive
  */
 struct route_endpoint {
     uint64_t member;
@@ -73,12 +70,12 @@
 
 /**
  * struct route_service - one service and its endpoints
- * @id: hash_service() of its name
- * @count: endpoints, 0 while none is announced
- * @endpoints: by handle of @all
+ * @id: hash_service() of the name
+ * @count: number of endpoints, 0 while none is announced
+ * @endpoints: endpoints, indexed by the handles of @all
  * @all: rank of all endpoints; NULL without endpoints
- * @open: rank of those that take new flows; NULL when there is none
- * @open_handles: handle of @all for each handle of @open
+ * @open: rank of the endpoints that take new flows; NULL if there are none
+ * @open_handles: maps the handles of @open to those of @all
  */
 struct route_service {
     uint32_t id;
@@ -90,12 +87,12 @@
 };
 
 /**
- * struct route_address - an address that callers use, or used
- * @ip: address
+ * struct route_address - a current or retired service address
+ * @ip: IPv4 address, host byte order
  * @port: port
  * @proto: IP protocol number
- * @retired: it opens no flow any more
- * @service: index of its service
+ * @retired: opens no new flows
+ * @service: index in route_table.services
  */
 struct route_address {
     uint32_t ip;
@@ -106,15 +103,16 @@
 };
 
 /**
- * struct route_table - see DOC
- * @view_seq: of the view it was built from
- * @config_version: of the text it was built from
- * @services: in the order of the text, then those that were removed
- * @count: services
- * @addresses: of the services, then the retired ones
- * @address_count: how many
- * @slots: hash from address, port and protocol to index of @addresses + 1
- * @slot_mask: size of @slots less one, which is a power of two
+ * struct route_table - immutable routes of one view and configuration
+ * @view_seq: sequence number of the view
+ * @config_version: version of the configuration
+ * @services: services in configuration order, then removed ones
+ * @count: number of services
+ * @addresses: current addresses of the services, then retired ones
+ * @address_count: number of addresses
+ * @slots: hash table keyed by address, port and protocol; holds the index in
+ *         @addresses plus one, 0 when free
+ * @slot_mask: size of @slots, a power of two, minus one
  */
 struct route_table {
     uint64_t view_seq;
@@ -128,9 +126,9 @@
 };
 
 /**
- * struct route_decision - where a packet goes
- * @packet: what was read of the packet
- * @gue: hop list to write before it; it goes to the first hop
+ * struct route_decision - parsed packet and its route
+ * @packet: parsed headers
+ * @gue: hop list of the encapsulation; the packet is sent to the first hop
  */
 struct route_decision {
     struct packet packet;
@@ -139,48 +137,49 @@
 
 /**
  * route_table_new() - build a table
- * @view: members known; taken as it is, nothing of it is kept
- * @text: configuration in force; nothing of it is kept
- * @previous: table to be replaced, whose ranks are reused, or NULL
- * @table: result
+ * @view: members of the cell; not referenced afterwards
+ * @text: current configuration; not referenced afterwards
+ * @previous: current table, whose ranks are reused, or NULL
+ * @table: set to the new table
  *
- * Return: 0, -ENOMEM, or -E2BIG for more endpoints than a rank holds.
+ * Return: 0, -ENOMEM, or -E2BIG if a service has more endpoints than a rank
+ * holds.
  */
 int
 route_table_new(const struct view *view, const struct text *text,
                 const struct route_table *previous,
                 struct route_table **table);
 
-/** route_table_free() - free a table that no reader has; NULL is allowed */
+/** route_table_free() - free a table without readers; NULL is allowed */
 void
 route_table_free(struct route_table *table);
 
 /**
  * route_decide() - find the service and the hop list of a packet
- * @buf: a whole IPv4 packet as it came
- * @now_us: clock, for cold starts
+ * @buf: complete IPv4 packet
+ * @now_us: current time, for slow start
  *
- * Return: PACKET_OK with @decision filled, or why the packet is dropped.
+ * Return: PACKET_OK with @decision filled, or the drop reason.
  */
 enum packet_drop
 route_decide(const struct route_table *table, const uint8_t *buf, size_t len,
              uint64_t now_us, struct route_decision *decision);
 
-/** route_find_address() - address that a service has or had, or NULL */
+/** route_find_address() - find a current or retired address, or NULL */
 const struct route_address *
 route_find_address(const struct route_table *table, uint32_t ip, uint16_t port,
                    uint8_t proto);
 
-/** route_find() - service at an address, or NULL */
+/** route_find() - find the service of an address, or NULL */
 const struct route_service *
 route_find(const struct route_table *table, uint32_t ip, uint16_t port,
            uint8_t proto);
 
-/** route_endpoint_at() - endpoint that takes packets at @data, or NULL */
+/** route_endpoint_at() - find the endpoint with data address @data, or NULL */
 const struct route_endpoint *
 route_endpoint_at(const struct route_table *table, struct addr data);
 
-/** route_table_bytes() - memory held by a table, shared ranks included */
+/** route_table_bytes() - memory of a table in bytes, with shared ranks */
 size_t
 route_table_bytes(const struct route_table *table);
 
--- a/src/balancer/route_build.c
+++ b/src/balancer/route_build.c
@@ -10,8 +10,8 @@
 #include "base/hash.h"
 
 static uint32_t
-slot_of(const struct route_table *table, uint32_t ip, uint16_t port,
-        uint8_t proto)
+hash_slot(const struct route_table *table, uint32_t ip, uint16_t port,
+          uint8_t proto)
 {
     uint64_t hash = hash_pair(ip, (uint64_t)port << 8 | proto);
     return (uint32_t)hash & table->slot_mask;
@@ -21,7 +21,8 @@
 add_slot(struct route_table *table, size_t index)
 {
     const struct route_address *address = &table->addresses[index];
-    uint32_t slot = slot_of(table, address->ip, address->port, address->proto);
+    uint32_t slot =
+        hash_slot(table, address->ip, address->port, address->proto);
 
     while (table->slots[slot] != 0)
         slot = (slot + 1) & table->slot_mask;
@@ -44,9 +45,10 @@
     return 0;
 }
 
-/* Index of a service, also of a removed one, or -1 */
+/* Index of a configured or removed service, or -1 */
 static int
-index_of(const struct route_table *table, const struct text *text, uint32_t id)
+service_index(const struct route_table *table, const struct text *text,
+              uint32_t id)
 {
     const struct text_service *service = text_find(text, id);
     if (service != NULL)
@@ -89,7 +91,7 @@
     }
     for (size_t i = 0; i < text->retired_count; i++) {
         const struct text_service *service = &text->retired[i].service;
-        int index = index_of(table, text, service->id);
+        int index = service_index(table, text, service->id);
         if (index < 0) {
             index = (int)table->count++;
             table->services[index].id = service->id;
@@ -111,16 +113,16 @@
     return ROUTE_DRAINING;
 }
 
-/* Index of the service that a member serves, or -1 */
+/* Index of the service of a live agent, or -1 */
 static int
-service_of(const struct route_table *table, const struct text *text,
-           const struct view_member *member)
+member_service_index(const struct route_table *table, const struct text *text,
+                     const struct view_member *member)
 {
     if (member->role != MEMBER_AGENT || member->service == 0 ||
         member->health == MEMBER_DEAD || member->data.ip == 0 ||
         member->data.port == 0)
         return -1;
-    return index_of(table, text, member->service);
+    return service_index(table, text, member->service);
 }
 
 static void
@@ -136,7 +138,7 @@
     endpoint->state = route_state_of(member);
 }
 
-/* The view is sorted by id, and so are the endpoints of each service. */
+/* Keeps the order of the view, so endpoints are sorted by member id. */
 static int
 add_endpoints(struct route_table *table, const struct view *view,
               const struct text *text)
@@ -147,7 +149,7 @@
         return result;
 
     for (size_t i = 0; i < view->count; i++) {
-        int index = service_of(table, text, &view->members[i]);
+        int index = member_service_index(table, text, &view->members[i]);
         if (index >= 0)
             counts[index]++;
     }
@@ -164,7 +166,7 @@
             goto out;
     }
     for (size_t i = 0; i < view->count; i++) {
-        int index = service_of(table, text, &view->members[i]);
+        int index = member_service_index(table, text, &view->members[i]);
         if (index >= 0)
             add_endpoint(&table->services[index], &view->members[i]);
     }
@@ -218,12 +220,12 @@
         return 0;
     }
 
-    /* The nearest earlier rank: of those open then, or of all. */
-    struct route_rank *nearest = service->all;
+    /* Patch the previous open rank, or else the rank of all endpoints. */
+    struct route_rank *base = service->all;
     if (previous != NULL && previous->open != NULL &&
         previous->open != previous->all)
-        nearest = previous->open;
-    return route_rank_new(members, count, nearest, &service->open);
+        base = previous->open;
+    return route_rank_new(members, count, base, &service->open);
 }
 
 static int
@@ -305,7 +307,7 @@
 route_find_address(const struct route_table *table, uint32_t ip, uint16_t port,
                    uint8_t proto)
 {
-    uint32_t slot = slot_of(table, ip, port, proto);
+    uint32_t slot = hash_slot(table, ip, port, proto);
 
     for (; table->slots[slot] != 0; slot = (slot + 1) & table->slot_mask) {
         const struct route_address *address =
--- a/src/balancer/span.h
+++ b/src/balancer/span.h
@@ -1,5 +1,5 @@
 /**
- * DOC: span - the balancer's hop in the trace of a request
+ * DOC: span - writes the balancer's span of a traced request
  */
 #ifndef SWIFTARCH_BALANCER_SPAN_H
 #define SWIFTARCH_BALANCER_SPAN_H
@@ -11,19 +11,20 @@
 
 /**
  * span_write() - write a span if the packet carries a sampled traceparent
- * @packet: the whole packet, as parsed into @decision
- * @now_us: clock when it was decided about
+ * @packet: complete packet, parsed into @decision
+ * @now_us: time of the decision
  *
- * Whoever began the trace has drawn the sample; the header's flag says so.
+ * The first hop of the trace made the sampling decision; it is taken from
+ * the header's flags.
  */
 void
 span_write(struct trace *trace, const uint8_t *packet,
            const struct route_decision *decision, uint64_t now_us);
 
 /**
- * span_find_parent() - context of the first traceparent header in @payload
+ * span_find_parent() - parse the first traceparent header in @payload
  *
- * Return: 0 or -ENOENT.
+ * Return: 0 with @context filled, or -ENOENT without a valid header.
  */
 int
 span_find_parent(const uint8_t *payload, size_t len,
--- a/src/balancer/worker.c
+++ b/src/balancer/worker.c
@@ -19,21 +19,21 @@
 #define ERROR_POLL_INTERVAL_US (10 * USEC_PER_MSEC)
 #define ERRORS_PER_POLL 16
 #define SEND_TRIES_MAX 2
-#define REFUSAL_RETRIES_MAX 64 /* in a row, for one packet */
+#define REFUSAL_RETRIES_MAX 64 /* consecutive, per packet */
 #define REPORT_INTERVAL_US (1 * USEC_PER_SEC)
 
 /**
- * struct worker - one thread
- * @pool: its pool
- * @index: number, and cell of its counters
- * @fd: its socket
+ * struct worker - one worker thread
+ * @pool: pool that the worker belongs to
+ * @index: index in the pool and in the per-worker counters
+ * @fd: packet socket
  * @started: whether @thread runs
- * @thread: the thread
- * @last_us: when its latest packet came
- * @errors_polled_us: when it last looked for refusals
- * @reported: member last reported as refused_gateways
- * @reported_us: when
- * @batch: its packets
+ * @thread: thread
+ * @last_us: arrival of the latest packet; atomic
+ * @errors_polled_us: last read of the socket's error queue
+ * @reported: member last reported to the owner
+ * @reported_us: time of that report
+ * @batch: packet buffers
  */
 struct worker {
     struct worker_pool *pool;
@@ -73,7 +73,7 @@
     }
     rcu_read_unlock();
 
-    /* What is no endpoint of this cell is a gateway of another. */
+    /* Packets go only to endpoints of this cell and gateways of others. */
     if (endpoint == NULL)
         cell_forward_note_refused(&worker->batch->refused_gateways, addr,
                                   now_us);
@@ -100,9 +100,9 @@
 }
 
 /*
- * A refusal of an earlier packet, also one of another worker, is told by the
- * next call, whatever that one sends; it says nothing of the packet at hand,
- * which is tried again. Other errors may be its own.
+ * The kernel reports the refusal of an earlier packet by failing the next
+ * send, which may be another packet; so that send is retried. Other errors may
+ * concern the packet itself.
  */
 static bool
 may_retry(int error, unsigned tries)
@@ -233,7 +233,7 @@
     worker->batch = aligned_alloc(64, sizeof(*worker->batch));
     if (worker->batch == NULL)
         return error_set(err, -ENOMEM, "start worker", NULL,
-                         "no memory for packets");
+                         "no memory for packet buffers");
     worker_batch_init(worker->batch);
     return 0;
 }
@@ -273,7 +273,8 @@
     if (count > 1)
         result = worker_socket_attach_filter(pool->workers[0].fd, count);
     if (result < 0)
-        g_warning("Flows are spread by outer address only: %s.",
+        g_warning("Can't attach the socket filter, flows are spread by outer "
+                  "header: %s.",
                   strerror(-result));
     return 0;
 
@@ -290,7 +291,7 @@
         int code = pthread_create(&worker->thread, NULL, worker_main, worker);
         if (code != 0)
             return error_set(err, -code, "start worker", NULL,
-                             "thread %u can't be started", i);
+                             "can't create thread %u", i);
         worker->started = true;
     }
     return 0;
--- a/src/balancer/worker_batch.c
+++ b/src/balancer/worker_batch.c
@@ -5,7 +5,7 @@
 #include "balancer/span.h"
 
 _Static_assert(CELL_FORWARD_HEADER_LEN == BATCH_BARE_GUE_LEN,
-               "both headers are of one length");
+               "both headers have the same length");
 
 static enum packet_drop
 check_encap(const uint8_t *buf, size_t len)
@@ -16,7 +16,7 @@
         return PACKET_BAD_ENCAP;
     if (cell_forward_is_marked(buf, len))
         return PACKET_OK;
-    if (buf[0] == 0) /* the usual case, without reading a hop list */
+    if (buf[0] == 0) /* no hop list: gue_decode() reads the bare header only */
         return gue_decode(buf, len, &gue) == BATCH_BARE_GUE_LEN
                    ? PACKET_OK
                    : PACKET_BAD_ENCAP;
@@ -35,10 +35,12 @@
     batch->out_to[i] = addr_to_sockaddr(to);
 }
 
-/* What was forwarded once is this cell's or nobody's. */
+/* Whether a packet is for another cell; a marked one never is if its address
+ * is served here. */
 static bool
-is_foreign(const struct worker_batch *batch, const struct packet *packet,
-           enum packet_drop drop, bool marked)
+is_for_other_cell(const struct worker_batch *batch,
+                  const struct packet *packet, enum packet_drop drop,
+                  bool marked)
 {
     if (drop == PACKET_NO_SERVICE)
         return true;
@@ -46,7 +48,7 @@
            cell_forward_has_priority(batch->directory, packet);
 }
 
-/* The packet isn't this cell's. */
+/* Adds a packet of another cell to the output, or returns the drop reason. */
 static enum packet_drop
 forward_to_cell(struct worker_batch *batch, uint8_t *packet, size_t len,
                 const struct packet *parsed, bool marked, uint64_t now_us)
@@ -87,7 +89,7 @@
     batch->from_cells += marked;
     len -= BATCH_BARE_GUE_LEN;
     drop = route_decide(table, packet, len, now_us, &decision);
-    if (is_foreign(batch, &decision.packet, drop, marked))
+    if (is_for_other_cell(batch, &decision.packet, drop, marked))
         return forward_to_cell(batch, packet, len, &decision.packet, marked,
                                now_us);
     if (drop != PACKET_OK)
--- a/src/balancer/worker_batch.h
+++ b/src/balancer/worker_batch.h
@@ -1,9 +1,8 @@
 /**
- * DOC: worker_batch - a batch of packets, decided about in place
+ * DOC: worker_batch - routes a batch of packets in place
  *
- * Pure but for the memory it owns: what came is in @in, what is to be sent
- * is in @out. Each buffer has room for the largest header before the
- * packet.
+ * Does no I/O: received packets are in @in, packets to send in @out. Each
+ * buffer has headroom for the largest encapsulation before the packet.
  */
 #ifndef SWIFTARCH_BALANCER_WORKER_BATCH_H
 #define SWIFTARCH_BALANCER_WORKER_BATCH_H
@@ -21,32 +20,32 @@
 #include "packet/gue.h"
 #include "packet/packet.h"
 
-#define BATCH_BARE_GUE_LEN 4 /* bare GUE header of what comes */
+#define BATCH_BARE_GUE_LEN 4 /* GUE header of received packets, bytes */
 #define BATCH_HEADROOM (GUE_HEADER_MAX - BATCH_BARE_GUE_LEN)
 
-/* One byte more than allowed, so that too long packets are seen as such */
+/* One extra byte, to detect packets longer than PACKET_MAX. */
 #define BATCH_BUFFER_SIZE (GUE_HEADER_MAX + PACKET_MAX + 1)
 
-/** struct batch_buffer - one packet with the room before it */
+/** struct batch_buffer - one packet with its headroom */
 struct batch_buffer {
     _Alignas(64) uint8_t bytes[BATCH_BUFFER_SIZE];
 };
 
 /**
  * struct worker_batch - WORKER_BATCH packets
- * @in: for recvmmsg(); each points behind the headroom of its buffer
- * @in_iov: their parts
- * @out: for sendmmsg(), the first @out_count
- * @out_iov: their parts
- * @out_to: their destinations
+ * @in: messages for recvmmsg(), received behind the headroom
+ * @in_iov: I/O vectors of @in
+ * @out: messages for sendmmsg(), the first @out_count are used
+ * @out_iov: I/O vectors of @out
+ * @out_to: destinations of @out
  * @out_count: packets to send
- * @drops: packets dropped in this batch, for each reason
- * @directory: of the other cells of the region, or NULL; set before each
+ * @drops: packets dropped in this batch, by reason
+ * @directory: table of the region's other cells, or NULL; set before each
  *             batch
  * @refused_gateways: gateways of other cells that refused packets
- * @to_cells: packets of this batch that go to gateways of other cells
- * @from_cells: packets that came from other cells
- * @buffers: the buffers
+ * @to_cells: packets of this batch for other cells
+ * @from_cells: packets of this batch from other cells
+ * @buffers: packet memory
  */
 struct worker_batch {
     struct mmsghdr in[WORKER_BATCH];
@@ -63,16 +62,17 @@
     struct batch_buffer buffers[WORKER_BATCH];
 };
 
-/** worker_batch_init() - point the messages to the buffers */
+/** worker_batch_init() - clear the batch and set up its messages */
 void
 worker_batch_init(struct worker_batch *batch);
 
 /**
- * worker_batch_decide() - decide about the first @count messages of @in
- * @table: table in force, or NULL (all are dropped)
- * @trace: spans of sampled requests go there
+ * worker_batch_decide() - route the first @count messages of @in
+ * @table: current route table, or NULL to drop all packets
+ * @trace: receives the spans of sampled requests
+ * @now_us: current time
  *
- * Fills @out and @drops.
+ * Fills @out and the counts.
  */
 void
 worker_batch_decide(struct worker_batch *batch, unsigned count,
--- a/src/balancer/worker_socket.c
+++ b/src/balancer/worker_socket.c
@@ -9,7 +9,7 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-#define SOCKET_BUFFER (4 << 20)
+#define SOCKET_BUFFER (4 << 20) /* bytes */
 #define CONTROL_SIZE 256
 
 /* Offsets into the UDP payload: bare GUE, then IPv4 without options */
@@ -17,8 +17,7 @@
 #define OFFSET_PORTS (4 + 20)
 #define HASH_MULTIPLIER_32 0x9e3779b1u
 
-/* How long a worker waits for packets before it looks whether to end, in
- * milliseconds */
+/* Receive timeout, after which a worker checks whether to stop */
 #define WORKER_WAIT_MS 20
 
 static int
@@ -32,7 +31,7 @@
 {
     struct timeval wait = {.tv_usec = WORKER_WAIT_MS * 1000};
 
-    /* The kernel clips the sizes to its limits; smaller ones will do. */
+    /* Best effort: the kernel limits the buffer sizes. */
     set_int(fd, SOL_SOCKET, SO_RCVBUF, SOCKET_BUFFER);
     set_int(fd, SOL_SOCKET, SO_SNDBUF, SOCKET_BUFFER);
     if (set_int(fd, IPPROTO_IP, IP_RECVERR, 1) < 0)
@@ -63,7 +62,7 @@
     return 0;
 }
 
-/* Whether a message of the error queue says "connection refused" */
+/* Whether a message of the error queue reports ECONNREFUSED by ICMP */
 static bool
 is_refusal(struct msghdr *msg)
 {
@@ -94,13 +93,13 @@
     if (fd >= 0)
         close(fd);
     return error_set(err, code, "open packet socket", addr_format(*addr, text),
-                     "the address can't be used");
+                     "can't open a UDP socket at the address");
 }
 
 int
 worker_socket_attach_filter(int fd, unsigned count)
 {
-    /* A packet too short for the loads ends the program with socket 0. */
+    /* For a packet too short for the loads the filter returns socket 0. */
     struct sock_filter code[] = {
         BPF_STMT(BPF_LD | BPF_W | BPF_ABS, OFFSET_SRC),
         BPF_STMT(BPF_MISC | BPF_TAX, 0),
--- a/tests/balancer/batch_test.c
+++ b/tests/balancer/batch_test.c
@@ -1,10 +1,8 @@
 /**
- * DOC: batch_test - packets cost no allocation and no lock
+ * DOC: batch_test - guards against allocations and locks per packet
  *
- * The linker hands every call of these functions from our own objects to
- * the counting ones below (--wrap); libraries' own calls stay unseen, and
- * none is called for a packet but clock_gettime(), recvmmsg(), sendmmsg()
- * and liburcu's read section.
+ * The linker's --wrap redirects calls from this project's objects to the
+ * counting functions below; calls inside libraries are not counted.
  */
 #include <pthread.h>
 #include <stdlib.h>
@@ -49,7 +47,7 @@
 static size_t calls;
 
 static void
-note(void)
+count_call(void)
 {
     __atomic_add_fetch(&calls, 1, __ATOMIC_RELAXED);
 }
@@ -57,52 +55,52 @@
 void *
 __wrap_malloc(size_t size)
 {
-    note();
+    count_call();
     return __real_malloc(size);
 }
 
 void *
 __wrap_calloc(size_t count, size_t size)
 {
-    note();
+    count_call();
     return __real_calloc(count, size);
 }
 
 void *
 __wrap_realloc(void *old, size_t size)
 {
-    note();
+    count_call();
     return __real_realloc(old, size);
 }
 
 void *
 __wrap_aligned_alloc(size_t alignment, size_t size)
 {
-    note();
+    count_call();
     return __real_aligned_alloc(alignment, size);
 }
 
 void
 __wrap_free(void *memory)
 {
-    note();
+    count_call();
     __real_free(memory);
 }
 
 int
 __wrap_pthread_mutex_lock(pthread_mutex_t *mutex)
 {
-    note();
+    count_call();
     return __real_pthread_mutex_lock(mutex);
 }
 
 static size_t
-calls_so_far(void)
+call_count(void)
 {
     return __atomic_load_n(&calls, __ATOMIC_RELAXED);
 }
 
-/* Good ones, broken ones and strangers, of a new flow each */
+/* Valid and truncated packets and unknown addresses, each a new flow */
 static size_t
 make_packet(uint8_t *bytes, uint32_t number)
 {
@@ -115,7 +113,7 @@
     return number % 11 == 10 ? len - 1 : len;
 }
 
-TEST(no_call)
+TEST(no_allocation_or_lock)
 {
     struct worker_owner owner = {0};
     struct worker_pool pool;
@@ -146,7 +144,7 @@
     g_assert_cmpint(route_table_new(view, text, NULL, &table), ==, 0);
     worker_pool_publish(&pool, table);
     g_assert_cmpint(worker_pool_start(&pool, &err), ==, 0);
-    g_assert_cmpuint(calls_so_far(), >, 0); /* the counting works */
+    g_assert_cmpuint(call_count(), >, 0); /* the wrappers are linked */
 
     for (uint32_t i = 0; i < PACKETS; i++) {
         size_t len = make_packet(bytes, i);
@@ -154,9 +152,9 @@
         if (i % CHUNK == CHUNK - 1)
             LOOPBACK_WAIT(counter_read(&counters, pool.received) > i);
         if (i == CHUNK - 1)
-            before = calls_so_far();
+            before = call_count();
     }
-    g_assert_cmpuint(calls_so_far(), ==, before);
+    g_assert_cmpuint(call_count(), ==, before);
     g_assert_cmpuint(counter_read(&counters, pool.forwarded), >, PACKETS / 2);
 
     worker_pool_finish(&pool);
--- a/tests/balancer/builder_test.c
+++ b/tests/balancer/builder_test.c
@@ -9,7 +9,7 @@
 
 #define SUITE "/builder"
 
-/** struct setup - a board and a pool without threads */
+/** struct setup - builder with a blackboard and a pool without threads */
 struct setup {
     struct worker_owner owner;
     struct clock_manual clock;
@@ -56,7 +56,8 @@
     return view;
 }
 
-TEST_F(setup, poll)
+/* A table is published only after the view or the configuration changes. */
+TEST_F(setup, rebuild_on_change)
 {
     struct text *text;
 
@@ -85,6 +86,7 @@
                      ==, 3);
 }
 
+/* Readiness in each combination of view, peers and process state */
 TEST(readiness)
 {
     struct view *alone = route_fixture_view(1, "lots");
--- a/tests/balancer/fabric_test.c
+++ b/tests/balancer/fabric_test.c
@@ -15,7 +15,7 @@
 #define PACKETS 200
 #define LOOP_LIMIT_US (20 * USEC_PER_SEC)
 
-static const char whole[] =
+static const char full_config[] =
     "{\"listen\": \"127.0.0.1:0\", \"balancers\": [{\"data\": "
     "\"127.0.0.1:1\", \"http\": \"127.0.0.1:2\", \"delay_us\": 1000}], "
     "\"callers\": [{\"ip\": \"10.9.0.1\", \"to\": \"127.0.0.1:3\"}], "
@@ -28,7 +28,7 @@
     struct config config;
     char *report = NULL;
 
-    g_assert_cmpint(config_parse(&config, whole, "f", &report), ==, 0);
+    g_assert_cmpint(config_parse(&config, full_config, "f", &report), ==, 0);
     g_assert_null(report);
     g_assert_cmpuint(config.balancers[0].data.port, ==, 1);
     g_assert_cmpuint(config.balancers[0].http.port, ==, 2);
@@ -41,7 +41,8 @@
     g_assert_cmpuint(config.cut_count, ==, 1);
 }
 
-TEST(config_faults)
+/* Errors name the key, the value and what was expected. */
+TEST(config_errors)
 {
     const struct {
         const char *text;
@@ -87,24 +88,24 @@
 }
 
 static void
-put(struct delay *delay, uint8_t number, uint16_t port, uint64_t due_us,
-    bool overtaken)
+put_packet(struct delay *delay, uint8_t number, uint16_t port, uint64_t due_us,
+           bool overtaken)
 {
     g_assert_cmpint(delay_put(delay, &number, 1, (struct addr){1, port},
                               due_us, overtaken),
                     ==, 0);
 }
 
-/* Order is kept for each destination, but not among them. */
+/* Packets stay in order per destination, unless marked as overtaken. */
 TEST(delay)
 {
     struct delay *delay = delay_new();
 
     g_assert_cmpuint(delay_next_us(delay), ==, UINT64_MAX);
-    put(delay, 1, 10, 500, false);
-    put(delay, 2, 10, 300, false);
-    put(delay, 3, 20, 400, false);
-    put(delay, 4, 10, 450, true);
+    put_packet(delay, 1, 10, 500, false);
+    put_packet(delay, 2, 10, 300, false);
+    put_packet(delay, 3, 20, 400, false);
+    put_packet(delay, 4, 10, 450, true);
     g_assert_cmpuint(delay_next_us(delay), ==, 400);
     expect_packet(delay, 399, -1);
     expect_packet(delay, 1000, 3);
@@ -115,36 +116,38 @@
 
     uint8_t byte = 0;
     for (int i = 0; i < DELAY_PACKETS_MAX; i++)
-        put(delay, 0, 10, 1, false);
+        put_packet(delay, 0, 10, 1, false);
     g_assert_cmpint(delay_put(delay, &byte, 1, (struct addr){1, 1}, 1, false),
                     ==, -ENOBUFS);
     delay_free(delay);
 }
 
+/* One unanswered check keeps a balancer up; two in a row, or a status other
+ * than 200, mark it down. */
 TEST(health)
 {
     static const struct {
         int status;
         bool up;
-    } notes[] = {{200, true}, {0, true},   {200, true}, {0, true},
-                 {0, false},  {200, true}, {503, false}};
+    } results[] = {{200, true}, {0, true},   {200, true}, {0, true},
+                   {0, false},  {200, true}, {503, false}};
     struct event_base *base = event_base_new();
     struct config config;
     char *report = NULL;
 
-    g_assert_cmpint(config_parse(&config, whole, "f", &report), ==, 0);
+    g_assert_cmpint(config_parse(&config, full_config, "f", &report), ==, 0);
     struct health *health = health_new(base, &config);
     g_assert_false(health_is_up(health, 0));
-    for (size_t i = 0; i < G_N_ELEMENTS(notes); i++) {
-        health_note(health, 0, notes[i].status);
-        g_assert_cmpint(health_is_up(health, 0), ==, notes[i].up);
+    for (size_t i = 0; i < G_N_ELEMENTS(results); i++) {
+        health_note(health, 0, results[i].status);
+        g_assert_cmpint(health_is_up(health, 0), ==, results[i].up);
     }
     g_assert_cmpuint(health_changes(health), ==, 4);
     health_free(health);
     event_base_free(base);
 }
 
-/** struct balancer - a fake one: its readiness and its packets */
+/** struct balancer - fake balancer: readiness endpoint and packet socket */
 struct balancer {
     struct httpd_handler handler;
     struct httpd *httpd;
@@ -153,7 +156,7 @@
     struct addr data;
 };
 
-/** struct fixture - a fabric, two balancers and a caller on one loop */
+/** struct fixture - fabric, two balancers and a caller on one event loop */
 struct fixture {
     struct event_base *base;
     struct clock clock;
@@ -223,7 +226,7 @@
     event_base_free(fixture->base);
 }
 
-/* A packet to @ip with a number in its last byte */
+/* Sends a packet to @ip with @number in its last byte. */
 static void
 send_numbered(struct fixture *fixture, uint32_t ip, uint8_t number)
 {
@@ -244,7 +247,7 @@
            counts.cut + counts.lost + counts.malformed;
 }
 
-/* Packets that came to @fd; their numbers must rise */
+/* Counts the packets received on @fd; their numbers must increase. */
 static size_t
 count_in_order(int fd)
 {
@@ -260,7 +263,7 @@
     return count;
 }
 
-/* Run the loop until @done says so, at most LOOP_LIMIT_US */
+/* Runs the event loop until @done returns true, for at most LOOP_LIMIT_US. */
 static void
 run_until(struct fixture *fixture, bool (*done)(struct fixture *fixture))
 {
@@ -297,6 +300,7 @@
            fabric_idle(fixture->fabric);
 }
 
+/* Packets are spread over ready balancers only. */
 TEST_F(fixture, spray)
 {
     run_until(fixture, both_up);
@@ -319,7 +323,7 @@
     g_assert_cmpuint(count_in_order(fixture->balancers[1].fd), ==, PACKETS);
 }
 
-/* New settings: a cut link; the balancers stay up. */
+/* A reload applies a cut link without resetting health. */
 TEST_F(fixture, reload)
 {
     run_until(fixture, both_up);
--- a/tests/balancer/program_test.c
+++ b/tests/balancer/program_test.c
@@ -1,5 +1,5 @@
 /**
- * DOC: program_test - a whole balancer in this process, with a fake control
+ * DOC: program_test - balancer process as a thread, with a fake control thread
  */
 #include <glib/gstdio.h>
 #include <pthread.h>
@@ -20,7 +20,7 @@
 #define SUITE "/program"
 #define NAME "balancer-1"
 
-/** struct control - the fake: what the balancer asked of it */
+/** struct control - fake that records the calls of the balancer */
 struct control {
     const struct settings *settings;
     struct board *board;
@@ -60,14 +60,14 @@
     control->stopped++;
 }
 
-/* Member that a worker reported, or 0 */
+/* Member last reported as dead, or 0 */
 static uint64_t
 reported_dead(void)
 {
     return __atomic_load_n(&fake.dead, __ATOMIC_SEQ_CST);
 }
 
-/** struct run - one run of the program */
+/** struct run - one run of balancer_run() */
 struct run {
     char *folder;
     char *path;
@@ -122,47 +122,48 @@
     return run->exit_code;
 }
 
-/* Status of GET @path; the answer's text in @answer (512 bytes) */
+/* Sends GET @path; writes the response to @response, 512 bytes. */
 static int
-http_get(const char *path, char *answer)
+http_get(const char *path, char *response)
 {
     struct addr own;
     int fd = loopback_open(SOCK_STREAM, &own);
     struct sockaddr_in sin = addr_to_sockaddr(fake.settings->http);
     g_autofree char *request = g_strdup_printf(
         "GET %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", path);
-    size_t got = 0;
+    size_t received = 0;
     ssize_t n;
 
     g_assert_cmpint(connect(fd, (struct sockaddr *)&sin, sizeof(sin)), ==, 0);
     g_assert_cmpint(send(fd, request, strlen(request), 0), ==,
                     (ssize_t)strlen(request));
-    while (got < 511 && (n = recv(fd, answer + got, 511 - got, 0)) > 0)
-        got += (size_t)n;
-    answer[got] = '\0';
+    while (received < 511 &&
+           (n = recv(fd, response + received, 511 - received, 0)) > 0)
+        received += (size_t)n;
+    response[received] = '\0';
     close(fd);
-    g_assert_true(g_str_has_prefix(answer, "HTTP/1.1 "));
-    return (int)g_ascii_strtoll(answer + 9, NULL, 10);
+    g_assert_true(g_str_has_prefix(response, "HTTP/1.1 "));
+    return (int)g_ascii_strtoll(response + 9, NULL, 10);
 }
 
 static void
 wait_ready(int status)
 {
-    char answer[512];
+    char response[512];
 
-    LOOPBACK_WAIT(http_get("/ready", answer) == status);
+    LOOPBACK_WAIT(http_get("/ready", response) == status);
 }
 
 static bool
 has_metric(const char *line)
 {
-    char answer[512];
+    char response[512];
 
-    g_assert_cmpint(http_get("/metrics", answer), ==, 200);
-    return strstr(answer, line) != NULL;
+    g_assert_cmpint(http_get("/metrics", response), ==, 200);
+    return strstr(response, line) != NULL;
 }
 
-/* The balancer itself and one agent of the service lots at @data */
+/* Publishes a view of the balancer and one agent of lots at @data. */
 static void
 publish_view(uint64_t seq, struct addr data)
 {
@@ -207,25 +208,26 @@
     g_assert_cmpuint(gue.service, ==, hash_service("lots"));
 }
 
+/* A planned stop fails /ready, announces it and forwards until idle. */
 TEST(planned_stop)
 {
     struct run run;
     struct addr data, other;
     int endpoint = loopback_open(SOCK_DGRAM, &data);
     int caller = loopback_open(SOCK_DGRAM, &other);
-    char answer[512];
+    char response[512];
 
     run_start(&run);
-    g_assert_cmpint(http_get("/ready", answer), ==, 503);
+    g_assert_cmpint(http_get("/ready", response), ==, 503);
     publish_view(1, data);
-    g_assert_cmpint(http_get("/ready", answer), ==, 503);
+    g_assert_cmpint(http_get("/ready", response), ==, 503);
     g_assert_true(board_publish_text(fake.board, route_fixture_text(), 0));
     wait_ready(200);
     send_packet(caller);
     expect_packet(endpoint);
-    /* A worker counts a packet after it has sent it on. */
+    /* A worker updates the counters after sending. */
     LOOPBACK_WAIT(has_metric("swiftarch_packets_received_total 1\n"));
-    g_assert_cmpint(http_get("/other", answer), ==, 404);
+    g_assert_cmpint(http_get("/other", response), ==, 404);
 
     kill(getpid(), SIGTERM);
     wait_ready(503);
@@ -241,7 +243,8 @@
     close(caller);
 }
 
-TEST(hard_stop)
+/* A refusal is reported; a second signal stops the process at once. */
+TEST(second_signal)
 {
     struct run run;
     struct addr data, other;
@@ -253,7 +256,7 @@
     g_assert_true(board_publish_text(fake.board, route_fixture_text(), 0));
     wait_ready(200);
 
-    close(endpoint); /* a refusal reaches the control thread */
+    close(endpoint); /* refusals are reported to the control thread */
     LOOPBACK_WAIT((send_packet(caller), reported_dead() != 0));
     g_assert_cmpuint(reported_dead(), !=, 0);
     g_assert_cmpuint(reported_dead(), !=, hash_name(NAME));
@@ -265,7 +268,7 @@
     close(caller);
 }
 
-TEST(wrong_settings)
+TEST(invalid_settings)
 {
     g_assert_cmpint(balancer_run("/nonexistent/settings.json"), ==, 2);
 }
@@ -274,7 +277,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    /* The program warns of a hard stop, as it should. */
+    /* The second signal logs a warning, which must not be fatal. */
     g_log_set_always_fatal(G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL);
     return harness_run();
 }
--- a/tests/balancer/retire_fixture.c
+++ b/tests/balancer/retire_fixture.c
@@ -18,7 +18,7 @@
     return (unsigned)g_rand_int_range(fixture->random, 0, (gint32)below);
 }
 
-/* "names" is a UDP service, so it may share an address. */
+/* The UDP service "names" may share an address with a TCP service. */
 bool
 fixture_is_udp(unsigned name)
 {
@@ -46,7 +46,8 @@
     return g_string_free(out, FALSE);
 }
 
-/* The next text, or NULL when what is published forbids it or it is none. */
+/* Parses the configuration of @plan; NULL if it is invalid or refused because
+ * of retired addresses. */
 static struct text *
 next_text(struct fixture *fixture, const struct fixture_plan *plan)
 {
@@ -86,9 +87,9 @@
     return full;
 }
 
-/* The ranks do not depend on the text, so all versions share them. */
+/* Stores a version and builds its route table. */
 static void
-keep_version(struct fixture *fixture, size_t version, struct text *text)
+add_version(struct fixture *fixture, size_t version, struct text *text)
 {
     fixture->texts[version] = text;
     fixture->published_ms[version] = fixture->now_ms;
@@ -99,18 +100,18 @@
         ==, 0);
 }
 
-/* What a peer learns from another is what the platform would tell it. */
+/* Parses a copy, as received from a peer. */
 static struct text *
-from_peer(const struct text *text)
+parse_from_peer(const struct text *text)
 {
-    struct text *again = NULL;
+    struct text *copy = NULL;
     char *report = NULL;
 
     g_assert_cmpint(text_parse_envelope(text->source, text->source_len,
-                                        text->version, &again, &report),
+                                        text->version, &copy, &report),
                     ==, 0);
-    g_assert_cmpuint(again->retired_count, ==, text->retired_count);
-    return again;
+    g_assert_cmpuint(copy->retired_count, ==, text->retired_count);
+    return copy;
 }
 
 static struct fixture_plan
@@ -119,7 +120,7 @@
     struct fixture_plan plan = fixture->plan;
     unsigned name = fixture_random(fixture, FIXTURE_NAMES);
 
-    if (fixture_random(fixture, 4) == 0) { /* rename, or swap */
+    if (fixture_random(fixture, 4) == 0) { /* rename or swap */
         unsigned other = fixture_random(fixture, FIXTURE_NAMES);
         unsigned address = plan.address[name];
         plan.address[name] = plan.address[other];
@@ -144,7 +145,7 @@
                   !agent->addresses.removed, fixture->now_us);
 }
 
-/* Nobody lags by as much as addresses are held. */
+/* Oldest version that a process may use: replaced less than HOLD_MS ago */
 static size_t
 oldest_allowed(const struct fixture *fixture)
 {
@@ -157,26 +158,26 @@
 }
 
 static size_t
-newer(struct fixture *fixture, size_t version)
+random_newer(struct fixture *fixture, size_t version)
 {
-    size_t least = MAX(version, oldest_allowed(fixture));
+    size_t oldest = MAX(version, oldest_allowed(fixture));
 
-    return least +
-           fixture_random(fixture, (unsigned)(fixture->latest - least + 1));
+    return oldest +
+           fixture_random(fixture, (unsigned)(fixture->latest - oldest + 1));
 }
 
 void
 fixture_advance_versions(struct fixture *fixture)
 {
-    bool all = fixture_random(fixture, 5) == 0; /* to the latest */
+    bool all = fixture_random(fixture, 5) == 0; /* move all to the latest */
 
     for (size_t i = 0; i < FIXTURE_BALANCERS; i++)
-        fixture->balancers[i] =
-            newer(fixture, all ? fixture->latest : fixture->balancers[i]);
+        fixture->balancers[i] = random_newer(
+            fixture, all ? fixture->latest : fixture->balancers[i]);
     for (size_t i = 0; i < FIXTURE_AGENTS; i++)
         agent_set(fixture, &fixture->agents[i],
-                  newer(fixture,
-                        all ? fixture->latest : fixture->agents[i].version));
+                  random_newer(fixture, all ? fixture->latest
+                                            : fixture->agents[i].version));
 }
 
 void
@@ -188,7 +189,7 @@
     if (text == NULL)
         return;
     fixture->plan = plan;
-    keep_version(fixture, ++fixture->latest, from_peer(text));
+    add_version(fixture, ++fixture->latest, parse_from_peer(text));
     text_free(text);
 }
 
@@ -211,7 +212,7 @@
         fixture->view->members[i].service =
             hash_service(fixture_names[i % FIXTURE_NAMES]);
     }
-    keep_version(fixture, 0, text);
+    add_version(fixture, 0, text);
     for (unsigned i = 0; i < FIXTURE_AGENTS; i++) {
         fixture->agents[i].flows = flow_table_new(fixture->view->members[i].id,
                                                   4 * FIXTURE_FLOWS_MAX);
--- a/tests/balancer/retire_fixture.h
+++ b/tests/balancer/retire_fixture.h
@@ -1,9 +1,10 @@
 /**
- * DOC: retire_site - balancers and agents with texts that follow each other
+ * DOC: retire_fixture - balancers and agents under random configuration
+ * changes
  *
- * Random texts: services are added, moved, moved back, renamed and removed.
- * Balancers and agents use versions that differ, by less than the time that
- * addresses are held.
+ * Services are added, moved, moved back, renamed and removed. Balancers and
+ * agents use different versions, whose ages differ by less than the hold time
+ * of retired addresses.
  */
 #ifndef SWIFTARCH_TESTS_BALANCER_RETIRE_FIXTURE_H
 #define SWIFTARCH_TESTS_BALANCER_RETIRE_FIXTURE_H
@@ -26,22 +27,22 @@
 #define FIXTURE_HOUR_MS (3600 * UINT64_C(1000))
 #define FIXTURE_FIRST_IP 0x0a640001u
 
-/** struct fixture_plan - the address of each name, FIXTURE_ADDRESSES for none
- */
+/** struct fixture_plan - address index of each service, FIXTURE_ADDRESSES for
+ * none */
 struct fixture_plan {
     unsigned address[FIXTURE_NAMES];
 };
 
-/** struct fixture_flow - an established flow and who owns it */
+/** struct fixture_flow - established flow and the agent that owns it */
 struct fixture_flow {
     unsigned name;
     unsigned address;
     unsigned agent;
     uint32_t caller;
-    size_t since; /* version by which it was opened */
+    size_t since; /* latest version used to open it */
 };
 
-/** struct fixture_agent - an agent: what it knows and its flows */
+/** struct fixture_agent - configuration and flows of an agent */
 struct fixture_agent {
     unsigned name;
     size_t version;
@@ -50,7 +51,22 @@
     const struct text_service *service;
 };
 
-/** struct fixture - all of it */
+/**
+ * struct fixture - cell with its configurations
+ * @plan: addresses in the latest configuration
+ * @texts: configurations by version
+ * @tables: route tables by version
+ * @published_ms: publication time by version
+ * @latest: latest version
+ * @balancers: version used by each balancer
+ * @callers: number of callers used so far
+ * @refused: configurations that were invalid or used reserved addresses
+ * @delivered: packets delivered
+ * @delivered_retired: packets delivered at retired addresses
+ * @resets: new flows reset
+ * @forwarded_unaware: packets delivered after an agent without the address
+ * forwarded them
+ */
 struct fixture {
     GRand *random;
     uint64_t now_ms;
@@ -67,35 +83,35 @@
     size_t flow_count;
     uint32_t callers;
     unsigned refused;
-    unsigned taken;
-    unsigned retired_taken;
+    unsigned delivered;
+    unsigned delivered_retired;
     unsigned resets;
-    unsigned helped; /* taken after agents that did not know the address */
+    unsigned forwarded_unaware;
 };
 
 extern const char *const fixture_names[FIXTURE_NAMES];
 
-/** fixture_init() - the first text is in force everywhere */
+/** fixture_init() - start with the first configuration at all processes */
 void
 fixture_init(struct fixture *fixture, uint32_t seed);
 
-/** fixture_finish() - free it */
+/** fixture_finish() - free the fixture */
 void
 fixture_finish(struct fixture *fixture);
 
-/** fixture_random() - a random number below @below */
+/** fixture_random() - random number below @below */
 unsigned
 fixture_random(struct fixture *fixture, unsigned below);
 
-/** fixture_is_udp() - whether that service's transport is UDP */
+/** fixture_is_udp() - whether service @name uses UDP */
 bool
 fixture_is_udp(unsigned name);
 
-/** fixture_publish() - change the text, unless what is published forbids it */
+/** fixture_publish() - publish a random configuration, unless it is refused */
 void
 fixture_publish(struct fixture *fixture);
 
-/** fixture_advance_versions() - processes hear of newer versions, or not */
+/** fixture_advance_versions() - move processes to random newer versions */
 void
 fixture_advance_versions(struct fixture *fixture);
 
--- a/tests/balancer/retire_test.c
+++ b/tests/balancer/retire_test.c
@@ -1,9 +1,9 @@
 /**
- * DOC: retire_test - flows outlive what happens to their service's address
+ * DOC: retire_test - guards established flows against changes of addresses
  *
- * A packet of an established flow always reaches its owner, through any
- * balancer that knows its address; nothing of it ever reaches another
- * service; a retired address opens no flow.
+ * A packet of an established flow reaches its owner through any balancer that
+ * has the address and never reaches another service. A retired address opens
+ * no flow.
  */
 
 #include "base/hash.h"
@@ -36,12 +36,12 @@
     return at;
 }
 
-/* Walks the list; where it ended is in @agent. */
+/* Follows the hop list; sets @agent to the last hop. */
 static struct flow_decision
-walk(struct fixture *fixture, const struct packet *packet, struct gue gue,
-     size_t *agent)
+follow_hops(struct fixture *fixture, const struct packet *packet,
+            struct gue gue, size_t *agent)
 {
-    bool strange = false;
+    bool unknown_address = false;
 
     for (int hops = 0; hops < HOPS_MAX; hops++) {
         *agent = agent_at(fixture, &gue);
@@ -54,8 +54,9 @@
         if (decision.verdict == FLOW_DELIVER || decision.verdict == FLOW_OPEN)
             g_assert_cmpuint(hash_service(fixture_names[at->name]), ==,
                              gue.service);
-        strange = strange || address == FLOW_ADDRESS_NONE;
-        fixture->helped += strange && decision.verdict == FLOW_DELIVER;
+        unknown_address = unknown_address || address == FLOW_ADDRESS_NONE;
+        fixture->forwarded_unaware +=
+            unknown_address && decision.verdict == FLOW_DELIVER;
         if (decision.verdict != FLOW_FORWARD)
             return decision;
         gue = decision.gue;
@@ -63,7 +64,7 @@
     g_assert_not_reached();
 }
 
-/* Sends a packet through a balancer; false when that drops it. */
+/* Sends a packet through a balancer; false if the balancer drops it. */
 static bool
 send_one(struct fixture *fixture, size_t balancer,
          const struct fixture_flow *flow, uint8_t flags, uint32_t ack,
@@ -85,7 +86,7 @@
                           (enum text_proto)route.packet.proto))
         g_assert_cmpuint(route.gue.flags & GUE_OPEN, ==, 0);
     route.packet.ack = ack;
-    *decision = walk(fixture, &route.packet, route.gue, agent);
+    *decision = follow_hops(fixture, &route.packet, route.gue, agent);
     return true;
 }
 
@@ -129,10 +130,10 @@
     fixture->flows[fixture->flow_count++] = flow;
 }
 
-/* What the newest text says of a flow's address. */
+/* Whether the latest configuration keeps the flow's address for its service */
 static bool
-is_held(const struct fixture *fixture, const struct fixture_flow *flow,
-        bool *retired)
+is_reserved(const struct fixture *fixture, const struct fixture_flow *flow,
+            bool *retired)
 {
     const struct text *text = fixture->texts[fixture->latest];
     uint32_t ip = FIXTURE_FIRST_IP + flow->address;
@@ -149,11 +150,12 @@
            (before != NULL && before->service.id == id);
 }
 
-/* A balancer may not have heard yet that the address is the service's. Then
- * the packet is lost, but the flow isn't reset. */
+/* A balancer with a version from before the flow may lose the packet, but must
+ * not cause a reset. */
 static void
-check_late(const struct fixture *fixture, const struct fixture_flow *flow,
-           size_t balancer, const struct flow_decision *decision)
+check_outdated_balancer(const struct fixture *fixture,
+                        const struct fixture_flow *flow, size_t balancer,
+                        const struct flow_decision *decision)
 {
     g_assert_cmpuint(fixture->balancers[balancer], <, flow->since);
     if (decision != NULL)
@@ -169,26 +171,26 @@
         size_t agent;
         if (!send_one(fixture, i, flow, PACKET_TCP_ACK, 71, &decision,
                       &agent)) {
-            check_late(fixture, flow, i, NULL);
+            check_outdated_balancer(fixture, flow, i, NULL);
             continue;
         }
         if (decision.verdict != FLOW_DELIVER) {
-            check_late(fixture, flow, i, &decision);
+            check_outdated_balancer(fixture, flow, i, &decision);
             continue;
         }
         g_assert_cmpuint(agent, ==, flow->agent);
-        fixture->taken++;
-        fixture->retired_taken += retired;
+        fixture->delivered++;
+        fixture->delivered_retired += retired;
     }
 }
 
-/* A flow whose address is given up has ended: its owner resets it. */
+/* Flows on released addresses are closed, the others checked. */
 static void
 check_flows(struct fixture *fixture)
 {
     for (size_t i = 0; i < fixture->flow_count;) {
         bool retired;
-        if (is_held(fixture, &fixture->flows[i], &retired)) {
+        if (is_reserved(fixture, &fixture->flows[i], &retired)) {
             check_flow(fixture, &fixture->flows[i++], retired);
             continue;
         }
@@ -203,7 +205,7 @@
     }
 }
 
-/* A new flow to an address that is retired for all is refused by a reset. */
+/* A new flow to an address that all processes have as retired is reset. */
 static void
 check_refusal(struct fixture *fixture)
 {
@@ -215,7 +217,7 @@
     size_t agent;
     bool retired;
 
-    if (!is_held(fixture, &flow, &retired) || !retired)
+    if (!is_reserved(fixture, &flow, &retired) || !retired)
         return;
     for (size_t i = 0; i < FIXTURE_BALANCERS; i++)
         if (fixture->balancers[i] != fixture->latest)
@@ -228,17 +230,17 @@
     const struct text_retired *before = text_find_retired(
         fixture->texts[fixture->latest], FIXTURE_FIRST_IP + flow.address,
         ROUTE_FIXTURE_PORT, TEXT_TCP);
-    bool over = fixture->now_ms + TEXT_RETIRE_SKEW_MS >= before->until_ms;
-    g_assert_cmpint(decision.verdict, ==, over ? FLOW_DROP : FLOW_RESET);
-    fixture->resets += !over;
+    bool expired = fixture->now_ms + TEXT_RETIRE_SKEW_MS >= before->until_ms;
+    g_assert_cmpint(decision.verdict, ==, expired ? FLOW_DROP : FLOW_RESET);
+    fixture->resets += !expired;
 }
 
-TEST(texts)
+TEST(address_changes)
 {
     unsigned refused = 0;
-    unsigned retired_taken = 0;
+    unsigned delivered_retired = 0;
     unsigned resets = 0;
-    unsigned helped = 0;
+    unsigned forwarded_unaware = 0;
 
     for (uint32_t seed = 1; seed <= RUNS; seed++) {
         struct fixture fixture;
@@ -257,17 +259,19 @@
             check_refusal(&fixture);
         }
         refused += fixture.refused;
-        retired_taken += fixture.retired_taken;
+        delivered_retired += fixture.delivered_retired;
         resets += fixture.resets;
-        helped += fixture.helped;
+        forwarded_unaware += fixture.forwarded_unaware;
         fixture_finish(&fixture);
     }
-    /* What is to be tested did happen. */
+    /* Each case has occurred often enough. */
     g_assert_cmpuint(refused, >, RUNS);
-    g_assert_cmpuint(retired_taken, >, 100 * RUNS);
+    g_assert_cmpuint(delivered_retired, >, 100 * RUNS);
     g_assert_cmpuint(resets, >, RUNS / 4);
-    g_assert_cmpuint(helped, >, RUNS);
-    g_test_message("refused %u texts; %u packets taken at retired addresses; "
-                   "%u new flows reset, %u passed on by strangers",
-                   refused, retired_taken, resets, helped);
+    g_assert_cmpuint(forwarded_unaware, >, RUNS);
+    g_test_message(
+        "%u configurations refused, %u packets delivered at retired "
+        "addresses, %u new flows reset, %u packets forwarded by "
+        "agents without the address",
+        refused, delivered_retired, resets, forwarded_unaware);
 }
--- a/tests/balancer/route_fixture.h
+++ b/tests/balancer/route_fixture.h
@@ -1,8 +1,8 @@
 /**
- * DOC: scene - views, texts and packets for the balancer's tests
+ * DOC: route_fixture - views, configurations and packets for balancer tests
  */
-#ifndef SWIFTARCH_TESTS_BALANCER_SCENE_H
-#define SWIFTARCH_TESTS_BALANCER_SCENE_H
+#ifndef SWIFTARCH_TESTS_BALANCER_ROUTE_FIXTURE_H
+#define SWIFTARCH_TESTS_BALANCER_ROUTE_FIXTURE_H
 
 #include <stddef.h>
 #include <stdint.h>
@@ -16,22 +16,24 @@
 #define ROUTE_FIXTURE_PORT 80
 #define ROUTE_FIXTURE_FIRST_SEEN_US UINT64_C(5000000)
 
-/** route_fixture_text() - services lots (TCP), albums (TCP) and names (UDP),
- * version 1; the UDP one has the address and port of lots */
+/** route_fixture_text() - configuration version 1 with the services lots
+ * (TCP), albums (TCP) and names (UDP); names has the address and port of lots
+ */
 struct text *
 route_fixture_text(void);
 
-/** route_fixture_view() - @count ready agents of service @service, sorted by
+/** route_fixture_view() - view of @count ready agents of @service, sorted by
  * id */
 struct view *
 route_fixture_view(size_t count, const char *service);
 
-/** route_fixture_tcp() - a TCP packet to @ip from a caller numbered @caller */
+/** route_fixture_tcp() - write a TCP packet to @ip from caller number @caller;
+ * returns its length */
 size_t
 route_fixture_tcp(uint8_t *buf, uint32_t ip, uint32_t caller, uint8_t flags,
                   const char *payload);
 
-/** route_fixture_udp() - the same for a datagram */
+/** route_fixture_udp() - write a UDP packet, as route_fixture_tcp() */
 size_t
 route_fixture_udp(uint8_t *buf, uint32_t ip, uint32_t caller);
 
--- a/tests/balancer/route_table_test.c
+++ b/tests/balancer/route_table_test.c
@@ -17,8 +17,8 @@
     return table;
 }
 
-/* Services that share addresses and ports are told apart, whatever the
- * size of the table; one that isn't there is not found. */
+/* Services with common addresses or ports are distinguished at any table size;
+ * missing ones are not found. */
 TEST(find)
 {
     struct text_service services[300] = {0};
@@ -47,7 +47,7 @@
     free(view);
 }
 
-/* Only what changed is ranked anew. */
+/* Tables share the ranks of services whose members did not change. */
 TEST(sharing)
 {
     struct text *text = route_fixture_text();
@@ -61,7 +61,7 @@
     g_assert_true(next->services[0].open != next->services[0].all);
     g_assert_null(next->services[1].all);
 
-    /* What is shared outlives the table that made it. */
+    /* A shared rank outlives the table that created it. */
     route_table_free(first);
     g_assert_true(route_endpoint_at(next, view->members[3].data) ==
                   &next->services[0].endpoints[3]);
--- a/tests/balancer/route_test.c
+++ b/tests/balancer/route_test.c
@@ -9,7 +9,7 @@
 #define FLOWS 3000
 #define AFTER_SLOW_START_US (ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US)
 
-/** struct fixture - a table and what it was built from */
+/** struct fixture - route table with its view and configuration */
 struct fixture {
     struct text *text;
     struct view *view;
@@ -67,7 +67,7 @@
     return member;
 }
 
-/* Place of a hop in the list that the rules ask for: lower comes first */
+/* Expected position group of a hop; lower groups come first */
 static int
 expected_order_established(const struct view_member *member)
 {
@@ -91,7 +91,7 @@
     uint8_t buf[PACKET_MAX];
     struct packet packet;
     bool suspects = false;
-    int place = 0;
+    int group = 0;
     uint64_t score = UINT64_MAX;
 
     size_t len = route_fixture_tcp(buf, ROUTE_FIXTURE_LOTS_IP, caller,
@@ -108,10 +108,10 @@
         g_assert_cmpint(member->role, ==, MEMBER_AGENT);
         g_assert_cmpuint(member->service, ==, gue->service);
         g_assert_true(addr_equal(member->data, gue->hops[i].data));
-        g_assert_cmpint(own, >=, place);
-        if (own > place)
+        g_assert_cmpint(own, >=, group);
+        if (own > group)
             score = UINT64_MAX;
-        place = own;
+        group = own;
         g_assert_cmpuint(rank_score(member->id, bucket), <, score);
         score = rank_score(member->id, bucket);
         suspects |= member->health == MEMBER_SUSPECT;
@@ -122,8 +122,8 @@
     g_assert_cmpint(!!(gue->flags & GUE_OPEN), ==, open);
 }
 
-/* Any mix of states and healths keeps the rules of the list. */
-TEST(rules)
+/* Hop lists keep their order for any mix of states and health. */
+TEST(hop_order)
 {
     for (int round = 0; round < 30; round++) {
         struct fixture fixture;
@@ -137,13 +137,13 @@
         }
         fixture_build(&fixture);
         for (uint32_t caller = 0; usable > 0 && caller < 300; caller++) {
-            struct gue known =
+            struct gue established =
                 decide(&fixture, caller, PACKET_TCP_ACK, AFTER_SLOW_START_US);
             struct gue open =
                 decide(&fixture, caller, PACKET_TCP_SYN, AFTER_SLOW_START_US);
-            check_hops(&fixture, &known, caller, false);
+            check_hops(&fixture, &established, caller, false);
             check_hops(&fixture, &open, caller, true);
-            g_assert_cmpuint(known.count, ==, MIN(usable, GUE_HOPS_MAX));
+            g_assert_cmpuint(established.count, ==, MIN(usable, GUE_HOPS_MAX));
             g_assert_cmpuint(open.count, >=, MIN(usable, 4));
         }
         fixture_finish(&fixture);
@@ -172,7 +172,7 @@
                     ==, PACKET_TRUNCATED);
 }
 
-/* One address and port, two transports, two services with endpoints each */
+/* A TCP and a UDP service on one address and port keep their own endpoints. */
 TEST_F(fixture, services_apart, 40)
 {
     uint8_t buf[PACKET_MAX];
@@ -208,7 +208,8 @@
     }
 }
 
-/* A drained endpoint keeps its place for known flows, and gets no new one. */
+/* A draining endpoint keeps its rank for established flows and gets no new
+ * flows. */
 TEST_F(fixture, drain, 7)
 {
     struct gue before[FLOWS];
@@ -221,11 +222,12 @@
     fixture_build(fixture);
 
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known =
+        struct gue established =
             decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
         struct gue open =
             decide(fixture, i, PACKET_TCP_SYN, AFTER_SLOW_START_US);
-        g_assert_cmpuint(known.hops[0].member, ==, before[i].hops[0].member);
+        g_assert_cmpuint(established.hops[0].member, ==,
+                         before[i].hops[0].member);
         g_assert_cmpuint(open.hops[0].member, !=, drained);
         if (before[i].hops[0].member != drained)
             g_assert_cmpuint(open.hops[0].member, ==,
@@ -236,34 +238,35 @@
     }
 }
 
-/* The best of those that take no new flow are on the list all the same:
- * they may own the flow of a repeated SYN or of a datagram. */
-TEST_F(fixture, reserve, 20)
+/* Lists for new flows include the best endpoints without new flows, which may
+ * own the flow of a repeated SYN or of a datagram. */
+TEST_F(fixture, reserved_hops, 20)
 {
     for (size_t i = 0; i < 8; i++)
         fixture->view->members[i].state = MEMBER_LEAVING;
     fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known =
+        struct gue established =
             decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
         struct gue open =
             decide(fixture, i, PACKET_TCP_SYN, AFTER_SLOW_START_US);
-        size_t wanted = 0;
-        for (size_t j = 0; j < known.count && wanted < ROUTE_RESERVED_HOPS;
-             j++) {
-            uint64_t member = known.hops[j].member;
+        size_t checked = 0;
+        for (size_t j = 0;
+             j < established.count && checked < ROUTE_RESERVED_HOPS; j++) {
+            uint64_t member = established.hops[j].member;
             bool found = false;
             if (member_of(fixture, member)->state == MEMBER_READY)
                 continue;
             for (size_t k = 0; k < open.count; k++)
                 found |= open.hops[k].member == member;
             g_assert_true(found);
-            wanted++;
+            checked++;
         }
     }
 }
 
-TEST_F(fixture, which_open, 3)
+/* Only a SYN without ACK may open a flow. */
+TEST_F(fixture, syn_opens_flow, 3)
 {
     const struct {
         uint8_t flags;
@@ -282,7 +285,7 @@
     }
 }
 
-/* When all of a row's best are draining, new flows still find the others. */
+/* New flows reach the ready endpoints even if all others are draining. */
 TEST_F(fixture, many_draining, 30)
 {
     size_t first[2] = {0};
@@ -304,7 +307,8 @@
     g_assert_cmpuint(first[1], >, FLOWS / 3);
 }
 
-/* A suspect moves to the end; once dead it is gone; back, all is as before. */
+/* A suspected endpoint comes last, a dead one is left out, a recovered one
+ * regains its rank. */
 TEST_F(fixture, suspect_and_dead, 4)
 {
     uint64_t suspect;
@@ -313,30 +317,30 @@
     fixture->view->members[1].health = MEMBER_SUSPECT;
     fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known =
+        struct gue established =
             decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
-        g_assert_cmpuint(known.hops[3].member, ==, suspect);
-        g_assert_cmpuint(known.flags, ==, GUE_SUSPECTS);
+        g_assert_cmpuint(established.hops[3].member, ==, suspect);
+        g_assert_cmpuint(established.flags, ==, GUE_SUSPECTS);
     }
     fixture->view->members[1].health = MEMBER_DEAD;
     fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known =
+        struct gue established =
             decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
-        g_assert_cmpuint(known.count, ==, 3);
-        g_assert_cmpuint(known.flags, ==, 0);
+        g_assert_cmpuint(established.count, ==, 3);
+        g_assert_cmpuint(established.flags, ==, 0);
     }
     fixture->view->members[1].health = MEMBER_ALIVE;
     fixture_build(fixture);
     for (uint32_t i = 0; i < FLOWS; i++) {
-        struct gue known =
+        struct gue established =
             decide(fixture, i, PACKET_TCP_ACK, AFTER_SLOW_START_US);
-        check_hops(fixture, &known, i, false);
-        g_assert_cmpuint(known.count, ==, 4);
+        check_hops(fixture, &established, i, false);
+        g_assert_cmpuint(established.count, ==, 4);
     }
 }
 
-/* With an old view the owner is still on the list of the new one. */
+/* The owner chosen with an old view is in the hop list of the new view. */
 TEST(stale_view)
 {
     struct fixture old, new;
@@ -370,42 +374,42 @@
     return count;
 }
 
-TEST_F(fixture, cold_start, 4)
+/* The share of a cold endpoint grows over the slow start. */
+TEST_F(fixture, slow_start, 4)
 {
-    uint64_t warming;
+    uint64_t cold;
 
-    warming = fixture->view->members[2].id;
+    cold = fixture->view->members[2].id;
     fixture_build(fixture);
-    size_t full = count_first(fixture, warming, AFTER_SLOW_START_US);
+    size_t full = count_first(fixture, cold, AFTER_SLOW_START_US);
 
     fixture->view->members[2].state = MEMBER_WARMING;
     fixture_build(fixture);
-    size_t at_0 = count_first(fixture, warming, ROUTE_FIXTURE_FIRST_SEEN_US);
-    size_t at_5 =
-        count_first(fixture, warming,
-                    ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US / 2);
-    size_t at_10 = count_first(fixture, warming, AFTER_SLOW_START_US);
+    size_t at_0 = count_first(fixture, cold, ROUTE_FIXTURE_FIRST_SEEN_US);
+    size_t at_5 = count_first(
+        fixture, cold, ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US / 2);
+    size_t at_10 = count_first(fixture, cold, AFTER_SLOW_START_US);
     g_assert_cmpuint(at_0, >, full / 8);
     g_assert_cmpuint(at_0, <, full * 3 / 8);
     g_assert_cmpuint(at_5, >, full / 2);
     g_assert_cmpuint(at_5, <, full * 3 / 4);
     g_assert_cmpuint(at_10, ==, full);
 
-    /* A flow once in the share stays in it, and known flows don't move. */
+    /* A flow in the share stays in it; established flows do not move. */
     for (uint32_t i = 0; i < FLOWS; i++) {
         struct gue early =
             decide(fixture, i, PACKET_TCP_SYN, ROUTE_FIXTURE_FIRST_SEEN_US);
         struct gue late =
             decide(fixture, i, PACKET_TCP_SYN,
                    ROUTE_FIXTURE_FIRST_SEEN_US + ROUTE_SLOW_START_US / 2);
-        if (early.hops[0].member == warming)
-            g_assert_cmpuint(late.hops[0].member, ==, warming);
-        struct gue known =
+        if (early.hops[0].member == cold)
+            g_assert_cmpuint(late.hops[0].member, ==, cold);
+        struct gue established =
             decide(fixture, i, PACKET_TCP_ACK, ROUTE_FIXTURE_FIRST_SEEN_US);
-        check_hops(fixture, &known, i, false);
+        check_hops(fixture, &established, i, false);
     }
 
-    /* All warming, as after a start of the whole site: rank decides. */
+    /* If all endpoints are cold, rank decides. */
     for (size_t i = 0; i < 4; i++)
         fixture->view->members[i].state = MEMBER_WARMING;
     fixture_build(fixture);
--- a/tests/balancer/session_test.c
+++ b/tests/balancer/session_test.c
@@ -1,8 +1,9 @@
 /**
- * DOC: session_test - a session of one balancer against a golden file
+ * DOC: session_test - compares hop lists of a scripted session to a golden
+ * file
  *
- * Plays changes of the cell and writes where packets go after each. With
- * GOLDEN_UPDATE=1 in the environment the file is written anew.
+ * Applies changes of the cell and records the hop lists of sample packets
+ * after each. GOLDEN_UPDATE=1 in the environment rewrites the file.
  */
 #include <string.h>
 
@@ -15,7 +16,7 @@
 #define AGENTS 8
 #define FLOWS 6
 
-/** struct session - the cell as the balancer knows it, and the transcript */
+/** struct session - cell as seen by the balancer, and the transcript */
 struct session {
     struct text *text;
     struct view *all;
@@ -87,11 +88,12 @@
     write_packet(session, "albums", buf,
                  route_fixture_tcp(buf, ROUTE_FIXTURE_ALBUMS_IP, 1,
                                    PACKET_TCP_SYN, ""));
-    write_packet(session, "stranger", buf,
+    write_packet(session, "unknown address", buf,
                  route_fixture_tcp(buf, 0x0a640063, 1, PACKET_TCP_SYN, ""));
 }
 
-/* The balancer learns of a change @after seconds after the one before. */
+/* Rebuilds the table @after_s seconds after the previous step and records the
+ * hop lists. */
 static void
 step(struct session *session, unsigned after_s, const char *what)
 {
@@ -129,22 +131,22 @@
     step(session, 0, "no endpoint yet");
     for (unsigned i = 0; i < 7; i++)
         set_member_state(session, i, MEMBER_WARMING);
-    step(session, 0, "seven start at once");
+    step(session, 0, "seven start at the same time");
     for (unsigned i = 0; i < 7; i++)
         agent(session, i)->state = MEMBER_READY;
     step(session, 20, "all are ready");
     set_member_state(session, 7, MEMBER_WARMING);
     step(session, 0, "lots-7 joins, cold");
-    step(session, 10, "lots-7 is warm");
+    step(session, 10, "lots-7 ends its slow start");
     agent(session, 2)->state = MEMBER_DRAINING;
     step(session, 1, "lots-2 drains");
     agent(session, 5)->health = MEMBER_SUSPECT;
-    step(session, 1, "lots-5 is silent");
+    step(session, 1, "lots-5 is suspected");
     agent(session, 5)->health = MEMBER_DEAD;
     step(session, 5, "lots-5 is dead");
     agent(session, 5)->health = MEMBER_ALIVE;
     agent(session, 2)->state = MEMBER_LEAVING;
-    step(session, 5, "lots-5 was only paused; lots-2 leaves");
+    step(session, 5, "lots-5 recovers; lots-2 leaves");
     session->present[agent(session, 2) - session->all->members] = false;
     step(session, 30, "lots-2 is gone");
     agent(session, 0)->service = hash_service("names");
@@ -152,7 +154,7 @@
     step(session, 1, "lots-0 serves names, lots-1 albums");
     for (unsigned i = 0; i < AGENTS; i++)
         agent(session, i)->health = MEMBER_SUSPECT;
-    step(session, 1, "this balancer is cut off: all are silent");
+    step(session, 1, "this balancer is isolated: all are suspected");
 }
 
 TEST(session)
--- a/tests/balancer/span_test.c
+++ b/tests/balancer/span_test.c
@@ -10,6 +10,8 @@
 #define SUITE "/span"
 #define LOOPBACK 0x7f000001u
 
+/* Only a complete header line is accepted, in any case; a cut payload never
+ * matches. */
 TEST(span_find_parent)
 {
     const char *id = "00-0af7651916cd43dd8448eb211c80319c-"
@@ -44,7 +46,7 @@
     }
 }
 
-/* One line for a sampled request, as a child of the caller's span */
+/* One span is written, for the sampled request, as a child of the caller's. */
 TEST(span_write)
 {
     const char *sampled = "GET / HTTP/1.1\r\ntraceparent: "
--- a/tests/balancer/worker_test.c
+++ b/tests/balancer/worker_test.c
@@ -16,11 +16,11 @@
 #define CHANGES 200
 
 /**
- * struct setup - a pool with its surroundings
- * @owner: told of refusals
- * @refused: member last told
- * @endpoint: socket of the only endpoint
- * @sender: socket that plays the fabric
+ * struct setup - pool with one endpoint and a sender
+ * @owner: receives refusals
+ * @refused: member last reported as refusing; atomic
+ * @endpoint: socket of the endpoint
+ * @sender: socket of the fabric
  */
 struct setup {
     struct worker_owner owner;
@@ -113,14 +113,14 @@
     return counter_read(&setup->counters, setup->pool.dropped[drop]);
 }
 
-/* Bounded wait for something that a worker does */
+/* Waits, with a time limit, until a counter reaches @value. */
 static void
 wait_for_value(struct setup *setup, int counter, uint64_t value)
 {
     LOOPBACK_WAIT(counter_read(&setup->counters, counter) >= value);
 }
 
-/* The packet arrives behind the hop list, byte for byte. */
+/* The inner packet arrives unchanged behind the hop list. */
 TEST_F(setup, forward, 3)
 {
     uint8_t bytes[2048];
@@ -144,8 +144,8 @@
                      setup->clock.now_us);
 }
 
-/* The largest packet passes; one byte more is too long. */
-TEST_F(setup, sizes, 1)
+/* A packet of PACKET_MAX bytes is forwarded, a longer one dropped. */
+TEST_F(setup, packet_length, 1)
 {
     uint8_t bytes[2048] = {0};
     uint8_t got[2048];
@@ -161,7 +161,8 @@
     wait_for_value(setup, setup->pool.dropped[PACKET_TOO_LONG], 2);
 }
 
-TEST_F(setup, drops, 2)
+/* Invalid packets are dropped and counted by reason. */
+TEST_F(setup, drop_reasons, 2)
 {
     uint8_t bytes[2048];
     struct gue gue = {.count = 1, .hops = {{1, {LOOPBACK, 1}}}};
@@ -170,7 +171,7 @@
     send_raw(setup, bytes, 3);
     bytes[1] = 41;
     send_raw(setup, bytes, len);
-    size_t header = gue_encode(&gue, bytes); /* only the bare form may come */
+    size_t header = gue_encode(&gue, bytes); /* hop lists are not accepted */
     len = route_fixture_tcp(bytes + header, ROUTE_FIXTURE_LOTS_IP, 1,
                             PACKET_TCP_ACK, "");
     send_raw(setup, bytes, header + len);
@@ -188,8 +189,8 @@
     g_assert_cmpuint(dropped(setup, PACKET_SEND_FAILED), ==, 0);
 }
 
-/* Whatever comes, each packet is forwarded or counted under one reason. */
-TEST_F(setup, garbage, 1)
+/* Each random packet is forwarded or counted under exactly one reason. */
+TEST_F(setup, random_packets, 1)
 {
     uint8_t bytes[2048];
     uint64_t sum = 0;
@@ -211,7 +212,7 @@
     g_assert_cmpuint(sum, ==, 3000);
 }
 
-/* A closed endpoint is told to the owner, but not one seen a moment ago. */
+/* A closed endpoint is reported to the owner, unless first seen just now. */
 TEST_F(setup, refused, 1)
 {
     uint8_t bytes[2048];
@@ -236,8 +237,8 @@
     g_assert_cmpuint(refused(setup), ==, setup->view->members[0].id);
 }
 
-/* Tables change under the workers' hands; no packet is lost over it. */
-TEST_F(setup, churn, 3)
+/* No packet is lost while tables are replaced. */
+TEST_F(setup, table_changes, 3)
 {
     uint8_t bytes[2048];
     uint64_t sent = 0;
@@ -258,7 +259,7 @@
     wait_for_value(setup, setup->pool.forwarded, sent);
 }
 
-/* A broadcast address is refused by the socket; the rest goes on. */
+/* A send error, here to a broadcast address, drops only its own packet. */
 TEST_F(setup, send_fails, 1)
 {
     struct route_table *table;
@@ -280,7 +281,7 @@
     wait_for_value(setup, setup->pool.forwarded, 1);
 }
 
-/** struct reader - a reader of the table, and one that replaces it */
+/** struct reader - state shared by a reading and a publishing thread */
 struct reader {
     struct setup *setup;
     struct route_table *next;
@@ -315,7 +316,7 @@
     return NULL;
 }
 
-/* A table is freed only after the readers that may have it are gone. */
+/* A publish waits for the readers of the previous table. */
 TEST_F(setup, grace_period, 1)
 {
     struct reader reader = {.setup = setup};
@@ -326,18 +327,16 @@
     while (!__atomic_load_n(&reader.reading, __ATOMIC_SEQ_CST))
         g_usleep(1000);
     pthread_create(&publishing, NULL, publish_main, &reader);
-    g_usleep(50000); /* time enough for a publish that does not wait */
+    g_usleep(50000); /* long enough for a publish that does not wait */
     __atomic_store_n(&reader.done, 1, __ATOMIC_SEQ_CST);
     pthread_join(reading, NULL);
     pthread_join(publishing, NULL);
     g_assert_true(reader.published);
 }
 
-/*
- * Refusals are told by the calls that send other packets: none of these may
- * be lost over it, with several workers and every second flow refused.
- */
-TEST(refusals_apart)
+/* The kernel reports refusals on sends of other packets; those must not be
+ * lost. */
+TEST(refusals_lose_no_packets)
 {
     struct setup setup = {0};
     struct view *view = route_fixture_view(2, "lots");
@@ -370,7 +369,7 @@
     free(view);
 }
 
-/* A second process with the same address must not take half the packets. */
+/* A second process on the same address must fail to start. */
 TEST_F(setup, address_taken, 2)
 {
     struct worker_pool second;
