--- a/bench/directory/bench_directory.c
+++ b/bench/directory/bench_directory.c
@@ -1,8 +1,8 @@
 /*
- * Slopes of the directory for docs/CAPACITY.md: regions of several sizes in
- * one process, with the real wire form, on a model network and clock. One
- * cell is there in whole, the others with a few balancers each. Prints a
- * table, the lines fitted to it, and the same as JSON.
+ * Costs of the directory by region size, for docs/CAPACITY.md. Simulates
+ * regions of several sizes in one process; one cell is complete, the others
+ * have a few balancers each. Prints a table with fitted lines, and the same as
+ * JSON.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,7 +13,7 @@
 #include "measure.h"
 
 #define SIZES_MAX 16
-#define CELLS_TARGET 65 /* of a region: 520 cells in 8 regions */
+#define CELLS_TARGET 65 /* cells per region: 520 cells in 8 regions */
 #define CELLS_MAX 200
 
 static const double default_sizes[] = {8, 16, 32, 65, 130};
@@ -82,7 +82,9 @@
         sizes[count++] = default_sizes[i];
     for (size_t i = 0; i < count; i++) {
         if (sizes[i] < 3 || sizes[i] > CELLS_MAX) {
-            fprintf(stderr, "Cells: expected 3 to %d.\n", CELLS_MAX);
+            fprintf(stderr,
+                    "Number of cells out of range, expected 3 to %d.\n",
+                    CELLS_MAX);
             return 2;
         }
         fprintf(stderr, "%.0f cells\n", sizes[i]);
--- a/bench/directory/measure.c
+++ b/bench/directory/measure.c
@@ -8,12 +8,12 @@
 #include "text/text.h"
 
 #define SEED 20260
-#define NODES 4 /* of the cells that stand for others */
+#define NODES 4 /* per cell other than the complete one */
 #define FLEET_CELLS 520
-#define CHANGES_A_DAY 20000
+#define CHANGES_PER_DAY 20000
 #define DAY_US (UINT64_C(86400) * USEC_PER_SEC)
-#define LOSS 10             /* of 1000 */
-#define MESSAGE_OVERHEAD 68 /* seal 40, IP and UDP 28 */
+#define LOSS 10             /* messages per 1000 */
+#define MESSAGE_OVERHEAD 68 /* bytes: seal 40, IP and UDP 28 */
 #define WARMUP_US (60 * USEC_PER_SEC)
 #define IDLE_PERIOD_US (900 * USEC_PER_SEC)
 #define CHANGES 60
@@ -50,7 +50,7 @@
     "lookup_miss_ns",
 };
 
-/** struct samples - times in us */
+/** struct samples - durations in us */
 struct samples {
     uint64_t *items;
     size_t count;
@@ -85,7 +85,7 @@
     net_run(net, net->now_us + WARMUP_US);
 }
 
-/** struct traffic - bytes of the nodes of the whole cell */
+/** struct traffic - bytes sent and received in the complete cell */
 struct traffic {
     double author_out;
     double author_in;
@@ -135,7 +135,7 @@
     read_traffic(net, since_us, columns + MEASURE_IDLE_AUTHOR_OUT);
 }
 
-/* One more address, or one less. */
+/* Adds or removes the last address of a cell. */
 static void
 change_text(struct net *net, size_t cell)
 {
@@ -149,7 +149,7 @@
 static void
 change_at_rate(struct net *net, uint64_t until_us)
 {
-    uint64_t gap_us = DAY_US * FLEET_CELLS / CHANGES_A_DAY / net->cell_count;
+    uint64_t gap_us = DAY_US * FLEET_CELLS / CHANGES_PER_DAY / net->cell_count;
 
     while (net->now_us < until_us) {
         change_text(net, random_below(&net->random, net->cell_count));
@@ -181,13 +181,14 @@
     read_traffic(net, since_us, columns + MEASURE_DAY_AUTHOR_OUT);
 }
 
-/** struct wait - for each node to see something */
+/** struct wait - condition to reach at every node */
 struct wait {
-    bool (*seen)(const struct net *net, size_t node, size_t what);
-    size_t what;
+    bool (*seen)(const struct net *net, size_t node, size_t target);
+    size_t target;
 };
 
-/* Notes when each running node first sees it; returns how long all took. */
+/* Waits until all running nodes reach the condition and returns the time in
+ * us; adds the time of each node to @samples. */
 static uint64_t
 wait_all(struct net *net, const struct wait *wait, struct samples *samples)
 {
@@ -201,7 +202,7 @@
         for (size_t i = 0; i < net->count; i++) {
             if (seen[i] || !net->nodes[i].running)
                 continue;
-            seen[i] = wait->seen(net, i, wait->what);
+            seen[i] = wait->seen(net, i, wait->target);
             missing += !seen[i];
             if (seen[i] && samples != NULL)
                 samples->items[samples->count++] = net->now_us - since_us;
@@ -212,7 +213,7 @@
 }
 
 static bool
-knows_version(const struct net *net, size_t node, size_t cell)
+has_version(const struct net *net, size_t node, size_t cell)
 {
     const struct directory_slot *slot =
         directory_find(&net->nodes[node].core, net->cells[cell].id);
@@ -222,10 +223,10 @@
 }
 
 static bool
-knows_all(const struct net *net, size_t node, size_t unused)
+has_all_versions(const struct net *net, size_t node, size_t unused)
 {
     for (size_t i = 0; i < net->cell_count; i++) {
-        if (!knows_version(net, node, i))
+        if (!has_version(net, node, i))
             return false;
     }
     return true;
@@ -257,10 +258,10 @@
     struct samples samples = {.items = g_new(uint64_t, CHANGES * net->count)};
 
     for (size_t i = 0; i < CHANGES; i++) {
-        struct wait wait = {knows_version,
+        struct wait wait = {has_version,
                             random_below(&net->random, net->cell_count)};
 
-        change_text(net, wait.what);
+        change_text(net, wait.target);
         wait_all(net, &wait, &samples);
         net_run(net, net->now_us + USEC_PER_SEC);
     }
@@ -271,8 +272,7 @@
     g_free(samples.items);
 }
 
-/* The members of its cell know of a death after @propagation_max_us at most.
- */
+/* A cell's own nodes learn of a death within net.propagation_max_us. */
 static void
 measure_deaths(struct net *net, double *columns)
 {
@@ -284,9 +284,9 @@
             MEASURE_BALANCERS +
                 random_below(&net->random, net->count - MEASURE_BALANCERS)};
 
-        net_kill(net, wait.what);
+        net_kill(net, wait.target);
         wait_all(net, &wait, &samples);
-        net_start(net, wait.what);
+        net_start(net, wait.target);
         net_run(net, net->now_us + 20 * USEC_PER_SEC);
     }
     fit_sort(samples.items, samples.count);
@@ -298,7 +298,7 @@
 static void
 measure_starts(struct net *net, double *columns)
 {
-    const struct wait wait = {knows_all, 0};
+    const struct wait wait = {has_all_versions, 0};
     struct samples samples = {.items = g_new(uint64_t, STARTS)};
 
     for (size_t i = 0; i < STARTS; i++) {
@@ -318,8 +318,8 @@
 static void
 measure_partition(struct net *net, double *columns)
 {
-    const struct wait wait = {knows_all, 0};
-    uint64_t most = 0;
+    const struct wait wait = {has_all_versions, 0};
+    uint64_t max = 0;
 
     for (size_t i = 0; i < net->count; i++)
         net_set_group(net, i, net->nodes[i].cell >= net->cell_count / 2);
@@ -332,10 +332,10 @@
     for (size_t i = 0; i < net->count; i++) {
         const struct net_node *node = &net->nodes[i];
 
-        most =
-            MAX(most, node->bytes_out + MESSAGE_OVERHEAD * node->messages_out);
+        max =
+            MAX(max, node->bytes_out + MESSAGE_OVERHEAD * node->messages_out);
     }
-    columns[MEASURE_HEAL_BYTES] = (double)most;
+    columns[MEASURE_HEAL_BYTES] = (double)max;
 }
 
 static void
--- a/bench/directory/measure.h
+++ b/bench/directory/measure.h
@@ -1,5 +1,5 @@
 /**
- * DOC: measure - what the directory of a region of a given size costs
+ * DOC: measure - costs of the directory in a region of a given size
  */
 #ifndef SWIFTARCH_BENCH_DIRECTORY_MEASURE_H
 #define SWIFTARCH_BENCH_DIRECTORY_MEASURE_H
@@ -7,40 +7,41 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define MEASURE_ADDRESSES 54 /* of a cell: 28,000 over 520 cells */
-#define MEASURE_BALANCERS 38 /* of the one cell that is there in whole */
+#define MEASURE_ADDRESSES 54 /* per cell: 28,000 in 520 cells */
+#define MEASURE_BALANCERS 38 /* in the complete cell */
 
-/** enum measure_column - figures of one region */
+/** enum measure_column - measurements of one region */
 enum measure_column {
-    MEASURE_IDLE_AUTHOR_OUT, /* bytes/s in rest, headers included */
+    MEASURE_IDLE_AUTHOR_OUT, /* bytes/s without changes, with headers */
     MEASURE_IDLE_AUTHOR_IN,
     MEASURE_IDLE_BALANCER_OUT,
     MEASURE_IDLE_BALANCER_IN,
-    MEASURE_DAY_AUTHOR_OUT, /* with 20,000 changes a day of 520 cells */
+    MEASURE_DAY_AUTHOR_OUT, /* bytes/s at 20,000 changes/day in 520 cells */
     MEASURE_DAY_AUTHOR_IN,
     MEASURE_DAY_BALANCER_OUT,
     MEASURE_DAY_BALANCER_IN,
-    MEASURE_DAY_CPU_US, /* us of a core a second, mean of nodes and network */
-    MEASURE_KNOWN_P50_MS, /* a new address known, over all nodes */
+    MEASURE_DAY_CPU_US,   /* CPU us/s per node, simulation included */
+    MEASURE_KNOWN_P50_MS, /* delay until a node has a new address */
     MEASURE_KNOWN_P99_MS,
     MEASURE_KNOWN_MAX_MS,
-    MEASURE_GATEWAY_P99_MS, /* a dead gateway out of use, over all nodes */
+    MEASURE_GATEWAY_P99_MS, /* delay until a node drops a dead gateway */
     MEASURE_GATEWAY_MAX_MS,
-    MEASURE_START_ONE_MS,  /* a new balancer knows all cells, longest */
-    MEASURE_START_CELL_MS, /* the same, all of the cell's start at once */
-    MEASURE_HEAL_MS,       /* after an hour's cut: until all know all */
-    MEASURE_HEAL_BYTES,    /* most that a node sent for it */
+    MEASURE_START_ONE_MS,  /* max time until a new balancer has all cells */
+    MEASURE_START_CELL_MS, /* the same when the whole cell starts */
+    MEASURE_HEAL_MS,       /* convergence after an hour of partition */
+    MEASURE_HEAL_BYTES,    /* max bytes sent by a node for that */
     MEASURE_LARGEST,       /* largest message, bytes */
-    MEASURE_MEMORY,        /* bytes of one node */
-    MEASURE_HIT_NS,        /* a lookup that finds */
-    MEASURE_MISS_NS,       /* one that doesn't */
+    MEASURE_MEMORY,        /* memory of one node, bytes */
+    MEASURE_HIT_NS,        /* lookup of an existing address */
+    MEASURE_MISS_NS,       /* lookup of a missing address */
     MEASURE_COLUMNS
 };
 
-/** measure_names - one for each column */
+/** measure_names - column names in the output */
 extern const char *const measure_names[MEASURE_COLUMNS];
 
-/** measure_region() - all columns for a region of @cells */
+/** measure_region() - measure a region of @cells cells; fills MEASURE_COLUMNS
+ * values */
 void
 measure_region(size_t cells, double *columns);
 
--- a/src/directory/cell_forward.c
+++ b/src/directory/cell_forward.c
@@ -85,8 +85,7 @@
         directory_table_find(table, packet->dst, packet->dport, packet->proto);
     if (cell == NULL)
         return PACKET_NO_SERVICE;
-    /* The low bits of the hash choose_gateway among the gateway's own
-     * candidates. */
+    /* Use the high bits: the gateway picks its endpoint by the low bits. */
     turn =
         (packet_flow_hash(packet) >> 32) + now_us / CELL_FORWARD_ROTATION_US;
     *to = choose_gateway(cell, refused, turn, now_us);
--- a/src/directory/cell_forward.h
+++ b/src/directory/cell_forward.h
@@ -1,11 +1,11 @@
 /**
- * DOC: forward - packets from a balancer to a gateway of another cell
+ * DOC: cell_forward - forwards packets to gateways of other cells
  *
- * The inner packet goes on whole, behind a GUE header of the same length as
- * the bare one: version 0, Hlen 0, protocol 4, and of the flags only
- * CELL_FORWARD_FLAG, which packet/gue.h refuses as unknown. A marked packet is
- * decided about by the receiver's own text alone and is never forwarded to
- * another cell again, so packets can't loop, whatever the directories say.
+ * The inner packet is sent unchanged behind a marked GUE header, as long as
+ * the bare one: version 0, Hlen 0, protocol 4, and only CELL_FORWARD_FLAG set,
+ * which packet/gue.h rejects as unknown. The receiver routes a marked packet
+ * by its own configuration alone and never forwards it to another cell, so
+ * packets can't loop even if directories disagree.
  */
 #ifndef SWIFTARCH_DIRECTORY_CELL_FORWARD_H
 #define SWIFTARCH_DIRECTORY_CELL_FORWARD_H
@@ -21,27 +21,28 @@
 #define CELL_FORWARD_HEADER_LEN 4
 #define CELL_FORWARD_REFUSED_MAX 8
 #define CELL_FORWARD_REFUSED_US                                               \
-    (15 * USEC_PER_SEC) /* its cell has said so by then                       \
-                         */
+    (15 * USEC_PER_SEC) /* enough for its cell to remove a dead gateway */
 #define CELL_FORWARD_ROTATION_US (1 * USEC_PER_SEC)
 #define CELL_FORWARD_FLAG 0x02 /* second byte of the GUE flags */
 
-/** cell_forward_encode() - write the mark, CELL_FORWARD_HEADER_LEN bytes */
+/** cell_forward_encode() - write the CELL_FORWARD_HEADER_LEN bytes of a marked
+ * header */
 void
 cell_forward_encode(uint8_t *buf);
 
-/** cell_forward_is_marked() - whether the inner packet follows a mark */
+/** cell_forward_is_marked() - whether @buf starts with a marked header */
 bool
 cell_forward_is_marked(const uint8_t *buf, size_t len);
 
 /**
- * struct cell_forward_refused - gateways that refused packets of late
+ * struct cell_forward_refused - gateways that recently refused packets
  * @addrs: gateways
- * @until_us: each is passed over until then
- * @next: place of the next one
+ * @until_us: time until which each gateway is avoided
+ * @next: index that the next new gateway overwrites
  *
- * The directory drops a dead gateway only when its own cell has said so;
- * the kernel tells of a refusal within a round trip. One for each worker.
+ * The directory drops a dead gateway only after the gateway's cell has
+ * published its removal; the kernel reports a refusal within a round trip.
+ * Each worker has its own.
  */
 struct cell_forward_refused {
     struct addr addrs[CELL_FORWARD_REFUSED_MAX];
@@ -49,30 +50,34 @@
     size_t next;
 };
 
-/** cell_forward_note_refused() - nobody takes packets at @addr */
+/** cell_forward_note_refused() - avoid the gateway at @addr for
+ * CELL_FORWARD_REFUSED_US */
 void
 cell_forward_note_refused(struct cell_forward_refused *refused,
                           struct addr addr, uint64_t now_us);
 
-/** cell_forward_has_priority() - whether another cell's claim to the address
- * of
- * @packet goes before the own cell's; @table may be NULL */
+/**
+ * cell_forward_has_priority() - whether another cell's claim to the
+ * destination of @packet takes priority over the own cell's
+ * @table: current table, or NULL
+ */
 bool
 cell_forward_has_priority(const struct directory_table *table,
                           const struct packet *packet);
 
 /**
- * cell_forward_decide() - where a packet goes that is not the own cell's
- * @table: table in force, or NULL
- * @refused: gateways to pass over while there are others, or NULL
- * @packet: the inner packet, as read
- * @marked: it came with a mark
- * @now_us: clock; a flow's gateway changes every CELL_FORWARD_ROTATION_US, so
- * that what a silent one loses finds another when it is sent again
- * @to: the gateway
+ * cell_forward_decide() - select the gateway of a packet for another cell
+ * @table: current table, or NULL
+ * @refused: gateways to avoid while there are others, or NULL
+ * @packet: parsed inner packet
+ * @marked: whether the packet came with a marked header
+ * @now_us: current time; a flow's gateway changes every
+ *          CELL_FORWARD_ROTATION_US, so that retransmissions avoid a silent
+ *          gateway
+ * @to: set to the data address of the gateway
  *
- * Return: PACKET_OK, PACKET_NO_SERVICE (nobody serves it) or PACKET_HOP_LIMIT
- * (it was forwarded already).
+ * Return: PACKET_OK, PACKET_NO_SERVICE if no other cell serves the address, or
+ * PACKET_HOP_LIMIT if the packet was forwarded already.
  */
 enum packet_drop
 cell_forward_decide(const struct directory_table *table,
--- a/src/directory/directory.c
+++ b/src/directory/directory.c
@@ -65,7 +65,7 @@
     core->own = own;
 }
 
-/* First slot whose cell is not below @cell. */
+/* Index of the first slot whose cell id is at least @cell */
 static size_t
 lower_bound(const struct directory_core *core, uint64_t cell)
 {
@@ -96,12 +96,12 @@
 static bool
 insert(struct directory_core *core, size_t at, uint64_t cell)
 {
-    /* The own cell always finds room. */
-    size_t room = cell == core->cell || directory_find(core, core->cell)
-                      ? DIRECTORY_CELLS_MAX
-                      : DIRECTORY_CELLS_MAX - 1;
+    /* One slot is reserved for the own cell. */
+    size_t max_cells = cell == core->cell || directory_find(core, core->cell)
+                           ? DIRECTORY_CELLS_MAX
+                           : DIRECTORY_CELLS_MAX - 1;
 
-    if (core->count >= room) {
+    if (core->count >= max_cells) {
         core->stats.rejected++;
         return false;
     }
@@ -142,14 +142,14 @@
 static void
 author_entry(struct directory_core *core, uint64_t now_us, uint64_t wall_ms)
 {
-    const struct directory_slot *held = directory_find(core, core->cell);
+    const struct directory_slot *current = directory_find(core, core->cell);
     struct directory_entry *entry = directory_entry_copy(core->own);
 
     if (entry == NULL)
-        return; /* tried again at the next tick */
+        return; /* retried at the next tick */
     entry->version.counter = wall_ms;
-    if (held != NULL && held->entry->version.counter >= wall_ms)
-        entry->version.counter = held->entry->version.counter + 1;
+    if (current != NULL && current->entry->version.counter >= wall_ms)
+        entry->version.counter = current->entry->version.counter + 1;
     if (directory_merge(core, entry, now_us))
         core->stats.authored++;
     directory_entry_unref(entry);
@@ -157,14 +157,14 @@
     core->renew_us = 0;
 }
 
-/* The other author, whose draw is likely another, renews for both. */
+/* The random delay lets one author renew the entry before the others. */
 static bool
-renewal_due(struct directory_core *core, const struct directory_slot *held,
+renewal_due(struct directory_core *core, const struct directory_slot *current,
             uint64_t now_us)
 {
-    if (core->renew_us <= held->since_us)
+    if (core->renew_us <= current->since_us)
         core->renew_us =
-            held->since_us +
+            current->since_us +
             random_between(&core->random, DIRECTORY_RENEW_INTERVAL_US,
                            DIRECTORY_RENEW_INTERVAL_US * 5 / 4);
     return now_us >= core->renew_us;
@@ -173,12 +173,14 @@
 static bool
 override_due(struct directory_core *core, uint64_t now_us)
 {
-    uint64_t settle = DIRECTORY_BACKOFF_US << MIN(core->override_count,
-                                                  DIRECTORY_BACKOFF_SHIFT_MAX);
+    uint64_t base_delay_us =
+        DIRECTORY_BACKOFF_US
+        << MIN(core->override_count, DIRECTORY_BACKOFF_SHIFT_MAX);
 
     if (core->author_at_us == 0)
         core->author_at_us =
-            now_us + random_between(&core->random, settle, 3 * settle);
+            now_us +
+            random_between(&core->random, base_delay_us, 3 * base_delay_us);
     if (now_us < core->author_at_us)
         return false;
     core->override_count++;
@@ -188,28 +190,28 @@
 static bool
 author_due(struct directory_core *core, uint64_t now_us)
 {
-    const struct directory_slot *held = directory_find(core, core->cell);
+    const struct directory_slot *current = directory_find(core, core->cell);
     const struct directory_version *own;
     const struct directory_version *version;
 
     if (!core->role.author || core->own == NULL)
         return false;
-    if (held == NULL)
+    if (current == NULL)
         return true;
     own = &core->own->version;
-    version = &held->entry->version;
+    version = &current->entry->version;
     if (own->config_version > version->config_version)
         return true;
-    /* Who lags behind the cell's text says nothing for it. */
+    /* A process with an older configuration does not author. */
     if (own->config_version == version->config_version &&
         own->sum != version->sum)
         return override_due(core, now_us);
     core->author_at_us = 0;
     return own->config_version == version->config_version &&
-           renewal_due(core, held, now_us);
+           renewal_due(core, current, now_us);
 }
 
-/* Authors know first; the others spare them three of four questions. */
+/* Authors hold news first; one digest in four goes to them, to limit load. */
 static bool
 choose_cell_peer(struct directory_core *core, struct addr *peer)
 {
@@ -243,8 +245,8 @@
     return true;
 }
 
-/* A seed has the chance of one cell, so that parts of a region that have
- * forgotten each other's processes meet again. */
+/* The seeds together are as likely as one cell, so that parts of a region
+ * that lost contact find each other again. */
 static bool
 choose_region_peer(struct directory_core *core, struct addr *peer)
 {
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -1,23 +1,22 @@
 /**
- * DOC: directory - which cell of the region serves an address, a pure core
+ * DOC: directory - replicated directory of the addresses of a region's cells
  *
- * A process knows the services of its own cell only. Of each other cell of
- * its region it keeps one entry: addresses, gateways and authors. The
- * authors of a cell, the two of its balancers that rank highest, write its
- * entry. Later versions replace earlier ones, whoever brings them and how
- * often; nothing ever goes back.
+ * Pure protocol core without I/O or clock. It keeps one entry per cell:
+ * addresses, gateways and authors. The authors of a cell are its
+ * DIRECTORY_AUTHORS highest-ranked balancers; they write the cell's entry. An
+ * entry is replaced only by a later version, so merging is idempotent and
+ * independent of order.
  *
- * Each process that holds a directory (the balancers) sends a digest to
- * another of its cell every DIRECTORY_CELL_INTERVAL_US; authors also send one
- * to another cell every DIRECTORY_REGION_INTERVAL_US, and a few at once after
- * they learned something. What differs is exchanged both ways. All but the
- * digests is paid for from a budget of bytes, so that nothing that happens
- * (a region healing, a data centre starting) costs a process more than
- * DIRECTORY_RATE for long.
+ * Each balancer sends a digest to another process of its cell every
+ * DIRECTORY_CELL_INTERVAL_US. Authors also send one to another cell every
+ * DIRECTORY_REGION_INTERVAL_US, and DIRECTORY_FAST_ROUNDS more at shorter
+ * intervals after an entry changed. Differing entries are then exchanged in
+ * both directions. A token bucket of DIRECTORY_RATE limits all messages but
+ * digests.
  *
- * Entries age but stay: authors renew theirs every
- * DIRECTORY_RENEW_INTERVAL_US, so an entry that is older than that says that
- * its cell is silent.
+ * Entries do not expire. Authors renew theirs every
+ * DIRECTORY_RENEW_INTERVAL_US; an older entry means that its cell can't be
+ * reached.
  */
 #ifndef SWIFTARCH_DIRECTORY_DIRECTORY_H
 #define SWIFTARCH_DIRECTORY_DIRECTORY_H
@@ -37,11 +36,12 @@
 #define DIRECTORY_FAST_INTERVAL_US (250 * USEC_PER_MSEC)
 #define DIRECTORY_FAST_ROUNDS 3
 #define DIRECTORY_RENEW_INTERVAL_US (300 * USEC_PER_SEC)
-/* Both authors see the same after a while; before, they'd take turns. Where
- * they don't, as in a cell that is cut in two, turns get rare. */
+/* Authors of a cell wait before they overwrite a differing entry, since their
+ * views usually converge. The wait doubles with each overwrite, for cells that
+ * stay partitioned. */
 #define DIRECTORY_BACKOFF_US (500 * USEC_PER_MSEC)
-#define DIRECTORY_BACKOFF_SHIFT_MAX 7 /* doublings of the time above */
-#define DIRECTORY_RATE 2048           /* bytes a second, digests apart */
+#define DIRECTORY_BACKOFF_SHIFT_MAX 7 /* max doublings */
+#define DIRECTORY_RATE 2048           /* bytes per second, without digests */
 #define DIRECTORY_BURST (64u * 1024)  /* bytes */
 #define DIRECTORY_PEERS_MAX 256
 #define DIRECTORY_SEEDS_MAX 16
@@ -49,28 +49,28 @@
 
 /**
  * struct directory_action - a message to send
- * @to: control address
- * @msg: message
+ * @to: control address of the receiver
+ * @msg: message, owned by the action
  */
 struct directory_action {
     struct addr to;
     struct directory_msg msg;
 };
 
-/** struct directory_actions - what one call wants sent */
+/** struct directory_actions - messages to send after a call of the core */
 struct directory_actions {
     struct directory_action items[DIRECTORY_ACTIONS_MAX];
     size_t count;
 };
 
 /**
- * struct directory_role - where this process stands in its cell
- * @holds: it keeps a directory; others neither send nor answer
- * @author: it is an author of its cell
+ * struct directory_role - role of this process in its cell
+ * @holds: holds a directory; a process without one neither sends nor replies
+ * @author: is an author of its cell
  * @authors: control addresses of the other authors
- * @author_count: how many
+ * @author_count: number of @authors
  * @balancers: control addresses of the other balancers of the cell
- * @balancer_count: how many
+ * @balancer_count: number of @balancers
  */
 struct directory_role {
     bool holds;
@@ -84,18 +84,18 @@
 /** struct directory_stats - counts since the start */
 struct directory_stats {
     uint64_t digests;
-    uint64_t synced;   /* messages after which a peer had no more to tell */
-    uint64_t merged;   /* entries that were news */
-    uint64_t stale;    /* entries that were not */
-    uint64_t rejected; /* cells without room */
-    uint64_t delayed;  /* messages for which there was no budget */
-    uint64_t authored;
+    uint64_t synced; /* messages after which nothing is missing from a peer */
+    uint64_t merged; /* entries with a later version, accepted */
+    uint64_t stale;  /* entries without a later version, ignored */
+    uint64_t rejected; /* entries of new cells beyond DIRECTORY_CELLS_MAX */
+    uint64_t delayed;  /* messages or entries beyond the byte budget */
+    uint64_t authored; /* entries written for the own cell */
 };
 
 /**
- * struct directory_slot - an entry held
- * @entry: the entry
- * @since_us: when this version came
+ * struct directory_slot - current entry of a cell
+ * @entry: entry, one reference
+ * @since_us: when this version was merged
  */
 struct directory_slot {
     struct directory_entry *entry;
@@ -103,17 +103,25 @@
 };
 
 /**
- * struct directory_core - see DOC
- * @cell: own cell
+ * struct directory_core - protocol state of one process
+ * @cell: id of the own cell
  * @self: own control address
+ * @random: random numbers for intervals and peers
+ * @bytes: byte budget of all messages but digests
  * @role: role in the cell
- * @slots: by cell, ascending
- * @count: entries held, that of the own cell included
- * @own: what the own cell serves as seen from here, or NULL
- * @author_at_us: when to author @own, which differs from the entry held; 0
- * when it doesn't
- * @override_count: times that @own, unchanged, was authored over another's
- * @changed: set when an entry was replaced; the owner clears it
+ * @seeds: control addresses of configured processes of the region
+ * @seed_count: number of @seeds
+ * @slots: entries sorted by cell id
+ * @count: number of @slots, that of the own cell included
+ * @own: entry of the own cell as this process would author it, or NULL
+ * @author_at_us: when to author @own over a differing entry; 0 if none differs
+ * @override_count: times that the current @own was authored over another entry
+ * @renew_us: when to renew the own cell's entry
+ * @cell_us: when the next digest within the cell is due
+ * @region_us: when the next digest to another cell is due
+ * @fast_rounds: digests left to send at DIRECTORY_FAST_INTERVAL_US
+ * @changed: set when an entry was replaced; cleared by the owner
+ * @stats: counts since the start
  */
 struct directory_core {
     uint64_t cell;
@@ -136,64 +144,75 @@
     struct directory_stats stats;
 };
 
-/** directory_core_init() - a core that holds nothing */
+/**
+ * directory_core_init() - initialise a core without entries
+ * @cell: name of the own cell
+ * @self: own control address
+ * @seed: seed of the random numbers
+ * @now_us: current time
+ */
 void
 directory_core_init(struct directory_core *core, const char *cell,
                     struct addr self, uint64_t seed, uint64_t now_us);
 
-/** directory_core_finish() - free what it holds */
+/** directory_core_finish() - release all entries */
 void
 directory_core_finish(struct directory_core *core);
 
-/** directory_add_seed() - a process of the region that may know others */
+/** directory_add_seed() - add a first contact in the region; duplicates, the
+ * own address and seeds beyond DIRECTORY_SEEDS_MAX are ignored */
 void
 directory_add_seed(struct directory_core *core, struct addr seed);
 
-/** directory_set_role() - the list of members changed; copied */
+/** directory_set_role() - set the role after a change of view; copies @role */
 void
 directory_set_role(struct directory_core *core,
                    const struct directory_role *role);
 
 /**
- * directory_set_local_entry() - what the own cell serves, as seen from here
- * @own: sealed; the counter is ignored; takes the caller's reference
+ * directory_set_local_entry() - set the entry to author for the own cell
+ * @own: finalized entry; its counter is ignored; takes the caller's reference
  */
 void
 directory_set_local_entry(struct directory_core *core,
                           struct directory_entry *own);
 
-/** directory_find() - slot of a cell, or NULL */
+/** directory_find() - find the slot of a cell id, or NULL */
 const struct directory_slot *
 directory_find(const struct directory_core *core, uint64_t cell);
 
 /**
- * directory_merge() - take an entry if it is later than the one held
+ * directory_merge() - accept an entry if it is later than the current one
+ *
+ * Adds its own reference.
  *
- * Takes a reference of its own. Return: whether it was taken.
+ * Return: whether the entry was accepted.
  */
 bool
 directory_merge(struct directory_core *core, struct directory_entry *entry,
                 uint64_t now_us);
 
-/** directory_receive() - a message came; answers are added to @out */
+/** directory_receive() - process a message and append the replies to @out */
 void
 directory_receive(struct directory_core *core, const struct directory_msg *msg,
                   uint64_t now_us, struct directory_actions *out);
 
 /**
- * directory_tick() - do what is due
- * @wall_ms: wall clock, for the counter of an entry authored now
+ * directory_tick() - author the own entry and send digests when due
+ * @now_us: current time
+ * @wall_ms: wall clock, for the counter of an authored entry
+ * @out: messages are appended
  */
 void
 directory_tick(struct directory_core *core, uint64_t now_us, uint64_t wall_ms,
                struct directory_actions *out);
 
-/** directory_next_us() - when directory_tick() may have something to do,
- * UINT64_MAX if it holds no directory */
+/** directory_next_us() - time of the next directory_tick(), UINT64_MAX for a
+ * process without a directory */
 uint64_t
 directory_next_us(const struct directory_core *core);
 
-/** directory_actions_clear() - free the messages */
+/** directory_actions_clear() - free all messages */
 void
 directory_actions_clear(struct directory_actions *actions);
 
--- a/src/directory/entry.c
+++ b/src/directory/entry.c
@@ -98,18 +98,18 @@
 static void
 drop_duplicates(struct directory_entry *entry)
 {
-    size_t kept = 0;
+    size_t count = 0;
 
     for (size_t i = 0; i < entry->count; i++) {
         uint64_t address = entry->addresses[i];
 
-        /* Of one address, the one that isn't retired sorts first. */
-        if (kept > 0 && (entry->addresses[kept - 1] | ADDRESS_RETIRED) ==
-                            (address | ADDRESS_RETIRED))
+        /* The address that isn't retired sorts before its retired copy. */
+        if (count > 0 && (entry->addresses[count - 1] | ADDRESS_RETIRED) ==
+                             (address | ADDRESS_RETIRED))
             continue;
-        entry->addresses[kept++] = address;
+        entry->addresses[count++] = address;
     }
-    entry->count = kept;
+    entry->count = count;
 }
 
 static uint64_t
--- a/src/directory/entry.h
+++ b/src/directory/entry.h
@@ -1,10 +1,9 @@
 /**
- * DOC: entry - what a region knows of one cell, immutable and counted
+ * DOC: entry - directory entry of one cell, immutable and reference-counted
  *
  * Entries of a cell are ordered by (config_version, counter, sum). The
- * counter is the author's wall clock, raised above every counter that the
- * author has seen for its cell. The sum, a hash of the content, makes the
- * order total: two entries that compare equal are the same.
+ * counter is the author's wall clock, raised above the counter of the current
+ * entry. The sum, a hash of the content, makes the order total.
  */
 #ifndef SWIFTARCH_DIRECTORY_ENTRY_H
 #define SWIFTARCH_DIRECTORY_ENTRY_H
@@ -18,12 +17,12 @@
 #define DIRECTORY_NAME_MAX 32
 #define DIRECTORY_AUTHORS 2
 #define DIRECTORY_GATEWAYS 4
-#define DIRECTORY_ADDRESSES_MAX 4352 /* services and retired of one text */
+#define DIRECTORY_ADDRESSES_MAX 4352 /* fits any configuration */
 
 /**
- * struct directory_gateway - a balancer that takes packets for its cell
- * @data: where it takes packets
- * @control: where it takes control messages
+ * struct directory_gateway - balancer that receives packets for its cell
+ * @data: address for packets
+ * @control: address for control messages
  */
 struct directory_gateway {
     struct addr data;
@@ -31,9 +30,9 @@
 };
 
 /**
- * struct directory_version - place of an entry in the order of its cell
- * @config_version: of the cell's text
- * @counter: see DOC
+ * struct directory_version - version of a cell's entry
+ * @config_version: version of the cell's configuration
+ * @counter: author's wall clock in ms or above, see DOC
  * @sum: hash of the content
  */
 struct directory_version {
@@ -43,17 +42,17 @@
 };
 
 /**
- * struct directory_entry - see DOC
- * @refs: references, taken and dropped by one thread
+ * struct directory_entry - addresses, gateways and authors of a cell
+ * @refs: reference count, not atomic
  * @cell: directory_cell() of @name
  * @name: name of the cell
- * @version: place in the order
- * @authors: control addresses of who writes the entry
- * @author_count: how many
- * @gateways: balancers of the cell
- * @gateway_count: how many
- * @count: addresses
- * @addresses: directory_address() of each, ascending, each address once
+ * @version: version
+ * @authors: control addresses of the cell's authors
+ * @author_count: number of @authors
+ * @gateways: balancers that receive packets for the cell
+ * @gateway_count: number of @gateways
+ * @count: number of @addresses
+ * @addresses: values of directory_address(), ascending, each address once
  */
 struct directory_entry {
     unsigned refs;
@@ -68,41 +67,42 @@
     uint64_t addresses[];
 };
 
-/** directory_cell() - id of a cell by its name; never 0 */
+/** directory_cell() - hash of a cell name; never 0 */
 uint64_t
 directory_cell(const char *name);
 
-/** directory_address() - address as a number; @retired is its lowest bit */
+/** directory_address() - pack an address; @retired is the lowest bit */
 uint64_t
 directory_address(uint32_t ip, uint16_t port, uint8_t proto, bool retired);
 
-/** directory_version_compare() - below, equal to or above 0 */
+/** directory_version_compare() - negative, 0 or positive, as strcmp() */
 int
 directory_version_compare(const struct directory_version *a,
                           const struct directory_version *b);
 
-/** directory_entry_new() - a blank entry with room for @count addresses and
+/** directory_entry_new() - allocate a zeroed entry with @count addresses and
  * one reference, or NULL */
 struct directory_entry *
 directory_entry_new(const char *name, size_t count);
 
-/** directory_entry_copy() - a copy with one reference, or NULL */
+/** directory_entry_copy() - copy an entry, with one reference, or NULL */
 struct directory_entry *
 directory_entry_copy(const struct directory_entry *entry);
 
-/** directory_entry_ref() - one more reference */
+/** directory_entry_ref() - add a reference */
 struct directory_entry *
 directory_entry_ref(struct directory_entry *entry);
 
-/** directory_entry_unref() - drop a reference; NULL is allowed */
+/** directory_entry_unref() - drop a reference and free with the last; NULL is
+ * allowed */
 void
 directory_entry_unref(struct directory_entry *entry);
 
 /**
- * directory_entry_finalize() - sort the addresses, drop what is named twice
- * and compute the sum
+ * directory_entry_finalize() - sort the addresses, drop duplicates and compute
+ * the sum
  *
- * An address that is named both retired and not is not retired.
+ * An address listed as both retired and not retired is not retired.
  */
 void
 directory_entry_finalize(struct directory_entry *entry);
--- a/src/directory/exchange.c
+++ b/src/directory/exchange.c
@@ -5,7 +5,7 @@
 #include "base/hash.h"
 #include "directory/directory_internal.h"
 
-/* Most bytes of a message besides its entries. */
+/* Upper bound of the encoded fields besides entries, in bytes */
 #define HEADER_BYTES 64
 
 static unsigned
@@ -69,7 +69,7 @@
     directory_msg_finish(&out->items[--out->count].msg);
 }
 
-/* Takes back the latest message when there is no budget for it. */
+/* Charges the last message to the byte budget, or drops it. */
 static void
 charge_budget(struct directory_core *core, uint64_t now_us,
               struct directory_actions *out)
@@ -118,7 +118,15 @@
     charge_budget(core, now_us, out);
 }
 
-/** struct sender - fills messages with entries until there is no budget */
+/**
+ * struct sender - builds one message of entries within the byte budget
+ * @core: core that sends
+ * @to: control address of the receiver
+ * @now_us: current time
+ * @out: receives the message
+ * @msg: message, NULL before the first entry
+ * @size: upper bound of the encoded size in bytes
+ */
 struct sender {
     struct directory_core *core;
     struct addr to;
@@ -134,7 +142,7 @@
     struct directory_core *core = sender->core;
     size_t size = directory_entry_size(entry);
 
-    /* The rest is sent in a later round. */
+    /* Later digests lead to the rest. */
     if (sender->size + size > DIRECTORY_MESSAGE_MAX ||
         sender->size + size > bucket_level(&core->bytes, sender->now_us)) {
         core->stats.delayed++;
@@ -174,13 +182,13 @@
         charge_budget(core, now_us, out);
 }
 
-/* The same content, renewed: the version tells all of it. */
+/* Whether only the counter differs, so that the entry need not be sent */
 static bool
-is_renewal(const struct directory_version *held,
+is_renewal(const struct directory_version *current,
            const struct directory_version *later)
 {
-    return held->config_version == later->config_version &&
-           held->sum == later->sum;
+    return current->config_version == later->config_version &&
+           current->sum == later->sum;
 }
 
 static const struct directory_item *
@@ -193,7 +201,7 @@
     return NULL;
 }
 
-/* Sends what is later here, or not known there. */
+/* Sends entries that are missing from the summary or later than in it. */
 static void
 reply_to_summary(struct directory_core *core, const struct directory_msg *msg,
                  uint64_t now_us, struct directory_actions *out)
@@ -222,7 +230,7 @@
         charge_budget(core, now_us, out);
 }
 
-/* Tells of renewals with a summary of no group. */
+/* Sends versions of renewed entries in a summary without groups. */
 static void
 reply_with_renewals(struct directory_core *core,
                     const struct directory_msg *msg, uint64_t now_us,
--- a/src/directory/local_entry.c
+++ b/src/directory/local_entry.c
@@ -7,9 +7,9 @@
 #include "base/hash.h"
 
 _Static_assert(TEXT_SERVICES_MAX + TEXT_RETIRED_MAX <= DIRECTORY_ADDRESSES_MAX,
-               "every text fits in an entry");
+               "every configuration fits in an entry");
 
-/* Agents have no use for a directory, so only balancers keep it. */
+/* Only balancers hold a directory. */
 static bool
 is_author(const struct view_member *member)
 {
@@ -23,12 +23,12 @@
     return is_author(member) && member->state == MEMBER_READY;
 }
 
-/* The @limit members of the highest rank for which @accept holds, the
- * highest first. */
+/* Writes the @limit highest_ranked-ranked members that @accept admits to @out,
+ * in descending order, and returns their number. */
 static size_t
-highest(const struct view *view, uint64_t key,
-        bool (*accept)(const struct view_member *), size_t limit,
-        const struct view_member **out)
+highest_ranked(const struct view *view, uint64_t key,
+               bool (*accept)(const struct view_member *), size_t limit,
+               const struct view_member **out)
 {
     size_t count = 0;
 
@@ -52,7 +52,7 @@
     return count;
 }
 
-/* Key of the ranking of a cell, as the control thread has it. */
+/* Rank key of a cell, the same as in the control thread */
 static uint64_t
 cell_key(const char *cell)
 {
@@ -65,12 +65,13 @@
 {
     const struct view_member *members[DIRECTORY_GATEWAYS];
     uint64_t key = cell_key(cell);
-    size_t count = highest(view, key, is_author, DIRECTORY_AUTHORS, members);
+    size_t count =
+        highest_ranked(view, key, is_author, DIRECTORY_AUTHORS, members);
 
     entry->author_count = count;
     for (size_t i = 0; i < count; i++)
         entry->authors[i] = members[i]->control;
-    count = highest(view, key, is_gateway, DIRECTORY_GATEWAYS, members);
+    count = highest_ranked(view, key, is_gateway, DIRECTORY_GATEWAYS, members);
     entry->gateway_count = count;
     for (size_t i = 0; i < count; i++) {
         entry->gateways[i].data = members[i]->data;
@@ -115,8 +116,8 @@
 {
     const struct view_member *authors[DIRECTORY_AUTHORS];
     const struct view_member *self = &view->members[view->self];
-    size_t count =
-        highest(view, cell_key(cell), is_author, DIRECTORY_AUTHORS, authors);
+    size_t count = highest_ranked(view, cell_key(cell), is_author,
+                                  DIRECTORY_AUTHORS, authors);
 
     memset(role, 0, sizeof(*role));
     for (size_t i = 0; i < count; i++) {
--- a/src/directory/local_entry.h
+++ b/src/directory/local_entry.h
@@ -1,8 +1,8 @@
 /**
- * DOC: describe - what a process of a cell says of that cell, and to whom
+ * DOC: local_entry - directory entry and role of the own cell
  *
- * Functions of the view and the text alone, so that authors that know the
- * same say the same.
+ * Both depend on the view and the configuration alone, so that authors with
+ * the same input write the same entry.
  */
 #ifndef SWIFTARCH_DIRECTORY_LOCAL_ENTRY_H
 #define SWIFTARCH_DIRECTORY_LOCAL_ENTRY_H
@@ -12,21 +12,24 @@
 #include "text/text.h"
 
 /**
- * directory_local_entry_new() - entry of the cell, sealed, but for the counter
+ * directory_local_entry_new() - create the finalized entry of the own cell
  * @cell: name of the cell
- * @entry: result
+ * @view: members of the cell
+ * @text: current configuration
+ * @entry: set to the entry, with one reference for the caller
  *
- * Authors are the balancers, alive and not leaving, that rank highest;
- * gateways those that are ready. The counter is left 0.
+ * Authors are the highest-ranked balancers that are alive and not leaving;
+ * gateways are the highest-ranked of these that are ready. The counter is 0.
  *
- * Return: 0, -ENOMEM, or -EAGAIN for a text that no platform has versioned.
+ * Return: 0, -ENOMEM, or -EAGAIN for a configuration without a version.
  */
 int
 directory_local_entry_new(const char *cell, const struct view *view,
                           const struct text *text,
                           struct directory_entry **entry);
 
-/** directory_role_from_view() - role of the view's own member in @cell */
+/** directory_role_from_view() - compute the role of the view's own member in
+ * @cell */
 void
 directory_role_from_view(const char *cell, const struct view *view,
                          struct directory_role *role);
--- a/src/directory/message.c
+++ b/src/directory/message.c
@@ -6,7 +6,7 @@
 
 #include "directory/directory.pb-c.h"
 
-/* Most bytes of the parts of an encoded message. */
+/* Upper bounds of encoded parts of a message, in bytes */
 #define ENTRY_BYTES (24 + DIRECTORY_NAME_MAX + 24)
 #define GATEWAY_BYTES 24
 
@@ -42,7 +42,7 @@
     return value >> 48 == 0 && addr->ip != 0 && addr->port != 0;
 }
 
-/** struct packer - memory of a message while it is encoded */
+/** struct packer - protobuf structures of a message during encoding */
 struct packer {
     Swiftarch__DirectoryMessage out;
     Swiftarch__DirectoryItem *items;
@@ -221,7 +221,7 @@
         in->n_authors > DIRECTORY_AUTHORS ||
         in->n_addresses > DIRECTORY_ADDRESSES_MAX)
         return false;
-    /* Ascending and, but for the lowest bits, each once. */
+    /* Ascending without duplicates, flag bits ignored. */
     for (size_t i = 1; i < in->n_addresses; i++) {
         if (in->addresses[i] >> 8 <= in->addresses[i - 1] >> 8)
             return false;
--- a/src/directory/service.c
+++ b/src/directory/service.c
@@ -10,26 +10,33 @@
 #include "directory/local_entry.h"
 #include "directory/message.h"
 
+/** struct directory_counter_name - metric name and whether it is a gauge */
 struct directory_counter_name {
     const char *name;
     bool gauge;
 };
 
-static const struct directory_counter_name names[DIRECTORY_COUNTER_COUNT] = {
-    [DIRECTORY_COUNTER_CELLS] = {"directory_cells", true},
-    [DIRECTORY_COUNTER_ADDRESSES] = {"directory_addresses", true},
-    [DIRECTORY_COUNTER_CONFLICTS] = {"directory_conflicts", true},
-    [DIRECTORY_COUNTER_OLDEST_S] = {"directory_oldest_entry_seconds", true},
-    [DIRECTORY_COUNTER_DIGESTS] = {"directory_digests_total", false},
-    [DIRECTORY_COUNTER_MERGED] = {"directory_entries_merged_total", false},
-    [DIRECTORY_COUNTER_AUTHORED] = {"directory_entries_authored_total", false},
-    [DIRECTORY_COUNTER_DELAYED] = {"directory_messages_delayed_total", false},
-    [DIRECTORY_COUNTER_REJECTED] = {"directory_cells_refused_total", false},
-    [DIRECTORY_COUNTER_MALFORMED] = {"directory_messages_bad_total", false},
+static const struct directory_counter_name
+    counter_names[DIRECTORY_COUNTER_COUNT] = {
+        [DIRECTORY_COUNTER_CELLS] = {"directory_cells", true},
+        [DIRECTORY_COUNTER_ADDRESSES] = {"directory_addresses", true},
+        [DIRECTORY_COUNTER_CONFLICTS] = {"directory_conflicts", true},
+        [DIRECTORY_COUNTER_OLDEST_S] = {"directory_oldest_entry_seconds",
+                                        true},
+        [DIRECTORY_COUNTER_DIGESTS] = {"directory_digests_total", false},
+        [DIRECTORY_COUNTER_MERGED] = {"directory_entries_merged_total", false},
+        [DIRECTORY_COUNTER_AUTHORED] = {"directory_entries_authored_total",
+                                        false},
+        [DIRECTORY_COUNTER_DELAYED] = {"directory_messages_delayed_total",
+                                       false},
+        [DIRECTORY_COUNTER_REJECTED] = {"directory_cells_refused_total",
+                                        false},
+        [DIRECTORY_COUNTER_MALFORMED] = {"directory_messages_bad_total",
+                                         false},
 };
 
 static struct directory_service *
-of_extension(struct extension *extension)
+service_from_extension(struct extension *extension)
 {
     return caa_container_of(extension, struct directory_service, extension);
 }
@@ -47,10 +54,11 @@
     struct directory_table *old;
 
     if (directory_table_new(&service->core, &table) < 0)
-        return; /* tried again with the next step */
+        return; /* retried at the next step */
     service->core.changed = false;
     if (table->conflicts > service->conflicts)
-        g_warning("Several cells claim %zu addresses.", table->conflicts);
+        g_warning("%zu addresses are claimed by several cells.",
+                  table->conflicts);
     service->conflicts = table->conflicts;
     old = rcu_xchg_pointer(&service->table, table);
     if (old != NULL)
@@ -87,7 +95,7 @@
 static void
 load_blackboard(struct directory_service *service)
 {
-    /* Only this thread replaces them. */
+    /* Only this thread replaces them, so no RCU read section is needed. */
     const struct view *view = service->board->view;
     const struct text *text = service->board->text;
     const char *cell = service->settings->cell;
@@ -135,11 +143,11 @@
 static void
 on_start(struct extension *extension, struct addr self)
 {
-    struct directory_service *service = of_extension(extension);
+    struct directory_service *service = service_from_extension(extension);
     const struct settings *settings = service->settings;
     uint64_t seed = 0;
 
-    /* Without random numbers the name still tells processes apart. */
+    /* Fall back to a seed that differs between processes. */
     if (getrandom(&seed, sizeof(seed), 0) != sizeof(seed))
         seed = directory_cell(settings->name);
     directory_core_init(&service->core, settings->cell, self, seed, 0);
@@ -151,7 +159,7 @@
 static uint64_t
 on_step(struct extension *extension, uint64_t now_us, uint64_t wall_ms)
 {
-    struct directory_service *service = of_extension(extension);
+    struct directory_service *service = service_from_extension(extension);
     struct directory_actions out = {0};
 
     load_blackboard(service);
@@ -168,7 +176,7 @@
 on_message(struct extension *extension, const uint8_t *body, size_t len,
            uint64_t now_us)
 {
-    struct directory_service *service = of_extension(extension);
+    struct directory_service *service = service_from_extension(extension);
     struct directory_actions out = {0};
     struct directory_msg msg;
 
@@ -198,13 +206,15 @@
     service->board = board;
     service->counters = counters;
     for (size_t i = 0; i < DIRECTORY_COUNTER_COUNT; i++) {
-        int handle = names[i].gauge
-                         ? counter_register_gauge(counters, names[i].name, "")
-                         : counter_register(counters, names[i].name, "");
+        int handle =
+            counter_names[i].gauge
+                ? counter_register_gauge(counters, counter_names[i].name, "")
+                : counter_register(counters, counter_names[i].name, "");
 
         if (handle < 0)
             return error_set(err, handle, "register counters", NULL,
-                             "no room for %s", names[i].name);
+                             "the counter table is full at %s",
+                             counter_names[i].name);
         service->handles[i] = handle;
     }
     board->extension = &service->extension;
@@ -214,7 +224,7 @@
 bool
 directory_service_ready(const struct directory_service *service)
 {
-    /* Without its control thread a process has nothing to wait for. */
+    /* Without a control thread there are no peers to wait for. */
     return !__atomic_load_n(&service->started, __ATOMIC_ACQUIRE) ||
            __atomic_load_n(&service->ready, __ATOMIC_RELAXED);
 }
@@ -224,7 +234,7 @@
 {
     if (!service->started)
         return;
-    rcu_barrier(); /* deferred frees of older tables */
+    rcu_barrier(); /* wait for deferred frees of earlier tables */
     directory_core_finish(&service->core);
     directory_table_free(service->table);
     service->table = NULL;
--- a/src/directory/service.h
+++ b/src/directory/service.h
@@ -1,8 +1,8 @@
 /**
- * DOC: service - the directory of a running process
+ * DOC: service - runs the directory in a process
  *
- * Runs the core on the control thread and publishes a table for the packet
- * workers, to be read under RCU.
+ * An extension of the control thread: it runs the core, sends its messages
+ * and publishes a table that the packet workers read under RCU.
  */
 #ifndef SWIFTARCH_DIRECTORY_SERVICE_H
 #define SWIFTARCH_DIRECTORY_SERVICE_H
@@ -17,9 +17,10 @@
 #include "directory/directory.h"
 #include "directory/table.h"
 
+/* Maximum wait of a starting balancer for its peers' entries */
 #define DIRECTORY_READY_US (5 * USEC_PER_SEC)
 
-/** enum directory_counter - handles in struct directory_service */
+/** enum directory_counter - indices of directory_service.handles */
 enum directory_counter {
     DIRECTORY_COUNTER_CELLS,
     DIRECTORY_COUNTER_ADDRESSES,
@@ -35,21 +36,21 @@
 };
 
 /**
- * struct directory_service - see DOC
- * @extension: first member, put on the board
- * @settings: kept
- * @board: kept
- * @counters: kept
- * @handles: of the counters
- * @core: decisions; the control thread's
- * @table: published; read under RCU
- * @started: the control thread runs it; atomic
- * @start_us: when the first step was
+ * struct directory_service - directory of one process
+ * @extension: callbacks for the control thread
+ * @settings: process settings
+ * @board: source of views and configurations
+ * @counters: table of the counters
+ * @handles: counter handles
+ * @core: protocol state; used by the control thread only
+ * @table: published table or NULL; read under RCU
+ * @started: whether the control thread has started the core; atomic
+ * @start_us: time of the first step
  * @ready: see directory_service_ready(); atomic
- * @view_seq: view last taken
- * @config_version: text last taken
- * @conflicts: addresses claimed twice, as last logged
- * @malformed: messages that could not be read
+ * @view_seq: sequence number of the view last loaded
+ * @config_version: version of the configuration last loaded
+ * @conflicts: addresses claimed by several cells, as last logged
+ * @malformed: messages that could not be decoded
  */
 struct directory_service {
     struct extension extension;
@@ -69,9 +70,11 @@
 };
 
 /**
- * directory_service_init() - register the counters, put it on the board
+ * directory_service_init() - register the counters and the extension
  *
- * Before control_start(). All pointers are kept.
+ * Must be called before control_start(). Keeps all pointers but @err.
+ *
+ * Return: 0 or a negative errno with @err filled.
  */
 int
 directory_service_init(struct directory_service *service,
@@ -79,17 +82,16 @@
                        struct counter_table *counters, struct error *err);
 
 /**
- * directory_service_ready() - whether a balancer that just started may take
- * packets
+ * directory_service_ready() - whether a starting balancer may receive packets
  *
- * It waits for what others of its cell know of other cells, at most
- * DIRECTORY_READY_US. Any thread.
+ * True once a peer's entries are received, after DIRECTORY_READY_US, or if the
+ * balancer has no peers. May be called on any thread.
  */
 bool
 directory_service_ready(const struct directory_service *service);
 
-/** directory_service_finish() - free it; after control_stop() and with no
- * reader left; a zeroed service is allowed */
+/** directory_service_finish() - free the service after control_stop(), when no
+ * reader is left; a zeroed service is allowed */
 void
 directory_service_finish(struct directory_service *service);
 
--- a/src/directory/table.c
+++ b/src/directory/table.c
@@ -15,8 +15,8 @@
     return (uint32_t)hash_pair(key, 0) & table->slot_mask;
 }
 
-/* Slot of the address, or the free one where it belongs. @key isn't marked
- * as retired; the slots may be while the table is built. */
+/* Slot of the address @key, or the free slot to insert it. @key has no retired
+ * flag; a slot's address may have one, which is ignored. */
 static struct directory_table_slot *
 probe(const struct directory_table *table, uint64_t key)
 {
@@ -28,7 +28,7 @@
     return &table->slots[at];
 }
 
-/* Whether @address of @cell goes before what the slot holds. */
+/* Whether the claim of @cell to @address takes priority over the slot's */
 static bool
 has_priority(const struct directory_table *table, uint64_t address,
              uint64_t cell, const struct directory_table_slot *slot)
@@ -41,7 +41,11 @@
     return cell < table->cells[slot->cell].id;
 }
 
-/** struct claims - a table being built, and which slots are contested */
+/**
+ * struct claims - table being built
+ * @table: table
+ * @contested: for each slot, whether several cells claim its address
+ */
 struct claims {
     struct directory_table *table;
     bool *contested;
@@ -69,9 +73,11 @@
     slot->cell = index;
 }
 
-/* @addresses is to tell of other cells only. */
+/* Removes the own cell's addresses from the count and counts those that
+ * another cell overrides. */
 static void
-count_own(struct directory_table *table, const struct directory_core *core)
+count_own_addresses(struct directory_table *table,
+                    const struct directory_core *core)
 {
     const struct directory_slot *own = directory_find(core, core->cell);
 
@@ -110,7 +116,7 @@
 }
 
 static uint32_t
-slots_for(const struct directory_core *core)
+slot_count(const struct directory_core *core)
 {
     size_t addresses = 0;
     uint32_t size = SLOTS_MIN;
@@ -127,7 +133,7 @@
                     struct directory_table **result)
 {
     struct directory_table *table = calloc(1, sizeof(*table));
-    uint32_t size = slots_for(core);
+    uint32_t size = slot_count(core);
     struct claims claims = {.table = table};
 
     if (table == NULL)
@@ -146,7 +152,7 @@
         if (is_usable(core, core->slots[i].entry))
             add_entry(&claims, core->slots[i].entry, core->cell);
     }
-    count_own(table, core);
+    count_own_addresses(table, core);
     free(claims.contested);
     *result = table;
     return 0;
--- a/tests/directory/net.c
+++ b/tests/directory/net.c
@@ -10,11 +10,12 @@
 #define NET_IP 0x0a000001u
 #define NET_DATA_PORT 4000
 #define NET_CONTROL_PORT 5000
-#define NET_WALL_MS UINT64_C(1700000000000)
-#define NET_SKEW_MS (10 * 60 * 1000)
+#define NET_WALL_MS UINT64_C(1700000000000) /* wall clock at time 0 */
+#define NET_SKEW_MS (10 * 60 * 1000)        /* max clock skew, either way */
 
 enum net_event_type { EVENT_TICK, EVENT_MESSAGE, EVENT_VIEW, EVENT_TEXT };
 
+/** struct net_event - event at a node; @body is an encoded message or NULL */
 struct net_event {
     struct queue_event base;
     enum net_event_type type;
@@ -52,7 +53,7 @@
     push(net, event);
 }
 
-/* Each node of the cell learns that its members changed. */
+/* Schedules a view update at each running node of the cell. */
 static void
 schedule_view_updates(struct net *net, size_t cell)
 {
--- a/tests/directory/region.py
+++ b/tests/directory/region.py
@@ -1,7 +1,7 @@
-"""Two cells of a region as real processes, behind one fabric.
+"""Runs two cells of a region as real processes behind one fabric.
 
-Cell dar-a serves lots, cell dar-b albums; the fabric sprays the packets of
-both over the balancers of both. Kills one gateway on the way. Prints TAP.
+Cell dar-a serves lots, cell dar-b albums; the fabric spreads all packets over
+the balancers of both. Kills one gateway during the load. Prints TAP.
 Usage: region.py BUILD_DIR
 """
 
@@ -20,13 +20,13 @@
 
 CELLS = {"dar-a": "lots", "dar-b": "albums"}
 SECONDS = 18
-KNOWN_S = 14
+DISCOVERY_S = 14
 SEED = 5
 LOAD = 0.3
 
 
 def cell_of(host):
-    """Balancers 1 and 2 are dar-a's, 3 and 4 dar-b's."""
+    """Return the cell of a host; balancers 1 and 2 belong to dar-a."""
     if host.program == "balancer":
         return "dar-a" if host.name in ("balancer-1", "balancer-2") \
             else "dar-b"
@@ -34,7 +34,7 @@
 
 
 def split(topology):
-    """Turn the topology of one cell into one of two."""
+    """Split a topology of one cell into two cells."""
     hosts = topology.balancers + topology.agents
     first = {cell: next(h for h in hosts if cell_of(h) == cell)
              for cell in CELLS}
@@ -63,7 +63,7 @@
 
 
 def start(site, build):
-    """Start all but the caller and the spares."""
+    """Start all processes but the caller, the fabric and the spares."""
     topology = site.topology
     platform = Host("platform", "platform",
                     {"listen": topology.platform_address})
@@ -73,7 +73,7 @@
     deadline = time.monotonic() + 5
     while site.platform("GET", "/stats") is None:
         if time.monotonic() > deadline:
-            raise run.RunError("the platform did not answer")
+            raise run.RunError("the platform did not respond within 5 s")
         time.sleep(0.05)
     for cell in CELLS:
         done = site.cli("apply", f"config-{cell}.json", "--operator",
@@ -94,15 +94,19 @@
     return site.metrics(host).get(f"swiftarch_{name}", 0)
 
 
-def wait_known(site):
-    """Seconds until each balancer knows the other cell's address."""
+def wait_discovery(site):
+    """Wait until each balancer has the other cell's address.
+
+    Returns the time in seconds.
+    """
     begin = time.monotonic()
-    while time.monotonic() - begin < KNOWN_S:
+    while time.monotonic() - begin < DISCOVERY_S:
         if all(metric(site, b, "directory_addresses") == 1
                for b in site.topology.balancers):
             return time.monotonic() - begin
         time.sleep(0.1)
-    raise run.RunError(f"the cells didn't learn of each other in {KNOWN_S} s")
+    raise run.RunError(
+        f"the cells did not discover each other in {DISCOVERY_S} s")
 
 
 def run_load(site):
@@ -115,20 +119,20 @@
         raise run.RunError("the caller failed; see caller.log")
 
 
-def forwarded(site):
-    """Packets to and from other cells, over the balancers still there."""
+def forwarded_packets(site):
+    """Return the packets to and from other cells at running balancers."""
     alive = [b for b in site.topology.balancers if b.running]
     return [sum(metric(site, b, f"packets_{way}_other_cells_total")
                 for b in alive) for way in ("to", "from")]
 
 
-def judge(values, known_s, packets, left):
+def evaluate(values, discovery_s, packets, remaining):
     checks = {
-        "cells learn of each other": known_s <= KNOWN_S,
+        "cells discover each other": discovery_s <= DISCOVERY_S,
         "packets are forwarded": packets[0] > 0 and packets[1] > 0,
         "requests are answered": values["answered"] > 0,
         "no flow breaks": values["broken"] == 0,
-        "all stop by themselves": not left,
+        "all processes stop when asked": not remaining,
     }
     for key in report.MUST_BE_ZERO:
         checks[f"{key} is 0"] = not values[key]
@@ -138,33 +142,33 @@
 def main():
     build = pathlib.Path(sys.argv[1]).resolve()
     folder = pathlib.Path(tempfile.mkdtemp(prefix="swiftarch-region-"))
-    # The programs come from this build.
+    # Run the programs of the given build folder.
     run.ROOT = folder / "root"
     run.ROOT.mkdir()
     (run.ROOT / "build").symlink_to(build)
     topology = Topology("dar", folder, SEED, SECONDS, LOAD)
     split(topology)
     site = run.Site(topology)
-    left = []
+    remaining = []
     try:
         start(site, build)
-        known_s = wait_known(site)
+        discovery_s = wait_discovery(site)
         site.start(topology.fabric())
         time.sleep(4)
         run_load(site)
-        packets = forwarded(site)
+        packets = forwarded_packets(site)
     finally:
-        left = site.stop_all()
+        remaining = site.stop_all()
     steady = [u.settings["name"] for u in topology.upstreams
               if u.service == "lots" and u.process]
     values = report.summarise(folder, steady, "lots", [])
-    checks = judge(values, known_s, packets, left)
+    checks = evaluate(values, discovery_s, packets, remaining)
     print(f"1..{len(checks)}")
-    print(f"# known after {known_s:.1f} s; packets to and from other cells "
-          f"{packets}; logs in {folder}")
+    print(f"# discovered after {discovery_s:.1f} s; packets to and from other "
+          f"cells {packets}; logs in {folder}")
     print(f"# {json.dumps(values)}")
-    for i, (what, good) in enumerate(checks.items(), 1):
-        print(f"{'ok' if good else 'not ok'} {i} {what}")
+    for i, (name, passed) in enumerate(checks.items(), 1):
+        print(f"{'ok' if passed else 'not ok'} {i} {name}")
     if not all(checks.values()):
         return 1
     shutil.rmtree(folder)
--- a/tests/directory/test_directory.c
+++ b/tests/directory/test_directory.c
@@ -1,4 +1,4 @@
-/* The directory's parts one by one. */
+/* Unit tests of the directory: versions, tables, forwarding, encoding */
 #include <errno.h>
 #include <string.h>
 
@@ -35,7 +35,7 @@
 }
 
 static void
-start(struct directory_core *core)
+core_init(struct directory_core *core)
 {
     struct addr self = {.ip = 1, .port = 1};
 
@@ -45,25 +45,26 @@
 static bool
 merge(struct directory_core *core, struct directory_entry *entry)
 {
-    bool taken = directory_merge(core, entry, 0);
+    bool accepted = directory_merge(core, entry, 0);
 
     directory_entry_unref(entry);
-    return taken;
+    return accepted;
 }
 
-/* Config first, then the counter, then the content; twice is once. */
-TEST(order)
+/* Versions are ordered by configuration, counter and content; merging is
+ * idempotent. */
+TEST(version_order)
 {
     struct directory_core core;
 
-    start(&core);
+    core_init(&core);
     g_assert_true(merge(&core, make_entry("a", 2, 5, SOME_IP, false)));
     g_assert_false(merge(&core, make_entry("a", 2, 5, SOME_IP, false)));
     g_assert_false(merge(&core, make_entry("a", 1, 9, SOME_IP + 1, false)));
     g_assert_false(merge(&core, make_entry("a", 2, 4, SOME_IP + 1, false)));
     g_assert_true(merge(&core, make_entry("a", 2, 6, SOME_IP + 1, false)));
     g_assert_true(merge(&core, make_entry("a", 3, 1, SOME_IP + 2, false)));
-    /* Of two authors' entries that tie, one wins whatever the order. */
+    /* Of two entries with equal counters, one wins in any order. */
     bool first = merge(&core, make_entry("b", 1, 1, SOME_IP + 3, false));
     bool second = merge(&core, make_entry("b", 1, 1, SOME_IP + 4, false));
     bool third = merge(&core, make_entry("b", 1, 1, SOME_IP + 3, false));
@@ -93,7 +94,8 @@
     return id;
 }
 
-/* A claim that serves beats one that retired it, then the lower id. */
+/* A serving cell takes priority over one that retired the address, then the
+ * lower cell id. */
 TEST(conflict)
 {
     uint64_t a = directory_cell("a");
@@ -101,7 +103,7 @@
     struct directory_core core;
     size_t conflicts;
 
-    start(&core);
+    core_init(&core);
     merge(&core, make_entry("a", 1, 1, SOME_IP, false));
     merge(&core, make_entry("b", 1, 1, SOME_IP, false));
     g_assert_cmpuint(found(&core, SOME_IP, &conflicts), ==, MIN(a, b));
@@ -114,8 +116,8 @@
     directory_core_finish(&core);
 }
 
-/* The own cell's claim counts like any other's. */
-TEST(own)
+/* The own cell's claims follow the same priority rules. */
+TEST(own_cell)
 {
     bool lower = directory_cell("own") < directory_cell("a");
     struct packet packet = {.dst = SOME_IP, .dport = 80, .proto = TCP};
@@ -125,7 +127,7 @@
     for (int retired = 0; retired < 2; retired++) {
         struct directory_table *table;
 
-        start(&core);
+        core_init(&core);
         merge(&core, make_entry("own", 1, 1, SOME_IP, retired));
         g_assert_cmpuint(found(&core, SOME_IP, &conflicts), ==, 0);
         g_assert_cmpuint(conflicts, ==, 0);
@@ -141,13 +143,13 @@
     }
 }
 
-/* A flood of cells stops at the limit; the own cell still finds room. */
-TEST(rejected)
+/* New cells beyond the limit are rejected, except the own cell. */
+TEST(cell_limit)
 {
     struct directory_core core;
     char name[DIRECTORY_NAME_MAX];
 
-    start(&core);
+    core_init(&core);
     for (unsigned i = 0; i < 2 * DIRECTORY_CELLS_MAX; i++) {
         g_snprintf(name, sizeof(name), "flood-%u", i);
         merge(&core, make_entry(name, 1, 1, SOME_IP + i, false));
@@ -158,8 +160,9 @@
     directory_core_finish(&core);
 }
 
-/* The mark is no hop list and no bare header, and stops a second forward. */
-TEST(forward)
+/* The marked header differs from a hop list and a bare header; a marked packet
+ * is not forwarded again. */
+TEST(forward_once)
 {
     struct packet packet = {.dst = SOME_IP, .dport = 80, .proto = TCP};
     uint8_t bare[GUE_HEADER_MAX] = {0};
@@ -176,7 +179,7 @@
     g_assert_false(cell_forward_is_marked(bare, sizeof(bare)));
     g_assert_cmpint(gue_decode(mark, sizeof(mark), &gue), ==, -EBADMSG);
 
-    start(&core);
+    core_init(&core);
     merge(&core, make_entry("a", 1, 1, SOME_IP, false));
     g_assert_cmpint(directory_table_new(&core, &table), ==, 0);
     g_assert_cmpint(cell_forward_decide(table, NULL, &packet, false, 0, &to),
@@ -194,9 +197,9 @@
     directory_core_finish(&core);
 }
 
-/* A gateway that refused is passed over while there are others, for a
- * while; each turn has another gateway. */
-TEST(refused)
+/* The gateway changes with each rotation; one that refused packets is avoided
+ * for CELL_FORWARD_REFUSED_US while there are others. */
+TEST(refused_gateway)
 {
     struct directory_entry *entry = make_entry("a", 1, 1, SOME_IP, false);
     struct packet packet = {.dst = SOME_IP, .dport = 80, .proto = TCP};
@@ -210,7 +213,7 @@
     entry->gateways[1] = entry->gateways[0];
     entry->gateways[1].data.port++;
     directory_entry_finalize(entry);
-    start(&core);
+    core_init(&core);
     merge(&core, entry);
     g_assert_cmpint(directory_table_new(&core, &table), ==, 0);
 
@@ -231,7 +234,7 @@
     cell_forward_note_refused(&refused, to, 0);
     cell_forward_decide(table, &refused, &packet, false, 0, &to);
     g_assert_true(addr_equal(first, to));
-    /* Notes of many others push the oldest out. */
+    /* The oldest record is overwritten when all are used. */
     for (uint32_t i = 0; i < CELL_FORWARD_REFUSED_MAX; i++)
         cell_forward_note_refused(&refused, (struct addr){1 + i, 1}, 0);
     cell_forward_decide(table, &refused, &packet, false, 0, &to);
@@ -254,9 +257,9 @@
     return size;
 }
 
-/* An entry of the largest text fits; what is cut or changed is refused or
- * read as some entry, and never crashes. */
-TEST(wire)
+/* The largest entry fits into a message; truncated or corrupted messages must
+ * not crash the decoder. */
+TEST(encoding)
 {
     struct directory_entry *entry =
         directory_entry_new("large", DIRECTORY_ADDRESSES_MAX);
@@ -293,7 +296,7 @@
 }
 
 static size_t
-ask_for_all(struct directory_core *core, uint64_t now_us)
+request_all(struct directory_core *core, uint64_t now_us)
 {
     struct directory_msg want = {.kind = DIRECTORY_WANT};
     struct directory_actions out = {0};
@@ -329,8 +332,8 @@
     return entry;
 }
 
-/* Whoever asks, and how often, gets no more than the budget; who holds no
- * directory answers nothing. */
+/* Replies stay within the byte budget at any rate of requests; a process
+ * without a directory does not reply. */
 TEST(budget)
 {
     struct directory_role role = {.holds = true};
@@ -338,29 +341,29 @@
     char name[DIRECTORY_NAME_MAX];
     size_t bytes = 0;
 
-    start(&core);
+    core_init(&core);
     for (unsigned i = 0; i < 100; i++) {
         g_snprintf(name, sizeof(name), "cell-%u", i);
         merge(&core, make_large(name));
     }
-    g_assert_cmpuint(ask_for_all(&core, 0), ==, 0);
+    g_assert_cmpuint(request_all(&core, 0), ==, 0);
     directory_set_role(&core, &role);
     for (uint64_t i = 0; i < 1000; i++)
-        bytes += ask_for_all(&core, i * 10 * USEC_PER_MSEC);
+        bytes += request_all(&core, i * 10 * USEC_PER_MSEC);
     g_assert_cmpuint(bytes, <=, DIRECTORY_BURST + 10 * DIRECTORY_RATE);
     g_assert_cmpuint(bytes, >, DIRECTORY_BURST);
     g_assert_cmpuint(core.stats.delayed, >, 0);
     directory_core_finish(&core);
 }
 
-/* In a cell whose two authors never agree, turns get rare. */
+/* Authors that keep disagreeing overwrite each other ever more rarely. */
 TEST(contest)
 {
     struct directory_role role = {.holds = true, .author = true};
     struct directory_actions out = {0};
     struct directory_core core;
 
-    start(&core);
+    core_init(&core);
     directory_set_role(&core, &role);
     directory_set_local_entry(&core, make_entry("own", 1, 0, SOME_IP, false));
     for (uint64_t i = 0; i < 3600; i++) {
@@ -378,15 +381,15 @@
     directory_core_finish(&core);
 }
 
-/* Who has an older text doesn't speak for its cell; a clock that is behind
- * doesn't keep who has the same text from doing so. */
-TEST(author)
+/* A process with an older configuration does not author; one with the current
+ * configuration does, even if its clock is behind. */
+TEST(author_with_current_configuration)
 {
     struct directory_role role = {.holds = true, .author = true};
     struct directory_actions out = {0};
     struct directory_core core;
 
-    start(&core);
+    core_init(&core);
     directory_set_role(&core, &role);
     merge(&core, make_entry("own", 5, 9000, SOME_IP, false));
     directory_set_local_entry(&core,
--- a/tests/directory/test_property.c
+++ b/tests/directory/test_property.c
@@ -1,4 +1,4 @@
-/* Properties of the directory under random changes, faults and cuts. */
+/* Directory invariants under random changes, restarts and partitions. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,7 +8,7 @@
 
 #define SUITE "/directory/property"
 #define CELLS 8
-#define NODES 4 /* of a cell */
+#define NODES 4 /* per cell */
 #define POOL 40 /* addresses */
 #define POOL_IP 0xc0a80001u
 #define STEPS 60
@@ -17,9 +17,10 @@
 #define RENEWAL_US (14 * USEC_PER_SEC)
 #define SEEDS 24
 
-/** struct world - what the properties compare with
- * @ever: whether a cell ever had an address in its text
- * @versions: latest version seen at a node of a cell's entry
+/**
+ * struct world - simulation and the state that the checks compare with
+ * @ever: whether a cell ever had an address in its configuration
+ * @versions: latest version of each cell's entry seen at each node
  * @incarnations: incarnation of the node in which it was seen
  */
 struct world {
@@ -176,13 +177,13 @@
 }
 
 static void
-cut(struct world *world)
+partition(struct world *world)
 {
     struct net *net = &world->net;
     bool inside = random_below(&net->random, 3) == 0;
     size_t border = 1 + random_below(&net->random, CELLS - 1);
 
-    /* Between cells, or through the middle of each. */
+    /* Partition within every cell, or between cells. */
     for (size_t i = 0; i < net->count; i++)
         net_set_group(net, i, inside ? i % 2 : net->nodes[i].cell >= border);
 }
@@ -210,7 +211,8 @@
     }
 }
 
-/* Who takes a packet for @address that the fabric gave to @node. */
+/* Cell that accepts a packet for @address sent to @node, or SIZE_MAX; fails if
+ * the packet is forwarded more than once. */
 static size_t
 deliver(struct world *world, size_t node, size_t address)
 {
@@ -241,7 +243,7 @@
     }
 }
 
-/* No loop, and never to a cell that never served the address. */
+/* Packets do not loop and reach only cells that have served the address. */
 static void
 check_packets(struct world *world)
 {
@@ -256,7 +258,7 @@
     }
 }
 
-/* The same, but for a renewal that is on its way. */
+/* Entries are equal, except for a renewal within the last RENEWAL_US. */
 static void
 check_pair(const struct net *net, const struct directory_slot *a,
            const struct directory_slot *b)
@@ -341,7 +343,7 @@
     else if (choice < 15)
         fault(world);
     else if (choice < 17)
-        cut(world);
+        partition(world);
     else if (choice < 19)
         heal(world);
     else
@@ -382,7 +384,8 @@
     return text != NULL ? strtoull(text, NULL, 10) : SEEDS;
 }
 
-TEST(random)
+/* Invariants hold in random runs, and all nodes converge after each. */
+TEST(random_runs)
 {
     struct world *world = g_new(struct world, 1);
 
@@ -401,15 +404,15 @@
 static uint64_t
 max_budgeted_out(const struct net *net, const uint64_t *before)
 {
-    uint64_t most = 0;
+    uint64_t max = 0;
 
     for (size_t i = 0; i < net->count; i++)
-        most = MAX(most, net->nodes[i].budgeted_out - before[i]);
-    return most;
+        max = MAX(max, net->nodes[i].budgeted_out - before[i]);
+    return max;
 }
 
-/* What changes in the hour is known everywhere soon after, at a cost that
- * has a bound; in the hour what was known stays. */
+/* During an hour of partition entries are kept; afterwards all nodes converge
+ * within the byte budget. */
 TEST(hour)
 {
     struct world *world = g_new(struct world, 1);
@@ -433,9 +436,10 @@
     net_run(net, net->now_us + QUIET_US);
     check_converged(world);
     check_bounds(world);
-    g_test_message("Most that a node paid to heal: %" G_GUINT64_FORMAT
-                   " bytes.",
-                   max_budgeted_out(net, before));
+    g_test_message(
+        "Maximum sent by a node after the partition: %" G_GUINT64_FORMAT
+        " bytes.",
+        max_budgeted_out(net, before));
     net_finish(net);
     g_free(world);
 }
--- a/tests/directory/test_settings.c
+++ b/tests/directory/test_settings.c
@@ -1,4 +1,4 @@
-/* Keys of a process whose region has several cells. */
+/* Settings of a region with several cells: object and region_seeds. */
 #include <errno.h>
 #include <glib/gstdio.h>
 #include <string.h>
--- a/tests/directory/test_site.c
+++ b/tests/directory/test_site.c
@@ -1,5 +1,5 @@
-/* Two cells of a region: control threads with real sockets, and the packets
- * between them. */
+/* Two cells of a region: directory exchange over sockets, and forwarding of
+ * packets between them. */
 #include <stdio.h>
 #include <string.h>
 #include <urcu.h>
@@ -15,12 +15,12 @@
 
 #define SUITE "/directory/site"
 #define CELLS 2
-#define NODES 2 /* of a cell */
+#define NODES 2 /* per cell */
 #define GATEWAY_PORT 4000
 #define OTHER_IP 0x0a650001u
 #define NOW_US (60 * USEC_PER_SEC)
 
-/** struct node - a balancer without its packet workers */
+/** struct node - balancer without packet workers */
 struct node {
     struct settings settings;
     struct board board;
@@ -54,7 +54,7 @@
              "http://127.0.0.1:%u", server_port(&f->server));
 }
 
-/* Address that the kernel gave a node, or port 0 before it is known. */
+/* Control address of a node; port 0 before its first view. */
 static struct addr
 control_of(struct fixture *f, size_t cell, size_t i)
 {
@@ -69,8 +69,8 @@
     return addr;
 }
 
-/* The first node of a cell is the seed of the others, the first of all that
- * of the other cell. */
+/* The first node of a cell is the seed of its other nodes; the first node of
+ * cell 0 is the region seed of the other cells. */
 static void
 fill_seeds(struct fixture *f, size_t cell, size_t i)
 {
@@ -136,7 +136,7 @@
     g_mutex_unlock(&f->server.lock);
 }
 
-/* Gateways that a node would send packets for @ip to, 0 for unknown. */
+/* Number of gateways that a node has for @ip, 0 for an unknown address */
 static size_t
 gateways_for(struct fixture *f, size_t cell, size_t i, uint32_t ip)
 {
@@ -155,7 +155,7 @@
 }
 
 static bool
-all_know(struct fixture *f, size_t cell, uint32_t ip, size_t gateways)
+all_have(struct fixture *f, size_t cell, uint32_t ip, size_t gateways)
 {
     for (size_t i = 0; i < NODES; i++) {
         if (gateways_for(f, cell, i, ip) != gateways)
@@ -164,8 +164,8 @@
     return true;
 }
 
-/* Each cell learns the other's addresses, their change, and the death of a
- * gateway; one object's text is not the other's. */
+/* Each cell receives the other's addresses, changes and dead gateways, and
+ * only its own configuration. */
 TEST(cells)
 {
     g_autofree struct fixture *f = g_new0(struct fixture, 1);
@@ -180,20 +180,20 @@
     put_text(f, 1, 0, "10.101.0.1");
     for (size_t i = 0; i < CELLS * NODES; i++)
         start_node(f, i / NODES, i % NODES);
-    LOOPBACK_WAIT(all_know(f, 0, OTHER_IP, NODES));
-    LOOPBACK_WAIT(all_know(f, 1, ROUTE_FIXTURE_LOTS_IP, NODES));
+    LOOPBACK_WAIT(all_have(f, 0, OTHER_IP, NODES));
+    LOOPBACK_WAIT(all_have(f, 1, ROUTE_FIXTURE_LOTS_IP, NODES));
     g_assert_cmpuint(gateways_for(f, 0, 0, ROUTE_FIXTURE_LOTS_IP), ==, 0);
 
     put_text(f, 1, 1, "10.101.0.2");
-    LOOPBACK_WAIT(all_know(f, 0, OTHER_IP + 1, NODES));
-    g_assert_true(all_know(f, 0, OTHER_IP, 0));
+    LOOPBACK_WAIT(all_have(f, 0, OTHER_IP + 1, NODES));
+    g_assert_true(all_have(f, 0, OTHER_IP, 0));
 
     stop_node(f, 1, 1);
-    LOOPBACK_WAIT(all_know(f, 0, OTHER_IP + 1, NODES - 1));
+    LOOPBACK_WAIT(all_have(f, 0, OTHER_IP + 1, NODES - 1));
     stop_node(f, 1, 0);
-    /* The last word on a silent cell stays. */
+    /* The last entry of an unreachable cell is kept. */
     g_usleep(2 * G_USEC_PER_SEC);
-    g_assert_true(all_know(f, 0, OTHER_IP + 1, NODES - 1));
+    g_assert_true(all_have(f, 0, OTHER_IP + 1, NODES - 1));
     stop_node(f, 0, 0);
     stop_node(f, 0, 1);
     server_finish(&f->server);
@@ -221,7 +221,7 @@
     return table;
 }
 
-/** struct hop - a balancer's decision about one packet */
+/** struct hop - one packet routed by one balancer */
 struct hop {
     struct worker_batch *batch;
     struct trace trace;
@@ -242,13 +242,13 @@
     worker_batch_decide(hop->batch, 1, table, &hop->trace, NOW_US);
 }
 
-/* Fabric, balancer of cell A, gateway of cell B, agent; and no third cell:
- * a forwarded packet of an unknown address is dropped. */
+/* A packet is forwarded from cell A to a gateway of cell B and there to an
+ * agent; a forwarded packet with an unknown address is dropped. */
 TEST(packets)
 {
     struct directory_table *directory =
         directory_of("b", ROUTE_FIXTURE_LOTS_IP);
-    struct directory_table *back = directory_of("a", OTHER_IP);
+    struct directory_table *other = directory_of("a", OTHER_IP);
     struct route_table *none;
     struct route_table *lots;
     struct view *empty = view_new(0);
@@ -292,8 +292,8 @@
     free(second.batch);
     free(first.batch);
 
-    /* An address that neither cell has, and a directory of other ones. */
-    decide(&first, none, back, buf, len);
+    /* No directory entry for the address, and no directory */
+    decide(&first, none, other, buf, len);
     g_assert_cmpuint(first.batch->drops[PACKET_NO_SERVICE], ==, 1);
     free(first.batch);
     decide(&first, none, NULL, buf, len);
@@ -303,7 +303,7 @@
     route_table_free(none);
     route_table_free(lots);
     directory_table_free(directory);
-    directory_table_free(back);
+    directory_table_free(other);
     text_free(text);
     free(view);
     free(empty);
