--- a/src/flow/decide.c
+++ b/src/flow/decide.c
@@ -1,3 +1,7 @@
+/*
+ * Decides for each packet whether this agent delivers it, opens its flow,
+ * forwards it along the hop list, resets the caller or drops it.
+ */
 #include "flow/flow.h"
 
 #include "flow/flow_private.h"
@@ -6,7 +10,8 @@
 #define PROTO_TCP 6
 #define PROTO_UDP 17
 
-/* A flood of openings or of datagrams displaces only its own kind. */
+/* Half-open flows fill at most 1/4 of the table and datagram flows 1/2, so
+ * that a flood of either evicts only flows of its own kind. */
 #define HALF_OPEN_DIVISOR 4
 #define DATAGRAM_DIVISOR 2
 
@@ -18,7 +23,7 @@
 }
 
 static struct flow_decision
-accept_packet(enum flow_verdict verdict)
+make_decision(enum flow_verdict verdict)
 {
     return (struct flow_decision){.verdict = verdict};
 }
@@ -43,7 +48,7 @@
 }
 
 static bool
-is_open(const struct packet *packet)
+is_syn(const struct packet *packet)
 {
     return packet->proto == PROTO_TCP &&
            (packet->flags & (PACKET_TCP_SYN | PACKET_TCP_ACK)) ==
@@ -51,11 +56,11 @@
 }
 
 /*
- * Whether an oldest's packet proves that the caller talks to us: another
- * agent may have isn_known the same SYN, with another sequence number.
+ * Whether a packet of a half-open flow belongs to this agent's handshake.
+ * Another agent may have answered the same SYN with another sequence number.
  */
 static bool
-acknowledges(const struct entry *entry, const struct packet *packet)
+matches_handshake(const struct entry *entry, const struct packet *packet)
 {
     if ((packet->flags & PACKET_TCP_ACK) != 0) {
         return entry->isn_known && packet->ack == entry->isn + 1;
@@ -64,10 +69,10 @@
            packet->seq == entry->caller_isn + 1;
 }
 
-/* Whether a known flow takes the packet. */
+/* Whether the packet is delivered to the flow; updates the flow's state. */
 static bool
-accept_known(struct flow_table *table, struct entry *entry,
-             const struct packet *packet, uint64_t now_us)
+accept_existing(struct flow_table *table, struct entry *entry,
+                const struct packet *packet, uint64_t now_us)
 {
     switch (entry->state) {
     case ENTRY_ESTABLISHED:
@@ -78,11 +83,11 @@
     default:
         break;
     }
-    if (is_open(packet)) {
+    if (is_syn(packet)) {
         entries_touch(&table->entries, entry, ENTRY_HALF_OPEN, now_us);
         return true;
     }
-    if (!acknowledges(entry, packet)) {
+    if (!matches_handshake(entry, packet)) {
         return false;
     }
     if ((packet->flags & PACKET_TCP_RST) == 0) {
@@ -91,7 +96,8 @@
     return true;
 }
 
-/* Makes room for one more entry of @state; false when there is none. */
+/* Evicts the oldest flow if needed to make room for one of @state. Returns
+ * false when the table holds established and datagram flows only. */
 static bool
 reserve_entry(struct flow_table *table, enum entry_state state)
 {
@@ -130,7 +136,7 @@
         return drop(PACKET_NO_ENDPOINT);
     }
     registrar_mark(&table->registrar, entry->bucket);
-    return accept_packet(FLOW_OPEN);
+    return make_decision(FLOW_OPEN);
 }
 
 static bool
@@ -143,8 +149,10 @@
                                 entries->capacity;
 }
 
-/* An older agent in whatever state: it may not have heard of us yet, and
- * reset what we own. At a cold start there is none. */
+/*
+ * Whether an agent of an earlier incarnation is not dead, in any state. It may
+ * not have this agent in its view yet and would reset this agent's flows.
+ */
 static bool
 has_older_agent(const struct flow_table *table)
 {
@@ -170,9 +178,9 @@
 }
 
 /*
- * A packet that opens a flow. When nobody takes it, it is dropped rather
- * than reset: draining, full and new are states that pass, and the caller's
- * retransmission finds another list.
+ * Decides on a SYN. When no agent accepts it, it is dropped and not reset:
+ * draining, full and newly started agents are temporary, and the caller
+ * retransmits.
  */
 static struct flow_decision
 decide_open(struct flow_table *table, const struct packet *packet,
@@ -196,7 +204,7 @@
     return drop(PACKET_NO_ENDPOINT);
 }
 
-/* Continuations cost hops, and forged packets ask for them too. */
+/* Rate limit: forged packets also cause continuations, which cost hops. */
 static bool
 may_continue_list(struct flow_table *table, uint64_t now_us)
 {
@@ -220,7 +228,7 @@
     return true;
 }
 
-/* Nobody that was asked knows the flow. */
+/* No agent on the hop list has the flow: resets or drops the packet. */
 static struct flow_decision
 decide_exhausted(const struct flow_table *table, const struct packet *packet,
                  const struct hop_list *hop_list, bool unlisted,
@@ -229,21 +237,22 @@
     bool pins_complete =
         now_us >= table->members.joined_us + FLOW_JOIN_GRACE_US;
 
-    if ((packet->flags & PACKET_TCP_RST) != 0 || is_open(packet)) {
+    if ((packet->flags & PACKET_TCP_RST) != 0 || is_syn(packet)) {
         return drop(PACKET_HOP_LIMIT);
     }
     if ((hop_list->gue.flags & GUE_SUSPECTS) != 0 || table->members.suspects) {
         return drop(PACKET_HOP_LIMIT);
     }
-    /* A newcomer may not have heard of all members yet. */
+    /* The view of a newly started agent may lack members. */
     if (now_us < table->start_delay_until_us && !pins_complete) {
         return drop(PACKET_HOP_LIMIT);
     }
-    /* Not all were asked: only pins tell that the others own nothing. */
+    /* Some agents were not on the list. Only complete pins show that they
+     * do not own the flow. */
     if (unlisted && !pins_complete) {
         return drop(PACKET_HOP_LIMIT);
     }
-    return accept_packet(FLOW_RESET);
+    return make_decision(FLOW_RESET);
 }
 
 static struct flow_decision
@@ -275,8 +284,8 @@
     return decide_exhausted(table, packet, &hop_list, unlisted, now_us);
 }
 
-/* The second round of a datagram without an owner: the first to accept_packet
- * it. */
+/* The list found no owner of the datagram: on a second pass, the first agent
+ * that accepts flows opens one. */
 static struct flow_decision
 decide_datagram_open(struct flow_table *table, const struct packet *packet,
                      struct hop_list *hop_list, uint64_t now_us)
@@ -315,7 +324,7 @@
     return forward_to_hop(&hop_list);
 }
 
-/* A packet for another service than ours is never taken here. */
+/* Forwards or drops a packet of a service that this agent does not serve. */
 static struct flow_decision
 decide_other_service(const struct flow_table *table,
                      const struct packet *packet, const struct gue *gue,
@@ -339,8 +348,8 @@
         return drop(PACKET_NO_SERVICE);
     }
     if (entry != NULL && entry->service == gue->service &&
-        accept_known(table, entry, packet, now_us)) {
-        return accept_packet(FLOW_DELIVER);
+        accept_existing(table, entry, packet, now_us)) {
+        return make_decision(FLOW_DELIVER);
     }
     if (gue->service != table->service ||
         (entry != NULL && entry->service != gue->service)) {
@@ -349,7 +358,7 @@
     if (packet->proto == PROTO_UDP) {
         return decide_datagram(table, packet, gue, now_us);
     }
-    if (is_open(packet)) {
+    if (is_syn(packet)) {
         return decide_open(table, packet, gue, now_us);
     }
     return decide_existing(table, packet, gue, now_us);
--- a/src/flow/entries.c
+++ b/src/flow/entries.c
@@ -7,16 +7,16 @@
 
 #include "packet/rank.h"
 
-#define FIRST_ALLOCATED 256
+#define ENTRIES_INITIAL 256
 
 static size_t
-chain_of(const struct entries *entries, uint64_t hash)
+chain_index(const struct entries *entries, uint64_t hash)
 {
     return hash & (entries->allocated - 1);
 }
 
 static struct packet
-packet_of(const struct entry *entry)
+entry_key(const struct entry *entry)
 {
     return (struct packet){.src = entry->src,
                            .dst = entry->dst,
@@ -26,9 +26,9 @@
 }
 
 static uint64_t
-hash_of(const struct entry *entry)
+entry_hash(const struct entry *entry)
 {
-    struct packet packet = packet_of(entry);
+    struct packet packet = entry_key(entry);
 
     return packet_flow_hash(&packet);
 }
@@ -46,11 +46,11 @@
 {
     uint32_t i;
 
-    /* Grown only when no entry is free, so all below @next_unused are in use.
-     */
+    /* The table grows only when no entry is free, so all entries below
+     * @next_unused are in use. */
     for (i = 0; i < entries->next_unused; i++) {
         struct entry *entry = &entries->items[i];
-        size_t chain = chain_of(entries, hash_of(entry));
+        size_t chain = chain_index(entries, entry_hash(entry));
 
         entry->chain = entries->chains[chain];
         entries->chains[chain] = i;
@@ -100,7 +100,7 @@
     if (entries->buckets == NULL) {
         return -ENOMEM;
     }
-    rc = entries_grow(entries, FIRST_ALLOCATED);
+    rc = entries_grow(entries, ENTRIES_INITIAL);
     if (rc < 0) {
         entries_finish(entries);
     }
@@ -120,7 +120,7 @@
 entries_find(const struct entries *entries, const struct packet *packet)
 {
     uint64_t hash = packet_flow_hash(packet);
-    uint32_t at = entries->chains[chain_of(entries, hash)];
+    uint32_t at = entries->chains[chain_index(entries, hash)];
 
     while (at != ENTRIES_NONE) {
         struct entry *entry = &entries->items[at];
@@ -206,7 +206,7 @@
         return NULL;
     }
     entry = &entries->items[index];
-    chain = chain_of(entries, hash);
+    chain = chain_index(entries, hash);
     *entry = (struct entry){.src = packet->src,
                             .dst = packet->dst,
                             .sport = packet->sport,
@@ -228,7 +228,7 @@
 entries_remove(struct entries *entries, struct entry *entry)
 {
     uint32_t index = (uint32_t)(entry - entries->items);
-    uint32_t *at = &entries->chains[chain_of(entries, hash_of(entry))];
+    uint32_t *at = &entries->chains[chain_index(entries, entry_hash(entry))];
 
     while (*at != index) {
         assert(*at != ENTRIES_NONE);
--- a/src/flow/entries.h
+++ b/src/flow/entries.h
@@ -1,9 +1,9 @@
 /**
- * DOC: entries - the flows of one agent, found by their five-tuple
+ * DOC: entries - table of an agent's flows, keyed by five-tuple
  *
- * Entries live in one array that grows up to a capacity and are named by
- * their index. Embryonic and datagram flows are kept in order of their
- * last use, so that expiry and eviction need no search.
+ * Entries are in one array that grows up to a capacity, and link to each other
+ * by index. A list for each state is ordered by last use, so that expiry and
+ * eviction find the oldest entry in constant time.
  */
 #ifndef SWIFTARCH_FLOW_ENTRIES_H
 #define SWIFTARCH_FLOW_ENTRIES_H
@@ -16,25 +16,26 @@
 
 #define ENTRIES_NONE UINT32_MAX
 
-/** enum entry_state - also names the list that an entry is on */
+/** enum entry_state - state of a flow, also the index of its list */
 enum entry_state {
-    ENTRY_HALF_OPEN,   /* SYN taken, our SYN-ACK not acknowledged yet */
-    ENTRY_ESTABLISHED, /* acknowledged: ours until it is closed */
-    ENTRY_DATAGRAM,    /* UDP, until it is idle for long */
+    ENTRY_HALF_OPEN,   /* SYN accepted, SYN-ACK not acknowledged yet */
+    ENTRY_ESTABLISHED, /* handshake complete; until flow_close() */
+    ENTRY_DATAGRAM,    /* UDP, until idle for FLOW_DATAGRAM_TTL_US */
     ENTRY_STATES
 };
 
 /**
- * struct entry - a flow, by its caller's side
+ * struct entry - a flow
+ * @src, @dst, @sport, @dport, @proto: as in the caller's packets
  * @state: enum entry_state
- * @isn_known: @isn is known
- * @bucket: its rank bucket
- * @service: service it was opened for
- * @isn: sequence number of our SYN-ACK
+ * @isn_known: whether @isn is set
+ * @bucket: rank bucket
+ * @service: service that the flow was opened for
+ * @isn: sequence number of the SYN-ACK sent
  * @caller_isn: sequence number of the caller's SYN
  * @chain: next entry with the same hash, or next free entry
  * @older, @newer: neighbours in the list of @state
- * @used_us: last use, as far as the list of @state needs it
+ * @used_us: when entries_touch() was last called
  */
 struct entry {
     uint32_t src;
@@ -54,7 +55,7 @@
     uint64_t used_us;
 };
 
-/** struct entry_list - entries of one state, by last use */
+/** struct entry_list - entries of one state, ordered by last use */
 struct entry_list {
     uint32_t oldest;
     uint32_t newest;
@@ -62,12 +63,14 @@
 };
 
 /**
- * struct entries - all flows
+ * struct entries - flow table
  * @items: @allocated entries, grown up to @capacity
  * @chains: @allocated heads of the hash chains, a power of two
- * @next_unused: entries from here on were never used
- * @free: first of the unused ones below @next_unused
- * @buckets: flows in each of RANK_BUCKETS buckets
+ * @buckets: number of flows in each of RANK_BUCKETS buckets
+ * @next_unused: index of the first entry that was never used
+ * @free: first of the released entries below @next_unused
+ * @used: number of flows
+ * @lists: list of each state
  */
 struct entries {
     struct entry *items;
@@ -81,15 +84,16 @@
     struct entry_list lists[ENTRY_STATES];
 };
 
-/** entries_init() - an empty table; 0 or -ENOMEM, -EINVAL (capacity 0) */
+/** entries_init() - create an empty table; returns 0, -ENOMEM, or -EINVAL for
+ * a capacity that is 0 or too large */
 int
 entries_init(struct entries *entries, size_t capacity);
 
-/** entries_finish() - free it */
+/** entries_finish() - free the table's memory */
 void
 entries_finish(struct entries *entries);
 
-/** entries_find() - the flow of a caller's packet, or NULL */
+/** entries_find() - find the flow of a caller's packet, or NULL */
 struct entry *
 entries_find(const struct entries *entries, const struct packet *packet);
 
@@ -103,16 +107,16 @@
 entries_add(struct entries *entries, const struct packet *packet,
             uint32_t service, enum entry_state state, uint64_t now_us);
 
-/** entries_remove() - forget a flow */
+/** entries_remove() - remove a flow */
 void
 entries_remove(struct entries *entries, struct entry *entry);
 
-/** entries_touch() - move @entry to the newest end of the list of @state */
+/** entries_touch() - set the state of @entry and make it the newest of it */
 void
 entries_touch(struct entries *entries, struct entry *entry,
               enum entry_state state, uint64_t now_us);
 
-/** entries_oldest() - the longest unused of @state, or NULL */
+/** entries_oldest() - least recently used entry of @state, or NULL */
 struct entry *
 entries_oldest(const struct entries *entries, enum entry_state state);
 
--- a/src/flow/flow.c
+++ b/src/flow/flow.c
@@ -84,7 +84,7 @@
     }
     entry->isn = out->seq;
     entry->isn_known = true;
-    /* Sent again: the handshake may still be finished. */
+    /* A retransmitted SYN-ACK extends the time for the handshake. */
     entries_touch(&table->entries, entry, ENTRY_HALF_OPEN, table->now_us);
 }
 
@@ -134,8 +134,8 @@
 }
 
 static void
-expire(struct entries *entries, enum entry_state state, uint64_t ttl_us,
-       uint64_t now_us)
+expire_entries(struct entries *entries, enum entry_state state,
+               uint64_t ttl_us, uint64_t now_us)
 {
     struct entry *entry;
 
@@ -149,7 +149,9 @@
 flow_tick(struct flow_table *table, uint64_t now_us)
 {
     table->now_us = now_us;
-    expire(&table->entries, ENTRY_HALF_OPEN, FLOW_HALF_OPEN_TTL_US, now_us);
-    expire(&table->entries, ENTRY_DATAGRAM, FLOW_DATAGRAM_TTL_US, now_us);
+    expire_entries(&table->entries, ENTRY_HALF_OPEN, FLOW_HALF_OPEN_TTL_US,
+                   now_us);
+    expire_entries(&table->entries, ENTRY_DATAGRAM, FLOW_DATAGRAM_TTL_US,
+                   now_us);
     pins_expire(&table->pins, now_us);
 }
--- a/src/flow/flow.h
+++ b/src/flow/flow.h
@@ -1,17 +1,17 @@
 /**
- * DOC: flow - who owns a flow: the pure decision of an agent for a packet
+ * DOC: flow - an agent's decision on a packet: deliver, forward, reset or drop
  *
- * An agent that knows the packet's flow takes it. One that does not passes
- * it to the next candidate. A packet that may open a flow is taken by the
- * first eligible candidate. A reset is sent only when the whole list,
- * completed from the agent's own view, is exhausted and none on it is
- * merely suspected. An opening flow counts as known only for packets that
- * acknowledge the sequence number we sent, so that a retransmitted SYN
- * that reached another agent cannot make two owners.
+ * An agent delivers packets of flows in its table and forwards others to the
+ * next agent on the hop list. The first candidate that accepts flows opens a
+ * new one. A caller is reset only when the hop list, completed from the
+ * agent's own view, is exhausted and no agent on it is suspected. A half-open
+ * flow accepts only packets that acknowledge the sequence number of its
+ * SYN-ACK, so that a retransmitted SYN that reached another agent cannot
+ * leave a flow with two owners.
  *
- * An owner that its own view ranks past FLOW_CANDIDATES for a bucket registers
- * (a pin) with the first candidates of that bucket, which then put it on
- * the list of packets they do not know.
+ * An owner that ranks below the first FLOW_CANDIDATES members of a bucket
+ * registers with these by a pin. They add it to the hop list of packets of
+ * flows that they do not have.
  */
 #ifndef SWIFTARCH_FLOW_FLOW_H
 #define SWIFTARCH_FLOW_FLOW_H
@@ -27,16 +27,20 @@
 #include "packet/packet.h"
 #include "packet/rank.h"
 
-/** enum flow_verdict - what to do with a packet */
+/** enum flow_verdict - decision on a packet */
 enum flow_verdict {
-    FLOW_DELIVER, /* ours: hand it to the stack or the datagram relay */
-    FLOW_OPEN,    /* take it and open a flow */
+    FLOW_DELIVER, /* hand it to the stack or the datagram relay */
+    FLOW_OPEN,    /* deliver it and open a flow */
     FLOW_FORWARD, /* send it to decision.gue.hops[decision.gue.index] */
     FLOW_RESET,   /* answer with a reset */
     FLOW_DROP     /* drop, reason in decision.drop */
 };
 
-/** struct flow_decision - verdict with its arguments */
+/**
+ * struct flow_decision - verdict with its arguments
+ * @drop: reason, with FLOW_DROP
+ * @gue: hop list to send the packet with, with FLOW_FORWARD
+ */
 struct flow_decision {
     enum flow_verdict verdict;
     enum packet_drop drop;
@@ -46,63 +50,79 @@
 struct flow_table;
 
 /**
- * flow_table_new() - the flows of one agent
+ * flow_table_new() - create an agent's flow table
  * @self: own member id
- * @capacity: most flows held (embryonic ones included)
+ * @capacity: maximum number of flows, half-open ones included
  *
  * Return: the table or NULL when out of memory.
  */
 struct flow_table *
 flow_table_new(uint64_t self, size_t capacity);
 
-/** flow_table_free() - free it */
+/** flow_table_free() - free a table; NULL is allowed */
 void
 flow_table_free(struct flow_table *table);
 
-/** flow_set_view() - use another view (copied what is needed of it) and the
- * service served here (0 none); @accept false while draining */
+/**
+ * flow_set_view() - set the cluster view and the service served here
+ * @view: copied as far as needed
+ * @service: service served, 0 for none
+ * @accept: whether new flows are accepted; false while draining
+ *
+ * Return: 0, or a negative errno value with the former view kept.
+ */
 int
 flow_set_view(struct flow_table *table, const struct view *view,
               uint32_t service, bool accept, uint64_t now_us);
 
 /**
- * flow_decide() - decide about a packet that came with @gue
+ * flow_decide() - decide on a packet received with @gue
  *
- * Changes the table: a FLOW_OPEN adds an embryonic flow; a FLOW_DELIVER of the
- * handshake's last packet establishes it.
+ * Changes the table: FLOW_OPEN adds a half-open or datagram flow; FLOW_DELIVER
+ * of the handshake's last packet establishes the flow.
  */
 struct flow_decision
 flow_decide(struct flow_table *table, const struct packet *packet,
             const struct gue *gue, uint64_t now_us);
 
-/** flow_sent_syn_ack() - note the sequence number our SYN-ACK carried */
+/** flow_sent_syn_ack() - record the sequence number of an outgoing SYN-ACK */
 void
 flow_sent_syn_ack(struct flow_table *table, const struct packet *out);
 
-/** flow_close() - forget a flow (caller's side in @key as in its packets) */
+/** flow_close() - remove a flow; @key has the addresses of a caller's packet
+ */
 void
 flow_close(struct flow_table *table, const struct packet *key);
 
-/** flow_count() - flows held; @half_open of them not yet established */
+/** flow_count() - number of flows; sets @half_open, if not NULL, to the number
+ * of half-open ones */
 size_t
 flow_count(const struct flow_table *table, size_t *half_open);
 
 /**
- * flow_pins_due() - pins that this owner must send now
- * @to: member id that each is for
+ * flow_pins_due() - write the pins to send now
+ * @to: member id of each pin's receiver
  *
- * Return: how many of at most @max were written; call until 0.
+ * Return: number of pins written, at most @max; call until 0.
  */
 size_t
 flow_pins_due(struct flow_table *table, uint64_t now_us, struct flow_pin *pins,
               uint64_t *to, size_t max);
 
-/** flow_pin_add() - a pin came from another agent; bounded, expires */
+/**
+ * flow_pin_add() - store a pin received from another agent
+ *
+ * It expires after FLOW_PIN_TTL_US.
+ *
+ * Return: 0, -EINVAL for a bad pin or an own one, -ESTALE when the owner is
+ * dead, -ENOSPC or -ENOMEM.
+ */
 int
 flow_pin_add(struct flow_table *table, const struct flow_pin *pin,
              uint64_t now_us);
 
-/** flow_tick() - drop expired half_open and pins; call about once a second */
+/** flow_tick() - remove expired half-open and datagram flows and pins; call
+ * about once a second */
 void
 flow_tick(struct flow_table *table, uint64_t now_us);
 
--- a/src/flow/flow_address.c
+++ b/src/flow/flow_address.c
@@ -21,17 +21,18 @@
 }
 
 static bool
-is_open(const struct packet *packet)
+is_syn(const struct packet *packet)
 {
     return (packet->flags & (PACKET_TCP_SYN | PACKET_TCP_ACK)) ==
            PACKET_TCP_SYN;
 }
 
-/* A datagram to a retired address. Nobody who was asked knows its flow once
- * it is to be opened. */
+/* Drops a datagram to a retired address when no agent on its list has its
+ * flow, which shows in the decision to open one. */
 static struct flow_decision
-close_datagram(struct flow_table *table, const struct packet *packet,
-               const struct gue *gue, const struct flow_decision *decision)
+decide_retired_datagram(struct flow_table *table, const struct packet *packet,
+                        const struct gue *gue,
+                        const struct flow_decision *decision)
 {
     if (decision->verdict == FLOW_OPEN) {
         flow_close(table, packet);
@@ -55,9 +56,9 @@
     closed.flags &= (uint8_t)~GUE_OPEN;
     decision = flow_decide(table, packet, &closed, now_us);
     if (packet->proto == PROTO_UDP) {
-        return close_datagram(table, packet, gue, &decision);
+        return decide_retired_datagram(table, packet, gue, &decision);
     }
-    if (decision.verdict == FLOW_DROP && is_open(packet)) {
+    if (decision.verdict == FLOW_DROP && is_syn(packet)) {
         return (struct flow_decision){.verdict = FLOW_RESET};
     }
     return decision;
--- a/src/flow/flow_address.h
+++ b/src/flow/flow_address.h
@@ -1,25 +1,25 @@
 /**
- * DOC: gate - which packets the flow core is asked about, and on what terms
+ * DOC: flow_address - decides on packets by the kind of their destination
  *
- * Balancers and agents have different texts for a while. What a packet may
- * do here is told by this agent's own text:
+ * Balancers and agents may have different configurations for a while. The
+ * agent's own one decides:
  *
- * - an address of the service served here: the flow core decides;
- * - an address that the service had before: packets of open flows are taken
- *   or passed on as ever, but no flow is opened. The caller learns that by a
- *   reset, once nobody on the list knows the flow; a datagram is dropped;
- * - the same, but its time is over: another service may have been given it
- *   by a text that hasn't come here yet, so no caller is told anything;
- * - anything else: another process knows better, perhaps. The packet goes on
- *   along its list, and is dropped at the end. It is never taken, nor is its
- *   caller told anything.
+ * - current address of the service: flow_decide();
+ * - retired address of the service: packets of open flows are delivered or
+ *   forwarded, but no flow is opened. The caller is reset when no agent on
+ *   the list has the flow; a datagram is dropped;
+ * - expired address: as a retired one, but callers are not reset, since a
+ *   newer configuration may have given the address to another service;
+ * - any other address: the packet is forwarded along its list and dropped at
+ *   the end, never delivered or reset, since a process with a newer
+ *   configuration may serve it.
  */
 #ifndef SWIFTARCH_FLOW_FLOW_ADDRESS_H
 #define SWIFTARCH_FLOW_FLOW_ADDRESS_H
 
 #include "flow/flow.h"
 
-/** enum flow_address - what a packet's address is to the service served */
+/** enum flow_address - kind of a destination address for the service served */
 enum flow_address {
     FLOW_ADDRESS_NONE,
     FLOW_ADDRESS_CURRENT,
@@ -27,7 +27,8 @@
     FLOW_ADDRESS_EXPIRED
 };
 
-/** flow_address_decide() - flow_decide() for a packet to such an address */
+/** flow_address_decide() - decide on a packet to an address of kind @address
+ */
 struct flow_decision
 flow_address_decide(struct flow_table *table, enum flow_address address,
                     const struct packet *packet, const struct gue *gue,
--- a/src/flow/flow_private.h
+++ b/src/flow/flow_private.h
@@ -1,5 +1,5 @@
 /**
- * DOC: flow_private - the table that the files of the flow core share
+ * DOC: flow_private - definition of struct flow_table for src/flow
  */
 #ifndef SWIFTARCH_FLOW_FLOW_PRIVATE_H
 #define SWIFTARCH_FLOW_FLOW_PRIVATE_H
@@ -10,14 +10,14 @@
 #include "flow/registrar.h"
 
 /**
- * struct flow_table - see flow.h
+ * struct flow_table - an agent's flows and its view of the service's agents
  * @self: own member id
  * @service: service served, 0 for none
- * @accept: whether new flows are taken
+ * @accept: whether new flows are accepted
  * @start_delay_until_us: until when older agents are preferred for new flows
- * @continuation_tokens: continuations that may be started now
- * @continuation_tokens_us: when @continuation_tokens was last filled
- * @now_us: latest time seen, for calls that tell none
+ * @continuation_tokens: list continuations allowed now (token bucket)
+ * @continuation_tokens_us: last refill of @continuation_tokens
+ * @now_us: time of the last flow_decide() or flow_tick()
  */
 struct flow_table {
     uint64_t self;
--- a/src/flow/hop_list.c
+++ b/src/flow/hop_list.c
@@ -4,8 +4,9 @@
 
 #include "flow/flow.h"
 
-/* Hops that may not answer take turns at being asked first. */
-#define ROTATION_US (128 * USEC_PER_MSEC)
+/* Interval after which another unavailable hop is tried first, so that
+ * a caller's retransmissions reach different ones. */
+#define UNAVAILABLE_ROTATION_US (128 * USEC_PER_MSEC)
 
 static bool
 hop_list_contains(const struct hop_list *hop_list, uint64_t member)
@@ -20,7 +21,7 @@
     return member == hop_list->self;
 }
 
-/* Removes what comes twice behind the own place. */
+/* Removes duplicates behind the current hop. */
 static void
 hop_list_remove_duplicates(struct hop_list *hop_list)
 {
@@ -68,7 +69,7 @@
     struct gue *gue = &hop_list->gue;
 
     if (gue->count == GUE_HOPS_MAX) {
-        /* The last is found again by hop_list_append(), where it is known. */
+        /* hop_list_append() adds the last hop again if it is a member. */
         gue->count--;
     }
     memmove(&gue->hops[at + 1], &gue->hops[at],
@@ -82,8 +83,8 @@
 hop_list_merge_pins(struct hop_list *hop_list, size_t at)
 {
     uint64_t owners[PINS_PER_BUCKET];
-    size_t count =
-        pins_of(hop_list->pins, hop_list->bucket, hop_list->now_us, owners);
+    size_t count = pins_owners(hop_list->pins, hop_list->bucket,
+                               hop_list->now_us, owners);
     size_t i;
 
     for (i = 0; i < count; i++) {
@@ -95,7 +96,8 @@
             continue;
         }
         if (at == GUE_HOPS_MAX) {
-            /* Not all owners fit in: as good as one that doesn't answer. */
+            /* An owner that does not fit counts as one that may not answer:
+             * the packet is not reset. */
             hop_list->gue.flags |= GUE_SUSPECTS;
             break;
         }
@@ -122,7 +124,8 @@
     }
 }
 
-/* Unknown here is taken for alive: the sender has heard of it. */
+/* A hop that is not in the own view counts as alive: it is in the view of the
+ * process that listed it. */
 static bool
 may_not_answer(const struct hop_list *hop_list, uint64_t id)
 {
@@ -138,7 +141,7 @@
     struct gue_hop unavailable[GUE_HOPS_MAX];
     size_t unavailable_count = 0;
     size_t at = (size_t)gue->index + 1;
-    size_t turn = 0;
+    size_t rotation = 0;
     size_t i;
     bool answers;
 
@@ -153,10 +156,11 @@
     answers = at > (size_t)gue->index + 1;
     if (unavailable_count > 0) {
         gue->flags |= GUE_SUSPECTS;
-        turn = hop_list->now_us / ROTATION_US % unavailable_count;
+        rotation =
+            hop_list->now_us / UNAVAILABLE_ROTATION_US % unavailable_count;
     }
     for (i = 0; i < unavailable_count; i++) {
-        gue->hops[at++] = unavailable[(i + turn) % unavailable_count];
+        gue->hops[at++] = unavailable[(i + rotation) % unavailable_count];
     }
     return answers;
 }
@@ -188,7 +192,8 @@
     }
 }
 
-/* A continued list went down in score; what lies above has been asked. */
+/* Highest score of the agents still to be listed. A continued list is sorted
+ * by descending score, so agents above its last hop were on it. */
 static uint64_t
 hop_list_max_score(const struct hop_list *hop_list)
 {
@@ -200,15 +205,15 @@
 }
 
 /**
- * struct unlisted - going through the agents that a list lacks, best first
- * @openers: only those that take new flows
- * @health: of those asked for now; suspects come last
- * @ceiling: highest score to look at
+ * struct unlisted - iterator over the agents missing from a list, best first
+ * @accepting_only: only agents that accept new flows
+ * @health: health of the agents returned now; suspected agents come last
+ * @max_score: highest score to return
  */
 struct unlisted {
-    bool openers;
+    bool accepting_only;
     enum member_health health;
-    uint64_t ceiling;
+    uint64_t max_score;
 };
 
 static const struct member_copy *
@@ -224,12 +229,12 @@
         uint64_t score;
 
         if (member->health != unlisted->health ||
-            (unlisted->openers && !accepts_flows(member)) ||
+            (unlisted->accepting_only && !accepts_flows(member)) ||
             hop_list_contains(hop_list, member->id)) {
             continue;
         }
         score = rank_score(member->id, hop_list->bucket);
-        if (score <= unlisted->ceiling &&
+        if (score <= unlisted->max_score &&
             (best == NULL || score > best_score)) {
             best = member;
             best_score = score;
@@ -244,29 +249,30 @@
     const struct member_copy *next = unlisted_best(hop_list, unlisted);
 
     if (next == NULL && unlisted->health == MEMBER_ALIVE &&
-        !unlisted->openers) {
+        !unlisted->accepting_only) {
         unlisted->health = MEMBER_SUSPECT;
-        unlisted->ceiling = UINT64_MAX;
+        unlisted->max_score = UINT64_MAX;
         next = unlisted_best(hop_list, unlisted);
     }
     if (next != NULL) {
-        unlisted->ceiling = rank_score(next->id, hop_list->bucket) - 1;
+        unlisted->max_score = rank_score(next->id, hop_list->bucket) - 1;
     }
     return next;
 }
 
-/* Fills @to with the unlisted of @from; returns whether some found no room. */
+/* Adds the agents missing from @from to @to; true when some did not fit. */
 static bool
-hop_list_fill(struct hop_list *to, const struct hop_list *from, bool openers)
+hop_list_fill(struct hop_list *to, const struct hop_list *from,
+              bool accepting_only)
 {
-    struct unlisted unlisted = {.openers = openers,
+    struct unlisted unlisted = {.accepting_only = accepting_only,
                                 .health = MEMBER_ALIVE,
-                                .ceiling = hop_list_max_score(from)};
+                                .max_score = hop_list_max_score(from)};
     const struct member_copy *next;
 
     if ((from->gue.flags & FLOW_GUE_SUSPECTS_ONLY) != 0) {
         unlisted.health = MEMBER_SUSPECT;
-        unlisted.ceiling = UINT64_MAX;
+        unlisted.max_score = UINT64_MAX;
     }
     for (;;) {
         next = unlisted_next(from, &unlisted);
@@ -284,7 +290,7 @@
 }
 
 bool
-hop_list_append(struct hop_list *hop_list, bool openers)
+hop_list_append(struct hop_list *hop_list, bool accepting_only)
 {
     struct gue *gue = &hop_list->gue;
     struct hop_list from;
@@ -294,7 +300,7 @@
 
     gue->count = (uint8_t)(gue->index + 1);
     from = *hop_list;
-    unlisted = hop_list_fill(hop_list, &from, openers);
+    unlisted = hop_list_fill(hop_list, &from, accepting_only);
     for (i = (size_t)unavailable.index + 1; i < unavailable.count; i++) {
         if (gue->count < GUE_HOPS_MAX &&
             !hop_list_contains(hop_list, unavailable.hops[i].member)) {
--- a/src/flow/hop_list.h
+++ b/src/flow/hop_list.h
@@ -1,8 +1,8 @@
 /**
- * DOC: hop_list - the hop list of a packet on its way to an owner
+ * DOC: hop_list - the agents that a packet visits to find its flow's owner
  *
- * The index only grows and no member is listed twice, so a list ends. A
- * full list may be continued by another one; the flags count these.
+ * The index only grows and no member is listed twice, so every list ends. A
+ * full list may be continued by another one; the flags count continuations.
  */
 #ifndef SWIFTARCH_FLOW_HOP_LIST_H
 #define SWIFTARCH_FLOW_HOP_LIST_H
@@ -15,9 +15,12 @@
 #include "packet/gue.h"
 
 /**
- * struct hop_list - a list as one agent goes on with it
- * @gue: the list; @gue.index is the own place
+ * struct hop_list - a packet's list while an agent works on it
+ * @gue: the list; @gue.index is the current hop, this agent
+ * @members: agents of the service
+ * @pins: registered owners
  * @self: own member id
+ * @now_us: current time
  * @bucket: rank bucket of the flow
  */
 struct hop_list {
@@ -29,46 +32,46 @@
     uint32_t bucket;
 };
 
-/** hop_list_init() - take over the list that came; mends a wrong one */
+/** hop_list_init() - copy a received list; corrects its index and count and
+ * removes duplicates */
 void
 hop_list_init(struct hop_list *hop_list, const struct gue *gue);
 
-/** hop_list_continuations() - how many lists have been exhausted before this
- * one */
+/** hop_list_continuations() - number of lists exhausted before this one */
 unsigned
 hop_list_continuations(const struct hop_list *hop_list);
 
-/** hop_list_merge() - put owners that registered and the own first
- * FLOW_CANDIDATES candidates next, unless they are listed */
+/** hop_list_merge() - insert registered owners and the first FLOW_CANDIDATES
+ * members of the own view as next hops, unless listed */
 void
 hop_list_merge(struct hop_list *hop_list);
 
-/** hop_list_order() - put those that may not answer last; whether the next one
- * answers */
+/** hop_list_order() - move suspected and dead hops to the end; returns whether
+ * the next hop is alive */
 bool
 hop_list_order(struct hop_list *hop_list);
 
-/** hop_list_keep_accepting() - leave out those that take no new flow */
+/** hop_list_keep_accepting() - remove next hops that accept no new flows */
 void
 hop_list_keep_accepting(struct hop_list *hop_list);
 
 /**
  * hop_list_append() - add the other agents of the service, best ranked first
+ * @accepting_only: only agents that accept new flows
  *
- * They go before hops that are left: these may not answer.
+ * Inserts them before the remaining hops, which may not answer.
  *
- * @openers: only those that take new flows
- *
- * Return: whether some found no room.
+ * Return: whether some did not fit.
  */
 bool
-hop_list_append(struct hop_list *hop_list, bool openers);
+hop_list_append(struct hop_list *hop_list, bool accepting_only);
 
-/** hop_list_continue() - start another list with those that found no room */
+/** hop_list_continue() - start another list with the agents that did not fit
+ */
 void
 hop_list_continue(struct hop_list *hop_list);
 
-/** hop_list_advance() - go to the next hop; false at the end of the list */
+/** hop_list_advance() - move to the next hop; false at the end of the list */
 bool
 hop_list_advance(struct hop_list *hop_list);
 
--- a/src/flow/members.c
+++ b/src/flow/members.c
@@ -14,12 +14,12 @@
 static struct member_copy *
 copy_members(const struct view *view, uint32_t service, size_t *count)
 {
-    size_t room = view == NULL ? 0 : view->count;
-    struct member_copy *items = calloc(room + 1, sizeof(*items));
+    size_t max = view == NULL ? 0 : view->count;
+    struct member_copy *items = calloc(max + 1, sizeof(*items));
     size_t i;
 
     *count = 0;
-    for (i = 0; items != NULL && i < room; i++) {
+    for (i = 0; items != NULL && i < max; i++) {
         const struct view_member *member = &view->members[i];
 
         if (!of_service(member, service)) {
@@ -70,7 +70,7 @@
     return low < count && items[low].id == id ? &items[low] : NULL;
 }
 
-/* Whether one of @next was not there, or dead, before. */
+/* Whether a member of @next was missing or dead in @members. */
 static bool
 has_joined(const struct members *members, const struct members *next)
 {
@@ -89,7 +89,8 @@
     return false;
 }
 
-/* Ranks @next->items; members come sorted, so handles do too. */
+/* Ranks the members of @next that are not dead. They are sorted by id, so
+ * @by_rank is in the order of the rank's handles. */
 static int
 rank_members(struct members *next, const struct members *previous,
              uint64_t self)
--- a/src/flow/members.h
+++ b/src/flow/members.h
@@ -1,7 +1,7 @@
 /**
- * DOC: members - what an agent knows of the agents of its service
+ * DOC: members - an agent's copy of the agents of its service
  *
- * Copied from a view, so that a decision needs no lock on the board.
+ * Copied from a view, so that decisions need no lock on the blackboard.
  */
 #ifndef SWIFTARCH_FLOW_MEMBERS_H
 #define SWIFTARCH_FLOW_MEMBERS_H
@@ -13,7 +13,8 @@
 #include "control/view.h"
 #include "packet/rank.h"
 
-/** struct member_copy - what is needed of a struct view_member */
+/** struct member_copy - fields of struct view_member that flow decisions use
+ */
 struct member_copy {
     uint64_t id;
     uint64_t incarnation;
@@ -24,11 +25,11 @@
 
 /**
  * struct members - agents of one service
- * @items: sorted by id, own entry and dead ones included
- * @rank: ranks of those that are not dead
+ * @items: sorted by id, this agent and dead ones included
+ * @rank: ranks of the agents that are not dead
  * @by_rank: index in @items of each handle of @rank
- * @suspects: whether another one is suspected
- * @joined_us: when one was last seen that was not there or dead before
+ * @suspects: whether another agent is suspected
+ * @joined_us: when an agent was last added or came back from dead
  */
 struct members {
     struct member_copy *items;
@@ -40,11 +41,11 @@
 };
 
 /**
- * members_update() - take over a new view
- * @view: new view, or NULL for no member
+ * members_update() - copy the agents of @service from a view
+ * @view: new view, or NULL for no members
  *
- * Return: 1 when it differs from the earlier one, 0, or a negative errno
- * value with the earlier one kept.
+ * Return: 1 when they changed, 0 when not, or a negative errno value with the
+ * former ones kept.
  */
 int
 members_update(struct members *members, const struct view *view,
@@ -54,12 +55,12 @@
 void
 members_finish(struct members *members);
 
-/** members_find() - member @id or NULL */
+/** members_find() - find a member by id, or NULL */
 const struct member_copy *
 members_find(const struct members *members, uint64_t id);
 
-/** members_top() - the best ranked of @bucket that are alive, suspects
- * skipped; their count, at most @max */
+/** members_top() - write the best ranked members of @bucket that are alive;
+ * returns their count, at most @max */
 size_t
 members_top(const struct members *members, uint32_t bucket,
             const struct member_copy **top, size_t max);
--- a/src/flow/pins.c
+++ b/src/flow/pins.c
@@ -6,9 +6,14 @@
 
 #include "packet/rank.h"
 
-#define FIRST_ALLOCATED 64
-
-/** struct pin_entry - a pin; @next in its bucket or among the unused */
+#define PINS_INITIAL 64
+
+/**
+ * struct pin_entry - one pin
+ * @owner: member id
+ * @expires_us: time of expiry
+ * @next: next pin of the same bucket, or next unused pin
+ */
 struct pin_entry {
     uint64_t owner;
     uint64_t expires_us;
@@ -40,7 +45,7 @@
 pins_grow(struct pins *pins)
 {
     size_t allocated =
-        pins->allocated == 0 ? FIRST_ALLOCATED : 2 * pins->allocated;
+        pins->allocated == 0 ? PINS_INITIAL : 2 * pins->allocated;
     struct pin_entry *items;
     size_t i;
 
@@ -98,8 +103,8 @@
 }
 
 size_t
-pins_of(const struct pins *pins, uint32_t bucket, uint64_t now_us,
-        uint64_t *owners)
+pins_owners(const struct pins *pins, uint32_t bucket, uint64_t now_us,
+            uint64_t *owners)
 {
     const struct pin_entry *pin;
     size_t count = 0;
--- a/src/flow/registrar.c
+++ b/src/flow/registrar.c
@@ -42,7 +42,7 @@
     registrar->sent = 0;
 }
 
-/* Members to register with; none when we are one of the first. */
+/* Members to register with; none when this agent is among the candidates. */
 static size_t
 find_targets(const struct members *members, uint64_t self, uint32_t bucket,
              const struct member_copy **targets)
@@ -66,7 +66,7 @@
     registrar->sent = 0;
 }
 
-/* Goes on with the bucket at the cursor; returns how many were written. */
+/* Writes the pins of the bucket at the cursor; returns their count. */
 static size_t
 bucket_due(struct registrar *registrar, const struct entries *entries,
            const struct members *members, uint64_t self, struct flow_pin *pins,
--- a/src/orphans/backup.c
+++ b/src/orphans/backup.c
@@ -2,10 +2,12 @@
 
 #include <string.h>
 
-/* When each rounds_done begins, after the death was noticed. Some stacks
- * send_reply two unacceptable segments a second for each connection. The late
- * rounds are for callers whose send_reply met no reset, since another member
- * was suspected: that takes up to MEMBER_DEATH_US. */
+/*
+ * Start of each probe round after the owner was found dead. Some stacks reply
+ * to only two unacceptable segments a second for each connection. The late
+ * rounds are for callers whose replies were not reset because another member
+ * was suspected, which lasts up to MEMBER_DEATH_US.
+ */
 static const uint64_t round_starts_us[BACKUP_ROUNDS] = {
     0,
     150 * USEC_PER_MSEC,
@@ -16,7 +18,7 @@
     BACKUP_LAST_ROUND_US,
 };
 
-/* At most so many probes at once after a pause. */
+/* Maximum burst of probes. */
 #define TOKENS_MAX (BACKUP_PROBES_PER_S / 10)
 
 static void
@@ -59,7 +61,7 @@
            replica->extra_rounds == 0;
 }
 
-/* Gives up those that are only kept in case their owners come back. */
+/* Removes replicas that are kept only in case their owners come back. */
 static void
 remove_probed(struct backup *backup)
 {
@@ -87,8 +89,8 @@
     return NULL;
 }
 
-/* Whether a later process than that of @boot has been heard; earlier ones
- * are known to be gone now. */
+/* Marks replicas of earlier processes of the owner as dead. Returns whether
+ * there is a replica of a later process than that of @boot. */
 static bool
 replace_earlier_incarnations(struct backup *backup, uint64_t owner,
                              uint64_t boot, uint64_t now_us)
@@ -191,7 +193,8 @@
     }
 }
 
-/* Whether the batch follows what is known; true for a repeated one too. */
+/* Applies a batch that is next in sequence. Returns false when batches before
+ * it are missing, true also for a repeated one. */
 static bool
 replica_accept_batch(struct backup *backup, struct replica *replica,
                      const struct orphan_message *message)
@@ -218,8 +221,8 @@
            message->closed <= ORPHAN_BATCH_MAX - message->opened;
 }
 
-/* The entry that the batch is for, or NULL; then @send_reply tells whether the
- * owner is to be asked for all flows anew. */
+/* Finds or adds the replica that the batch is for. When it returns NULL,
+ * @send_reply is set if the owner has to send all flows again. */
 static struct replica *
 replica_for_batch(struct backup *backup, const struct view_member *owner,
                   const struct orphan_message *message, uint64_t now_us,
@@ -242,16 +245,18 @@
         replica->since_us = owner->since_us;
         return replica;
     }
-    /* The view will be put right before the owner sends this again. */
+    /* The owner sends the batch again until the view is corrected. */
     if (owner->health == MEMBER_DEAD) {
         return NULL;
     }
     return replica_add(backup, owner, message);
 }
 
-/* Whether the view shows the process of @replica as not dead. A batch may come
- * before the view knows of its process and after it knows of the next one;
- * the start noted with the first batch stays until the owner begins anew. */
+/*
+ * Whether the owner's process that @replica is of is not dead in the view. A
+ * batch may arrive before the view has its process, or after the view has the
+ * next one, so @since_us changes only with the first batch of a session.
+ */
 static bool
 is_owner_alive(const struct replica *replica, const struct view_member *owner)
 {
@@ -301,7 +306,7 @@
         return send_reply;
     }
     if (message->session < replica->session) {
-        return false; /* late, of a transfer that was given up */
+        return false; /* delayed, of an abandoned session */
     }
     reply->known = replica_accept_batch(backup, replica, message);
     replica->last_batch_us = now_us;
@@ -326,7 +331,8 @@
     return false;
 }
 
-/* Answers to earlier probes may have met no reset till now. */
+/* Schedules more rounds, since replies to earlier probes may not have been
+ * reset while an agent was suspected. */
 static void
 schedule_extra_rounds(struct backup *backup, uint64_t now_us)
 {
@@ -398,8 +404,7 @@
            now_us >= replica->dead_us + round_starts_us[replica->rounds_done];
 }
 
-/* An extra_rounds rounds_done that is due stands for a regular one that is due
- * too. */
+/* Ends a round. An extra round counts as a regular one that is due as well. */
 static void
 end_round(struct replica *replica, uint64_t now_us)
 {
@@ -414,7 +419,7 @@
     }
 }
 
-/* Goes on with the present rounds_done. */
+/* Writes the next probes of the current round. */
 static void
 replica_probe(struct backup *backup, struct replica *replica, uint64_t now_us,
               struct orphan_probe *probes, size_t *count, size_t max)
--- a/src/orphans/backup.h
+++ b/src/orphans/backup.h
@@ -1,17 +1,17 @@
 /**
- * DOC: backup - holds the flows of other agents and, when one of these has
- * died, makes its callers show themselves
+ * DOC: backup - replicates the flows of other agents and probes the callers of
+ * dead owners
  *
- * An owner is dead when the view says so, has no entry for it any more, or
- * shows a later start of its process. Each of its flows is then probed in
- * BACKUP_ROUNDS rounds, since segments get lost, others may hear of the
- * death later, and callers answer few such segments a second. While any
- * agent is suspected, answers meet no reset: when the last suspicion ends,
- * BACKUP_EXTRA_ROUNDS more follow. Memory is bounded in owners and in
- * flows.
+ * An owner is dead when it is dead or missing in the view, or when the view
+ * has a later start of its process. Each of its flows is then probed in
+ * BACKUP_ROUNDS rounds, since segments may be lost, other agents may learn of
+ * the death later, and callers answer few such segments a second. While an
+ * agent is suspected, callers' replies are not reset: BACKUP_EXTRA_ROUNDS more
+ * rounds follow when no agent is suspected any more. The numbers of owners and
+ * flows are bounded.
  *
- * What was probed is kept for a while: an owner that was thought dead and
- * comes back with the same process need not tell all again.
+ * Replicas are kept for a while after probing, so that an owner that was dead
+ * in the view by mistake need not report all flows again.
  */
 #ifndef SWIFTARCH_ORPHANS_BACKUP_H
 #define SWIFTARCH_ORPHANS_BACKUP_H
@@ -29,16 +29,17 @@
 #define BACKUP_OWNERS_MAX 64
 #define BACKUP_FLOWS_MAX 262144
 #define BACKUP_ROUNDS 7
-#define BACKUP_LAST_ROUND_US (18 * USEC_PER_SEC) /* to the last one */
+#define BACKUP_LAST_ROUND_US (18 * USEC_PER_SEC) /* after the death */
 #define BACKUP_EXTRA_ROUNDS 2
 #define BACKUP_EXTRA_INTERVAL_US (300 * USEC_PER_MSEC)
 #define BACKUP_PROBES_PER_S 10000
 
-/* An owner that is alive and says nothing has chosen other backups. One
- * that is dead for so long will not come back. */
+/* Time after which a replica is removed: without a batch from a live owner,
+ * which has selected other backups, or after an owner's death. */
 #define BACKUP_EXPIRY_US (60 * USEC_PER_SEC)
 
-/** struct orphan_probe - a flow whose caller is to be probed */
+/** struct orphan_probe - addresses of a probe, sent from @service to @caller
+ */
 struct orphan_probe {
     struct addr service;
     struct addr caller;
@@ -46,21 +47,21 @@
 
 /**
  * struct replica - the flows of one process of an owner
- * @owner: its member id
- * @since_us: start of the process, by the view
- * @boot: the same as the owner tells it
- * @session: present transfer
- * @seq: last batch of it
- * @service_addrs: addresses service_addrs by @flows
- * @last_batch_us: when the owner last said something
- * @alive: what the last view said of it
- * @replaced: a later process of the owner has been heard
- * @dead: its flows are being probed
- * @dead_us: since when
- * @rounds_done: rounds done, at most BACKUP_ROUNDS
- * @extra_rounds: rounds to make besides
- * @next_extra_us: when the next of these begins
- * @cursor: where the present rounds_done has come to
+ * @owner: member id
+ * @since_us: start of the process, from the view
+ * @boot: start of the process, from the owner's messages
+ * @session: current session
+ * @seq: last batch applied of the session
+ * @service_addrs: addresses that @flows refer to
+ * @last_batch_us: when the owner's last batch was received
+ * @alive: whether the owner is alive in the last view
+ * @replaced: a later process of the owner has sent a batch
+ * @dead: the owner is dead, and its flows are probed
+ * @dead_us: when @dead was set
+ * @rounds_done: regular rounds done, at most BACKUP_ROUNDS
+ * @extra_rounds: extra rounds still to do
+ * @next_extra_us: start of the next extra round
+ * @cursor: slot of @flows that the current round continues at
  * @flows: callers
  */
 struct replica {
@@ -83,13 +84,13 @@
 };
 
 /**
- * struct backup - all that is replica for others
- * @items: @count entries
- * @flows: flows in all of them
- * @suspects: the last view showed agents that are suspected
- * @refused: flows and owners for which there was no room
- * @tokens: probes that may be sent now
- * @tokens_us: when @tokens was last filled
+ * struct backup - replicas held for other agents
+ * @items: @count replicas
+ * @flows: number of flows in all replicas
+ * @suspects: whether the last view had suspected agents
+ * @refused: number of flows and owners that were not added
+ * @tokens: probes allowed now (token bucket)
+ * @tokens_us: last refill of @tokens
  */
 struct backup {
     struct replica items[BACKUP_OWNERS_MAX];
@@ -101,37 +102,38 @@
     uint64_t tokens_us;
 };
 
-/** backup_init() - holds nothing */
+/** backup_init() - start without replicas */
 void
 backup_init(struct backup *backup);
 
-/** backup_finish() - free everything */
+/** backup_finish() - free all replicas */
 void
 backup_finish(struct backup *backup);
 
-/** backup_set_view() - judge the owners by a new view */
+/** backup_set_view() - update the state of the owners from a new view */
 void
 backup_set_view(struct backup *backup, const struct view *view,
                 uint64_t now_us);
 
 /**
- * backup_receive() - a batch came from owner @from
- * @view: view in force
+ * backup_receive() - handle a batch from owner @from
+ * @view: current view
  * @reply: acknowledgement to send back
  *
- * Return: whether @reply is to be sent.
+ * Return: whether to send @reply.
  */
 bool
 backup_receive(struct backup *backup, const struct view *view, uint64_t from,
                const struct orphan_message *message, uint64_t now_us,
                struct orphan_message *reply);
 
-/** backup_probes() - callers to probe now; their count, at most @max */
+/** backup_probes() - write the callers to probe now; returns their count, at
+ * most @max */
 size_t
 backup_probes(struct backup *backup, uint64_t now_us,
               struct orphan_probe *probes, size_t max);
 
-/** backup_tick() - drop what is no longer kept up; about once a second */
+/** backup_tick() - remove expired replicas; call about once a second */
 void
 backup_tick(struct backup *backup, uint64_t now_us);
 
--- a/src/orphans/backup_choice.c
+++ b/src/orphans/backup_choice.c
@@ -12,8 +12,8 @@
     return b != NULL && strcmp(a->data_centre, b->data_centre) == 0;
 }
 
-/* How far @member is preferred, before the hash decides; -1 for not at all.
- * @first is the backup chosen before, or NULL. */
+/* Preference for @member as a backup; the hash decides between equal ones. -1
+ * for an ineligible member. @first is the first backup, or NULL. */
 static int
 preference(const struct view_member *member, const struct view_member *self,
            const struct view_member *first)
@@ -69,7 +69,8 @@
     const struct view_member *first = NULL;
     size_t i;
 
-    assert(count <= 2); /* backup_choice_select_one() leaves out one only */
+    /* backup_choice_select_one() excludes only one member. */
+    assert(count <= 2);
     memset(members, 0, count * sizeof(members[0]));
     memset(since_us, 0, count * sizeof(since_us[0]));
     for (i = 0; i < count; i++) {
--- a/src/orphans/backup_choice.h
+++ b/src/orphans/backup_choice.h
@@ -1,10 +1,10 @@
 /**
- * DOC: choose - which agents are an owner's backups
+ * DOC: backup_choice - selects an owner's backups
  *
- * Agents of the same service if there are any, in other data centres if
- * there are any, then by rendezvous hashing, so that owners spread over
- * the backups and a join changes few. A suspect stays chosen: a backup
- * that comes back has kept what it was told.
+ * Prefers agents of the same service, then other data centres, then the order
+ * of rendezvous hashing, which spreads owners over backups and changes few
+ * choices when an agent joins. A suspected backup stays selected, since it
+ * still has the reported flows if it comes back.
  */
 #ifndef SWIFTARCH_ORPHANS_BACKUP_CHOICE_H
 #define SWIFTARCH_ORPHANS_BACKUP_CHOICE_H
@@ -15,9 +15,9 @@
 #include "control/view.h"
 
 /**
- * backup_choice_select() - backups of the view's own member
- * @members: @count places, 0 where there is none
- * @since_us: start of each, by the view
+ * backup_choice_select() - select the backups of the view's own member
+ * @members: @count member ids, 0 where there is none
+ * @since_us: start of the process of each, from the view
  */
 void
 backup_choice_select(const struct view *view, uint64_t *members,
--- a/src/orphans/caller_set.c
+++ b/src/orphans/caller_set.c
@@ -28,7 +28,7 @@
     return (size_t)hash_pair(key, 0) & (set->allocated - 1);
 }
 
-/* The slot of @key, or the free one where it belongs. */
+/* The slot of @key, or the free slot to insert it at. */
 static size_t
 find_slot(const struct caller_set *set, uint64_t key)
 {
@@ -61,7 +61,7 @@
     return 0;
 }
 
-/* Room for one more, at most three quarters full. */
+/* Makes room for one more member; at most 3/4 of the slots are used. */
 static int
 reserve_slot(struct caller_set *set)
 {
@@ -128,7 +128,7 @@
     return 0;
 }
 
-/* Whether a member whose home is @home may not move from @at to @hole. */
+/* Whether a member with home slot @home must not move from @at to @hole. */
 static bool
 must_stay(size_t home, size_t hole, size_t at)
 {
@@ -138,7 +138,7 @@
     return hole < home || home <= at;
 }
 
-/* Closes the hole by moving back those that it had displaced. */
+/* Frees slot @hole and moves later members of its probe sequence back. */
 static void
 close_hole(struct caller_set *set, size_t hole)
 {
@@ -177,7 +177,7 @@
     }
     else if (set->allocated > SLOTS_INITIAL &&
              set->used * 8 < set->allocated) {
-        /* Failing to shrink harms nothing. */
+        /* On failure the table stays larger than needed. */
         (void)resize(set, set->allocated / 2);
     }
 }
--- a/src/orphans/message.h
+++ b/src/orphans/message.h
@@ -1,5 +1,5 @@
 /**
- * DOC: message - what owners and backups tell each other
+ * DOC: message - messages between owners and backups
  */
 #ifndef SWIFTARCH_ORPHANS_MESSAGE_H
 #define SWIFTARCH_ORPHANS_MESSAGE_H
@@ -12,24 +12,23 @@
 
 #define ORPHAN_BATCH_MAX 128
 
-/** enum orphan_message_type - kinds of messages */
+/** enum orphan_message_type - type of a message */
 enum orphan_message_type {
     ORPHAN_MESSAGE_FLOWS, /* owner to backup: flows opened and closed */
-    ORPHAN_MESSAGE_ACK /* backup to owner: all up to @seq is known, or nothing
-                        */
+    ORPHAN_MESSAGE_ACK    /* backup to owner: whether it has all up to @seq */
 };
 
 /**
  * struct orphan_message - one message
- * @type: kind
- * @known: ACK: false asks for all flows anew
- * @boot: start of the owner's process; a later start has a greater one
- * @session: number of the transfer; each begins with all flows at @seq 1
+ * @type: type of the message
+ * @known: in an ACK, false requests a new session with all flows
+ * @boot: start of the owner's process; greater for a later one
+ * @session: session number; each begins with all flows at @seq 1
  * @seq: number of the batch in its session
  * @service: address that the flows were opened to, if there are any
- * @opened: flows opened, first in @callers
- * @closed: flows closed, after them
- * @callers: the callers' addresses
+ * @opened: number of flows opened, first in @callers
+ * @closed: number of flows closed, after them
+ * @callers: addresses of the callers
  */
 struct orphan_message {
     enum orphan_message_type type;
--- a/src/orphans/orphans.h
+++ b/src/orphans/orphans.h
@@ -1,15 +1,14 @@
 /**
- * DOC: orphans - callers learn of their host's death without sending
+ * DOC: orphans - resets waiting callers when the host of their flows dies
  *
- * When a host dies, the next packet of each of its flows is answered with
- * a reset. A caller that only waits for its answer sends none. So each
- * agent (owner) tells two others (backups) the addresses of its callers,
- * and a backup that learns of the owner's death sends each of them a
- * segment that it has to acknowledge. The acknowledgement goes the way of
- * any packet: where its flow has no owner it gets the exact reset, and
- * where a live owner is found after all it is taken and changes nothing.
+ * A packet of a flow without an owner is answered with a reset, but a caller
+ * that waits for its response sends none. Each agent (owner) therefore reports
+ * the addresses of its callers to two others (backups). When the owner dies,
+ * a backup sends each caller a segment that it has to acknowledge. The
+ * acknowledgement is reset like any packet of an orphaned flow; a live owner
+ * takes it, and its flow is unchanged.
  *
- * Pure: events and the time come in, messages and probes go out.
+ * Does no I/O: takes events and the time, returns messages and probes.
  */
 #ifndef SWIFTARCH_ORPHANS_ORPHANS_H
 #define SWIFTARCH_ORPHANS_ORPHANS_H
@@ -23,64 +22,67 @@
 #include "orphans/message.h"
 #include "orphans/owner.h"
 
-/** struct orphans - both roles of an agent */
+/** struct orphans - an agent's state as an owner and as a backup */
 struct orphans {
     struct owner owner;
     struct backup backup;
 };
 
-/** orphan_init() - no flows; @boot grows with each start of the process,
- * for example wall clock in microseconds; not 0 */
+/**
+ * orphan_init() - start without flows
+ * @boot: not 0, greater with each start of the process, for example the wall
+ * clock in microseconds
+ */
 void
 orphan_init(struct orphans *orphans, uint64_t boot);
 
-/** orphan_finish() - free everything */
+/** orphan_finish() - free all memory */
 void
 orphan_finish(struct orphans *orphans);
 
-/** orphan_set_view() - use another view */
+/** orphan_set_view() - choose backups and find dead owners in a new view */
 void
 orphan_set_view(struct orphans *orphans, const struct view *view,
                 uint64_t now_us);
 
-/** orphan_flow_opened() - an own flow was established; see owner_flow_opened()
- */
+/** orphan_flow_opened() - add an established flow; see owner_flow_opened() */
 int
 orphan_flow_opened(struct orphans *orphans, struct addr caller,
                    struct addr service);
 
-/** orphan_flow_closed() - an own flow ended */
+/** orphan_flow_closed() - remove a flow that has ended */
 void
 orphan_flow_closed(struct orphans *orphans, struct addr caller,
                    struct addr service);
 
-/** orphan_next_message() - the next message to send to @to; call until false
- */
+/** orphan_next_message() - write the next message to send to @to; call until
+ * false */
 bool
 orphan_next_message(struct orphans *orphans, uint64_t now_us, uint64_t *to,
                     struct orphan_message *message);
 
 /**
- * orphan_receive() - a message came from agent @from
- * @view: view in force
+ * orphan_receive() - handle a message from agent @from
+ * @view: current view
  *
- * Return: whether @reply is to be sent back.
+ * Return: whether to send @reply back.
  */
 bool
 orphan_receive(struct orphans *orphans, const struct view *view, uint64_t from,
                const struct orphan_message *message, uint64_t now_us,
                struct orphan_message *reply);
 
-/** orphan_next_probes() - callers to probe now; see backup_probes() */
+/** orphan_next_probes() - write the callers to probe now; see backup_probes()
+ */
 size_t
 orphan_next_probes(struct orphans *orphans, uint64_t now_us,
                    struct orphan_probe *probes, size_t max);
 
-/** orphan_tick() - drop what is no longer kept up; about once a second */
+/** orphan_tick() - remove expired replicas; call about once a second */
 void
 orphan_tick(struct orphans *orphans, uint64_t now_us);
 
-/** orphan_replicated_flows() - flows held for others */
+/** orphan_replicated_flows() - number of flows held as a backup */
 size_t
 orphan_replicated_flows(const struct orphans *orphans);
 
--- a/src/orphans/owner.c
+++ b/src/orphans/owner.c
@@ -6,8 +6,8 @@
 
 #define QUEUE_INITIAL_CAPACITY 16
 
-/* Marks of a flow: it is open; the backup was reported so; it is queued for
- * it. */
+/* Flags of a flow: it is open; backup i has it as open; it is in the queue of
+ * backup i. */
 #define FLOW_FLAG_LIVE 0x10
 #define FLOW_FLAG_REPORTED(i) (uint8_t)(0x01 << (i))
 #define FLOW_FLAG_QUEUED(i) (uint8_t)(0x04 << (i))
@@ -67,7 +67,7 @@
     return caller;
 }
 
-/* Stores the flags of a flow, and forgets it when nothing is left to say. */
+/* Stores the flags of a flow; removes it when none is set. */
 static int
 set_flow_flags(struct owner *owner, struct caller caller, uint8_t flags)
 {
@@ -85,7 +85,7 @@
     return ret;
 }
 
-/* Queues a flow for each backup whose knowledge differs from the truth. */
+/* Queues a flow for each backup whose last reported state is outdated. */
 static uint8_t
 queue_flow(struct owner *owner, struct caller caller, uint8_t flags)
 {
@@ -107,8 +107,7 @@
     return flags;
 }
 
-/* Takes back what backup @i was reported; flows to be reported of are queued.
- */
+/* Resets the reported state of backup @i and queues all flows for it. */
 static void
 reset_reported(struct owner *owner, size_t i)
 {
@@ -121,17 +120,16 @@
     while (caller_set_next(&owner->flows, &cursor, &caller)) {
         caller_set_flags(&owner->flows, caller, &flags);
         flags &= (uint8_t) ~(FLOW_FLAG_REPORTED(i) | FLOW_FLAG_QUEUED(i));
-        /* Ended ones too: they are forgotten when their turn comes. */
+        /* Closed flows too: report_flow() removes them. */
         if (backup->member != 0 && queue_push(&backup->queue, caller) == 0) {
             flags |= FLOW_FLAG_QUEUED(i);
         }
-        /* A flow without any mark is remaining as it is until the
-         * remove_ended. */
+        /* Flows without flags stay until remove_ended(). */
         caller_set_put(&owner->flows, caller, flags);
     }
 }
 
-/* Forgets flows that have ended and of which no backup has to hear. */
+/* Removes flows that have ended and need no report to any backup. */
 static void
 remove_ended(struct owner *owner)
 {
@@ -301,8 +299,9 @@
     }
 }
 
-/* Takes the flow at the head of the queue into the batch, if there is
- * anything to say. A batch is of one address: others go back. */
+/* Adds the flow at the head of the queue to the batch if its state was not
+ * reported. A batch has one service address: flows to others are queued
+ * again. */
 static void
 report_flow(struct owner *owner, size_t i, struct orphan_message *message,
             struct addr *closed)
@@ -386,7 +385,7 @@
            now_us >= backup->sent_us + gap_us;
 }
 
-/* A new batch; false when nothing has to be said after all. */
+/* Prepares a new batch; false when there is nothing to report. */
 static bool
 prepare_batch(struct owner *owner, size_t i, uint64_t now_us)
 {
@@ -426,7 +425,7 @@
     return false;
 }
 
-/* A backup that refuses must not be reported all again at once. */
+/* Limits the rate of sessions with a backup that keeps rejecting batches. */
 static uint64_t
 next_session_start(const struct owner_backup *backup, uint64_t now_us)
 {
--- a/src/orphans/owner.h
+++ b/src/orphans/owner.h
@@ -1,10 +1,10 @@
 /**
- * DOC: owner - tells an agent's backups which flows it holds
+ * DOC: owner - reports an agent's flows to its backups
  *
- * One batch at a time is on its way to each backup; it is sent again until
- * it is acknowledged. A backup that is new, or that says that it knows
- * nothing, is told of all flows again. A flow that closes before it was
- * told costs no message.
+ * Each backup has one unacknowledged batch at a time, which is sent again
+ * until it is acknowledged. All flows are reported again to a new backup and
+ * to one that rejects a batch. A flow that closes before it was reported needs
+ * no message.
  */
 #ifndef SWIFTARCH_ORPHANS_OWNER_H
 #define SWIFTARCH_ORPHANS_OWNER_H
@@ -21,19 +21,24 @@
 #define OWNER_BACKUPS 2
 #define OWNER_FLOWS_MAX 65536
 
-/* Between two batches: not filled, and filled. */
+/* Interval between batches: partly filled, and full. */
 #define OWNER_BATCH_INTERVAL_US (200 * USEC_PER_MSEC)
 #define OWNER_FULL_BATCH_INTERVAL_US (50 * USEC_PER_MSEC)
 
-/* After a batch without acknowledgement; also between two full transfers. */
+/* Resend interval of an unacknowledged batch; also the minimum interval
+ * between two sessions. */
 #define OWNER_RESEND_US (1 * USEC_PER_SEC)
 
-/* An empty batch shows that the backup still knows the flows. */
+/* Interval of empty batches, which check that the backup still has the flows.
+ */
 #define OWNER_KEEPALIVE_US (10 * USEC_PER_SEC)
 
 /**
- * struct caller_queue - callers in order of arrival
- * @items: ring of @allocated, a power of two
+ * struct caller_queue - FIFO of callers
+ * @items: ring buffer
+ * @allocated: size of the ring, a power of two
+ * @head: index of the first caller
+ * @count: number of callers
  */
 struct caller_queue {
     struct caller *items;
@@ -43,16 +48,16 @@
 };
 
 /**
- * struct owner_backup - one backup as the owner sees it
- * @member: its id, 0 for none
- * @since_us: start of its process, by the view
- * @session: present transfer
+ * struct owner_backup - an owner's state for one backup
+ * @member: member id, 0 for none
+ * @since_us: start of its process, from the view
+ * @session: current session
  * @awaiting_ack: @last is not acknowledged
- * @more_queued: not all that was queued had room in @last
+ * @more_queued: @last did not hold all that was queued
  * @sent_us: when @last was sent
- * @session_start_us: when the session began
- * @last: batch sent last
- * @queue: flows about which it has to be told something
+ * @session_start_us: when the session begins or began
+ * @last: last batch
+ * @queue: flows to report
  */
 struct owner_backup {
     uint64_t member;
@@ -67,12 +72,13 @@
 };
 
 /**
- * struct owner - the flows of this agent
+ * struct owner - an agent's flows and their backups
  * @boot: start of this process
- * @service_addrs: addresses service_addrs by @flows
- * @sessions: sessions begun so far
- * @flows: flows held or still to be told of, with their marks
- * @live: flows held
+ * @service_addrs: addresses that @flows refer to
+ * @sessions: number of sessions begun
+ * @flows: open flows and closed ones still to be reported, with flags
+ * @live: number of open flows
+ * @backups: the current backups
  */
 struct owner {
     uint64_t boot;
@@ -83,44 +89,45 @@
     struct owner_backup backups[OWNER_BACKUPS];
 };
 
-/** owner_init() - no flows, no backups */
+/** owner_init() - start without flows and backups */
 void
 owner_init(struct owner *owner, uint64_t boot);
 
-/** owner_finish() - free everything */
+/** owner_finish() - free the owner's memory */
 void
 owner_finish(struct owner *owner);
 
 /**
- * owner_flow_opened() - a flow was opened
+ * owner_flow_opened() - add a flow that was opened
  * @service: address it was opened to
  *
- * Return: 0, -EINVAL, -ENOSPC or -ENOMEM: it will not be told.
+ * Return: 0; -EINVAL, -ENOSPC or -ENOMEM when the flow will not be reported.
  */
 int
 owner_flow_opened(struct owner *owner, struct addr caller,
                   struct addr service);
 
-/** owner_flow_closed() - a flow ended */
+/** owner_flow_closed() - remove a flow that has ended */
 void
 owner_flow_closed(struct owner *owner, struct addr caller,
                   struct addr service);
 
 /**
- * owner_set_backups() - use these backups
- * @members: OWNER_BACKUPS ids, 0 for none
- * @since_us: start of each
+ * owner_set_backups() - set the backups; begins a session with new ones
+ * @members: OWNER_BACKUPS member ids, 0 for none
+ * @since_us: start of the process of each, from the view
  */
 void
 owner_set_backups(struct owner *owner, const uint64_t *members,
                   const uint64_t *since_us, uint64_t now_us);
 
-/** owner_next_batch() - the next batch to send, if one is due */
+/** owner_next_batch() - write the next batch and its receiver; false when none
+ * is due */
 bool
 owner_next_batch(struct owner *owner, uint64_t now_us, uint64_t *to,
                  struct orphan_message *message);
 
-/** owner_acknowledged() - an acknowledgement came from @from */
+/** owner_acknowledged() - handle an acknowledgement from member @from */
 void
 owner_acknowledged(struct owner *owner, uint64_t from,
                    const struct orphan_message *message, uint64_t now_us);
--- a/src/orphans/segment.c
+++ b/src/orphans/segment.c
@@ -11,7 +11,7 @@
 #define PROTO_TCP 6
 #define PSEUDO_HEADER 12
 
-/* Wide enough for a window that the caller sets again with each segment. */
+/* Large, since callers may update their send window from any segment. */
 #define PROBE_WINDOW 0xffff
 
 static void
--- a/src/orphans/segment.h
+++ b/src/orphans/segment.h
@@ -1,12 +1,11 @@
 /**
- * DOC: segment - the segment that makes a caller show itself
+ * DOC: segment - builds the segment that probes a caller
  *
- * A SYN-ACK, as a server sends it again when it believes that the third
- * segment of the handshake was lost. A caller whose connection is open
- * answers a SYN with an acknowledgement, whatever its sequence number is,
- * and changes nothing (RFC 9293, 3.10.7.4; a challenge ACK). A bare ACK is
- * answered only where its number lies outside the caller's window, which
- * nobody but the dead owner knew: two of them would be needed.
+ * The probe is a SYN-ACK, like a retransmission of the handshake's second
+ * segment. A caller with an open connection answers a SYN of any sequence
+ * number with a challenge ACK and changes nothing (RFC 9293, 3.10.7.4). A bare
+ * ACK would be answered only with a sequence number outside the caller's
+ * window, which is unknown to the backup.
  */
 #ifndef SWIFTARCH_ORPHANS_SEGMENT_H
 #define SWIFTARCH_ORPHANS_SEGMENT_H
@@ -19,11 +18,11 @@
 #define SEGMENT_PROBE_LEN 40
 
 /**
- * segment_build_probe() - SYN-ACK from @service to @caller
- * @number: sequence and acknowledgement number; any will do
+ * segment_build_probe() - build a SYN-ACK from @service to @caller
+ * @number: sequence and acknowledgement number, any value
  * @buf: SEGMENT_PROBE_LEN bytes
  *
- * Return: its length.
+ * Return: length of the packet.
  */
 size_t
 segment_build_probe(struct addr service, struct addr caller, uint32_t number,
--- a/tests/flow/model.c
+++ b/tests/flow/model.c
@@ -1,3 +1,4 @@
+/* Events and final checks of the model. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,38 +11,38 @@
 }
 
 void
-model_fail(struct model *m, const char *what, unsigned flow, unsigned host)
+model_fail(struct model *m, const char *failure, unsigned flow, unsigned host)
 {
     if (m->result.failure == NULL) {
         m->result.failure =
-            g_strdup_printf("%s (flow %u, host %u)", what, flow, host);
+            g_strdup_printf("%s (flow %u, host %u)", failure, flow, host);
     }
 }
 
 static void
 step(struct model *m)
 {
-    unsigned what = model_pick(m, 1000);
+    unsigned event = model_pick(m, 1000);
 
     m->now_us += model_pick(m, 20000);
     model_update_all_views(m, SKEW_US);
-    if (what < 500) {
+    if (event < 500) {
         model_deliver_any(m);
     }
-    else if (what < 800) {
+    else if (event < 800) {
         model_caller_act(m);
     }
-    else if (what < 890) {
+    else if (event < 890) {
         model_update_view(m, model_pick(m, PROCESSES),
                           model_pick(m, m->config.hosts));
     }
-    else if (what < 970) {
+    else if (event < 970) {
         model_send_pins(m, model_pick(m, m->config.hosts));
     }
-    else if (what < 985 || !m->config.faults) {
+    else if (event < 985 || !m->config.faults) {
         model_change_planned(m, model_pick(m, m->config.hosts));
     }
-    else if (what < 990) {
+    else if (event < 990) {
         model_change_fault(m, model_pick(m, m->config.hosts));
     }
     else {
@@ -49,7 +50,8 @@
     }
 }
 
-/* Sends a packet and follows it to its end; returns its flow's new phase. */
+/* Sends a packet and delivers it; returns the flow's new phase, OPENING if the
+ * packet was lost. */
 static enum flow_phase
 probe(struct model *m, unsigned flow)
 {
@@ -71,7 +73,7 @@
         taken -= m->result.hops[i];
     }
     if (taken == 0 && m->result.resets == before) {
-        return OPENING; /* lost */
+        return OPENING;
     }
     return m->callers[flow].phase;
 }
@@ -90,7 +92,7 @@
 }
 
 static void
-start_others(struct model *m)
+start_stopped_hosts(struct model *m)
 {
     for (unsigned i = 0; i < m->config.hosts; i++) {
         if (!m->hosts[i].running && m->truth[i].id == 0) {
@@ -99,7 +101,8 @@
     }
 }
 
-/* Each live flow's packets find their owner, unless that is suspected. */
+/* Checks that packets of live flows reach their owner unless it is suspected.
+ */
 static void
 probe_live(struct model *m)
 {
@@ -125,13 +128,13 @@
         if (caller->phase == OPEN &&
             m->hosts[caller->owner].epoch != caller->owner_epoch &&
             probe(m, i) != IDLE) {
-            model_fail(m, "the caller of a dead host wasn't told", i,
+            model_fail(m, "the caller of a dead host was not reset", i,
                        caller->owner);
         }
     }
 }
 
-/* Silent hosts are suspected, stopped ones known to be dead. */
+/* Marks frozen hosts as suspected and stopped ones as dead. */
 static void
 update_health(struct model *m)
 {
@@ -159,8 +162,8 @@
     }
 }
 
-/* When all have heard everything, flows work, and callers of the dead are
- * told. */
+/* With all views up to date, checks that live flows work and that callers of
+ * dead hosts are reset. */
 static void
 check_all(struct model *m)
 {
@@ -172,7 +175,7 @@
     model_update_all_views(m, 0);
     deliver_pins(m);
     probe_live(m);
-    /* Nobody joined lately, and registrations were renewed. */
+    /* No recent joins; all pins refreshed. */
     m->now_us += FLOW_JOIN_GRACE_US + FLOW_PIN_REFRESH_US;
     deliver_pins(m);
     probe_live(m);
@@ -198,7 +201,7 @@
     m->now_us += FLOW_JOIN_GRACE_US;
     for (i = 0; i < steps && m->result.failure == NULL; i++) {
         if (config->burst && i == steps / 2) {
-            start_others(m);
+            start_stopped_hosts(m);
         }
         step(m);
     }
@@ -208,9 +211,9 @@
     }
     result = m->result;
     for (i = 0; i < PROCESSES; i++) {
-        free(m->knows[i].view);
-        rank_finish(&m->knows[i].ranks[1]);
-        rank_finish(&m->knows[i].ranks[2]);
+        free(m->local_views[i].view);
+        rank_finish(&m->local_views[i].ranks[1]);
+        rank_finish(&m->local_views[i].ranks[2]);
     }
     for (i = 0; i < config->hosts; i++) {
         flow_table_free(m->hosts[i].table);
--- a/tests/flow/model.h
+++ b/tests/flow/model.h
@@ -1,11 +1,11 @@
 /**
- * DOC: model - agents, balancers and callers of a few services in one process
+ * DOC: model - simulates agents, balancers and callers of a few services
  *
- * Drives flow tables with seeded random events: packets through any
- * balancer, lost, late and out of order; views that lag behind the truth by
- * different times; joins, drains, deaths, freezes and restarts for another
- * service. After each step it has checked that no packet was taken by
- * another than its owner, none for another service, and no live flow reset.
+ * Drives flow tables with seeded random events: packets through any balancer,
+ * lost, delayed and reordered; views that lag by different times; joins,
+ * drains, deaths, freezes and restarts for another service. Checks at each
+ * step that packets are delivered only to their flow's owner and only for its
+ * service, and that no live flow is reset.
  */
 #ifndef SWIFTARCH_TESTS_FLOW_MODEL_H
 #define SWIFTARCH_TESTS_FLOW_MODEL_H
@@ -13,12 +13,12 @@
 #include <glib.h>
 
 /**
- * struct model_config - what happens in a run
+ * struct model_config - parameters of a run
  * @hosts: hosts that may run an agent, at most MODEL_HOSTS_MAX
- * @first: of these, agents that run from the start
- * @services: services, the hosts take turns
- * @faults: also deaths, freezes and restarts (otherwise planned changes only)
- * @burst: half-way, all other hosts start at once
+ * @first: number of hosts that run an agent from the start
+ * @services: number of services, assigned to hosts in turn
+ * @faults: add deaths, freezes and restarts to the planned changes
+ * @burst: start all other hosts at once half-way
  */
 struct model_config {
     unsigned hosts;
@@ -33,9 +33,12 @@
 
 /**
  * struct model_result - outcome of a run
- * @failure: what was violated, or NULL
- * @step: at which step
- * @hops: packets of known flows by the times they were passed on
+ * @failure: first violated property, or NULL; the caller frees it
+ * @step: step of the failure
+ * @hops: number of packets delivered to open flows, by forward count
+ * @opened: flows opened by agents
+ * @established: flows established at callers
+ * @resets: resets sent to callers
  */
 struct model_result {
     char *failure;
@@ -46,7 +49,7 @@
     size_t resets;
 };
 
-/** model_run() - @steps events from @seed, then a check of every flow */
+/** model_run() - run @steps events from @seed, then check every flow */
 struct model_result
 model_run(const struct model_config *config, guint32 seed, unsigned steps);
 
--- a/tests/flow/model_hosts.c
+++ b/tests/flow/model_hosts.c
@@ -1,22 +1,21 @@
+/* Hosts of the model and the views of its processes. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "model_state.h"
 
-/* Views */
-
 static void
-rank_service(struct knowledge *knows, uint32_t service)
+rank_service(struct local_view *local, uint32_t service)
 {
-    struct rank *rank = &knows->ranks[service];
+    struct rank *rank = &local->ranks[service];
     struct rank previous = *rank;
     uint64_t ids[MODEL_HOSTS_MAX];
     size_t count = 0;
 
-    for (size_t i = 0; i < knows->view->count; i++) {
-        if (knows->view->members[i].service == service &&
-            knows->view->members[i].health != MEMBER_DEAD) {
-            ids[count++] = knows->view->members[i].id;
+    for (size_t i = 0; i < local->view->count; i++) {
+        if (local->view->members[i].service == service &&
+            local->view->members[i].health != MEMBER_DEAD) {
+            ids[count++] = local->view->members[i].id;
         }
     }
     g_assert_cmpint(
@@ -29,39 +28,39 @@
 static void
 view_rebuild(struct model *m, unsigned process)
 {
-    struct knowledge *knows = &m->knows[process];
+    struct local_view *local = &m->local_views[process];
 
-    free(knows->view);
-    knows->view = view_new(MODEL_HOSTS_MAX);
+    free(local->view);
+    local->view = view_new(MODEL_HOSTS_MAX);
     for (unsigned i = 0; i < m->config.hosts; i++) {
-        if (knows->known[i]) {
-            knows->view->members[knows->view->count++] = knows->members[i];
+        if (local->known[i]) {
+            local->view->members[local->view->count++] = local->members[i];
         }
     }
     if (process < MODEL_HOSTS_MAX && m->hosts[process].table != NULL) {
-        flow_set_view(m->hosts[process].table, knows->view,
+        flow_set_view(m->hosts[process].table, local->view,
                       m->truth[process].service, !m->hosts[process].draining,
                       m->now_us);
     }
     for (unsigned i = 1; process >= MODEL_HOSTS_MAX && i <= m->config.services;
          i++) {
-        rank_service(knows, i);
+        rank_service(local, i);
     }
 }
 
 void
 model_update_view(struct model *m, unsigned process, unsigned host)
 {
-    struct knowledge *knows = &m->knows[process];
+    struct local_view *local = &m->local_views[process];
 
     if (m->truth[host].id == 0 ||
         (process < MODEL_HOSTS_MAX && !m->hosts[process].running) ||
         (process < MODEL_HOSTS_MAX && m->hosts[process].frozen)) {
         return;
     }
-    knows->members[host] = m->truth[host];
-    knows->known[host] = true;
-    knows->heard_us[host] = m->now_us;
+    local->members[host] = m->truth[host];
+    local->known[host] = true;
+    local->updated_us[host] = m->now_us;
     view_rebuild(m, process);
 }
 
@@ -70,10 +69,11 @@
 {
     for (unsigned p = 0; p < PROCESSES; p++) {
         for (unsigned h = 0; h < m->config.hosts; h++) {
-            struct knowledge *knows = &m->knows[p];
+            struct local_view *local = &m->local_views[p];
 
             if (m->changed_us[h] + older_us <= m->now_us &&
-                (!knows->known[h] || knows->heard_us[h] <= m->changed_us[h])) {
+                (!local->known[h] ||
+                 local->updated_us[h] <= m->changed_us[h])) {
                 model_update_view(m, p, h);
             }
         }
@@ -87,8 +87,6 @@
     model_update_view(m, host, host);
 }
 
-/* Hosts */
-
 void
 model_host_start(struct model *m, unsigned i, uint32_t service)
 {
@@ -100,7 +98,7 @@
     host->draining = false;
     host->epoch++;
     host->table = flow_table_new(i + 1, CAPACITY);
-    memset(&m->knows[i].known, 0, sizeof(m->knows[i].known));
+    memset(&m->local_views[i].known, 0, sizeof(m->local_views[i].known));
     m->truth[i] = (struct view_member){
         .id = i + 1,
         .incarnation = m->now_us,
@@ -132,8 +130,6 @@
             caller->syn_ack_sent_us + FLOW_HALF_OPEN_TTL_US > m->now_us);
 }
 
-/* Changes */
-
 void
 model_change_planned(struct model *m, unsigned i)
 {
@@ -180,16 +176,16 @@
 model_change_fault(struct model *m, unsigned i)
 {
     struct host *host = &m->hosts[i];
-    unsigned what = model_pick(m, 4);
+    unsigned event = model_pick(m, 4);
 
     if (!host->running || host->frozen) {
         model_change_suspicion(m, i);
     }
-    else if (what == 0) {
+    else if (event == 0) {
         host_stop(m, i);
     }
-    else if (what == 1) {
-        /* Its address now serves another service. */
+    else if (event == 1) {
+        /* Restarts with the same address, perhaps for another service. */
         host_stop(m, i);
         model_host_start(m, i, 1 + model_pick(m, m->config.services));
     }
--- a/tests/flow/model_packets.c
+++ b/tests/flow/model_packets.c
@@ -1,9 +1,8 @@
+/* Packets and callers of the model. */
 #include <string.h>
 
 #include "model_state.h"
 
-/* Packets */
-
 static void
 add_hops(struct gue *gue, const struct view *view, const struct rank *rank,
          uint32_t bucket, enum member_health health, bool openers, bool rest)
@@ -24,24 +23,25 @@
     }
 }
 
-/* The balancer's rule: see src/balancer/route.c */
+/* Builds the hop list as src/balancer/route.c does. */
 static bool
 route(struct model *m, unsigned balancer, const struct packet *packet,
       uint32_t service, struct gue *gue)
 {
-    const struct knowledge *knows = &m->knows[MODEL_HOSTS_MAX + balancer];
-    const struct rank *rank = &knows->ranks[service];
+    const struct local_view *local =
+        &m->local_views[MODEL_HOSTS_MAX + balancer];
+    const struct rank *rank = &local->ranks[service];
     uint32_t bucket = rank_bucket(packet_flow_hash(packet));
     bool open = packet->flags == PACKET_TCP_SYN;
     uint8_t suspects;
 
     *gue = (struct gue){.service = service, .flags = open ? GUE_OPEN : 0};
-    add_hops(gue, knows->view, rank, bucket, MEMBER_ALIVE, open, false);
+    add_hops(gue, local->view, rank, bucket, MEMBER_ALIVE, open, false);
     if (open) {
-        add_hops(gue, knows->view, rank, bucket, MEMBER_ALIVE, false, true);
+        add_hops(gue, local->view, rank, bucket, MEMBER_ALIVE, false, true);
     }
     suspects = gue->count;
-    add_hops(gue, knows->view, rank, bucket, MEMBER_SUSPECT, false, false);
+    add_hops(gue, local->view, rank, bucket, MEMBER_SUSPECT, false, false);
     if (gue->count > suspects) {
         gue->flags |= GUE_SUSPECTS;
     }
@@ -49,20 +49,20 @@
 }
 
 static void
-post(struct model *m, struct message message)
+queue_message(struct model *m, struct message message)
 {
     message.sent_us = m->now_us;
     g_array_append_val(m->messages, message);
 }
 
 static void
-post_hop(struct model *m, struct message message)
+queue_for_hop(struct model *m, struct message message)
 {
     unsigned host = (unsigned)message.gue.hops[message.gue.index].member - 1;
 
     message.kind = TO_HOST;
     message.host = host;
-    post(m, message);
+    queue_message(m, message);
 }
 
 void
@@ -78,15 +78,15 @@
     }
     if (route(m, model_pick(m, BALANCERS), &message.packet, caller->service,
               &message.gue)) {
-        post_hop(m, message);
+        queue_for_hop(m, message);
     }
 }
 
 static void
-answer_syn(struct model *m, unsigned i, const struct message *message)
+send_syn_ack(struct model *m, unsigned i, const struct message *message)
 {
     struct host *host = &m->hosts[i];
-    struct message answer = {
+    struct message syn_ack = {
         .kind = TO_CALLER,
         .host = i,
         .epoch = host->epoch,
@@ -101,8 +101,8 @@
                    .seq = host->isn[message->flow]},
     };
 
-    flow_sent_syn_ack(host->table, &answer.packet);
-    post(m, answer);
+    flow_sent_syn_ack(host->table, &syn_ack.packet);
+    queue_message(m, syn_ack);
 }
 
 static void
@@ -129,17 +129,18 @@
     struct caller *caller = &m->callers[message->flow];
 
     if (message->packet.dst != SERVICE_IP + m->truth[i].service) {
-        model_fail(m, "taken for another service", message->flow, i);
+        model_fail(m, "delivered for another service", message->flow, i);
     }
     if (message->packet.sport != caller->key.sport) {
-        return; /* late packet of an earlier flow */
+        return; /* delayed packet of an earlier flow */
     }
     if (message->packet.flags == PACKET_TCP_SYN) {
-        answer_syn(m, i, message);
+        send_syn_ack(m, i, message);
         return;
     }
     if (host->isn[message->flow] + 1 != message->packet.ack) {
-        model_fail(m, "taken by another than its owner", message->flow, i);
+        model_fail(m, "delivered to an agent that is not the owner",
+                   message->flow, i);
         return;
     }
     caller->served = true;
@@ -149,7 +150,7 @@
 static void
 host_receive(struct model *m, struct message message);
 
-/* As it comes out of the encapsulation; no member is on a list twice. */
+/* Checks that the list survives encoding and lists no member twice. */
 static void
 check_list(struct model *m, const struct message *message, unsigned host)
 {
@@ -160,7 +161,8 @@
     if (gue_decode(buf, gue_encode(gue, buf), &out) < 0 ||
         out.flags != gue->flags || out.index != gue->index ||
         out.count != gue->count) {
-        model_fail(m, "the list doesn't get through", message->flow, host);
+        model_fail(m, "the hop list changes when encoded and decoded",
+                   message->flow, host);
     }
     for (unsigned i = 0; i < gue->count; i++) {
         for (unsigned k = 0; k < i; k++) {
@@ -171,12 +173,13 @@
     }
 }
 
-/* Mostly at once: other events come between some hops. */
+/* Delivers most packets at once and queues the others, so that events occur
+ * between hops. */
 static void
 forward_packet(struct model *m, struct message message)
 {
     if (model_pick(m, 10) == 0) {
-        post_hop(m, message);
+        queue_for_hop(m, message);
         return;
     }
     message.host = (unsigned)message.gue.hops[message.gue.index].member - 1;
@@ -198,7 +201,7 @@
     switch (decision.verdict) {
     case FLOW_OPEN:
         m->result.opened++;
-        /* A late copy of an earlier flow's SYN is never answered. */
+        /* A delayed copy of an earlier flow's SYN is never answered. */
         if (message.packet.sport == m->callers[message.flow].key.sport) {
             host->isn[message.flow] = m->next_isn += 1000;
         }
@@ -211,7 +214,7 @@
         message.gue = decision.gue;
         check_list(m, &message, i);
         if (++message.hops >= MODEL_HOPS_MAX) {
-            model_fail(m, "passed on for ever", message.flow, i);
+            model_fail(m, "forwarded without end", message.flow, i);
             break;
         }
         forward_packet(m, message);
@@ -243,7 +246,7 @@
         caller->served = false;
         m->result.established++;
     }
-    /* Also the challenge to a second answer (RFC 9293, 3.10.7.4). */
+    /* Also the challenge ACK to a second SYN-ACK (RFC 9293, 3.10.7.4). */
     model_send_packet(m, message->flow, PACKET_TCP_ACK);
 }
 
@@ -301,15 +304,13 @@
     while ((count = flow_pins_due(m->hosts[i].table, m->now_us, pins, to,
                                   G_N_ELEMENTS(pins))) > 0) {
         for (size_t k = 0; k < count; k++) {
-            post(m, (struct message){.kind = PIN,
-                                     .host = (unsigned)to[k] - 1,
-                                     .pin = pins[k]});
+            queue_message(m, (struct message){.kind = PIN,
+                                              .host = (unsigned)to[k] - 1,
+                                              .pin = pins[k]});
         }
     }
 }
 
-/* Callers */
-
 static void
 caller_open(struct model *m, unsigned flow)
 {
@@ -331,7 +332,7 @@
     model_send_packet(m, flow, PACKET_TCP_SYN);
 }
 
-/* Ends at both sides; what is under way is ignored by its port. */
+/* Closes both ends; packets in flight are ignored by their port. */
 static void
 caller_close(struct model *m, unsigned flow)
 {
@@ -361,7 +362,7 @@
             caller_close(m, flow);
         }
         else if (model_pick(m, 20) == 0) {
-            /* A copy of the opening packet, late. */
+            /* A delayed copy of the SYN. */
             model_send_packet(m, flow, PACKET_TCP_SYN);
         }
         else {
--- a/tests/flow/model_state.h
+++ b/tests/flow/model_state.h
@@ -1,5 +1,5 @@
 /**
- * DOC: model_state - what the files of the model share
+ * DOC: model_state - state and functions shared by the model's files
  */
 #ifndef SWIFTARCH_TESTS_FLOW_MODEL_STATE_H
 #define SWIFTARCH_TESTS_FLOW_MODEL_STATE_H
@@ -20,7 +20,7 @@
 
 enum flow_phase { IDLE, OPENING, OPEN };
 
-/* A caller's side of a flow. */
+/* A flow as its caller sees it. */
 struct caller {
     enum flow_phase phase;
     struct packet key;
@@ -31,11 +31,11 @@
     uint64_t owner_epoch;
     unsigned owner_declared_dead;
     uint64_t syn_ack_sent_us;
-    bool served; /* the owner has seen our acknowledgement */
+    bool served; /* the owner has received the caller's ACK */
 };
 
-/* A host; @epoch grows with each start of its process, @declared_dead each
- * time the others take it for dead. */
+/* A host. @epoch grows with each start and stop of its process, @declared_dead
+ * each time that it is declared dead. */
 struct host {
     bool running;
     bool frozen;
@@ -43,14 +43,14 @@
     uint64_t epoch;
     unsigned declared_dead;
     struct flow_table *table;
-    uint32_t isn[FLOWS]; /* of our answer to the flow, 0 for none */
+    uint32_t isn[FLOWS]; /* of the SYN-ACK for each flow, 0 for none */
 };
 
 enum message_kind { TO_HOST, TO_CALLER, PIN };
 
 struct message {
     enum message_kind kind;
-    unsigned host; /* to, or from for TO_CALLER */
+    unsigned host; /* receiver; sender for TO_CALLER */
     uint64_t epoch;
     unsigned flow;
     struct packet packet;
@@ -60,11 +60,11 @@
     uint64_t sent_us;
 };
 
-/* What a process has heard. */
-struct knowledge {
+/* The members as one process sees them. */
+struct local_view {
     struct view_member members[MODEL_HOSTS_MAX];
     bool known[MODEL_HOSTS_MAX];
-    uint64_t heard_us[MODEL_HOSTS_MAX];
+    uint64_t updated_us[MODEL_HOSTS_MAX];
     struct view *view;
     struct rank ranks[SERVICES_MAX + 1]; /* balancers only */
 };
@@ -77,22 +77,23 @@
     struct host hosts[MODEL_HOSTS_MAX];
     struct view_member truth[MODEL_HOSTS_MAX];
     uint64_t changed_us[MODEL_HOSTS_MAX];
-    struct knowledge knows[PROCESSES];
+    struct local_view local_views[PROCESSES];
     struct caller callers[FLOWS];
     GArray *messages;
     uint32_t next_isn;
     uint16_t next_port;
 };
 
-/** model_update_view() - a process learns the truth about a host */
+/** model_update_view() - update a process's view of a host */
 void
 model_update_view(struct model *m, unsigned process, unsigned host);
 
-/** model_update_all_views() - all learn what changed at least @older_us ago */
+/** model_update_all_views() - update all views with changes at least @older_us
+ * old */
 void
 model_update_all_views(struct model *m, uint64_t older_us);
 
-/** model_changed() - the truth about a host changed */
+/** model_changed() - record a change of a host, and update its own view */
 void
 model_changed(struct model *m, unsigned host);
 
@@ -104,49 +105,50 @@
 bool
 model_live(const struct model *m, const struct caller *caller);
 
-/** model_change_planned() - a join, drain or leave */
+/** model_change_planned() - make a host join, drain or leave */
 void
 model_change_planned(struct model *m, unsigned i);
 
-/** model_change_suspicion() - others suspect a host, wrongly too; then it
- * refutes or is given up */
+/** model_change_suspicion() - make a host suspected, perhaps wrongly; a
+ * suspected one refutes it or is declared dead */
 void
 model_change_suspicion(struct model *m, unsigned i);
 
-/** model_change_fault() - a death, freeze or restart for another service */
+/** model_change_fault() - make a host die, freeze or restart */
 void
 model_change_fault(struct model *m, unsigned i);
 
-/** model_pick_silent() - a silent host, if there is one */
+/** model_pick_silent() - pick a frozen or stopped host, any if there is none
+ */
 unsigned
 model_pick_silent(struct model *m);
 
-/** model_send_packet() - a caller's packet by any balancer */
+/** model_send_packet() - send a caller's packet through any balancer */
 void
 model_send_packet(struct model *m, unsigned flow, uint8_t flags);
 
-/** model_deliver() - a message arrives */
+/** model_deliver() - deliver a message */
 void
 model_deliver(struct model *m, const struct message *message);
 
-/** model_deliver_any() - any message arrives, perhaps twice or not at all */
+/** model_deliver_any() - deliver, duplicate or lose a random message */
 void
 model_deliver_any(struct model *m);
 
-/** model_send_pins() - an agent sends what is due */
+/** model_send_pins() - send the pins that are due at an agent */
 void
 model_send_pins(struct model *m, unsigned i);
 
-/** model_caller_act() - any caller does something */
+/** model_caller_act() - perform a random action of a random caller */
 void
 model_caller_act(struct model *m);
 
-/** model_pick() - a random number below @n */
+/** model_pick() - random number below @n */
 unsigned
 model_pick(struct model *m, unsigned n);
 
-/** model_fail() - note the first violation */
+/** model_fail() - record the first violation */
 void
-model_fail(struct model *m, const char *what, unsigned flow, unsigned host);
+model_fail(struct model *m, const char *failure, unsigned flow, unsigned host);
 
 #endif
--- a/tests/flow/test_flow.c
+++ b/tests/flow/test_flow.c
@@ -1,3 +1,5 @@
+/* Packets must be delivered only to their flow's owner, and callers reset only
+ * when no agent can own the flow. */
 #include <errno.h>
 #include <glib.h>
 #include <stdlib.h>
@@ -10,12 +12,13 @@
 #define SERVICE 7
 #define SELF 1
 #define START_US (100 * USEC_PER_SEC)
-#define SETTLED_US (START_US + FLOW_JOIN_GRACE_US)
+#define JOIN_GRACE_END_US (START_US + FLOW_JOIN_GRACE_US)
 #define SYN PACKET_TCP_SYN
 #define ACK PACKET_TCP_ACK
 #define RST PACKET_TCP_RST
 
-/* An agent with members 1..count of its service, all alive and ready. */
+/* An agent whose view has members 1..count of its service, alive and
+ * ready. */
 struct agent {
     struct flow_table *table;
     struct view *view;
@@ -33,7 +36,7 @@
 static void
 agent_init(struct agent *agent, size_t count, size_t capacity)
 {
-    agent->now_us = SETTLED_US;
+    agent->now_us = JOIN_GRACE_END_US;
     agent->table = flow_table_new(SELF, capacity);
     g_assert_nonnull(agent->table);
     agent->view = view_new(count);
@@ -84,7 +87,7 @@
                            .ack = ack};
 }
 
-/* A list of members, ended by 0, at its hop @index. */
+/* A hop list of @members, terminated by 0, at hop @index. */
 static struct gue
 hops(uint8_t flags, uint8_t index, const uint64_t *members)
 {
@@ -127,13 +130,13 @@
 
 #define EXPECT_FLOWS(flows, opening)                                          \
     do {                                                                      \
-        size_t embryos_;                                                      \
-        g_assert_cmpuint(flow_count(agent->table, &embryos_), ==, flows);     \
-        g_assert_cmpuint(embryos_, ==, opening);                              \
+        size_t half_open_;                                                    \
+        g_assert_cmpuint(flow_count(agent->table, &half_open_), ==, flows);   \
+        g_assert_cmpuint(half_open_, ==, opening);                            \
     } while (0)
 
 static void
-answer(struct agent *agent, uint16_t port, uint32_t isn)
+send_syn_ack(struct agent *agent, uint16_t port, uint32_t isn)
 {
     struct packet out = {.src = 0x0a000001,
                          .dst = 0x0a090001,
@@ -150,20 +153,20 @@
 establish(struct agent *agent, uint16_t port)
 {
     EXPECT(FLOW_OPEN, tcp(port, SYN, 0), HOPS(GUE_OPEN, SELF));
-    answer(agent, port, 500);
+    send_syn_ack(agent, port, 500);
     EXPECT(FLOW_DELIVER, tcp(port, ACK, 501), HOPS(0, SELF));
 }
 
-/* Another agent answered the same SYN: only its number tells whose it is. */
+/* A packet of another agent's handshake for the same SYN is not delivered. */
 TEST_F(agent, half_open, 2, 16)
 {
     struct gue open = HOPS(GUE_OPEN, SELF, 2);
     struct gue list = HOPS(0, SELF, 2);
 
     EXPECT(FLOW_OPEN, tcp(9, SYN, 0), open);
-    /* Not answered yet, so nothing can acknowledge it. */
+    /* No SYN-ACK sent yet, so no packet can acknowledge it. */
     EXPECT(FLOW_FORWARD, tcp(9, ACK, 1), list);
-    answer(agent, 9, 500);
+    send_syn_ack(agent, 9, 500);
     EXPECT(FLOW_DELIVER, tcp(9, SYN, 0), open);
     EXPECT(FLOW_FORWARD, tcp(9, ACK, 901), list);
     EXPECT(FLOW_FORWARD, tcp(9, RST | ACK, 901), list);
@@ -171,27 +174,27 @@
     EXPECT_FLOWS(1, 1);
     EXPECT(FLOW_DELIVER, tcp(9, ACK, 501), list);
     EXPECT_FLOWS(1, 0);
-    /* Established: any of its packets. */
+    /* An established flow accepts all of its packets. */
     EXPECT(FLOW_DELIVER, tcp(9, ACK, 7777), list);
 }
 
-/* Found by the property test (seed 28): an answer that is sent again keeps
- * the half_open. */
-TEST_F(agent, embryo_expiry, 1, 16)
+/* A retransmitted SYN-ACK must extend the life of a half-open flow (property
+ * test, seed 28). */
+TEST_F(agent, half_open_expiry, 1, 16)
 {
-    uint64_t now_us = SETTLED_US;
+    uint64_t now_us = JOIN_GRACE_END_US;
 
     EXPECT(FLOW_OPEN, tcp(9, SYN, 0), HOPS(GUE_OPEN, SELF));
-    answer(agent, 9, 500);
+    send_syn_ack(agent, 9, 500);
     flow_tick(agent->table, now_us += FLOW_HALF_OPEN_TTL_US - 1);
-    answer(agent, 9, 500);
+    send_syn_ack(agent, 9, 500);
     flow_tick(agent->table, now_us += FLOW_HALF_OPEN_TTL_US - 1);
     EXPECT_FLOWS(1, 1);
     flow_tick(agent->table, now_us + 1);
     EXPECT_FLOWS(0, 0);
 }
 
-TEST_F(agent, service, 2, 16)
+TEST_F(agent, change_of_service, 2, 16)
 {
     struct gue list = HOPS(GUE_OPEN, SELF);
     struct gue other = for_service(SERVICE + 1, list);
@@ -200,43 +203,44 @@
 
     establish(agent, 8);
     EXPECT_DROP(PACKET_NO_SERVICE, syn, other);
-    /* Addresses of a flow that we know, but taken for another service. */
+    /* Addresses of an existing flow, but routed for another service. */
     EXPECT_DROP(PACKET_NO_SERVICE, ack, other);
     EXPECT(FLOW_FORWARD, syn,
            for_service(SERVICE + 1, HOPS(GUE_OPEN, SELF, 2)));
-    /* We serve another now; flows of before go on, new ones don't. */
+    /* After a change of service, its old flows continue and no new ones
+     * open. */
     g_assert_cmpint(flow_set_view(agent->table, agent->view, SERVICE + 1, true,
-                                  SETTLED_US),
+                                  JOIN_GRACE_END_US),
                     ==, 0);
     EXPECT(FLOW_DELIVER, ack, HOPS(0, SELF));
     EXPECT(FLOW_DROP, syn, list);
     /* The same addresses for the new service must not reach the old flow. */
     EXPECT(FLOW_DROP, tcp(8, SYN, 0), other);
-    /* A bare header names no service. */
+    /* A header without a service. */
     EXPECT(FLOW_DROP, syn, (struct gue){0});
 }
 
-TEST_F(agent, reset, 2, 16)
+TEST_F(agent, reset_after_last_hop, 2, 16)
 {
     struct gue end = HOPS_AT(0, 1, 2, SELF);
     struct packet ack = tcp(9, ACK, 1);
 
-    /* A newcomer may not know everyone yet. */
+    /* The view of a newly started agent may lack members. */
     agent->now_us = START_US;
     EXPECT(FLOW_DROP, ack, end);
-    agent->now_us = SETTLED_US;
+    agent->now_us = JOIN_GRACE_END_US;
     EXPECT(FLOW_RESET, ack, end);
     EXPECT(FLOW_DROP, tcp(9, RST, 1), end);
     EXPECT(FLOW_DROP, ack, HOPS_AT(GUE_SUSPECTS, 1, 2, SELF));
     set_health(agent, 1, MEMBER_SUSPECT);
     EXPECT(FLOW_DROP, ack, end);
-    /* Proven dead: its callers are told at once. */
+    /* Callers of a dead agent are reset at once. */
     set_health(agent, 1, MEMBER_DEAD);
     EXPECT(FLOW_RESET, ack, HOPS(0, SELF));
 }
 
-/* Found by the property test (seed 2003): those that answer are asked before
- * a suspect, also when only our own view has them. */
+/* Live agents must come before suspected ones on the list, also when only the
+ * own view has them (property test, seed 2003). */
 TEST_F(agent, suspects_last, 5, 16)
 {
     struct packet ack = tcp(9, ACK, 1);
@@ -257,8 +261,8 @@
     }
 }
 
-/* A list whose hops all pass it on ends, whatever the index and count are. */
-TEST_F(agent, bounded, 200, 16)
+/* Forwarding ends for any index and count. */
+TEST_F(agent, forwarding_ends, 200, 16)
 {
     struct packet ack = tcp(9, ACK, 1);
     struct gue gue = HOPS_AT(0, 5, 2, 3, 4, 5, 6, SELF);
@@ -292,7 +296,7 @@
     establish(agent, 9);
     drain(agent, 1, false);
     EXPECT(FLOW_DELIVER, tcp(9, ACK, 501), HOPS(0, SELF));
-    /* 2 drains too; 3 isn't on the list but takes new flows. */
+    /* 2 drains as well; 3 is not on the list but accepts new flows. */
     decision = decide(agent, syn, list);
     g_assert_cmpint(decision.verdict, ==, FLOW_FORWARD);
     g_assert_cmpuint(decision.gue.hops[decision.gue.index].member, ==, 3);
@@ -300,14 +304,14 @@
     EXPECT_DROP(PACKET_NO_ENDPOINT, syn, list);
 }
 
-/* A newcomer opens no flow until all have heard of it, also if no other can
- * (found by the property test, seed 83). */
-TEST_F(agent, hold, 2, 16)
+/* A started agent must open no flow during FLOW_START_DELAY_US, even if no
+ * other agent can (property test, seed 83). */
+TEST_F(agent, start_delay, 2, 16)
 {
     struct gue list = HOPS(GUE_OPEN, SELF, 2);
     struct packet syn = tcp(2, SYN, 0);
 
-    /* Cold start of all: no one is older. */
+    /* No agent is of an earlier incarnation. */
     agent->now_us = START_US;
     EXPECT(FLOW_OPEN, tcp(1, SYN, 0), list);
     agent->view->members[0].incarnation = 10 * FLOW_START_DELAY_US;
@@ -324,7 +328,7 @@
     for (uint16_t port = 1; port <= 12; port++) {
         establish(agent, port);
     }
-    /* A flood displaces only other openings. */
+    /* A SYN flood evicts only half-open flows. */
     for (uint16_t port = 1000; port < 2000; port++) {
         EXPECT(FLOW_OPEN, tcp(port, SYN, 0), HOPS(GUE_OPEN, SELF));
     }
@@ -342,7 +346,8 @@
     EXPECT_FLOWS(0, 0);
 }
 
-/* A datagram looks for its owner first, then the first on the list opens. */
+/* A datagram visits the whole list before the first agent on it opens a flow.
+ */
 TEST_F(agent, datagram, 2, 16)
 {
     struct packet packet = tcp(9, 0, 0);
@@ -358,16 +363,16 @@
     list.flags |= FLOW_GUE_OPEN_NOW;
     EXPECT(FLOW_OPEN, packet, list);
     EXPECT(FLOW_DELIVER, packet, list);
-    flow_tick(agent->table, SETTLED_US + FLOW_DATAGRAM_TTL_US);
+    flow_tick(agent->table, JOIN_GRACE_END_US + FLOW_DATAGRAM_TTL_US);
     EXPECT_FLOWS(0, 0);
-    agent_set_view(agent, false, SETTLED_US);
+    agent_set_view(agent, false, JOIN_GRACE_END_US);
     EXPECT(FLOW_FORWARD, packet, list);
     list.index = 1;
     EXPECT(FLOW_DROP, packet, list);
 }
 
-/* A port whose flow ranks SELF past FLOW_CANDIDATES among @members, or within.
- */
+/* A port whose flow ranks SELF below the first FLOW_CANDIDATES of @members if
+ * @far, else among them. */
 static uint16_t
 find_port(size_t members, bool far)
 {
@@ -401,14 +406,15 @@
     establish(agent, find_port(9, false));
     g_assert_cmpuint(pins_due(agent, pins, to, 8), ==, 0);
     establish(agent, far.sport);
-    /* Two, then the last one. */
+    /* At most two, then the last one. */
     g_assert_cmpuint(pins_due(agent, pins, to, 2), ==, 2);
     g_assert_cmpuint(pins_due(agent, pins + 2, to + 2, 2), ==, 1);
     g_assert_cmpuint(pins[2].owner, ==, SELF);
     g_assert_cmpuint(pins[2].bucket, ==, rank_bucket(packet_flow_hash(&far)));
     g_assert_cmpuint(to[0], !=, to[1]);
     g_assert_cmpuint(pins_due(agent, pins, to, 8), ==, 0);
-    /* Again after a while, and at once after a change of the view. */
+    /* Due again after the refresh interval, and at once after a change of the
+     * view. */
     agent->now_us += FLOW_PIN_REFRESH_US;
     g_assert_cmpuint(pins_due(agent, pins, to, 8), ==, 3);
     set_health(agent, to[0] - 1, MEMBER_DEAD);
@@ -419,7 +425,7 @@
     g_assert_cmpuint(pins_due(agent, pins, to, 8), ==, 0);
 }
 
-/* A registered owner comes next, ahead of the balancer's list. */
+/* A registered owner is the next hop, before those of the balancer. */
 TEST_F(agent, pins_used, 60, 16)
 {
     struct packet ack = tcp(9, ACK, 1);
@@ -428,16 +434,18 @@
     struct gue list = HOPS(0, SELF, 2, 3, 4, 5, 6);
     struct flow_decision decision;
 
-    g_assert_cmpint(flow_pin_add(agent->table, &pin, SETTLED_US), ==, 0);
+    g_assert_cmpint(flow_pin_add(agent->table, &pin, JOIN_GRACE_END_US), ==,
+                    0);
     decision = decide(agent, ack, list);
     g_assert_cmpint(decision.verdict, ==, FLOW_FORWARD);
     g_assert_cmpuint(decision.gue.hops[1].member, ==, 40);
-    agent->now_us = SETTLED_US + FLOW_PIN_TTL_US;
+    agent->now_us = JOIN_GRACE_END_US + FLOW_PIN_TTL_US;
     decision = decide(agent, ack, list);
     g_assert_cmpuint(decision.gue.hops[1].member, !=, 40);
-    agent->now_us = SETTLED_US;
+    agent->now_us = JOIN_GRACE_END_US;
     set_health(agent, 39, MEMBER_DEAD);
-    g_assert_cmpint(flow_pin_add(agent->table, &pin, SETTLED_US), ==, -ESTALE);
+    g_assert_cmpint(flow_pin_add(agent->table, &pin, JOIN_GRACE_END_US), ==,
+                    -ESTALE);
     decision = decide(agent, ack, list);
     g_assert_cmpuint(decision.gue.hops[1].member, !=, 40);
 }
@@ -459,8 +467,8 @@
     g_assert_cmpint(flow_pin_add(agent->table, &pin, START_US), ==, 0);
 }
 
-/* What agents tell each other by flags gets through the encapsulation. */
-TEST(wire)
+/* The flags between agents survive encoding. */
+TEST(flags_survive_encoding)
 {
     struct gue gue = HOPS(GUE_OPEN, SELF, 2);
     uint8_t buf[GUE_HEADER_MAX];
--- a/tests/flow/test_flow_hops.c
+++ b/tests/flow/test_flow_hops.c
@@ -1,3 +1,4 @@
+/* Packets must reach their owner within one hop list when agents join. */
 #include <glib.h>
 #include <stdlib.h>
 #include <malloc.h>
@@ -7,13 +8,13 @@
 #include "lib/harness.h"
 
 #define SUITE "/flow/hops"
-#define FIRST 7
+#define MEMBERS_INITIAL 7
 #define MEMBERS_MAX 28
 #define FLOWS 2000
 #define SERVICE 7
-#define NEVER_US (1000 * USEC_PER_SEC)
+#define START_US (1000 * USEC_PER_SEC)
 
-/* Agents that all know the same members. */
+/* Agents with the same view. */
 struct cluster {
     struct flow_table *tables[MEMBERS_MAX];
     struct view *view;
@@ -75,7 +76,7 @@
     }
 }
 
-/* Sends a packet by the rank row; returns how often it was passed on. */
+/* Sends a packet along its rank row; returns how often it was forwarded. */
 static unsigned
 cluster_send(struct cluster *cluster, const struct packet *packet,
              enum flow_verdict expected, uint64_t now_us)
@@ -119,11 +120,11 @@
                              .proto = 6,
                              .seq = 500};
 
-        cluster_send(cluster, &syn, FLOW_OPEN, NEVER_US);
+        cluster_send(cluster, &syn, FLOW_OPEN, START_US);
         for (size_t i = 0; i < cluster->view->count; i++) {
             flow_sent_syn_ack(cluster->tables[i], &out);
         }
-        cluster_send(cluster, &ack, FLOW_DELIVER, NEVER_US);
+        cluster_send(cluster, &ack, FLOW_DELIVER, START_US);
     }
 }
 
@@ -131,36 +132,38 @@
 print_hops(struct cluster *cluster, unsigned joined, uint64_t now_us)
 {
     size_t hops[5] = {0};
-    unsigned passed;
+    unsigned forwards;
 
     for (uint32_t flow = 0; flow < FLOWS; flow++) {
         struct packet packet = flow_packet(flow, PACKET_TCP_ACK, 501);
 
-        passed = cluster_send(cluster, &packet, FLOW_DELIVER, now_us);
-        /* A registered owner is at most behind those registered with it. */
-        g_assert_cmpuint(passed, <, GUE_HOPS_MAX);
-        hops[MIN(passed, 4)]++;
+        forwards = cluster_send(cluster, &packet, FLOW_DELIVER, now_us);
+        /* Pins put a registered owner within the first list. */
+        g_assert_cmpuint(forwards, <, GUE_HOPS_MAX);
+        hops[MIN(forwards, 4)]++;
     }
     g_test_message("%2u joins: %5.1f %5.1f %5.1f %5.1f %5.1f %% of packets "
-                   "passed on 0 1 2 3 4+ times",
+                   "forwarded 0 1 2 3 4+ times",
                    joined, 100.0 * hops[0] / FLOWS, 100.0 * hops[1] / FLOWS,
                    100.0 * hops[2] / FLOWS, 100.0 * hops[3] / FLOWS,
                    100.0 * hops[4] / FLOWS);
 }
 
-/* How far packets of long flows travel after joins, seven agents first. */
+/* Packets of open flows reach their owner within one hop list after joins;
+ * prints the hops taken. */
 TEST(joins)
 {
     struct cluster cluster = {0};
-    uint64_t now_us = NEVER_US;
+    uint64_t now_us = START_US;
 
     cluster.view = view_new(MEMBERS_MAX);
-    for (size_t i = 0; i < FIRST; i++) {
+    for (size_t i = 0; i < MEMBERS_INITIAL; i++) {
         cluster_join(&cluster, 0);
     }
     cluster_open_all(&cluster);
     print_hops(&cluster, 0, now_us);
-    for (unsigned joined = 1; joined <= MEMBERS_MAX - FIRST; joined++) {
+    for (unsigned joined = 1; joined <= MEMBERS_MAX - MEMBERS_INITIAL;
+         joined++) {
         now_us += USEC_PER_SEC;
         cluster_join(&cluster, now_us);
         cluster_exchange_pins(&cluster, now_us);
@@ -175,6 +178,7 @@
     free(cluster.view);
 }
 
+/* Prints the memory used by each flow. */
 TEST(memory)
 {
     enum { COUNT = 65536 };
@@ -189,7 +193,7 @@
     for (uint32_t i = 0; i < COUNT; i++) {
         struct packet syn = flow_packet(i, PACKET_TCP_SYN, 0);
 
-        g_assert_cmpint(flow_decide(table, &syn, &gue, NEVER_US).verdict, ==,
+        g_assert_cmpint(flow_decide(table, &syn, &gue, START_US).verdict, ==,
                         FLOW_OPEN);
     }
     g_assert_cmpuint(flow_count(table, NULL), ==, COUNT);
--- a/tests/flow/test_flow_property.c
+++ b/tests/flow/test_flow_property.c
@@ -1,3 +1,5 @@
+/* Runs the model with random events: no packet may reach an agent that is not
+ * the owner, and no live flow may be reset. */
 #include "lib/harness.h"
 #include "model.h"
 
@@ -8,10 +10,11 @@
 #define SEEDS 24
 #endif
 
-/* The fewest steps up to @last that fail, tried from @first by @stride. */
+/* The smallest number of steps that fails: tries from @first to @last in steps
+ * of @stride. */
 static unsigned
-shortest(const struct model_config *config, guint32 seed, unsigned first,
-         unsigned last, unsigned stride)
+find_failing_steps(const struct model_config *config, guint32 seed,
+                   unsigned first, unsigned last, unsigned stride)
 {
     unsigned steps;
 
@@ -29,8 +32,8 @@
 static void
 report(const struct model_config *config, guint32 seed, unsigned failed)
 {
-    unsigned coarse = shortest(config, seed, STRIDE, failed, STRIDE);
-    unsigned fine = shortest(
+    unsigned coarse = find_failing_steps(config, seed, STRIDE, failed, STRIDE);
+    unsigned fine = find_failing_steps(
         config, seed, coarse < STRIDE ? 0 : coarse - STRIDE + 1, coarse, 1);
     struct model_result result = model_run(config, seed, fine);
 
--- a/tests/orphans/model.c
+++ b/tests/orphans/model.c
@@ -1,3 +1,4 @@
+/* Steps and faults of the simulation. */
 #include "model.h"
 
 #include <string.h>
@@ -18,7 +19,7 @@
 }
 
 static void
-load(struct model *model)
+generate_load(struct model *model)
 {
     for (unsigned n = 0; n < 2; n++) {
         if (chance(model, 10)) {
@@ -43,13 +44,13 @@
     }
 }
 
-/* Thought dead, by some, for a while. */
+/* Marks a live agent as dead in the views of some others for a while. */
 static void
 suspect_wrongly(struct model *model, unsigned about)
 {
     const struct agent *agent = &model->agents[about];
     struct member_update member_update = {
-        .about = about, .what = {agent->boot, MEMBER_DEAD, agent->leaving}};
+        .about = about, .info = {agent->boot, MEMBER_DEAD, agent->leaving}};
     unsigned to;
 
     if (!agent->running) {
@@ -60,12 +61,12 @@
             continue;
         }
         member_update.to = to;
-        member_update.what.health = MEMBER_DEAD;
+        member_update.info.health = MEMBER_DEAD;
         member_update.at_us = model->now_us + world_up_to(model, LAG_MAX_US);
-        g_array_append_val(model->member_update, member_update);
-        member_update.what.health = MEMBER_ALIVE;
+        g_array_append_val(model->member_updates, member_update);
+        member_update.info.health = MEMBER_ALIVE;
         member_update.at_us += world_up_to(model, 2 * LAG_MAX_US);
-        g_array_append_val(model->member_update, member_update);
+        g_array_append_val(model->member_updates, member_update);
     }
 }
 
@@ -95,7 +96,7 @@
         }
     }
     if (chance(model, 0.1)) {
-        /* A restart that nobody had time to notice. */
+        /* A restart faster than the detection of the death. */
         unsigned i = pick(model);
         world_die(model, i);
         if (!model->agents[i].running) {
@@ -123,7 +124,7 @@
 step(struct model *model)
 {
     model->now_us += TICK_US;
-    load(model);
+    generate_load(model);
     if (!model->faults_off) {
         inject_random_fault(model);
     }
@@ -148,7 +149,8 @@
     }
 }
 
-/* After quiet: two die at once, exactly their flows are probed. */
+/* Two agents die at once after a quiet phase: only their flows may be probed.
+ */
 static void
 kill_two_agents(struct model *model)
 {
@@ -159,7 +161,7 @@
     world_die(model, first);
     world_die(model, second);
     run_for(model, PROBE_DEADLINE_US);
-    /* Late rounds may come upon callers that have returned elsewhere. */
+    /* Late rounds may probe callers that have opened flows to other agents. */
     g_hash_table_unref(model->expected);
     model->expected = NULL;
     run_for(model, FREEZE_MAX_US + 2 * TICK_US);
@@ -187,8 +189,8 @@
     model->config = config;
     model->rand = g_rand_new_with_seed(seed);
     model->now_us = 1000 * USEC_PER_SEC;
-    model->boots = model->now_us;
-    model->member_update =
+    model->last_boot = model->now_us;
+    model->member_updates =
         g_array_new(FALSE, FALSE, sizeof(struct member_update));
     model->queued_messages =
         g_array_new(FALSE, FALSE, sizeof(struct queued_message));
@@ -216,7 +218,7 @@
         g_array_unref(agent->ended);
         g_free(agent->view);
     }
-    g_array_unref(model->member_update);
+    g_array_unref(model->member_updates);
     g_array_unref(model->queued_messages);
     g_array_unref(model->expected_probes);
     g_hash_table_unref(model->probed);
--- a/tests/orphans/test_probe.c
+++ b/tests/orphans/test_probe.c
@@ -1,7 +1,9 @@
-/* A caller's real TCP (lwIP) that waits for its answer while its host dies.
- * Caller and host are one stack whose packets come back in; the host dies
- * when its packets stop coming in, and then an agent without the flow
- * answers what the caller sends with a reset. */
+/*
+ * A probe must make a waiting caller (lwIP) with a dead host reply and be
+ * reset, and must not disturb a live flow. Caller and host share one stack
+ * whose output is its input; a dead host's packets are lost, and packets to it
+ * are answered with a reset.
+ */
 #include <errno.h>
 #include <string.h>
 
@@ -10,7 +12,7 @@
 #include "stack/stack.h"
 #include "lib/harness.h"
 
-#define SUITE "/notice/probe"
+#define SUITE "/orphans/probe"
 #define SERVICE_IP 0x0a000001u
 #define CALLER_IP 0x0a090001u
 #define PORT 80
@@ -21,7 +23,7 @@
 static const struct addr service = {SERVICE_IP, PORT};
 static const struct addr caller = {CALLER_IP, CALLER_PORT};
 
-/** struct net - the two ends and what lies between them */
+/** struct net - both ends of a connection and the packets between them */
 struct net {
     struct stack_owner owner;
     struct stack *stack;
@@ -78,7 +80,7 @@
 }
 
 static void
-on_nothing(struct stack_owner *owner, struct stack_conn *conn)
+on_ignored(struct stack_owner *owner, struct stack_conn *conn)
 {
 }
 
@@ -100,11 +102,11 @@
 static const struct stack_ops ops = {.output = on_output,
                                      .on_open = on_open,
                                      .on_data = on_data,
-                                     .on_writable = on_nothing,
-                                     .on_eof = on_nothing,
+                                     .on_writable = on_ignored,
+                                     .on_eof = on_ignored,
                                      .on_closed = on_closed};
 
-/* The agent at the end of the list: nobody knows the flow. */
+/* Resets the caller, as the last agent of the hop list does. */
 static void
 reset_for_dead_host(struct net *net, const uint8_t *data, size_t len)
 {
@@ -121,7 +123,7 @@
     }
 }
 
-/* Whether a packet came through; without one, waits a little. */
+/* Handles a packet, or waits 0.2 ms and returns FALSE if there is none. */
 static gboolean
 net_step(struct net *net)
 {
@@ -150,7 +152,7 @@
     return TRUE;
 }
 
-/* Steps until @cond; a hang ends the test. */
+/* Steps until @cond; fails after WAIT_US. */
 #define NET_UNTIL(net, cond)                                                  \
     do {                                                                      \
         gint64 deadline = g_get_monotonic_time() + WAIT_US;                   \
@@ -160,7 +162,7 @@
         }                                                                     \
     } while (0)
 
-/* Steps until nothing has moved for a while. */
+/* Steps until no packet has been sent for a while. */
 static void
 net_wait_idle(struct net *net)
 {
@@ -211,7 +213,7 @@
     g_assert_cmpint(stack_input(net->stack, probe, len), ==, 0);
 }
 
-/* The caller asks and is answered with an acknowledgement only. */
+/* Sends a request, which the host acknowledges without a response. */
 static void
 net_send_request(struct net *net)
 {
@@ -223,9 +225,8 @@
     net_wait_idle(net);
 }
 
-/* What happens without a notice: the caller sends nothing, so no agent has
- * anything to answer. */
-TEST_F(net, unprobed_waits, 1)
+/* Without a probe the caller sends nothing and is not reset. */
+TEST_F(net, caller_without_probe_waits, 1)
 {
     net_send_request(net);
     net->host_dead = TRUE;
@@ -234,7 +235,7 @@
     g_assert_cmpuint(net->caller_acks, ==, 0);
 }
 
-TEST(probed_learns)
+TEST(probed_caller_is_reset)
 {
     guint32 seed;
 
@@ -263,8 +264,7 @@
     }
 }
 
-/* A wrong notice: the host is alive. Probes in the midst of bytes both ways
- * end nothing and stop nothing. */
+/* Probes of a live flow neither close it nor stop its data. */
 TEST_F(net, live_flow_survives, 7)
 {
     size_t from_caller = 0;
@@ -286,8 +286,8 @@
     net_send_request(net);
 }
 
-/* A caller that has closed, or never opened, is told that nothing is there:
- * it answers with a reset, which nobody answers. */
+/* A caller without the flow answers the probe with a reset, which gets no
+ * reply. */
 TEST_F(net, unknown_flow, 1)
 {
     uint8_t probe[SEGMENT_PROBE_LEN];
--- a/tests/orphans/test_property.c
+++ b/tests/orphans/test_property.c
@@ -1,8 +1,8 @@
-
+/* Flows of dead owners must be probed, under random faults, and no others. */
 #include "model.h"
 #include "lib/harness.h"
 
-#define SUITE "/notice/property"
+#define SUITE "/orphans/property"
 
 static const guint32 seeds[] = {1, 2, 3, 5, 8, 13, 21, 34, 55, 89, 144, 233};
 
@@ -11,12 +11,12 @@
 {
     struct model_result result = model_run(config, seed);
 
-    g_test_message("seed %u: opened %" G_GUINT64_FORMAT
-                   ", deaths %" G_GUINT64_FORMAT ", owed %" G_GUINT64_FORMAT
-                   ", probes %" G_GUINT64_FORMAT
-                   ", messages %" G_GUINT64_FORMAT,
-                   seed, result.opened, result.deaths, result.probes_due,
-                   result.probes, result.messages);
+    g_test_message(
+        "seed %u: opened %" G_GUINT64_FORMAT ", deaths %" G_GUINT64_FORMAT
+        ", probes due %" G_GUINT64_FORMAT ", probes %" G_GUINT64_FORMAT
+        ", messages %" G_GUINT64_FORMAT,
+        seed, result.opened, result.deaths, result.probes_due, result.probes,
+        result.messages);
     if (result.failure != NULL) {
         g_test_message("seed %u failed at %" G_GUINT64_FORMAT " ms: %s", seed,
                        result.at_ms, result.failure);
@@ -24,11 +24,11 @@
         g_free(result.failure);
         return;
     }
-    /* A run in which nothing was at stake proves nothing. */
+    /* Ensures that the run had probes to check. */
     g_assert_cmpuint(result.probes_due, >, 100);
 }
 
-TEST(cell)
+TEST(nine_agents)
 {
     static const struct model_config config = {.agents = 9, .cycles = 3};
 
@@ -37,8 +37,8 @@
     }
 }
 
-/* As few as there can be: each is the other's backup. */
-TEST(pair)
+/* The smallest number of agents that each have two backups. */
+TEST(three_agents)
 {
     static const struct model_config config = {.agents = 3, .cycles = 4};
 
@@ -47,8 +47,8 @@
     }
 }
 
-/* The check sees callers that are never told. */
-TEST(without_notices)
+/* The model detects flows that are never probed. */
+TEST(lost_messages_are_detected)
 {
     static const struct model_config config = {
         .agents = 9, .cycles = 1, .drop_messages = TRUE};
--- a/tests/orphans/test_wire.c
+++ b/tests/orphans/test_wire.c
@@ -1,3 +1,5 @@
+/* Messages between owners and backups must survive encoding, and bad ones must
+ * be rejected. */
 #include <errno.h>
 #include <string.h>
 
@@ -6,7 +8,7 @@
 #include "base/link_wire.h"
 #include "lib/harness.h"
 
-#define SUITE "/notice/wire"
+#define SUITE "/orphans/wire"
 
 static struct orphan_message
 example(size_t opened, size_t closed)
@@ -26,7 +28,7 @@
     return message;
 }
 
-/* Packs and reads it again; the bytes it took. */
+/* Encodes and decodes a message and compares; returns its encoded size. */
 static size_t
 encode_decode(const struct orphan_message *message)
 {
@@ -73,9 +75,9 @@
     encode_decode(&ack);
 }
 
-/* An agent at the aimed size opens and closes 21 flows a second, in five
- * batches to each of two backups. */
-TEST(bytes_a_second)
+/* Bounds the bytes per second of an agent that opens and closes 21 flows a
+ * second, in five batches to each of two backups. */
+TEST(bytes_per_second)
 {
     struct orphan_message message = example(5, 4);
     struct orphan_message ack = {.type = ORPHAN_MESSAGE_ACK,
@@ -92,7 +94,7 @@
 }
 
 static void
-read_bad(const Swiftarch__PeerMessage *raw)
+expect_bad_message(const Swiftarch__PeerMessage *raw)
 {
     g_autoptr(GByteArray) packed = peer_wire_pack_raw(raw);
     struct orphan_message read;
@@ -111,30 +113,30 @@
     Swiftarch__PeerNotice notice = SWIFTARCH__PEER_NOTICE__INIT;
 
     raw.type = PEER_WIRE_NOTICE;
-    read_bad(&raw); /* carries none */
+    expect_bad_message(&raw); /* without a notice */
     raw.notice = &notice;
     notice.type = 2;
-    read_bad(&raw);
+    expect_bad_message(&raw);
     notice.type = ORPHAN_MESSAGE_FLOWS;
     notice.port = 65536;
-    read_bad(&raw);
+    expect_bad_message(&raw);
     notice.port = 80;
     notice.opened = (ProtobufCBinaryData){7, bytes};
-    read_bad(&raw);
+    expect_bad_message(&raw);
     notice.opened = (ProtobufCBinaryData){sizeof(bytes), bytes};
-    read_bad(&raw);
+    expect_bad_message(&raw);
     notice.opened = (ProtobufCBinaryData){sizeof(bytes) - 6, bytes};
     notice.closed = (ProtobufCBinaryData){6, bytes};
-    read_bad(&raw);
+    expect_bad_message(&raw);
 }
 
-/* Any bytes: an error or a message within bounds. */
-TEST(mutated)
+/* Random bytes give an error or a message within bounds. */
+TEST(mutated_messages)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(11);
     struct orphan_message message = example(9, 5);
     g_autoptr(GByteArray) packed = notice_wire_pack(&message);
-    unsigned read_well = 0;
+    unsigned accepted = 0;
 
     for (unsigned i = 0; i < 20000; i++) {
         g_autofree uint8_t *bytes = g_memdup2(packed->data, packed->len);
@@ -150,10 +152,10 @@
             continue;
         }
         if (wire.notice && notice_wire_read(&wire, &read) == 0) {
-            read_well++;
+            accepted++;
             g_assert_cmpuint(read.opened + read.closed, <=, ORPHAN_BATCH_MAX);
         }
         peer_wire_finish(&wire);
     }
-    g_assert_cmpuint(read_well, >, 100);
+    g_assert_cmpuint(accepted, >, 100);
 }
--- a/tests/orphans/traffic.c
+++ b/tests/orphans/traffic.c
@@ -1,9 +1,10 @@
+/* Flows, messages and probes of the simulation. */
 #include "world.h"
 
 static struct addr
 new_caller(struct model *model)
 {
-    /* Callers come back with the same address and port. */
+    /* Callers reuse addresses and ports. */
     return (struct addr){0x0a090000 +
                              (uint32_t)g_rand_int_range(model->rand, 0, 50),
                          (uint16_t)g_rand_int_range(model->rand, 1, 400)};
@@ -66,8 +67,8 @@
 }
 
 static void
-post(struct model *model, unsigned from, uint64_t to,
-     const struct orphan_message *message)
+send_message(struct model *model, unsigned from, uint64_t to,
+             const struct orphan_message *message)
 {
     unsigned copies = g_rand_int_range(model->rand, 0, 20) == 0 ? 2 : 1;
     struct queued_message queued_message = {
@@ -82,7 +83,7 @@
              g_rand_int_range(model->rand, 0, 3) == 0)) {
             continue;
         }
-        /* The copy is as from an earlier connection. */
+        /* The copy is delayed, as from an earlier connection. */
         queued_message.at_us =
             model->now_us + 1 +
             world_up_to(model, copies > 0 ? MESSAGE_DELAY_MAX_US : 30000);
@@ -102,8 +103,8 @@
     if (orphan_receive(&agent->orphans, agent->view,
                        world_id(queued_message->from),
                        &queued_message->message, model->now_us, &reply)) {
-        post(model, queued_message->to, world_id(queued_message->from),
-             &reply);
+        send_message(model, queued_message->to, world_id(queued_message->from),
+                     &reply);
     }
 }
 
@@ -131,22 +132,22 @@
 {
     guint i = 0;
 
-    while (i < model->member_update->len) {
+    while (i < model->member_updates->len) {
         struct member_update member_update =
-            g_array_index(model->member_update, struct member_update, i);
+            g_array_index(model->member_updates, struct member_update, i);
 
         if (member_update.at_us > model->now_us ||
             world_is_frozen(model, &model->agents[member_update.to])) {
             i++;
             continue;
         }
-        g_array_remove_index_fast(model->member_update, i);
+        g_array_remove_index_fast(model->member_updates, i);
         world_apply_update(model, &member_update);
     }
 }
 
 static void
-note_probe(struct model *model, const struct orphan_probe *probe)
+record_probe(struct model *model, const struct orphan_probe *probe)
 {
     uint64_t *at_us = g_new(uint64_t, 1);
 
@@ -163,7 +164,7 @@
 }
 
 static void
-note_backups(struct model *model, struct agent *agent)
+record_backups(struct model *model, struct agent *agent)
 {
     for (size_t i = 0; i < OWNER_BACKUPS; i++) {
         const struct owner_backup *backup = &agent->orphans.owner.backups[i];
@@ -190,23 +191,23 @@
         g_free(agent->view);
         agent->view = world_build_view(model, i);
         orphan_set_view(&agent->orphans, agent->view, model->now_us);
-        note_backups(model, agent);
+        record_backups(model, agent);
     }
     orphan_tick(&agent->orphans, model->now_us);
     while (
         orphan_next_message(&agent->orphans, model->now_us, &to, &message)) {
-        post(model, i, to, &message);
+        send_message(model, i, to, &message);
     }
     do {
         count = orphan_next_probes(&agent->orphans, model->now_us, probes,
                                    G_N_ELEMENTS(probes));
         for (size_t j = 0; j < count; j++) {
-            note_probe(model, &probes[j]);
+            record_probe(model, &probes[j]);
         }
     } while (count == G_N_ELEMENTS(probes));
     if (orphan_replicated_flows(&agent->orphans) >
         model->config->agents * 50 * 400) {
-        world_fail(model, "more flows are held than there are");
+        world_fail(model, "more flows are replicated than can exist");
     }
 }
 
--- a/tests/orphans/world.c
+++ b/tests/orphans/world.c
@@ -1,8 +1,9 @@
+/* Agents, their views and their deaths in the simulation. */
 #include "world.h"
 
 #include <string.h>
 
-/* The service has had another address before, for half of the callers. */
+/* Half of the callers use a former address of the service. */
 struct addr
 world_service(struct addr caller)
 {
@@ -16,10 +17,10 @@
 }
 
 void
-world_fail(struct model *model, const char *what)
+world_fail(struct model *model, const char *failure)
 {
     if (model->result.failure == NULL) {
-        model->result.failure = g_strdup(what);
+        model->result.failure = g_strdup(failure);
         model->result.at_ms = model->now_us / USEC_PER_MSEC;
     }
 }
@@ -42,7 +43,7 @@
     return agent->frozen_until_us > model->now_us;
 }
 
-/* What is known of an agent reaches each other one at another time. */
+/* Each agent receives the update at another time. */
 void
 world_send_updates(struct model *model, unsigned about,
                    enum member_health health)
@@ -56,7 +57,7 @@
             to,
             about,
             {agent->boot, health, agent->leaving}};
-        g_array_append_val(model->member_update, member_update);
+        g_array_append_val(model->member_updates, member_update);
     }
 }
 
@@ -98,19 +99,19 @@
     struct member_info *known = &agent->known_members[member_update->about];
     const struct agent *about = &model->agents[member_update->about];
 
-    if (!agent->running || member_update->what.boot < known->boot ||
+    if (!agent->running || member_update->info.boot < known->boot ||
         (member_update->to == member_update->about &&
-         member_update->what.health != MEMBER_ALIVE)) {
+         member_update->info.health != MEMBER_ALIVE)) {
         return;
     }
-    /* A refutation of what was thought wrongly; the dead refute nothing. */
-    if (member_update->what.health == MEMBER_ALIVE &&
-        member_update->what.boot == known->boot &&
+    /* Only a running process refutes that it is dead. */
+    if (member_update->info.health == MEMBER_ALIVE &&
+        member_update->info.boot == known->boot &&
         known->health == MEMBER_DEAD &&
-        (!about->running || about->boot != member_update->what.boot)) {
+        (!about->running || about->boot != member_update->info.boot)) {
         return;
     }
-    *known = member_update->what;
+    *known = member_update->info;
     agent->changed = TRUE;
 }
 
@@ -122,7 +123,7 @@
     agent->running = TRUE;
     agent->leaving = FALSE;
     agent->frozen_until_us = 0;
-    agent->boot = ++model->boots;
+    agent->boot = ++model->last_boot;
     memset(agent->backups_seen, 0, sizeof(agent->backups_seen));
     memset(agent->known_members, 0, sizeof(agent->known_members));
     agent->known_members[i] =
@@ -130,7 +131,7 @@
     agent->changed = TRUE;
     orphan_init(&agent->orphans, agent->boot);
     world_send_updates(model, i, MEMBER_ALIVE);
-    /* A newcomer fetches the members from somebody. */
+    /* A started agent fetches the members from another. */
     for (unsigned j = 0; j < model->config->agents; j++) {
         const struct agent *other = &model->agents[j];
         struct member_update member_update = {
@@ -139,12 +140,12 @@
             j,
             {other->boot, MEMBER_ALIVE, other->leaving}};
         if (j != i && other->running) {
-            g_array_append_val(model->member_update, member_update);
+            g_array_append_val(model->member_updates, member_update);
         }
     }
 }
 
-/* A backup that could know the flows, or -1. */
+/* A backup that must have the flows of @owner, or -1. */
 static int
 find_backup(const struct model *model, const struct agent *owner)
 {
@@ -194,7 +195,8 @@
     agent->running = FALSE;
 }
 
-/* What may be probed when this agent dies after quiet. */
+/* Records the callers that may be probed when @agent dies after a quiet phase.
+ */
 static void
 expect_probes(struct model *model, const struct agent *agent)
 {
--- a/tests/orphans/world.h
+++ b/tests/orphans/world.h
@@ -1,5 +1,5 @@
 /**
- * DOC: world - the agents of the model and what is on its way between them
+ * DOC: world - the model's agents and the messages in flight between them
  */
 #ifndef SWIFTARCH_TESTS_ORPHANS_WORLD_H
 #define SWIFTARCH_TESTS_ORPHANS_WORLD_H
@@ -17,31 +17,31 @@
 #define FREEZE_MAX_US (3 * USEC_PER_SEC)
 #define LAG_MAX_US (2 * USEC_PER_SEC)
 
-/* A backup chosen so long ago, and undisturbed since, known_members a flow
- * that was opened so long ago. */
+/* A backup must have a flow if it was selected and the flow opened this long
+ * ago, without a fault since. */
 #define REPORTED_US (4 * USEC_PER_SEC)
 
-/* A flow that closed so lately may still be thought open. */
+/* A flow closed within this time may still be open at its backups. */
 #define CLOSED_US (1 * USEC_PER_SEC)
 #define LONE_SERVICE 2
 #define COMMON_SERVICE 1
 
-/** struct member_info - what one agent thinks of another */
+/** struct member_info - state of a member in another's view */
 struct member_info {
-    uint64_t boot; /* 0: never heard of */
+    uint64_t boot; /* 0: not in the view */
     enum member_health health;
     gboolean leaving;
 };
 
-/** struct member_update - member_info on its way to an agent */
+/** struct member_update - change of a member in flight to agent @to */
 struct member_update {
     uint64_t at_us;
     unsigned to;
     unsigned about;
-    struct member_info what;
+    struct member_info info;
 };
 
-/** struct queued_message - a message on its way */
+/** struct queued_message - message in flight */
 struct queued_message {
     uint64_t at_us;
     unsigned from;
@@ -67,8 +67,8 @@
     uint64_t due_us;
     uint64_t dead_us;
     struct addr caller;
-    unsigned backup;      /* the backup that has to do it */
-    uint64_t backup_boot; /* unless it has died meanwhile */
+    unsigned backup;      /* the backup that has to probe */
+    uint64_t backup_boot; /* its process when the owner died */
 };
 
 struct agent {
@@ -80,7 +80,7 @@
     uint64_t backups_seen[OWNER_BACKUPS];
     struct orphans orphans;
     GArray *flows;
-    GArray *ended; /* those closed lately */
+    GArray *ended; /* flows closed recently */
     struct member_info known_members[MODEL_AGENTS_MAX];
     struct view *view;
     gboolean changed;
@@ -90,11 +90,11 @@
     const struct model_config *config;
     GRand *rand;
     uint64_t now_us;
-    uint64_t boots;
+    uint64_t last_boot;
     uint64_t lossy_until_us;
     gboolean faults_off; /* no new failures */
     struct agent agents[MODEL_AGENTS_MAX];
-    GArray *member_update;
+    GArray *member_updates;
     GArray *queued_messages;
     GArray *expected_probes;
     GHashTable *probed;   /* caller to time last probed, microseconds */
@@ -102,7 +102,7 @@
     struct model_result result;
 };
 
-/** world_service() - address that a caller has called */
+/** world_service() - service address that a caller uses */
 struct addr
 world_service(struct addr caller);
 
@@ -110,24 +110,24 @@
 uint64_t
 world_id(unsigned i);
 
-/** world_fail() - note the first violation */
+/** world_fail() - record the first violation */
 void
-world_fail(struct model *model, const char *what);
+world_fail(struct model *model, const char *failure);
 
-/** world_up_to() - a time below @max_us, microseconds */
+/** world_up_to() - random time below @max_us */
 uint64_t
 world_up_to(struct model *model, uint64_t max_us);
 
-/** world_key() - a caller as key of a hash table */
+/** world_key() - hash table key of a caller */
 gpointer
 world_key(struct addr caller);
 
-/** world_is_frozen() - whether an agent stands still */
+/** world_is_frozen() - whether an agent is frozen now */
 gboolean
 world_is_frozen(const struct model *model, const struct agent *agent);
 
-/** world_send_updates() - what is known of an agent reaches each other one at
- * another time */
+/** world_send_updates() - send an agent's state to all agents after random
+ * delays */
 void
 world_send_updates(struct model *model, unsigned about,
                    enum member_health health);
@@ -136,21 +136,20 @@
 void
 world_start(struct model *model, unsigned i);
 
-/** world_die() - kill an agent if it is running; notes what has to be probed
- */
+/** world_die() - kill an agent if it is running, and record expected probes */
 void
 world_die(struct model *model, unsigned i);
 
-/** world_agent_finish() - free what an agent holds */
+/** world_agent_finish() - free an agent's flows and state */
 void
 world_agent_finish(struct agent *agent);
 
-/** world_apply_update() - an agent hears of another */
+/** world_apply_update() - apply an update to the receiver's view */
 void
 world_apply_update(struct model *model,
                    const struct member_update *member_update);
 
-/** world_build_view() - what an agent known_members, as a view */
+/** world_build_view() - create a view from an agent's known members */
 struct view *
 world_build_view(const struct model *model, unsigned self);
 
@@ -162,21 +161,20 @@
 void
 traffic_close(struct model *model, unsigned i);
 
-/** traffic_deliver() - hand over the messages that have arrived */
+/** traffic_deliver() - deliver the messages that are due */
 void
 traffic_deliver(struct model *model);
 
-/** traffic_deliver_updates() - hand over what has become known */
+/** traffic_deliver_updates() - deliver the member updates that are due */
 void
 traffic_deliver_updates(struct model *model);
 
-/** traffic_tick() - let an agent do what is due */
+/** traffic_tick() - run an agent's timers and send its messages and probes */
 void
 traffic_tick(struct model *model, unsigned i);
 
-/** traffic_check_expected_probes() - see that flows of dead owners were probed
- * in time
- */
+/** traffic_check_expected_probes() - check that flows of dead owners were
+ * probed in time */
 void
 traffic_check_expected_probes(struct model *model);
 
