--- a/src/flow/flow_types.h
+++ b/src/flow/flow_types.h
@@ -30,11 +30,9 @@
 #define FLOW_CONTINUATIONS_PER_S 1000
 
 /* Flags between agents in struct gue, all within GUE_AGENT_FLAGS. */
-#define FLOW_GUE_OPEN_NOW 0x04 /* no owner found: open this datagram flow */
-#define FLOW_GUE_SUSPECTS_ONLY                                                \
-    0x08 /* all that answer were asked, suspects are left                     \
-          */
-#define FLOW_GUE_CONTINUATION 0x10 /* unit of the number of continuations */
+#define FLOW_GUE_OPEN_NOW 0x04 /* no owner found: open the datagram flow */
+#define FLOW_GUE_SUSPECTS_ONLY 0x08 /* only suspected agents are left */
+#define FLOW_GUE_CONTINUATION 0x10  /* unit of the number of continuations */
 #define FLOW_GUE_CONTINUATION_MASK 0x30
 
 /**
