--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -40,7 +40,7 @@
     g_free(idem);
 }
 
-/* Whoever calls again after a long silence was paused. */
+/* Treats a long gap between calls as a pause of this process. */
 static void
 detect_pause(struct idem *idem, uint64_t now_us)
 {
--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -1,42 +1,49 @@
 /**
- * DOC: idem - at most once for requests with an idempotency key
+ * DOC: idem - at-most-once execution of requests with an idempotency key
  *
- * The three highest-ranked settled agents of a service for a key keep its
- * record (its replicas). Whoever accepts a request reserves the key at all
- * of them before it may run; IDEM_QUORUM grants (or all replicas, when
- * there are fewer) and no refusal let it run. A replica that knows the key
- * answers with the record: the earlier answer, "in progress", or
- * "unknown". Records are pushed on when the ranking changes. Nothing is
- * held by time alone, so a paused holder harms nobody.
+ * The record of a key is replicated on the IDEM_REPLICAS highest-ranked
+ * eligible agents of its service. The agent that accepts a request (its
+ * coordinator) reserves the key at all replicas before the request may run.
+ * It needs IDEM_QUORUM grants (all replicas, when there are fewer) and no
+ * conflicting record. A replica that already has a record replies with it:
+ * the earlier answer, in progress, or unknown. Records are copied to the new
+ * replicas when the ranking changes. No reservation ends by time alone, so a
+ * paused coordinator is harmless.
  *
- * The replicas are ranked twice: over the members now, and over the members
- * IDEM_ELIGIBLE_AFTER_US ago, those who died since included. Both sets must
- * grant: of the earlier one, all its survivors if fewer than IDEM_QUORUM live,
- * and at least one. So two coordinators whose views differ by less than
- * IDEM_ELIGIBLE_AFTER_US still ask a set that they share, and a death or a
- * join never hides a record before it has been pushed on. A member counts for
- * the set of now only once it is settled: known for IDEM_ELIGIBLE_AFTER_US
- * since its process started, or since it came back from the dead. Where fewer
- * than IDEM_REPLICAS are settled (a service that has just started) the
- * oldest others fill up; a process that is itself younger than
- * IDEM_START_US doesn't know them all yet, and starts nothing. Nobody
- * starts anything while half of a service's agents have just fallen
- * silent: they may be running on the other side of a cut. Nor does a
- * process that was paused for IDEM_STALE_US, for twice IDEM_ELIGIBLE_AFTER_US:
- * the joins that it missed are old to the others and new to it. A process
- * younger than twice IDEM_ELIGIBLE_AFTER_US doesn't know who died just before
- * it started: it needs a grant of all of the earlier set, unless nobody lived
- * then. So does everybody while a replica that is in neither set has ended
- * within IDEM_ELIGIBLE_AFTER_US.
+ * Two sets of replicas must grant: the current one, and the one of
+ * IDEM_ELIGIBLE_AFTER_US ago, which includes members that died since. In the
+ * earlier set at least one member must survive, and all survivors must grant
+ * when fewer than IDEM_QUORUM are left. Coordinators whose views differ by
+ * less than IDEM_ELIGIBLE_AFTER_US therefore share a set, and a death or a
+ * join never hides a record before it has been copied.
  *
- * What this assumes: views differ by less than IDEM_ELIGIBLE_AFTER_US (by less
- * than IDEM_START_US while a service starts), and fewer than IDEM_QUORUM of a
- * key's replicas lose their memory within the time it takes to notice a
- * death, to settle and to push (15 s after it was noticed). See
+ * A member is eligible for the current set IDEM_ELIGIBLE_AFTER_US after its
+ * process started or came back from the dead. While fewer than IDEM_REPLICAS
+ * are eligible (a service that is starting), the oldest other members fill
+ * the set.
+ *
+ * A coordinator starts no request
+ * - while it is younger than IDEM_START_US and a replica isn't eligible: it
+ *   may not have heard of all members yet;
+ * - while half of the service's agents have just fallen silent: they may
+ *   run on the other side of a network partition;
+ * - for 2 * IDEM_ELIGIBLE_AFTER_US after a pause of IDEM_STALE_US: members
+ *   that joined during the pause are eligible for others before they are
+ *   eligible here.
+ *
+ * All survivors of the earlier set must grant while the coordinator is
+ * younger than 2 * IDEM_ELIGIBLE_AFTER_US, because it may have missed a
+ * death before its start (unless no member lived then), and while a replica
+ * that is in neither set has ended within IDEM_ELIGIBLE_AFTER_US.
+ *
+ * Assumptions: views differ by less than IDEM_ELIGIBLE_AFTER_US (by less
+ * than IDEM_START_US while a service starts), and fewer than IDEM_QUORUM of
+ * a key's replicas lose their memory within the time it takes to detect a
+ * death, become eligible and copy records (15 s after detection). See
  * docs/design-idempotency.md.
  *
- * Pure: one struct idem holds both sides (coordinator of own requests and
- * replica of keys); events in, actions out.
+ * The module does no I/O: one struct idem holds both roles (coordinator of
+ * its own requests, replica for others); events go in, actions come out.
  */
 #ifndef SWIFTARCH_IDEM_IDEM_H
 #define SWIFTARCH_IDEM_IDEM_H
@@ -55,17 +62,17 @@
 #define IDEM_ELIGIBLE_AFTER_US (10 * USEC_PER_SEC)
 #define IDEM_START_US (3 * USEC_PER_SEC)
 #define IDEM_PAUSE_US (2 * USEC_PER_SEC)
-/* After a pause of this long its members are out of date. */
+/* The member list is out of date after a pause of this length. */
 #define IDEM_STALE_US (5 * USEC_PER_SEC)
 #define IDEM_RESERVE_TIMEOUT_US (300 * USEC_PER_MSEC)
 #define IDEM_ANSWERS_BYTES_MAX (16u << 20)
 
 /**
- * struct idem_key - key of one request
+ * struct idem_key - idempotency key of a request
  * @service: service id
  * @hash: 128-bit hash of the Idempotency-Key value
- * @fingerprint: hash of method, target and body: the same key with
- *               another request is an error of the caller
+ * @fingerprint: hash of method, target and body, to detect a key that is
+ *               reused for a different request
  */
 struct idem_key {
     uint32_t service;
@@ -73,35 +80,36 @@
     uint64_t fingerprint;
 };
 
-/** enum idem_state - what a record says */
+/** enum idem_state - state of a key's first request */
 enum idem_state {
     IDEM_STARTED, /* reserved; may be running */
-    IDEM_DONE,    /* ran; the answer is kept if it fits IDEM_ANSWER_MAX */
-    IDEM_UNKNOWN  /* its owner says: handed over, how it ended is not known */
+    IDEM_DONE,    /* ran; the answer is stored up to IDEM_ANSWER_MAX bytes */
+    IDEM_UNKNOWN  /* sent to an upstream; its result is unknown */
 };
 
-/** enum idem_msg_type - between agents */
+/** enum idem_msg_type - type of a message between agents */
 enum idem_msg_type {
     IDEM_MSG_RESERVE, /* coordinator to replica */
     IDEM_MSG_GRANT,   /* replica to coordinator: recorded as started */
-    IDEM_MSG_EXISTS,  /* replica to coordinator: here is the record */
-    IDEM_MSG_RELEASE, /* coordinator to replica: not run, forget it */
-    IDEM_MSG_RECORD,  /* outcome, or a record pushed on; idempotent */
-    IDEM_MSG_ACK,     /* the record of RECORD is held here */
+    IDEM_MSG_EXISTS,  /* replica to coordinator: record of another request */
+    IDEM_MSG_RELEASE, /* coordinator to replica: not run, remove it */
+    IDEM_MSG_RECORD,  /* an outcome or a copy of a record; idempotent */
+    IDEM_MSG_ACK,     /* the sender holds the record of a RECORD */
     IDEM_MSG_DENY     /* replica to coordinator: no room for a new key */
 };
 
 /**
- * struct idem_msg - one message
- * @type: which
- * @key: key it is about
+ * struct idem_msg - a message between agents
+ * @type: message type
+ * @key: key of the record
  * @owner: member id of the coordinator of the record
- * @token: coordinator's number for the reservation
- * @state: EXISTS, RECORD, ACK: of the record. GRANT: IDEM_STARTED from a
- *         settled replica, IDEM_UNKNOWN from one that isn't, IDEM_DONE from
- *         one younger than IDEM_START_US (recorded, but never counted)
- * @answer: EXISTS, RECORD: whole HTTP answer as sent, or NULL (not held)
- * @answer_len: its length
+ * @token: the coordinator's number of the reservation
+ * @state: EXISTS, RECORD, ACK: state of the record. GRANT: IDEM_STARTED from
+ *         an eligible replica, IDEM_UNKNOWN from an ineligible one, IDEM_DONE
+ *         from one younger than IDEM_START_US (recorded, but not counted)
+ * @answer: EXISTS, RECORD: complete HTTP response as sent, or NULL when it
+ *          isn't stored
+ * @answer_len: bytes of @answer
  */
 struct idem_msg {
     enum idem_msg_type type;
@@ -113,29 +121,30 @@
     size_t answer_len;
 };
 
-/** enum idem_action_type - what the program must do */
+/** enum idem_action_type - what the caller of the module must do */
 enum idem_action_type {
     IDEM_SEND,            /* send @msg to @to */
     IDEM_PROCEED,         /* request @token may be run */
     IDEM_REPLAY,          /* answer request @token with msg.answer */
-    IDEM_IN_PROGRESS,     /* request @token: the first one still runs */
-    IDEM_OUTCOME_UNKNOWN, /* request @token: it ran or not, nobody knows */
-    IDEM_MISMATCH,        /* request @token: key reused for something else */
-    IDEM_REFUSE /* request @token not run: no quorum or lost a race */
+    IDEM_IN_PROGRESS,     /* request @token: the key's first request runs */
+    IDEM_OUTCOME_UNKNOWN, /* request @token: the first one may have run */
+    IDEM_MISMATCH,        /* request @token: key of a different request */
+    IDEM_REFUSE           /* request @token must not run; see the reason */
 };
 
 /** enum idem_reason - why a request got IDEM_OUTCOME_UNKNOWN or IDEM_REFUSE
  */
 enum idem_reason {
     IDEM_REASON_NONE,
-    IDEM_REASON_QUORUM,     /* refused: too few replicas answered */
+    IDEM_REASON_QUORUM,     /* refused: too few replicas granted */
     IDEM_REASON_FULL,       /* refused: no room for a new key */
-    IDEM_REASON_LOST,       /* refused: all former replicas died just now */
-    IDEM_REASON_OWNER_GONE, /* unknown: the process that ran it is gone */
-    IDEM_REASON_NO_ANSWER   /* unknown: it ran, the answer is not held */
+    IDEM_REASON_LOST,       /* refused: all earlier replicas have died */
+    IDEM_REASON_OWNER_GONE, /* unknown: the owner's process has ended */
+    IDEM_REASON_NO_ANSWER   /* unknown: it ran, its answer isn't stored */
 };
 
-/** struct idem_action - one action; valid until the next call */
+/** struct idem_action - an action; its answer is valid until the next call
+ */
 struct idem_action {
     enum idem_action_type type;
     enum idem_reason reason;
@@ -144,7 +153,7 @@
     struct idem_msg msg;
 };
 
-/** struct idem_actions - list that grows; the caller owns and empties it */
+/** struct idem_actions - growing list of actions, owned by the caller */
 struct idem_actions {
     struct idem_action *items;
     size_t count;
@@ -157,48 +166,55 @@
 
 struct idem;
 
-/** idem_new() - @max_records bounds memory: at the bound new keys are
- * refused (not run), never old ones forgotten early */
+/**
+ * idem_new() - create the state of member @self
+ * @max_records: records stored at most; at this bound new keys are refused,
+ *               old records are never evicted
+ *
+ * Return: NULL without memory.
+ */
 struct idem *
 idem_new(uint64_t self, size_t max_records);
 void
 idem_free(struct idem *idem);
 
-/** idem_set_view() - members changed: move records to their new replicas,
- * settle reservations that wait for the dead */
+/** idem_set_view() - take a new member list: copy records to new replicas and
+ * stop waiting for dead ones; 0 or a negative errno value */
 int
 idem_set_view(struct idem *idem, const struct view *view, uint64_t now_us,
               struct idem_actions *out);
 
-/** idem_begin() - a request with a key arrived; @token is its own number */
+/** idem_begin() - reserve the key of a new request; @token is the caller's
+ * number of the request. 0, or -EEXIST when @token is in use */
 int
 idem_begin(struct idem *idem, uint64_t token, const struct idem_key *key,
            uint64_t now_us, struct idem_actions *out);
 
-/** idem_end() - request @token has ended: DONE with its answer, UNKNOWN,
- * or @not_run (the key is released and may be tried again) */
+/** idem_end() - end request @token: IDEM_DONE with its answer, IDEM_UNKNOWN,
+ * or @not_run, which releases the key for another try. 0, -ENOENT for an
+ * unknown @token, -EINVAL for another state */
 int
 idem_end(struct idem *idem, uint64_t token, bool not_run,
          enum idem_state state, const uint8_t *answer, size_t answer_len,
          uint64_t now_us, struct idem_actions *out);
 
-/** idem_receive() - a message from member @from */
+/** idem_receive() - handle a message from member @from; 0, or -EINVAL for an
+ * invalid message */
 int
 idem_receive(struct idem *idem, uint64_t from, const struct idem_msg *msg,
              uint64_t now_us, struct idem_actions *out);
 
-/** idem_tick() - timeouts; call every 50 ms or so. After IDEM_PAUSE_US
- * without any call the process counts as having been paused */
+/** idem_tick() - run timeouts; call about every 50 ms. A gap of IDEM_PAUSE_US
+ * without any call counts as a pause of the process */
 int
 idem_tick(struct idem *idem, uint64_t now_us, struct idem_actions *out);
 
-/** idem_unacked_records() - records held here that some replica hasn't
- * acknowledged yet; a process that is being stopped waits (bounded) until it
- * is 0 */
+/** idem_unacked_records() - stored records that some replica hasn't
+ * acknowledged; a stopping process waits for 0, for a bounded time */
 size_t
 idem_unacked_records(const struct idem *idem);
 
-/** idem_records() - records held here */
+/** idem_records() - number of stored records */
 size_t
 idem_records(const struct idem *idem);
 
--- a/src/idem/push.c
+++ b/src/idem/push.c
@@ -11,7 +11,8 @@
     return false;
 }
 
-/* The first living replica of a while ago surely has the answer. */
+/* Whether this agent is the first live replica of the earlier set, which
+ * sends the answers. */
 static bool
 is_answer_source(const struct idem *idem, const struct replica_set *earlier)
 {
@@ -25,8 +26,8 @@
     return true;
 }
 
-/* Send the record to those targets that aren't known to hold it; whether
- * there are any. */
+/* Sends the record to the targets that haven't acknowledged it. Returns
+ * whether there are any. */
 static bool
 push_to_targets(struct idem *idem, struct record *record,
                 const struct replica_set *targets, bool full, bool send,
@@ -58,8 +59,8 @@
     return missing;
 }
 
-/* A replica asks the owner of a long reservation from time to time, in case
- * its end got lost. */
+/* Queries the owner of a long reservation at intervals, in case the message
+ * that ended it was lost. */
 static void
 query_owner(const struct record *record, uint64_t now_us,
             struct idem_actions *out)
@@ -72,8 +73,8 @@
     }
 }
 
-/* A reservation by this process that has no open request: given up, or of
- * an earlier session, of which nothing is known. Whether it is over. */
+/* Ends a reservation of this member without an open request: it was released,
+ * or made by an earlier process. Returns whether to remove the record. */
 static bool
 expire_own(struct idem *idem, struct record *record, uint64_t now_us)
 {
@@ -87,8 +88,8 @@
     return false;
 }
 
-/* What time does to a record; whether it is over. A reservation stays one
- * when its owner seems to be dead: it may come back and say how it ended. */
+/* Returns whether the record has expired. A reservation is kept when its owner
+ * seems dead: the owner may come back and report the outcome. */
 static bool
 expire_record(struct idem *idem, struct record *record, bool owner_gone,
               uint64_t now_us, struct idem_actions *out)
@@ -105,8 +106,8 @@
 }
 
 static void
-visit(struct idem *idem, struct record *record, uint64_t now_us,
-      struct idem_actions *out)
+visit_record(struct idem *idem, struct record *record, uint64_t now_us,
+             struct idem_actions *out)
 {
     struct replica_set targets;
     struct replica_set earlier;
@@ -186,7 +187,7 @@
     while (visits-- > 0 && idem->cursor > 0) {
         idem->cursor--;
         if (idem->cursor < idem->records.count) {
-            visit(idem, idem->records.items[idem->cursor], now_us, out);
+            visit_record(idem, idem->records.items[idem->cursor], now_us, out);
         }
     }
 }
@@ -202,6 +203,6 @@
     while (visits-- > 0 &&
            (record = TAILQ_FIRST(&idem->records.queue)) != NULL &&
            record->due_us <= now_us) {
-        visit(idem, record, now_us, out);
+        visit_record(idem, record, now_us, out);
     }
 }
--- a/src/idem/quorum.c
+++ b/src/idem/quorum.c
@@ -12,7 +12,7 @@
 }
 
 static struct reserve_replica *
-add(struct reserve *reserve, const struct replica_session *session)
+add_queried(struct reserve *reserve, const struct replica_session *session)
 {
     struct reserve_replica *queried = quorum_find(reserve, session->id);
 
@@ -25,7 +25,6 @@
     return queried;
 }
 
-/* Who must be queried: both sets, and those who will hold the record later. */
 void
 quorum_choose(const struct idem *idem, struct reserve *reserve,
               uint64_t now_us)
@@ -35,11 +34,12 @@
 
     replicas_targets(&idem->replicas, &reserve->key, now_us, &set);
     for (size_t i = 0; i < set.count; i++) {
-        (void)add(reserve, set.sessions[i]);
+        (void)add_queried(reserve, set.sessions[i]);
     }
     replicas_at(&idem->replicas, &reserve->key, (int64_t)now_us, &set);
     for (size_t i = 0; i < set.count; i++) {
-        struct reserve_replica *queried = add(reserve, set.sessions[i]);
+        struct reserve_replica *queried =
+            add_queried(reserve, set.sessions[i]);
 
         queried->now = true;
         queried->now_ineligible =
@@ -56,13 +56,13 @@
         if (set.sessions[i]->gone) {
             continue;
         }
-        queried = add(reserve, set.sessions[i]);
+        queried = add_queried(reserve, set.sessions[i]);
         queried->earlier = true;
         queried->earlier_ineligible = !replicas_eligible(set.sessions[i], ago);
     }
 }
 
-/* The session that was queried, while its memory is still there. */
+/* Returns the queried session, or NULL when its memory is lost. */
 static const struct replica_session *
 find_live_session(const struct idem *idem,
                   const struct reserve_replica *queried)
@@ -77,15 +77,14 @@
     return NULL;
 }
 
-/* How many of the @earlier ones left must grant: all if they are fewer than
- * the quorum, and all in three more cases.
- * - A replica came and went: it may hold a record together with one of them.
- * - One that a newcomer never saw die may have had the place of any of them;
- *   then the others are the survivors.
- * - The service was starting then: who lived at that time depends on the
- *   clock of the process that tells. Two sets share members, but two of three
- *   of one and two of three of the other needn't. While nobody lived that
- *   long ago they are the oldest for everybody, and the quorum does. */
+/* Returns how many of the @earlier survivors must grant: IDEM_QUORUM, or all
+ * of them when
+ * - a replica that is in neither set has ended: it may share a record with
+ *   only one of the survivors;
+ * - this process has just started: it may have missed the death of a replica,
+ *   or have derived another earlier set from its clock than other
+ *   coordinators, and quorums of two overlapping sets needn't overlap. In a
+ *   younger service the earlier set is the same for all. */
 static size_t
 earlier_needed(const struct idem *idem, const struct reserve *reserve,
                size_t earlier, uint64_t now_us)
@@ -97,7 +96,6 @@
     return all ? earlier : MIN(IDEM_QUORUM, earlier);
 }
 
-/* Grants of both sets. Of the earlier set at least one must be left. */
 bool
 quorum_reached(const struct idem *idem, const struct reserve *reserve,
                uint64_t now_us)
@@ -116,7 +114,8 @@
         if (starting && queried->now && queried->now_ineligible) {
             return false;
         }
-        /* A incomplete memory counts only where nobody had an older one. */
+        /* An ineligible replica counts only in a set that lacked eligible
+         * ones. */
         now += queried->now;
         now_granted += queried->now && granted &&
                        (!queried->incomplete || queried->now_ineligible);
@@ -136,7 +135,6 @@
             earlier_granted >= earlier_needed(idem, reserve, earlier, now_us));
 }
 
-/* Whether nobody of the earlier set is left. */
 bool
 quorum_lost(const struct idem *idem, const struct reserve *reserve)
 {
@@ -150,8 +148,6 @@
     return reserve->had_earlier && !any;
 }
 
-/* Whether the word of somebody who should know is still out; of suspects
- * only with @suspects. */
 bool
 quorum_must_wait(const struct idem *idem, const struct reserve *reserve,
                  bool suspects)
--- a/src/idem/quorum.h
+++ b/src/idem/quorum.h
@@ -1,36 +1,37 @@
 /**
- * DOC: quorum - whom a reservation must ask, and whether they let it run
+ * DOC: quorum - which replicas a reservation queries, and whether they grant
  *
- * Two sets of replicas have a say: that of now and that of
- * IDEM_ELIGIBLE_AFTER_US ago. See DOC of idem.h.
+ * Both the current set of replicas and that of IDEM_ELIGIBLE_AFTER_US ago
+ * must grant. See DOC of idem.h.
  */
 #ifndef SWIFTARCH_IDEM_QUORUM_H
 #define SWIFTARCH_IDEM_QUORUM_H
 
 #include "idem/reserve.h"
 
-/** quorum_choose() - fill in whom @reserve asks: both sets, and those who
- * will hold the record later */
+/** quorum_choose() - set the members that @reserve queries: both sets, and the
+ * future holders of the record */
 void
 quorum_choose(const struct idem *idem, struct reserve *reserve,
               uint64_t now_us);
 
-/** quorum_find() - the entry of member @id, or NULL */
+/** quorum_find() - the queried member @id, or NULL */
 struct reserve_replica *
 quorum_find(struct reserve *reserve, uint64_t id);
 
-/** quorum_reached() - whether both sets granted, and this process isn't cut
- * off or just back from a long pause */
+/** quorum_reached() - whether both sets have granted, and this process is
+ * neither partitioned nor stale after a pause */
 bool
 quorum_reached(const struct idem *idem, const struct reserve *reserve,
                uint64_t now_us);
 
-/** quorum_lost() - whether nobody of the earlier set is left */
+/** quorum_lost() - whether all members of the earlier set have lost their
+ * memory */
 bool
 quorum_lost(const struct idem *idem, const struct reserve *reserve);
 
-/** quorum_must_wait() - whether the word of somebody who has a say is still
- * out; @suspects: that of suspects too */
+/** quorum_must_wait() - whether a reply of a live member of either set is
+ * missing; @suspects: also wait for suspects */
 bool
 quorum_must_wait(const struct idem *idem, const struct reserve *reserve,
                  bool suspects);
--- a/src/idem/record.c
+++ b/src/idem/record.c
@@ -55,7 +55,7 @@
     return record;
 }
 
-/* Keep chains short; without memory they just grow longer. */
+/* Doubles the buckets. Without memory the chains grow longer instead. */
 static void
 grow_buckets(struct record_table *table)
 {
@@ -126,7 +126,6 @@
     return record;
 }
 
-/* Take the answer out of the list and drop it. */
 static void
 drop_answer(struct record_table *table, struct record *record)
 {
--- a/src/idem/record.h
+++ b/src/idem/record.h
@@ -1,9 +1,9 @@
 /**
- * DOC: record - the table of records that an agent holds
+ * DOC: record - the table of records that an agent stores
  *
- * Records are found by key, and visited from the last to the first while
- * others are removed. Answers share a budget of bytes: the ones that ended
- * longest ago are dropped first, their records stay.
+ * Records are found by key, and may be removed during a pass from the last to
+ * the first. Answers share IDEM_ANSWERS_BYTES_MAX: the oldest are dropped
+ * first, their records stay.
  */
 #ifndef SWIFTARCH_IDEM_RECORD_H
 #define SWIFTARCH_IDEM_RECORD_H
@@ -17,10 +17,10 @@
 #include "idem/replicas.h"
 
 /**
- * struct record_holder - what another member holds of a record
- * @session: number of its session, 0 for an unused slot
- * @full: the answer was sent along
- * @acked: it said that it holds the record
+ * struct record_holder - a copy of a record at another member
+ * @session: number of the member's session, 0 for an unused slot
+ * @full: the answer was sent with the record
+ * @acked: the member acknowledged the record
  */
 struct record_holder {
     uint32_t session : 30;
@@ -29,24 +29,24 @@
 };
 
 /**
- * struct record - one key
+ * struct record - state of a key
  * @next: next in the hash chain
- * @answers: place among those with an answer, newest first
- * @queue: place among those to be visited again, by @due_us
- * @index: where it stands in the table
+ * @answers: entry in the table's list of answers
+ * @queue: entry in the table's queue
+ * @index: index in the table's items
  * @key: key
  * @owner: member id of the coordinator
- * @token: its number on the wire
- * @updated_us: when the state changed last, own clock
- * @answer: HTTP answer, or NULL
- * @answer_len: bytes
- * @state: what is holder
+ * @token: the coordinator's number of the reservation
+ * @updated_us: last change of the state, monotonic clock
+ * @answer: HTTP response, or NULL
+ * @answer_len: bytes of @answer
+ * @state: enum idem_state
  * @queued: in the queue
- * @holders_assumed: @holder goes by the owner's word, which ends with its
- * session
- * @unacked: some target hasn't said yet that it holds the record
- * @due_us: when to visit it again
- * @holder: who holds this state too
+ * @holders_assumed: @holder assumes that the owner sends the record to all
+ *                   targets; reset when the owner's process ends
+ * @unacked: some target hasn't acknowledged the record
+ * @due_us: when to visit the record again
+ * @holder: copies of this state at other members
  */
 struct record {
     struct record *next;
@@ -70,16 +70,16 @@
 TAILQ_HEAD(record_list, record);
 
 /**
- * struct record_table - all records
- * @buckets: hash chains, a power of two
- * @bucket_count: how many
- * @items: all records, in no order
- * @count: records
- * @capacity: room in @items
- * @answer_bytes: bytes of answers held
- * @answers: those with an answer, newest first
- * @queue: those to be visited again, soonest first
- * @unacked: how many are unacked
+ * struct record_table - all records of an agent
+ * @buckets: hash chains
+ * @bucket_count: number of @buckets, a power of two
+ * @items: all records, unordered
+ * @count: number of records
+ * @capacity: allocated entries of @items
+ * @answer_bytes: total bytes of the stored answers
+ * @answers: records with an answer, newest first
+ * @queue: records to visit again, soonest first
+ * @unacked: number of records with unacked set
  */
 struct record_table {
     struct record **buckets;
@@ -93,77 +93,81 @@
     size_t unacked;
 };
 
-/** record_table_init() - an empty table; 0 or -ENOMEM */
+/** record_table_init() - initialize an empty table; 0 or -ENOMEM */
 int
 record_table_init(struct record_table *table);
 
-/** record_table_finish() - free all */
+/** record_table_finish() - free all records and the table */
 void
 record_table_finish(struct record_table *table);
 
-/** record_same_key() - same service and key, whatever the fingerprint */
+/** record_same_key() - whether service and hash match; ignores the fingerprint
+ */
 bool
 record_same_key(const struct idem_key *a, const struct idem_key *b);
 
-/** record_find() - record of @key (its fingerprint isn't compared) or NULL */
+/** record_find() - the record of @key, or NULL; ignores the fingerprint */
 struct record *
 record_find(const struct record_table *table, const struct idem_key *key);
 
-/** record_add() - a new record of @key, which has none; NULL: no memory */
+/** record_add() - add a record of @key, which must have none; NULL without
+ * memory */
 struct record *
 record_add(struct record_table *table, const struct idem_key *key,
            uint64_t owner, uint64_t token, uint64_t now_us);
 
-/** record_remove() - forget @record */
+/** record_remove() - remove and free @record */
 void
 record_remove(struct record_table *table, struct record *record);
 
-/** record_set_state() - the state became another; nobody else knows yet */
+/** record_set_state() - change the state; no other member holds it yet */
 void
 record_set_state(struct record_table *table, struct record *record,
                  enum idem_state state, uint64_t now_us);
 
-/** record_set_answer() - keep a copy of the answer, if it isn't too long */
+/** record_set_answer() - replace the answer by a copy of @answer; none is
+ * stored when it is longer than IDEM_ANSWER_MAX */
 void
 record_set_answer(struct record_table *table, struct record *record,
                   const uint8_t *answer, size_t len);
 
-/** record_is_held_by() - whether @session said that it holds the record, with
- * the answer if @full */
+/** record_is_held_by() - whether @session acknowledged the record, with @full:
+ * including the answer */
 bool
 record_is_held_by(const struct record *record, uint32_t session, bool full);
 
-/** record_mark_sent() - the record went to @session; takes the place of one
- * that isn't among @targets when there is no room */
+/** record_mark_sent() - note that the record was sent to @session; reuses the
+ * slot of a session that isn't in @targets */
 void
 record_mark_sent(struct record *record, uint32_t session, bool full,
                  const struct replica_set *targets);
 
-/** record_mark_acked() - @session holds the record */
+/** record_mark_acked() - note that @session acknowledged the record */
 void
 record_mark_acked(struct record *record, uint32_t session);
 
-/** record_assume_held() - the owner itself brings the record to all @targets
- */
+/** record_assume_held() - treat the record as acknowledged by all @targets,
+ * since its owner sends it to them */
 void
 record_assume_held(struct record *record, const struct replica_set *targets);
 
-/** record_reset_holders() - nothing is holder of who holds it */
+/** record_reset_holders() - clear the copies at other members */
 void
 record_reset_holders(struct record *record);
 
-/** record_set_unacked() - whether some target isn't holder to hold it */
+/** record_set_unacked() - set whether some target hasn't acknowledged the
+ * record */
 void
 record_set_unacked(struct record_table *table, struct record *record,
                    bool unacked);
 
-/** record_queue() - visit it at @due_us, which never falls from one call to
- * the next */
+/** record_queue() - queue the record for a visit at @due_us, which must not
+ * decrease between calls */
 void
 record_queue(struct record_table *table, struct record *record,
              uint64_t due_us);
 
-/** record_unqueue() - take it out of the queue */
+/** record_unqueue() - remove the record from the queue */
 void
 record_unqueue(struct record_table *table, struct record *record);
 
--- a/src/idem/released.c
+++ b/src/idem/released.c
@@ -20,16 +20,16 @@
 void
 released_add(struct released *released, uint64_t owner, uint64_t token)
 {
-    uint64_t *place = &released->ring[released->next];
+    uint64_t *slot = &released->ring[released->next];
 
     if (released_has(released, owner, token)) {
         return;
     }
-    if (*place != 0) {
-        g_hash_table_remove(released->set, place);
+    if (*slot != 0) {
+        g_hash_table_remove(released->set, slot);
     }
-    *place = hash_pair(owner, token);
-    g_hash_table_add(released->set, place);
+    *slot = hash_pair(owner, token);
+    g_hash_table_add(released->set, slot);
     released->next = (released->next + 1) % RELEASED_MAX;
 }
 
--- a/src/idem/released.h
+++ b/src/idem/released.h
@@ -1,8 +1,8 @@
 /**
- * DOC: released - reservations known not to have been run
+ * DOC: released - reservations whose requests were not run
  *
- * The last RELEASED_MAX of them, own and others'. A late message about one
- * must not bring its record back.
+ * Stores the last RELEASED_MAX of them, of this and of other coordinators, so
+ * that a delayed message doesn't restore a released record.
  */
 #ifndef SWIFTARCH_IDEM_RELEASED_H
 #define SWIFTARCH_IDEM_RELEASED_H
@@ -14,10 +14,10 @@
 #define RELEASED_MAX 4096
 
 /**
- * struct released - see DOC
- * @ring: hashes of owner and token, 0 for an unused place
- * @next: place of the next one
- * @set: the places by hash
+ * struct released - ring of released reservations
+ * @ring: hashes of owner and token, 0 for an unused slot
+ * @next: index of the slot to overwrite next
+ * @set: pointers to the used slots, by hash
  */
 struct released {
     uint64_t ring[RELEASED_MAX];
@@ -25,19 +25,19 @@
     GHashTable *set;
 };
 
-/** released_init() - remember nothing yet */
+/** released_init() - start with an empty ring */
 void
 released_init(struct released *released);
 
-/** released_finish() - free it */
+/** released_finish() - free the hash table */
 void
 released_finish(struct released *released);
 
-/** released_add() - @owner said that @token was not run */
+/** released_add() - store that reservation @token of @owner was not run */
 void
 released_add(struct released *released, uint64_t owner, uint64_t token);
 
-/** released_has() - whether that is still remembered */
+/** released_has() - whether reservation @token of @owner is in the ring */
 bool
 released_has(const struct released *released, uint64_t owner, uint64_t token);
 
--- a/src/idem/replica_store.c
+++ b/src/idem/replica_store.c
@@ -18,8 +18,8 @@
 }
 
 static void
-grant(const struct idem *idem, uint64_t to, const struct record *record,
-      uint64_t now_us, struct idem_actions *out)
+send_grant(const struct idem *idem, uint64_t to, const struct record *record,
+           uint64_t now_us, struct idem_actions *out)
 {
     struct idem_msg *reply = state_add_message(
         out, to, IDEM_MSG_GRANT, &record->key, record->owner, record->token);
@@ -34,8 +34,8 @@
 }
 
 static void
-reserve_new(struct idem *idem, uint64_t from, const struct idem_msg *msg,
-            uint64_t now_us, struct idem_actions *out)
+reserve_new_key(struct idem *idem, uint64_t from, const struct idem_msg *msg,
+                uint64_t now_us, struct idem_actions *out)
 {
     struct record *record = NULL;
 
@@ -49,7 +49,7 @@
         return;
     }
     push_from_owner(idem, record, now_us);
-    grant(idem, from, record, now_us, out);
+    send_grant(idem, from, record, now_us, out);
 }
 
 void
@@ -64,11 +64,11 @@
         return;
     }
     if (record == NULL) {
-        reserve_new(idem, from, msg, now_us, out);
+        reserve_new_key(idem, from, msg, now_us, out);
         return;
     }
     if (same_request(record, msg) && record->state != IDEM_DONE) {
-        grant(idem, from, record, now_us, out);
+        send_grant(idem, from, record, now_us, out);
         return;
     }
     state_add_record_message(out, from, IDEM_MSG_EXISTS, record, true);
@@ -82,7 +82,7 @@
 {
     struct record *record = record_find(&idem->records, &msg->key);
 
-    /* Only this process knows how its own open requests end. */
+    /* The outcome of an open request comes from this process only. */
     if (msg->owner == idem->self &&
         g_hash_table_contains(idem->by_wire_token, &msg->token)) {
         return;
@@ -105,8 +105,8 @@
 }
 
 static void
-store(struct idem *idem, struct record *record, uint64_t from,
-      const struct idem_msg *msg, uint64_t now_us)
+replace_record(struct idem *idem, struct record *record, uint64_t from,
+               const struct idem_msg *msg, uint64_t now_us)
 {
     record->owner = msg->owner;
     record->token = msg->token;
@@ -132,27 +132,28 @@
         acknowledge(from, msg, msg->state, out);
         return;
     }
-    /* Records pushed on get some room of their own: without it a full
-     * agent would lose what others hand over. */
+    /* Copied records may exceed the bound by a quarter: otherwise a full
+     * agent would reject records that leaving members hand over. */
     if (idem->records.count >= idem->max_records + idem->max_records / 4) {
         return;
     }
     record =
         record_add(&idem->records, &msg->key, msg->owner, msg->token, now_us);
     if (record != NULL) {
-        store(idem, record, from, msg, now_us);
+        replace_record(idem, record, from, msg, now_us);
         acknowledge(from, msg, msg->state, out);
     }
 }
 
-/* The same request: only more certain words replace the record. */
+/* Merges a record of the same request: only a more certain state replaces the
+ * stored one. */
 static void
 merge_same(struct idem *idem, struct record *record, uint64_t from,
            const struct idem_msg *msg, uint64_t now_us,
            struct idem_actions *out)
 {
     if (state_certainty(msg->state) > state_certainty(record->state)) {
-        store(idem, record, from, msg, now_us);
+        replace_record(idem, record, from, msg, now_us);
     }
     else if (msg->state == record->state && record->answer == NULL &&
              msg->answer_len > 0) {
@@ -162,9 +163,9 @@
     acknowledge(from, msg, record->state, out);
 }
 
-/* Two requests of one key: the more certain one stays, else the earlier.
- * Two reservations wait until one of them ends or is released; if nobody is
- * left to say so, either tells the same. */
+/* Resolves two requests of one key: the more certain state wins, then the
+ * lower token. Two reservations stay unresolved until one of them ends or is
+ * released; once both owners are gone they are equivalent. */
 static void
 merge_conflicting(struct idem *idem, struct record *record, uint64_t from,
                   const struct idem_msg *msg, uint64_t now_us,
@@ -175,7 +176,7 @@
 
     if (theirs > ours ||
         (theirs == ours && ours > 0 && msg->token < record->token)) {
-        store(idem, record, from, msg, now_us);
+        replace_record(idem, record, from, msg, now_us);
         acknowledge(from, msg, msg->state, out);
         return;
     }
@@ -196,14 +197,14 @@
 {
     struct record *record = record_find(&idem->records, &msg->key);
 
-    /* Who heard that it was not run passes that on. */
+    /* Reply to a record of a released reservation with its release. */
     if (msg->state != IDEM_DONE &&
         released_has(&idem->released, msg->owner, msg->token)) {
         state_add_message(out, from, IDEM_MSG_RELEASE, &msg->key, msg->owner,
                           msg->token);
         return;
     }
-    /* Only this process can say how its open requests end. */
+    /* The outcome of an open request comes from this process only. */
     if (msg->owner == idem->self &&
         g_hash_table_contains(idem->by_wire_token, &msg->token)) {
         acknowledge(from, msg, msg->state, out);
--- a/src/idem/replicas.c
+++ b/src/idem/replicas.c
@@ -25,9 +25,9 @@
     return session->since_us + (int64_t)IDEM_ELIGIBLE_AFTER_US <= at_us;
 }
 
-/* Whether a member keeps records of its service. */
+/* Whether a member can store records of its service. */
 static bool
-serves(const struct view_member *member)
+can_store_records(const struct view_member *member)
 {
     return member->role == MEMBER_AGENT && member->service != 0 &&
            member->health != MEMBER_DEAD && member->state != MEMBER_LEAVING;
@@ -47,7 +47,7 @@
     return NULL;
 }
 
-/* Whether @member had an earlier session here that is not forgotten yet. */
+/* Whether @member has a session in the list, present or ended. */
 static bool
 had_session(const struct replicas *replicas, const struct view_member *member)
 {
@@ -61,9 +61,9 @@
     return false;
 }
 
-/* A session begins now. But a process that has just started sees everyone for
- * the first time: it tells by the wall clock in the incarnations who was
- * there before it. */
+/* Returns the start of a new session: now, or, in a process that has just
+ * started and sees all members for the first time, an estimate from the wall
+ * clock in the incarnations. */
 static int64_t
 session_start_us(const struct replicas *replicas,
                  const struct view_member *member, uint64_t now_us)
@@ -178,9 +178,11 @@
     session->left = !session->gone;
 }
 
-/* End what is no more, note what is suspected. */
+/* Ends the sessions that the view no longer contains and updates suspicions.
+ * Returns whether any session changed. */
 static bool
-refresh(struct replicas *replicas, const struct view *view, uint64_t now_us)
+refresh_sessions(struct replicas *replicas, const struct view *view,
+                 uint64_t now_us)
 {
     bool changed = false;
 
@@ -197,7 +199,7 @@
             }
             continue;
         }
-        if (member == NULL || !serves(member) ||
+        if (member == NULL || !can_store_records(member) ||
             member->service != session->service ||
             member->since_us != session->seen_us) {
             end_session(session, member, now_us);
@@ -247,11 +249,11 @@
     }
     replicas->alone = view->count == 1;
     *changed = remove_expired(replicas, now_us);
-    *changed |= refresh(replicas, view, now_us);
+    *changed |= refresh_sessions(replicas, view, now_us);
     for (size_t i = 0; i < view->count; i++) {
         const struct view_member *member = &view->members[i];
 
-        if (!serves(member) ||
+        if (!can_store_records(member) ||
             replicas_find(replicas, member->id, member->service) != NULL) {
             continue;
         }
@@ -306,33 +308,34 @@
     return hash_pair(session->id, key->hash[0] ^ key->service);
 }
 
-/* Order of choice: the settled before the others, the settled by their
- * score for the key, the others by age (so that all views agree). */
+/* Ranks eligible sessions first, by score for the key. Others follow by age,
+ * so that all views agree. */
 static bool
-better(const struct replica_session *a, const struct replica_session *b,
-       const struct idem_key *key, int64_t settled_us)
+ranks_before(const struct replica_session *a, const struct replica_session *b,
+             const struct idem_key *key, int64_t eligible_us)
 {
-    bool a_settled = replicas_eligible(a, settled_us);
-    bool b_settled = replicas_eligible(b, settled_us);
+    bool a_eligible = replicas_eligible(a, eligible_us);
+    bool b_eligible = replicas_eligible(b, eligible_us);
     uint64_t a_score = score(a, key);
     uint64_t b_score = score(b, key);
 
-    if (a_settled != b_settled) {
-        return a_settled;
+    if (a_eligible != b_eligible) {
+        return a_eligible;
     }
-    if (!a_settled && a->incarnation != b->incarnation) {
+    if (!a_eligible && a->incarnation != b->incarnation) {
         return a->incarnation < b->incarnation;
     }
     return a_score != b_score ? a_score > b_score : a->id < b->id;
 }
 
 static void
-insert(struct replica_set *set, const struct replica_session *session,
-       const struct idem_key *key, int64_t settled_us)
+insert_ranked(struct replica_set *set, const struct replica_session *session,
+              const struct idem_key *key, int64_t eligible_us)
 {
     size_t at = set->count;
 
-    while (at > 0 && better(session, set->sessions[at - 1], key, settled_us)) {
+    while (at > 0 &&
+           ranks_before(session, set->sessions[at - 1], key, eligible_us)) {
         at--;
     }
     if (at == IDEM_REPLICAS) {
@@ -347,11 +350,11 @@
     set->sessions[at] = session;
 }
 
-/* The best of those who lived at @at_us; all of them count as settled when
- * @settled_us lies far enough ahead. */
+/* Selects the highest-ranked sessions among those alive at @at_us. Eligibility
+ * is judged at @eligible_us; a time far enough ahead makes all eligible. */
 static void
-pick(const struct replicas *replicas, const struct idem_key *key,
-     int64_t at_us, int64_t settled_us, struct replica_set *set)
+select_replicas(const struct replicas *replicas, const struct idem_key *key,
+                int64_t at_us, int64_t eligible_us, struct replica_set *set)
 {
     set->count = 0;
     for (size_t i = 0; i < replicas->count; i++) {
@@ -359,7 +362,7 @@
 
         if (session->service == key->service && session->since_us <= at_us &&
             (session->ended_us == 0 || session->ended_us > at_us)) {
-            insert(set, session, key, settled_us);
+            insert_ranked(set, session, key, eligible_us);
         }
     }
 }
@@ -368,18 +371,17 @@
 replicas_at(const struct replicas *replicas, const struct idem_key *key,
             int64_t at_us, struct replica_set *set)
 {
-    pick(replicas, key, at_us, at_us, set);
+    select_replicas(replicas, key, at_us, at_us, set);
 }
 
-/* While a service starts nobody lived that long ago: then all count who
- * lived since. */
+/* In a service that is younger, all sessions since then are ranked. */
 void
 replicas_earlier(const struct replicas *replicas, const struct idem_key *key,
                  uint64_t now_us, struct replica_set *set)
 {
     int64_t ago = replicas_earlier_us(now_us);
 
-    pick(replicas, key, ago, ago, set);
+    select_replicas(replicas, key, ago, ago, set);
     if (set->count > 0) {
         return;
     }
@@ -388,21 +390,21 @@
 
         if (session->service == key->service &&
             (session->ended_us == 0 || session->ended_us > ago)) {
-            insert(set, session, key, ago);
+            insert_ranked(set, session, key, ago);
         }
     }
 }
 
-/* Whether a session that has ended was one of @key's replicas at its end for
- * those to whom it was settled. */
+/* Whether an ended session was one of @key's replicas at its end, for members
+ * that considered it eligible. */
 static bool
 was_replica(const struct replicas *replicas, const struct idem_key *key,
             const struct replica_session *session)
 {
     struct replica_set set;
 
-    pick(replicas, key, session->ended_us - 1,
-         session->ended_us + (int64_t)IDEM_ELIGIBLE_AFTER_US, &set);
+    select_replicas(replicas, key, session->ended_us - 1,
+                    session->ended_us + (int64_t)IDEM_ELIGIBLE_AFTER_US, &set);
     for (size_t i = 0; i < set.count; i++) {
         if (set.sessions[i] == session) {
             return true;
@@ -435,9 +437,9 @@
 {
     struct replica_set later;
 
-    pick(replicas, key, (int64_t)now_us, (int64_t)now_us, set);
-    pick(replicas, key, (int64_t)now_us,
-         (int64_t)(now_us + 2 * IDEM_ELIGIBLE_AFTER_US), &later);
+    select_replicas(replicas, key, (int64_t)now_us, (int64_t)now_us, set);
+    select_replicas(replicas, key, (int64_t)now_us,
+                    (int64_t)(now_us + 2 * IDEM_ELIGIBLE_AFTER_US), &later);
     for (size_t i = 0; i < later.count; i++) {
         bool present = false;
 
--- a/src/idem/replicas.h
+++ b/src/idem/replicas.h
@@ -1,14 +1,15 @@
 /**
- * DOC: replicas - which members keep the record of a key
+ * DOC: replicas - ranks the members that store the record of a key
  *
- * A session is one stretch of a member's memory for one service: it begins
- * when the process is first seen, announces the service or comes back from
- * the dead, and ends when it dies, restarts, leaves or drops the service.
- * The own session ends and begins anew also when the process was paused:
- * others may have taken it for dead.
- * Ended sessions are remembered for REPLICAS_PARTITION_US, and as long as
- * their process sessions, so that the replicas of a while ago can still be
- * told.
+ * A session is a period in which a member stores records of one service. It
+ * starts when the process is first seen, announces the service or comes back
+ * from the dead, and ends when it dies, restarts, leaves or drops the
+ * service. The local session also restarts after a pause of this process,
+ * since other members may have declared it dead.
+ *
+ * An ended session stays in the list for REPLICAS_PARTITION_US, and until its
+ * process has died or started another one, so that earlier replica sets can
+ * be computed.
  */
 #ifndef SWIFTARCH_IDEM_REPLICAS_H
 #define SWIFTARCH_IDEM_REPLICAS_H
@@ -26,15 +27,15 @@
 /**
  * struct replica_session - one session of a member
  * @id: member id
- * @number: of this session, never reused; never 0
+ * @number: session number; never reused, never 0
  * @service: service id
- * @incarnation: of the member when the session began
- * @seen_us: since_us of its view entry, to notice a restart
- * @since_us: beginning of the session; may lie before the own start
+ * @incarnation: the member's incarnation when the session started
+ * @seen_us: since_us of its view entry, to detect a restart
+ * @since_us: start of the session; may be before the start of this process
  * @ended_us: end of the session, or 0
- * @gone: its memory is lost, not only on the way out
- * @left: it was on the way out before
- * @suspect: asked, but not waited for
+ * @gone: the process has ended and its memory is lost
+ * @left: the session ended while the process was alive
+ * @suspect: the member is suspected: queried, but not waited for
  */
 struct replica_session {
     uint64_t id;
@@ -50,17 +51,17 @@
 };
 
 /**
- * struct replicas - all sessions known
- * @sessions: in no order
- * @count: sessions
- * @capacity: room in @sessions
- * @next_number: number of the next session
- * @incarnation: of the own process, when first seen
- * @start_us: own start; 0 before the first view
- * @complete_since_us: own memory is whole since then: own start, or the end of
- * the last pause
+ * struct replicas - sessions of all members
+ * @sessions: present and ended sessions, unordered
+ * @count: number of sessions
+ * @capacity: allocated entries of @sessions
+ * @next_number: number of the latest session
+ * @incarnation: incarnation of this process in its first view
+ * @start_us: start of this process; 0 before the first view
+ * @complete_since_us: since when this process has received all messages: its
+ *                     start, or the end of its last pause
  * @stale_us: end of the last pause of IDEM_STALE_US or more; 0: none
- * @alone: nobody else is in the view
+ * @alone: the view contains only this member
  */
 struct replicas {
     struct replica_session *sessions;
@@ -74,7 +75,7 @@
     bool alone;
 };
 
-/** struct replica_set - members picked for a key, best first */
+/** struct replica_set - replicas of a key, highest rank first */
 struct replica_set {
     const struct replica_session *sessions[REPLICAS_TARGETS_MAX];
     size_t count;
@@ -85,8 +86,8 @@
 replicas_finish(struct replicas *replicas);
 
 /**
- * replicas_update() - take in a view
- * @changed: set to whether a session began or ended
+ * replicas_update() - update the sessions from a view
+ * @changed: set to whether a session started, ended or was removed
  *
  * Return: 0 or -ENOMEM, -EINVAL for a view without the own member.
  */
@@ -95,9 +96,9 @@
                 uint64_t now_us, bool *changed);
 
 /**
- * replicas_resume() - this process was paused: others may have taken it for
- * dead and gone on without it, so its own session begins anew
- * @paused_us: for how long
+ * replicas_resume() - restart the local session after a pause, during which
+ * other members may have declared this process dead
+ * @paused_us: length of the pause
  *
  * Return: 0 or -ENOMEM.
  */
@@ -105,55 +106,58 @@
 replicas_resume(struct replicas *replicas, uint64_t self, uint64_t paused_us,
                 uint64_t now_us);
 
-/** replicas_stale() - whether a pause may have hidden joins that others
- * count as settled: the members catch up, then the newcomers settle here */
+/** replicas_stale() - whether other members may already count members as
+ * eligible whose joins this process missed during a pause */
 bool
 replicas_stale(const struct replicas *replicas, uint64_t now_us);
 
-/** replicas_recently_started() - whether this process may not know who died,
- * or came back from the dead, before it started and yet counts for the others
- */
+/** replicas_recently_started() - whether this process may have missed deaths
+ * and returns before its start that still affect the earlier set */
 bool
 replicas_recently_started(const struct replicas *replicas, uint64_t now_us);
 
-/** replicas_incomplete() - whether the own memory isn't settled */
+/** replicas_incomplete() - whether this process isn't eligible: it started or
+ * was paused less than IDEM_ELIGIBLE_AFTER_US ago */
 bool
 replicas_incomplete(const struct replicas *replicas, uint64_t now_us);
 
-/** replicas_starting() - whether it is younger than IDEM_START_US */
+/** replicas_starting() - whether this process started or was paused less than
+ * IDEM_START_US ago */
 bool
 replicas_starting(const struct replicas *replicas, uint64_t now_us);
 
-/** replicas_at() - the replicas of @key at @at_us, now or earlier */
+/** replicas_at() - the replicas of @key at @at_us, which isn't in the future
+ */
 void
 replicas_at(const struct replicas *replicas, const struct idem_key *key,
             int64_t at_us, struct replica_set *set);
 
-/** replicas_earlier() - the replicas of @key IDEM_ELIGIBLE_AFTER_US ago, or,
- * in a service that is younger, the oldest of all who were there since */
+/** replicas_earlier() - the replicas of @key IDEM_ELIGIBLE_AFTER_US ago; in a
+ * younger service the oldest sessions since then */
 void
 replicas_earlier(const struct replicas *replicas, const struct idem_key *key,
                  uint64_t now_us, struct replica_set *set);
 
 /**
- * replicas_missed() - who held records of @key lately without being in the
- * set of now or the earlier one
+ * replicas_missed() - number of recent replicas of @key that are in neither
+ * the current nor the earlier set
  *
- * A member that settles and leaves within IDEM_ELIGIBLE_AFTER_US is in neither
- * here, but in both where it settled before. How many such sessions ended
- * since.
+ * A session that becomes eligible and ends within IDEM_ELIGIBLE_AFTER_US is
+ * in neither set here, but may be in both at a member for which it became
+ * eligible sooner.
  */
 size_t
 replicas_missed(const struct replicas *replicas, const struct idem_key *key,
                 uint64_t now_us);
 
-/** replicas_targets() - who should hold the record: the replicas of now and
- * those that will be when all who are here have settled */
+/** replicas_targets() - members that should store the record: the current
+ * replicas, and those once all present members are eligible */
 void
 replicas_targets(const struct replicas *replicas, const struct idem_key *key,
                  uint64_t now_us, struct replica_set *set);
 
-/** replicas_eligible() - whether a session counts as a replica at @at_us */
+/** replicas_eligible() - whether a session is at least IDEM_ELIGIBLE_AFTER_US
+ * old at @at_us */
 bool
 replicas_eligible(const struct replica_session *session, int64_t at_us);
 
@@ -162,12 +166,13 @@
 replicas_earlier_us(uint64_t now_us);
 
 /**
- * replicas_partitioned() - whether this process may be the one that is cut off
+ * replicas_partitioned() - whether this process may be in the minority of a
+ * network partition
  *
- * True for REPLICAS_PARTITION_US after half of a service's members (or more)
- * fell silent without a goodbye: they may be running on the other side of
- * a cut. Of two equal halves the one with the lowest id goes on. True also
- * in the first IDEM_ELIGIBLE_AFTER_US of a process that sees nobody else.
+ * True for REPLICAS_PARTITION_US after half or more of a service's members
+ * fell silent without leaving. Of two equal halves the one with the lowest id
+ * continues. Also true in the first IDEM_ELIGIBLE_AFTER_US of a process that
+ * sees no other member.
  */
 bool
 replicas_partitioned(const struct replicas *replicas, uint32_t service,
--- a/src/idem/reserve.c
+++ b/src/idem/reserve.c
@@ -43,8 +43,7 @@
     g_hash_table_remove(idem->requests, &reserve->token);
 }
 
-/* The request was not run: take its reservations back and remove_reserve it.
- */
+/* Withdraws the reservations of a request that was not run and removes it. */
 static void
 release(struct idem *idem, struct reserve *reserve, struct idem_actions *out)
 {
@@ -74,15 +73,17 @@
     release(idem, reserve, out);
 }
 
-/* Tell what the record of another request says. */
+/* Reports the state of another request of the same key. */
 static void
-veto(struct idem *idem, struct reserve *reserve, struct idem_actions *out)
+report_conflict(struct idem *idem, struct reserve *reserve,
+                struct idem_actions *out)
 {
-    if (reserve->veto_state == IDEM_DONE) {
+    if (reserve->conflict_state == IDEM_DONE) {
         state_add_action(out, IDEM_OUTCOME_UNKNOWN, reserve->token,
                          IDEM_REASON_NO_ANSWER);
     }
-    else if (reserve->veto_state == IDEM_UNKNOWN || reserve->veto_gone) {
+    else if (reserve->conflict_state == IDEM_UNKNOWN ||
+             reserve->conflict_owner_gone) {
         state_add_action(out, IDEM_OUTCOME_UNKNOWN, reserve->token,
                          IDEM_REASON_OWNER_GONE);
     }
@@ -116,23 +117,23 @@
     state_add_action(out, IDEM_PROCEED, reserve->token, IDEM_REASON_NONE);
 }
 
-/* Decide if everything needed is known, or @late. A coordinator that was
- * paused for long finds grants that others may have dealt with since: it
- * gives up. */
+/* Settles the request once all needed replies are in or it timed out. After
+ * twice the timeout its grants are refused: the coordinator was paused and
+ * others may have acted on the key since. */
 static void
 decide(struct idem *idem, struct reserve *reserve, uint64_t now_us,
        struct idem_actions *out)
 {
     uint64_t age = now_us - reserve->started_us;
-    bool late = age >= IDEM_RESERVE_TIMEOUT_US;
+    bool timed_out = age >= IDEM_RESERVE_TIMEOUT_US;
     bool quorum = quorum_reached(idem, reserve, now_us);
 
-    if (!late &&
-        quorum_must_wait(idem, reserve, !quorum && !reserve->vetoed)) {
+    if (!timed_out &&
+        quorum_must_wait(idem, reserve, !quorum && !reserve->conflict)) {
         return;
     }
-    if (reserve->vetoed) {
-        veto(idem, reserve, out);
+    if (reserve->conflict) {
+        report_conflict(idem, reserve, out);
     }
     else if (quorum && age < 2 * IDEM_RESERVE_TIMEOUT_US) {
         proceed(idem, reserve, now_us, out);
@@ -146,10 +147,12 @@
     }
 }
 
-/* Another request of the key is on record. Whether this settles ours. */
+/* Handles a record of another request of the key. Returns whether it settles
+ * this request. */
 static bool
-learn(struct idem *idem, struct reserve *reserve, const struct idem_msg *msg,
-      uint64_t now_us, struct idem_actions *out)
+handle_existing(struct idem *idem, struct reserve *reserve,
+                const struct idem_msg *msg, uint64_t now_us,
+                struct idem_actions *out)
 {
     if (msg->key.fingerprint != reserve->key.fingerprint) {
         state_add_action(out, IDEM_MISMATCH, reserve->token, IDEM_REASON_NONE);
@@ -164,14 +167,15 @@
         release(idem, reserve, out);
         return true;
     }
-    if (!reserve->vetoed || msg->state == IDEM_DONE ||
-        reserve->veto_state == IDEM_STARTED) {
-        reserve->veto_state = msg->state;
+    if (!reserve->conflict || msg->state == IDEM_DONE ||
+        reserve->conflict_state == IDEM_STARTED) {
+        reserve->conflict_state = msg->state;
     }
-    reserve->vetoed = true;
-    reserve->veto_gone |= msg->state == IDEM_STARTED &&
-                          state_owner_gone(idem, msg->key.service, msg->owner,
-                                           msg->token, now_us);
+    reserve->conflict = true;
+    reserve->conflict_owner_gone |=
+        msg->state == IDEM_STARTED &&
+        state_owner_gone(idem, msg->key.service, msg->owner, msg->token,
+                         now_us);
     return false;
 }
 
@@ -191,7 +195,8 @@
     return reserve;
 }
 
-/* The own record may settle the matter, or be a reason to send_reserve on. */
+/* Checks the local record of the key, or adds one. Returns whether the request
+ * is settled; if not, the replicas must be queried. */
 static bool
 check_own_record(struct idem *idem, struct reserve *reserve, uint64_t now_us,
                  struct idem_actions *out)
@@ -216,11 +221,11 @@
         .answer = record->answer,
         .answer_len = record->answer_len,
     };
-    if (learn(idem, reserve, &msg, now_us, out)) {
+    if (handle_existing(idem, reserve, &msg, now_us, out)) {
         return true;
     }
-    if (record->state == IDEM_STARTED && !reserve->veto_gone) {
-        veto(idem, reserve, out);
+    if (record->state == IDEM_STARTED && !reserve->conflict_owner_gone) {
+        report_conflict(idem, reserve, out);
         return true;
     }
     return false;
@@ -253,7 +258,7 @@
     own = quorum_find(reserve, idem->self);
     if (own != NULL) {
         own->answered = true;
-        own->granted = !reserve->vetoed;
+        own->granted = !reserve->conflict;
         own->incomplete = replicas_incomplete(&idem->replicas, now_us);
         own->starting = replicas_starting(&idem->replicas, now_us);
     }
@@ -262,8 +267,8 @@
     return 0;
 }
 
-/* The record of a request that ran; it is there unless a stronger one took
- * its place. */
+/* Returns the record of a request that ran, or NULL when a record of another
+ * request with a state as certain has replaced it. */
 static struct record *
 ended_record(struct idem *idem, const struct reserve *reserve,
              enum idem_state state, uint64_t now_us)
@@ -363,8 +368,8 @@
     decide(idem, reserve, now_us, out);
 }
 
-/* A reservation of our own that we gave up is still there: repeat the
- * release, send_reserve once more. */
+/* The replica still holds an abandoned reservation of this process: release
+ * it again and repeat the RESERVE once. */
 static void
 requery(const struct idem *idem, struct reserve *reserve,
         struct reserve_replica *queried, const struct idem_msg *msg,
@@ -398,12 +403,12 @@
         queried->answered = true;
         queried->granted = false;
     }
-    if (!learn(idem, reserve, msg, now_us, out)) {
+    if (!handle_existing(idem, reserve, msg, now_us, out)) {
         decide(idem, reserve, now_us, out);
     }
 }
 
-/* A record of a key that may be being reserved here. */
+/* Applies a record to the pending reservations of its key. */
 static void
 handle_record(struct idem *idem, uint64_t from, const struct idem_msg *msg,
               uint64_t now_us, struct idem_actions *out)
--- a/src/idem/reserve.h
+++ b/src/idem/reserve.h
@@ -1,5 +1,6 @@
 /**
- * DOC: reserve - the coordinator's side: own requests from begin to end
+ * DOC: reserve - the coordinator role: reserves the keys of local requests and
+ * reports their outcomes
  */
 #ifndef SWIFTARCH_IDEM_RESERVE_H
 #define SWIFTARCH_IDEM_RESERVE_H
@@ -10,18 +11,19 @@
 #define RESERVE_RETRY_US (100 * USEC_PER_MSEC)
 
 /**
- * struct reserve_replica - one member that was queried for the key
+ * struct reserve_replica - a member queried for the key
  * @id: member id
  * @session: number of its session
- * @now: counts for the set of now
- * @earlier: counts for the set of a while ago
- * @now_ineligible: counts for it although not settled (nobody else was)
- * @earlier_ineligible: the same
- * @answered: its word is in, or it is this agent
- * @granted: it recorded this request's reservation
- * @incomplete: its own memory isn't settled
- * @starting: it has only just started, and never counts
- * @requeried: was queried again after a stale reservation of our own
+ * @now: in the current set
+ * @earlier: in the earlier set
+ * @now_ineligible: in the current set although ineligible, for lack of
+ *                  eligible members
+ * @earlier_ineligible: the same for the earlier set
+ * @answered: its reply has arrived, or it is this agent
+ * @granted: it stored this request's reservation
+ * @incomplete: it considers itself ineligible
+ * @starting: it is younger than IDEM_START_US; its grant doesn't count
+ * @requeried: RESERVE was repeated after an abandoned reservation
  */
 struct reserve_replica {
     uint64_t id;
@@ -38,24 +40,25 @@
 };
 
 /**
- * struct reserve - one own request
- * @pending: place among those that aren't decided
- * @token: of the program
- * @wire_token: number in messages
- * @key: its key
- * @started_us: when it began
+ * struct reserve - a local request
+ * @pending: entry in the list of undecided requests
+ * @token: the caller's number of the request
+ * @wire_token: number of the request in messages
+ * @key: idempotency key
+ * @started_us: time of reserve_begin()
  * @sent_us: when the replicas were queried last
- * @running: the program was told to go on
+ * @running: IDEM_PROCEED was returned
  * @denied: some replica has no room
- * @vetoed: a record of the key is known: @veto_state, @veto_reason
- * @had_earlier: there was a set of a while ago
- * @missed: replicas that came and went since that while
- * @service_existed_earlier: its members lived that long ago already; otherwise
- * the service is younger, and they are the oldest since
- * @veto_state: the best that is known of the key's first request
- * @veto_gone: its owner is gone
+ * @conflict: another request of the key is on record
+ * @had_earlier: the earlier set wasn't empty
+ * @service_existed_earlier: the service had members IDEM_ELIGIBLE_AFTER_US
+ *                           ago; otherwise the earlier set holds its oldest
+ *                           members since
+ * @missed: see replicas_missed()
+ * @conflict_state: most certain known state of the other request
+ * @conflict_owner_gone: the process of the other request has ended
  * @queried: members queried
- * @queried_count: how many
+ * @queried_count: number of @queried
  */
 struct reserve {
     TAILQ_ENTRY(reserve) pending;
@@ -66,12 +69,12 @@
     uint64_t sent_us;
     bool running;
     bool denied;
-    bool vetoed;
+    bool conflict;
     bool had_earlier;
     bool service_existed_earlier;
     size_t missed;
-    enum idem_state veto_state;
-    bool veto_gone;
+    enum idem_state conflict_state;
+    bool conflict_owner_gone;
     struct reserve_replica queried[RESERVE_QUERIED_MAX];
     size_t queried_count;
 };
@@ -87,13 +90,13 @@
             enum idem_state state, const uint8_t *answer, size_t answer_len,
             uint64_t now_us, struct idem_actions *out);
 
-/** reserve_receive() - GRANT, EXISTS or DENY from @from; also a RECORD that
- * another pushed for a key that is being reserved here */
+/** reserve_receive() - handle GRANT, EXISTS, DENY, and a RECORD of a key that
+ * is being reserved here */
 void
 reserve_receive(struct idem *idem, uint64_t from, const struct idem_msg *msg,
                 uint64_t now_us, struct idem_actions *out);
 
-/** reserve_tick() - ask again, give up */
+/** reserve_tick() - repeat queries and time out pending requests */
 void
 reserve_tick(struct idem *idem, uint64_t now_us, struct idem_actions *out);
 
--- a/src/idem/state.c
+++ b/src/idem/state.c
@@ -126,7 +126,7 @@
             continue;
         }
         known = true;
-        /* A refuted suspicion may have raised the incarnation a little. */
+        /* A refuted suspicion raises the incarnation by less than 1 s. */
         if (!session->gone &&
             (token >> STATE_WIRE_TOKEN_SHIFT) + MSEC_PER_SEC >= start_ms) {
             return false;
--- a/src/idem/state.h
+++ b/src/idem/state.h
@@ -1,10 +1,10 @@
 /**
- * DOC: state - what the parts of idem share
+ * DOC: state - state shared by the files of idem
  *
- * Numbers on the wire_token (tokens of messages) hold the wall clock in
- * milliseconds above STATE_WIRE_TOKEN_SHIFT bits of a count, so that those of
- * an earlier session of the process can be told, and how old a record is.
- * Clocks of hosts may differ by seconds.
+ * A wire token (token of a message) holds the wall clock in milliseconds above
+ * a counter of STATE_WIRE_TOKEN_SHIFT bits. It identifies tokens of an earlier
+ * process of the member and the age of a record. Clocks of hosts may differ
+ * by seconds.
  */
 #ifndef SWIFTARCH_IDEM_STATE_H
 #define SWIFTARCH_IDEM_STATE_H
@@ -23,22 +23,22 @@
 #define STATE_WIRE_TOKEN_SHIFT 22
 
 /**
- * struct idem - both sides, see DOC of idem.h
- * @self: own member id
+ * struct idem - coordinator and replica state, see DOC of idem.h
+ * @self: member id of this agent
  * @max_records: bound on records of new keys
- * @replicas: members
- * @records: records held
- * @requests: own requests, by the token of the program
- * @by_wire_token: the same by their number on the wire_token
- * @pending: those that aren't decided
- * @first_wire_token: first number of this session
- * @next_wire_token: next number
- * @released: what was reserved and not run
- * @last_us: when it was called last
- * @cursor: the pass over all records goes on below this index
- * @pass_us: when the last pass began
- * @pass_wanted: members changed: another pass is due
- * @answer_credit: bytes of answers that may still be pushed in this tick
+ * @replicas: sessions of the members
+ * @records: stored records
+ * @requests: local requests by the caller's token
+ * @by_wire_token: local requests by wire token
+ * @pending: undecided local requests
+ * @first_wire_token: first wire token of this process; 0 before the first view
+ * @next_wire_token: lower bound of the next wire token
+ * @released: reservations whose requests were not run
+ * @last_us: time of the last call
+ * @cursor: the current pass continues below this record index
+ * @pass_us: when the last pass started
+ * @pass_wanted: the members changed, another pass is due
+ * @answer_credit: bytes of answers that this tick may still send
  */
 struct idem {
     uint64_t self;
@@ -63,40 +63,39 @@
 state_add_action(struct idem_actions *out, enum idem_action_type type,
                  uint64_t token, enum idem_reason reason);
 
-/** state_add_message() - append a message about @key */
+/** state_add_message() - append an IDEM_SEND of a message about @key */
 struct idem_msg *
 state_add_message(struct idem_actions *out, uint64_t to,
                   enum idem_msg_type type, const struct idem_key *key,
                   uint64_t owner, uint64_t token);
 
-/** state_add_record_message() - append @type with the record, @full: its
- * answer too */
+/** state_add_record_message() - append a message of @type with the record;
+ * @full: including its answer */
 void
 state_add_record_message(struct idem_actions *out, uint64_t to,
                          enum idem_msg_type type, const struct record *record,
                          bool full);
 
-/** state_owner_gone() - whether the process that got @token for a key of
- * @service is known to be gone */
+/** state_owner_gone() - whether the process that created @token for a key of
+ * @service has ended. An unknown @owner counts as gone once @token is
+ * IDEM_ELIGIBLE_AFTER_US old */
 bool
 state_owner_gone(const struct idem *idem, uint32_t service, uint64_t owner,
                  uint64_t token, uint64_t now_us);
 
-/** state_next_wire_token() - number of the next request */
+/** state_next_wire_token() - allocate a wire token */
 uint64_t
 state_next_wire_token(struct idem *idem, uint64_t now_us);
 
-/** state_token_age_us() - how long ago @token was given out, about */
+/** state_token_age_us() - approximate age of @token by the wall clock */
 uint64_t
 state_token_age_us(const struct idem *idem, uint64_t token, uint64_t now_us);
 
-/** state_certainty() - what is known for sure goes before what isn't */
+/** state_certainty() - rank of a state; a higher one replaces a lower one */
 int
 state_certainty(enum idem_state state);
 
-/** state_is_own_wire_token() - whether @wire_token is a number of this session
- * of the process
- */
+/** state_is_own_wire_token() - whether this process allocated @wire_token */
 bool
 state_is_own_wire_token(const struct idem *idem, uint64_t wire_token);
 
