--- a/src/stack/conn.c
+++ b/src/stack/conn.c
@@ -8,7 +8,7 @@
 
 #include "stack/stack_private.h"
 
-/* A caller that has our FIN and sends nothing more is let go after this. */
+/* A closed connection in FIN-WAIT-2 is aborted after 60 s without data. */
 #define FIN_WAIT_TICKS (60000 / TCP_SLOW_INTERVAL)
 
 static void
@@ -29,7 +29,7 @@
     }
     stack->events = conn;
     stack->last_event = conn;
-    /* Fails only when the counter is full, and then the fd is readable. */
+    /* Fails only when the counter is full; the fd is readable then. */
     (void)!write(stack->event_fd, &one, sizeof(one));
 }
 
@@ -42,7 +42,7 @@
     conn_queue_event_locked(conn);
 }
 
-/* Takes the connection back from lwIP, which finishes the rest alone. */
+/* Unregisters the callbacks; lwIP finishes and frees the pcb itself. */
 static void
 conn_detach_locked(struct stack_conn *conn, int reason)
 {
@@ -65,9 +65,9 @@
     tcp_abort(pcb);
 }
 
-/* Whether both ends have every byte: only the ACK of our FIN is missing. A
- * reset then says that the peer's TIME-WAIT is over (RFC 793, 3.9: no signal
- * to the user in LAST-ACK). lwIP calls before it frees the pcb. */
+/* Whether only the ACK of our FIN is missing. A reset then means that the
+ * peer's TIME-WAIT has ended (RFC 793, 3.9: no signal to the user in
+ * LAST-ACK). The pcb is still valid in lwIP's error callback. */
 static bool
 conn_all_data_acked(const struct stack_conn *conn)
 {
@@ -92,7 +92,7 @@
         conn_closed_locked(conn, conn_all_data_acked(conn) ? 0 : -ECONNRESET);
         break;
     default:
-        /* lwIP gave up retransmitting; our own aborts detach first. */
+        /* lwIP stopped retransmitting; local aborts detach first. */
         conn_closed_locked(conn, -ETIMEDOUT);
         break;
     }
@@ -121,7 +121,7 @@
     if (conn->in == NULL) {
         conn->in = g_byte_array_sized_new(p->tot_len);
     }
-    /* Copied, so that many tiny segments cost no more than their bytes. */
+    /* Copied, so that tiny segments don't each occupy a pbuf. */
     for (part = p; part != NULL; part = part->next) {
         g_byte_array_append(conn->in, part->payload, part->len);
     }
@@ -218,7 +218,8 @@
     return ERR_OK;
 }
 
-/* Clears and returns a flag, unless the owner has closed meanwhile. */
+/* Clears a flag and returns its value, or false when the owner has closed the
+ * connection. */
 static bool
 conn_take_due(struct stack_conn *conn, bool *due)
 {
@@ -245,7 +246,7 @@
     return in;
 }
 
-/* Opens the receive window by what the owner has taken. */
+/* Opens the receive window by the bytes delivered to the owner. */
 static void
 conn_consumed(struct stack_conn *conn, size_t len)
 {
@@ -266,14 +267,14 @@
     if (in == NULL) {
         return;
     }
-    /* Opened before the callback: close() in it must find the window whole,
-     * or lwIP would answer the close with a reset. */
+    /* Before the callback: if it closes the connection, lwIP sends a reset
+     * unless the receive window is completely open. */
     conn_consumed(conn, in->len);
     owner->ops->on_data(owner, conn, in->data, in->len);
     g_byte_array_unref(in);
 }
 
-/* The end of the stream is told after all of its bytes. */
+/* Returns whether to report EOF, which follows all received bytes. */
 static bool
 conn_take_eof(struct stack_conn *conn)
 {
@@ -306,10 +307,10 @@
         owner->ops->on_eof(owner, conn);
     }
     LOCK_TCPIP_CORE();
-    /* Marked again meanwhile: it comes with the next stack_poll(). */
+    /* If queued again meanwhile, the next stack_poll() reports it. */
     closed = conn->closed_due && !conn->queued;
     reason = conn->reason;
-    /* What the owner still calls must not queue it again. */
+    /* Keeps calls from on_closed() from queueing it again. */
     conn->queued |= closed;
     UNLOCK_TCPIP_CORE();
     if (!closed) {
@@ -348,7 +349,7 @@
     struct stack_conn *conn;
     struct stack_conn *next;
 
-    /* An abort appends to the list of events, so none may be freed yet. */
+    /* An abort appends to the list of events: free only after all aborts. */
     for (conn = stack->conns; conn != NULL; conn = conn->next) {
         conn_abort_locked(conn, -ECONNABORTED);
     }
@@ -371,7 +372,7 @@
     if (pcb == NULL) {
         goto out;
     }
-    /* Several flows may share a port towards different remotes. */
+    /* Flows to different remote addresses may share a local port. */
     ip_set_option(pcb, SOF_REUSEADDR);
     if (tcp_bind(pcb, &local_ip, local.port) != ERR_OK) {
         tcp_abort(pcb);
@@ -424,7 +425,8 @@
     return taken;
 }
 
-/* Reading ends here too; lwIP resets a close with unread bytes. */
+/* Discards unread bytes, since lwIP would reset a connection closed with
+ * any. */
 static void
 conn_drop_unread_locked(struct stack_conn *conn)
 {
--- a/src/stack/isn.c
+++ b/src/stack/isn.c
@@ -28,7 +28,7 @@
     at[3] = (uint8_t)value;
 }
 
-/* The shift of a connection, from our side's point of view. */
+/* Returns the offset added to a connection's local sequence numbers. */
 static uint32_t
 isn_shift(uint64_t secret, const uint8_t *local_ip, const uint8_t *local_port,
           const uint8_t *remote_ip, const uint8_t *remote_port)
@@ -42,7 +42,7 @@
     return (uint32_t)(hash_bytes(key, sizeof(key), secret) >> 32);
 }
 
-/* Replaces 32 aligned bits and mends the checksum (RFC 1624, equation 3). */
+/* Replaces 32 aligned bits and updates the checksum (RFC 1624, equation 3). */
 static void
 tcp_replace32(uint8_t *tcp, size_t offset, uint32_t value)
 {
@@ -61,7 +61,7 @@
     tcp[TCP_CHECKSUM + 1] = (uint8_t)~sum;
 }
 
-/* The TCP header, or NULL when the packet is too short to hold one. */
+/* Returns the TCP header, or NULL when the packet is too short for one. */
 static uint8_t *
 tcp_header(uint8_t *packet, size_t len)
 {
--- a/src/stack/pcbs.c
+++ b/src/stack/pcbs.c
@@ -2,12 +2,12 @@
 
 #include <lwip/priv/tcp_priv.h>
 
-/* A peer whose last packets or their ACKs were lost sends them again after its
- * backoff, and must not meet a reset. But lwIP walks all connections in
- * TIME-WAIT for each opening packet: beyond so many, the oldest go sooner. */
+/* A peer that retransmits its last packets after a backoff must not get a
+ * reset. lwIP scans all connections in TIME-WAIT for each SYN, so beyond
+ * PCBS_TIME_WAIT_MAX the oldest are freed sooner. */
 #define TIME_WAIT_TICKS (60000 / TCP_SLOW_INTERVAL)
 #define TIME_WAIT_SHORT_TICKS (10000 / TCP_SLOW_INTERVAL)
-/* A flood of opening packets costs no more than these connections. */
+/* Bounds the memory used in a SYN flood. */
 #define HALF_OPEN_MAX 4096
 #define HALF_OPEN_EVICT (HALF_OPEN_MAX / 4)
 
@@ -19,7 +19,7 @@
     size_t count = 0;
     uint32_t age;
 
-    /* lwIP puts the youngest first. */
+    /* lwIP inserts new connections at the head. */
     for (pcb = tcp_tw_pcbs; pcb != NULL; pcb = next) {
         next = pcb->next;
         age = tcp_ticks - pcb->tmr;
@@ -66,7 +66,7 @@
     return count;
 }
 
-/* Age of the longest half-open connection, in ticks. */
+/* Returns the age of the oldest half-open connection, in ticks. */
 static uint32_t
 oldest_half_open_locked(void)
 {
@@ -81,7 +81,7 @@
     return oldest;
 }
 
-/* No reset is sent: the caller may be served by another agent. */
+/* Sends no reset: another agent may serve the caller's flow. */
 static void
 evict_half_open_locked(void)
 {
@@ -103,7 +103,7 @@
 void
 pcbs_limit_half_open_locked(size_t *estimate)
 {
-    /* Counted in full only when the estimate reaches the bound. */
+    /* Count only when the estimate reaches the bound. */
     if (*estimate < HALF_OPEN_MAX) {
         return;
     }
--- a/src/stack/stack.c
+++ b/src/stack/stack.c
@@ -19,10 +19,10 @@
 #include "stack/pcbs.h"
 #include "stack/stack_private.h"
 
-/* 1500 less the outer headers: IP (20), UDP (8), GUE with its hops (116). */
+/* 1500 less the outer headers: IP (20), UDP (8), GUE with hop list (116). */
 #define STACK_MTU 1356
 #define STACK_PACKET_MAX 1500
-/* lwIP wants an address on the interface it sends by (RFC 7600 dummy). */
+/* lwIP needs an address on its output interface (dummy of RFC 7600). */
 #define STACK_DUMMY_ADDRESS 0xc0000008u
 #define STACK_SWEEP_MS 250
 /* Half-open flows may still finish after stack_unlisten(). */
@@ -32,7 +32,7 @@
 #define TCP_HEADER_MIN 20
 #define TCP_FLAGS_OFFSET 13
 
-/* An address listened on; @stopped_ticks counts while @stopped. */
+/* A listening address; @stopped_ticks is valid while @stopped. */
 struct stack_listener {
     struct addr addr;
     struct tcp_pcb *pcb;
@@ -139,8 +139,8 @@
     sys_timeout(STACK_SWEEP_MS, on_sweep, stack);
 }
 
-/* Address interfaces stay link-down: lwIP takes packets for them, but its
- * routing passes them over, so that all packets leave by @out. */
+/* Address interfaces stay link-down: lwIP accepts packets for them, but routes
+ * all sent packets to @out. */
 static bool
 stack_start_locked(struct stack *stack)
 {
@@ -217,7 +217,7 @@
     while (tcp_tw_pcbs != NULL) {
         tcp_abort(tcp_tw_pcbs);
     }
-    /* Half-open and closing ones that no owner was told of. */
+    /* Half-open and closing connections without a struct stack_conn. */
     while (tcp_active_pcbs != NULL) {
         tcp_abort(tcp_active_pcbs);
     }
@@ -398,7 +398,7 @@
     return (int)header;
 }
 
-/* Whether an opening packet may reach lwIP. */
+/* Whether a SYN may be given to lwIP; makes room for its connection. */
 static bool
 admit_open_locked(struct stack *stack, const uint8_t *buf, const uint8_t *tcp)
 {
@@ -478,7 +478,7 @@
     struct stack_conn *conn;
     uint64_t count;
 
-    /* Fails when nothing was written since; the list decides. */
+    /* Fails when nothing was written since; the list is authoritative. */
     (void)!read(stack->event_fd, &count, sizeof(count));
     LOCK_TCPIP_CORE();
     conn = stack->events;
--- a/src/stack/stack.h
+++ b/src/stack/stack.h
@@ -1,10 +1,10 @@
 /**
- * DOC: stack - TCP of callers' flows in our own process (lwIP)
+ * DOC: stack - user-space TCP for callers' flows (lwIP)
  *
- * Wraps lwIP's raw API under its core lock. lwIP's callbacks only note
- * what happened; stack_poll() tells the owner on the owner's thread, so
- * the owner needs no lock. Used by the agent (listening) and by the test
- * caller (connecting).
+ * Wraps lwIP's raw API under its core lock. lwIP's callbacks only queue
+ * events; stack_poll() reports them on the owner's thread, so the owner needs
+ * no lock. Used by the agent (listening) and by the test caller
+ * (connecting).
  */
 #ifndef SWIFTARCH_STACK_STACK_H
 #define SWIFTARCH_STACK_STACK_H
@@ -19,100 +19,107 @@
 struct stack_conn;
 struct stack_owner;
 
-/** struct stack_ops - what the owner of a stack is told, all from
- * stack_poll() except @output */
+/** struct stack_ops - callbacks of a stack's owner; stack_poll() calls all but
+ * @output */
 struct stack_ops {
-    /** @output: an IPv4 packet to send; may come from lwIP's own thread */
+    /** @output: send an IPv4 packet; may be called on lwIP's thread */
     void (*output)(struct stack_owner *owner, const uint8_t *buf, size_t len);
-    /** @on_open: accepted (agent) or connected (caller) */
+    /** @on_open: a connection was accepted (agent) or connected (caller) */
     void (*on_open)(struct stack_owner *owner, struct stack_conn *conn);
-    /** @on_data: bytes came, in order */
+    /** @on_data: bytes were received, in order */
     void (*on_data)(struct stack_owner *owner, struct stack_conn *conn,
                     const uint8_t *data, size_t len);
-    /** @on_writable: room for more after a short stack_write() */
+    /** @on_writable: the send buffer has room after a short stack_write() */
     void (*on_writable)(struct stack_owner *owner, struct stack_conn *conn);
-    /** @on_eof: the peer sent FIN; stack_close() is still ours to call */
+    /** @on_eof: the peer sent FIN; the owner must still call stack_close() */
     void (*on_eof)(struct stack_owner *owner, struct stack_conn *conn);
-    /** @on_closed: gone; @reason 0 (closed), -ECONNRESET, -ETIMEDOUT,
-     * -ECONNABORTED. The handle is invalid afterwards. */
+    /** @on_closed: the connection ended; @reason is 0 (closed), -ECONNRESET,
+     * -ETIMEDOUT or -ECONNABORTED. @conn is freed on return. */
     void (*on_closed)(struct stack_owner *owner, struct stack_conn *conn,
                       int reason);
 };
 
-/** struct stack_owner - owner of a stack; the vtable comes first */
+/** struct stack_owner - base of an owner; embed it as the first member */
 struct stack_owner {
     const struct stack_ops *ops;
 };
 
-/** stack_new() - the stack of the process (one only), or NULL */
+/** stack_new() - create the stack; NULL on failure or when the process has one
+ */
 struct stack *
 stack_new(struct stack_owner *owner);
 
-/** stack_free() - abort all connections and free */
+/** stack_free() - abort all connections and free the stack */
 void
 stack_free(struct stack *stack);
 
-/** stack_add_address() - take packets for @ip; 0 or negative errno */
+/** stack_add_address() - accept packets for @ip; 0 or a negative errno value
+ */
 int
 stack_add_address(struct stack *stack, uint32_t ip);
 
-/** stack_listen() - accept flows to @addr; -EADDRINUSE when it does already */
+/** stack_listen() - accept flows to @addr; 0 or a negative errno value,
+ * -EADDRINUSE when it is already listening */
 int
 stack_listen(struct stack *stack, struct addr addr);
 
-/** stack_unlisten() - stop accepting; open flows go on */
+/** stack_unlisten() - stop accepting flows to @addr; open flows continue. 0,
+ * or -ENOENT when it isn't listening */
 int
 stack_unlisten(struct stack *stack, struct addr addr);
 
-/** stack_connect() - open a flow from @local to @remote, or NULL */
+/** stack_connect() - open a flow from @local to @remote; NULL on failure */
 struct stack_conn *
 stack_connect(struct stack *stack, struct addr local, struct addr remote);
 
-/** stack_input() - hand in a checked IPv4 packet */
+/** stack_input() - process a received IPv4/TCP packet; 0 or a negative errno
+ * value when it isn't accepted */
 int
 stack_input(struct stack *stack, const uint8_t *buf, size_t len);
 
-/** stack_fd() - readable when stack_poll() has something to tell */
+/** stack_fd() - fd that is readable while stack_poll() has events */
 int
 stack_fd(const struct stack *stack);
 
 /**
- * stack_half_open() - connections whose handshake isn't finished
+ * stack_half_open() - number of half-open connections
  *
- * Bounded: when there are too many, the oldest are forgotten silently.
+ * Bounded: the oldest are dropped without a reset.
  */
 size_t
 stack_half_open(const struct stack *stack);
 
-/** stack_poll() - make the callbacks that are due */
+/** stack_poll() - report queued events to the owner */
 void
 stack_poll(struct stack *stack);
 
-/** stack_write() - queue bytes; returns how many were taken (0: wait) */
+/** stack_write() - queue bytes to send; returns how many fit. on_writable
+ * follows when they didn't all fit */
 size_t
 stack_write(struct stack_conn *conn, const uint8_t *data, size_t len);
 
-/** stack_close() - FIN after what is queued; on_closed follows */
+/** stack_close() - send FIN after the queued bytes; on_closed follows */
 void
 stack_close(struct stack_conn *conn);
 
-/** stack_abort() - RST now; on_closed follows */
+/** stack_abort() - send RST now; on_closed follows */
 void
 stack_abort(struct stack_conn *conn);
 
-/** stack_conn_peer(), stack_conn_local() - addresses of a flow */
+/** stack_conn_peer(), stack_conn_local() - remote and local address */
 struct addr
 stack_conn_peer(const struct stack_conn *conn);
 struct addr
 stack_conn_local(const struct stack_conn *conn);
 
-/** stack_conn_set_data(), stack_conn_data() - the owner's pointer */
+/** stack_conn_set_data(), stack_conn_data() - pointer for the owner's use */
 void
 stack_conn_set_data(struct stack_conn *conn, void *data);
 void *
 stack_conn_data(const struct stack_conn *conn);
 
-/** stack_conn_pause() - stop (or go on) reading; bounds what is buffered */
+/** stack_conn_pause() - pause or resume on_data and on_eof; while paused at
+ * most one receive window is buffered */
 void
 stack_conn_pause(struct stack_conn *conn, bool paused);
 
--- a/src/stack/stack_private.h
+++ b/src/stack/stack_private.h
@@ -1,8 +1,8 @@
 /**
- * DOC: stack_private - what the files of the stack share
+ * DOC: stack_private - state shared by the files of the stack
  *
- * Everything here is guarded by lwIP's core lock; lwIP's callbacks run
- * under it. Functions named *_locked expect it held.
+ * lwIP's core lock guards all of it; lwIP's callbacks run under that lock.
+ * The caller of a function named *_locked holds it.
  */
 #ifndef SWIFTARCH_STACK_STACK_PRIVATE_H
 #define SWIFTARCH_STACK_STACK_PRIVATE_H
@@ -19,13 +19,13 @@
 
 /**
  * struct stack_conn - a connection
- * @pcb: lwIP's part; NULL once lwIP has let go of it
- * @in: received and not yet handed to the owner; NULL when empty. At most
- *      one receive window, since the window opens only by what was handed on
- * @prev, @next: all connections of the stack
- * @next_event: next with something to tell, while @queued
- * @reason: of on_closed
- * @close_ticks: once closed by the owner, last sign that the peer goes on
+ * @pcb: lwIP's connection; NULL once detached or freed by lwIP
+ * @in: received bytes not yet delivered to the owner; NULL when empty. At most
+ *      one receive window, which opens only by delivered bytes
+ * @prev, @next: list of all connections of the stack
+ * @next_event: next in the list of connections with events, while @queued
+ * @reason: argument of on_closed
+ * @close_ticks: last activity of the peer after stack_close(), in lwIP's ticks
  */
 struct stack_conn {
     struct stack *stack;
@@ -51,7 +51,7 @@
 
 /**
  * struct stack - see stack.h
- * @half_open: connections in SYN-RECEIVED, or a few more
+ * @half_open: upper bound of the number of connections in SYN-RECEIVED
  */
 struct stack {
     struct stack_owner *owner;
@@ -71,15 +71,16 @@
 err_t
 stack_conn_accept(void *arg, struct tcp_pcb *pcb, err_t err);
 
-/** stack_conn_deliver() - make the callbacks that are due for @conn */
+/** stack_conn_deliver() - report the events of @conn to the owner */
 void
 stack_conn_deliver(struct stack_conn *conn);
 
-/** stack_conn_sweep_locked() - let go of those that finished closing */
+/** stack_conn_sweep_locked() - end connections that have finished closing or
+ * wait too long for the peer's FIN */
 void
 stack_conn_sweep_locked(struct stack *stack);
 
-/** stack_conn_free_all_locked() - abort and free every connection */
+/** stack_conn_free_all_locked() - abort and free all connections */
 void
 stack_conn_free_all_locked(struct stack *stack);
 
--- a/tests/idem/losses.c
+++ b/tests/idem/losses.c
@@ -1,8 +1,9 @@
 /**
- * DOC: losses - what several deaths at once do to keys, and what a key costs
+ * DOC: losses - effects of several deaths at once, and messages per key
  *
- * Prints two tables for docs/design-idempotency.md. With an argument: that
- * many seeds (default SEEDS). Exits with 1 if a single death hurt.
+ * Prints two tables for docs/design-idempotency.md. The argument is the number
+ * of seeds (default SEEDS). Exits with 1 if a key ran twice after at most one
+ * death.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,21 +15,21 @@
 #define AGENTS 7
 #define KEYS 12
 
-/* Requests asked again, by their verdict. */
+/* Verdicts of retried requests. */
 struct tally {
-    unsigned asked;
+    unsigned retries;
     unsigned verdicts[IDEM_REFUSE + 1];
 };
 
-/* Keys that ended or still run, @deaths agents die, everybody who lives is
- * asked for each key @after_us later. */
+/* Starts requests and ends half of them, kills @deaths agents and retries each
+ * key at a random live agent @after_us later. */
 static void
-trial(uint32_t seed, unsigned deaths, bool noticed, uint64_t after_us,
-      unsigned lose, struct tally *tally)
+run_trial(uint32_t seed, unsigned deaths, bool noticed, uint64_t after_us,
+          unsigned loss_permille, struct tally *tally)
 {
     struct sim_net net = {
         .delay_us = 20 * SIM_MSEC,
-        .lose = lose,
+        .loss_permille = loss_permille,
         .skew_us = USEC_PER_SEC,
     };
     unsigned dead = 0;
@@ -63,30 +64,30 @@
             node = (node + 1) % AGENTS;
         }
         sim_advance(&sim, 2 * IDEM_RESERVE_TIMEOUT_US);
-        tally->asked++;
+        tally->retries++;
         tally->verdicts[sim_request(&sim, token)->verdict]++;
     }
     sim_finish(&sim);
 }
 
 static unsigned
-print_row(unsigned deaths, bool noticed, uint64_t after_us, unsigned lose,
-          uint32_t seeds)
+print_row(unsigned deaths, bool noticed, uint64_t after_us,
+          unsigned loss_permille, uint32_t seeds)
 {
     static const enum idem_action_type columns[] = {
         IDEM_REPLAY, IDEM_OUTCOME_UNKNOWN, IDEM_IN_PROGRESS, IDEM_REFUSE};
     struct tally tally = {0};
 
     for (uint32_t seed = 1; seed <= seeds; seed++) {
-        trial(seed, deaths, noticed, after_us, lose, &tally);
+        run_trial(seed, deaths, noticed, after_us, loss_permille, &tally);
     }
     printf("# | %u | %s | %u | %u %% | %u |", deaths,
            noticed ? "at once" : "3 s", (unsigned)(after_us / USEC_PER_SEC),
-           lose / 10, tally.asked);
+           loss_permille / 10, tally.retries);
     for (size_t i = 0; i < G_N_ELEMENTS(columns); i++) {
-        printf(" %.2f |", 100.0 / tally.asked * tally.verdicts[columns[i]]);
+        printf(" %.2f |", 100.0 / tally.retries * tally.verdicts[columns[i]]);
     }
-    printf(" %.3f |\n", 100.0 / tally.asked * tally.verdicts[IDEM_PROCEED]);
+    printf(" %.3f |\n", 100.0 / tally.retries * tally.verdicts[IDEM_PROCEED]);
     return tally.verdicts[IDEM_PROCEED];
 }
 
@@ -95,27 +96,29 @@
 {
     static const uint64_t after_us[] = {0, 2 * USEC_PER_SEC, 8 * USEC_PER_SEC,
                                         25 * USEC_PER_SEC, 70 * USEC_PER_SEC};
-    static const unsigned loses[] = {0, 200};
-    unsigned hurt = 0;
+    static const unsigned losses[] = {0, 200};
+    unsigned duplicates = 0;
 
     printf("# | deaths of 7 | noticed | retry after, s | messages lost | "
            "retries | replayed %% | unknown %% | in progress %% | "
            "refused %% | run again %% |\n");
     printf("# |---|---|---|---|---|---|---|---|---|---|\n");
     for (unsigned deaths = 0; deaths <= 4; deaths++) {
-        for (size_t lose = 0; lose < G_N_ELEMENTS(loses); lose++) {
+        for (size_t loss_permille = 0; loss_permille < G_N_ELEMENTS(losses);
+             loss_permille++) {
             for (size_t i = 0; i < G_N_ELEMENTS(after_us); i++) {
-                unsigned duplicate_runs = print_row(
-                    deaths, i % 2 == 0, after_us[i], loses[lose], seeds);
+                unsigned duplicate_runs =
+                    print_row(deaths, i % 2 == 0, after_us[i],
+                              losses[loss_permille], seeds);
 
-                hurt += deaths <= 1 ? duplicate_runs : 0;
+                duplicates += deaths <= 1 ? duplicate_runs : 0;
             }
         }
     }
-    return hurt;
+    return duplicates;
 }
 
-/* Messages and bytes of one key, with nothing wrong. */
+/* Prints the messages and bytes of a key without faults. */
 static void
 print_cost(unsigned agents)
 {
@@ -146,10 +149,10 @@
 main(int argc, char **argv)
 {
     uint32_t seeds = argc > 1 ? (uint32_t)strtoul(argv[1], NULL, 10) : SEEDS;
-    unsigned hurt;
+    unsigned duplicates;
 
     printf("1..1\n# %u seeds from 1\n", seeds);
-    hurt = print_losses(seeds);
+    duplicates = print_losses(seeds);
     printf("#\n# | agents | messages a key | bytes a key, answers of about "
            "35 bytes included |\n# |---|---|---|\n");
     for (unsigned agents = 1; agents <= SIM_NODES; agents++) {
@@ -158,6 +161,6 @@
     printf("#\n# a record takes %zu bytes without its answer\n",
            sizeof(struct record) + 3 * sizeof(struct record *));
     printf("%s 1 no key runs again after one death\n",
-           hurt == 0 ? "ok" : "not ok");
-    return hurt == 0 ? 0 : 1;
+           duplicates == 0 ? "ok" : "not ok");
+    return duplicates == 0 ? 0 : 1;
 }
--- a/tests/idem/sim.c
+++ b/tests/idem/sim.c
@@ -4,7 +4,7 @@
 #include "base/hash.h"
 #include "sim_private.h"
 
-/* A PeerMessage in a link frame, without the answer. */
+/* Size of a PeerMessage in a link frame, without the answer. */
 #define WIRE_BYTES 102
 
 void
@@ -141,14 +141,16 @@
     sim->messages++;
     sim->bytes += WIRE_BYTES + action->msg.answer_len;
     if (sim->partitioned_until_us[from][to] > sim->now_us ||
-        (unsigned)g_rand_int_range(sim->rand, 0, 1000) < sim->net.lose) {
+        (unsigned)g_rand_int_range(sim->rand, 0, 1000) <
+            sim->net.loss_permille) {
         return;
     }
-    if ((unsigned)g_rand_int_range(sim->rand, 0, 1000) < sim->net.repeat) {
+    if ((unsigned)g_rand_int_range(sim->rand, 0, 1000) <
+        sim->net.repeat_permille) {
         copies = 2;
     }
     for (unsigned i = 0; i < copies; i++) {
-        /* Most are quick, a few take their time and are overtaken. */
+        /* One in eight messages may be slow and overtaken by later ones. */
         uint64_t bound = g_rand_int_range(sim->rand, 0, 8) == 0
                              ? sim->net.delay_us
                              : sim->net.delay_us / 8;
@@ -163,7 +165,8 @@
     }
 }
 
-/* The first request of a key alone may run; an answer replayed is its. */
+/* Checks that a key runs once and that a replayed answer is the one of its
+ * run. */
 static void
 check_verdict(struct sim *sim, struct sim_request *request,
               const struct idem_action *action)
@@ -189,11 +192,12 @@
     if (action->type == IDEM_REPLAY &&
         (answer->len != action->msg.answer_len ||
          memcmp(answer->str, action->msg.answer, answer->len) != 0)) {
-        sim_fail(sim, "key %u replayed another answer", request->key);
+        sim_fail(sim, "key %u replayed a different answer", request->key);
     }
     if (action->type == IDEM_OUTCOME_UNKNOWN &&
         sim_runs(sim, request->key) == 0 && request->reason == 0) {
-        sim_fail(sim, "key %u unknown without a reason", request->key);
+        sim_fail(sim, "key %u has an unknown outcome without a reason",
+                 request->key);
     }
 }
 
@@ -281,9 +285,10 @@
     }
 }
 
-/* Those of a generation that ended are lost, those of a frozen node wait. */
+/* Delivers an event, drops it if the node's generation has ended, or defers it
+ * while the node is frozen. */
 static void
-arrive(struct sim *sim, struct event *event)
+dispatch_event(struct sim *sim, struct event *event)
 {
     struct sim_node *self = &sim->nodes[event->to];
     bool lost = !self->up || (event->type != EVENT_MEMBER &&
@@ -340,7 +345,7 @@
 
         if (queue_pop(&sim->events, MIN(sim->next_tick_us, end_us), &event)) {
             sim->now_us = MAX(sim->now_us, event.queue.at_us);
-            arrive(sim, &event);
+            dispatch_event(sim, &event);
             continue;
         }
         if (sim->next_tick_us > end_us) {
--- a/tests/idem/sim.h
+++ b/tests/idem/sim.h
@@ -1,9 +1,8 @@
 /**
- * DOC: sim - a few idem instances, a bad network and a clock that is
- * stepped by hand
+ * DOC: sim - deterministic simulation of idem instances on a faulty network
  *
- * Everything random comes from one seed. Each observer learns of each
- * change of membership at a moment of its own.
+ * All randomness comes from one seed. Each node receives each change of
+ * membership after its own delay.
  */
 #ifndef SWIFTARCH_TESTS_IDEM_SIM_H
 #define SWIFTARCH_TESTS_IDEM_SIM_H
@@ -20,20 +19,20 @@
 #define SIM_MSEC ((uint64_t)1000)
 #define SIM_TICK_US (50 * SIM_MSEC)
 
-/** enum sim_phase - how far a request came */
+/** enum sim_phase - progress of a request */
 enum sim_phase { SIM_OPEN, SIM_RUNNING, SIM_ENDED, SIM_CRASHED };
 
 /**
- * struct sim_request - one idem_begin()
- * @token: number, from 1
+ * struct sim_request - a request passed to idem_begin()
+ * @token: number of the request, from 1
  * @node: coordinator
- * @generation: of the coordinator
+ * @generation: generation of the coordinator
  * @key: index of its key
- * @begun_us: when
- * @phase: how far
- * @ran: it was told to proceed and never said "not run"
+ * @begun_us: time of idem_begin()
+ * @phase: progress
+ * @ran: it got IDEM_PROCEED and didn't end as not run
  * @verdict: action that settled it
- * @reason: of the verdict
+ * @reason: reason of the verdict
  */
 struct sim_request {
     uint64_t token;
@@ -48,16 +47,23 @@
 };
 
 /**
- * struct sim_known - what an observer knows of a node
+ * struct sim_known - a node's view of another node
  * @member: view entry; id 0 while unknown
- * @seq: of the last change taken in
+ * @seq: number of the last change applied
  */
 struct sim_known {
     struct view_member member;
     uint64_t seq;
 };
 
-/** struct sim_node - one process */
+/**
+ * struct sim_node - an agent process
+ * @idem: instance under test, NULL while the process is down
+ * @generation: number of starts
+ * @joined: it has copied the member list of another node
+ * @known: its view of the nodes
+ * @inbox: events that wait while it is frozen
+ */
 struct sim_node {
     struct idem *idem;
     unsigned generation;
@@ -73,28 +79,28 @@
 };
 
 /**
- * struct sim_net - how bad the network is
- * @delay_us: longest delay of a message
- * @lose: thousandths of messages lost for good
- * @repeat: thousandths delivered twice
- * @skew_us: longest delay of a change of membership
+ * struct sim_net - faults of the network
+ * @delay_us: maximum delay of a message
+ * @loss_permille: messages lost, per 1000
+ * @repeat_permille: messages delivered twice, per 1000
+ * @skew_us: maximum delay of a change of membership
  */
 struct sim_net {
     uint64_t delay_us;
-    unsigned lose;
-    unsigned repeat;
+    unsigned loss_permille;
+    unsigned repeat_permille;
     uint64_t skew_us;
 };
 
 /**
- * struct sim - the world
- * @partitioned_until_us: until when two nodes are cut from each other
- * @no_sync: nobody copies the list of members of another
- * @failure: what went wrong first, or NULL
- * @duplicate_runs: keys that ran more than once
- * @lost_us: when a memory was lost last
- * @messages: sent between agents
- * @bytes: of them, as they are on the wire, about
+ * struct sim - state of the simulation
+ * @partitioned_until_us: when the partition between two nodes ends
+ * @no_sync: nodes don't copy each other's member lists periodically
+ * @failure: first violation found, or NULL
+ * @duplicate_runs: number of repeated runs of a key
+ * @lost_us: when a node lost its memory last
+ * @messages: messages sent between agents
+ * @bytes: approximate bytes of @messages on the wire
  */
 struct sim {
     GRand *rand;
@@ -115,13 +121,13 @@
     uint64_t bytes;
 };
 
-/** sim_init() - a world without nodes */
+/** sim_init() - start a simulation without running nodes */
 void
 sim_init(struct sim *sim, uint32_t seed, struct sim_net net);
 void
 sim_finish(struct sim *sim);
 
-/** sim_key() - key number @index */
+/** sim_key() - the key with number @index */
 struct idem_key
 sim_key(unsigned index);
 
@@ -129,62 +135,63 @@
 uint64_t
 sim_id(unsigned node);
 
-/** sim_start() - start (again) with an empty memory */
+/** sim_start() - start a node with an empty memory, unless it is running */
 void
 sim_start(struct sim *sim, unsigned node);
 
-/** sim_start_first() - start the first @nodes, let @after_us go by */
+/** sim_start_first() - start the first @nodes nodes and advance by @after_us
+ */
 void
 sim_start_first(struct sim *sim, unsigned nodes, uint64_t after_us);
 
-/** sim_crash() - the process dies; the others notice after 2 to 4 s, or at
- * once with @noticed */
+/** sim_crash() - kill a node; others see it dead after 3 s, with @noticed at
+ * once, plus the skew */
 void
 sim_crash(struct sim *sim, unsigned node, bool noticed);
 
-/** sim_leave() - the process announces that it is being stopped */
+/** sim_leave() - a node announces that it is leaving */
 void
 sim_leave(struct sim *sim, unsigned node);
 
-/** sim_freeze(), sim_thaw() - suspected after 1 s, dead after 4 s */
+/** sim_freeze(), sim_thaw() - pause and resume a node; others suspect it after
+ * 1 s and see it dead after 4 s */
 void
 sim_freeze(struct sim *sim, unsigned node);
 void
 sim_thaw(struct sim *sim, unsigned node);
 
-/** sim_partition() - break the connection of two nodes for @for_us; 0 heals it
- */
+/** sim_partition() - drop messages between two nodes for @for_us; 0 ends it */
 void
 sim_partition(struct sim *sim, unsigned a, unsigned b, uint64_t for_us);
 
-/** sim_set_observed_health() - @observer comes to believe @health of @about,
- * whatever the truth */
+/** sim_set_observed_health() - set the health of @about in the view of
+ * @observer only */
 void
 sim_set_observed_health(struct sim *sim, unsigned observer, unsigned about,
                         enum member_health health);
 
-/** sim_begin() - a caller's request; its token, 0 if the node is down */
+/** sim_begin() - begin a request; its token, or 0 if the node can't take it */
 uint64_t
 sim_begin(struct sim *sim, unsigned node, unsigned key);
 
-/** sim_end() - a running request ends; @answer for IDEM_DONE */
+/** sim_end() - end a running request, for IDEM_DONE with an answer */
 void
 sim_end(struct sim *sim, uint64_t token, bool not_run, enum idem_state state);
 
-/** sim_advance() - let time go by */
+/** sim_advance() - advance the clock and process the events that are due */
 void
 sim_advance(struct sim *sim, uint64_t delta_us);
 
-/** sim_request() - request @token */
+/** sim_request() - the request with number @token */
 struct sim_request *
 sim_request(struct sim *sim, uint64_t token);
 
-/** sim_runs() - how often @key ran */
+/** sim_runs() - number of requests of @key that ran */
 unsigned
 sim_runs(const struct sim *sim, unsigned key);
 
-/** sim_quiesce() - all faults end, all runs end, time goes by; then checks
- * that nothing is stuck and that replicas agree */
+/** sim_quiesce() - end all faults and requests, advance the clock, and check
+ * that no reservation, record or key is left unresolved */
 void
 sim_quiesce(struct sim *sim);
 
--- a/tests/idem/scene.c
+++ b/tests/idem/sim_fixture.c
@@ -1,21 +1,21 @@
-#include "scene.h"
+#include "sim_fixture.h"
 
 void
-scene_start(struct sim *sim, unsigned nodes, uint64_t after_us)
+sim_fixture_start(struct sim *sim, unsigned nodes, uint64_t after_us)
 {
     sim_init(sim, 7, (struct sim_net){.delay_us = 8 * SIM_MSEC});
     sim_start_first(sim, nodes, after_us);
 }
 
 void
-scene_finish(struct sim *sim)
+sim_fixture_finish(struct sim *sim)
 {
     g_assert_cmpstr(sim->failure, ==, NULL);
     sim_finish(sim);
 }
 
 enum idem_action_type
-scene_ask(struct sim *sim, unsigned node, unsigned key)
+sim_fixture_request(struct sim *sim, unsigned node, unsigned key)
 {
     uint64_t token = sim_begin(sim, node, key);
 
@@ -24,15 +24,16 @@
 }
 
 enum idem_reason
-scene_reason(struct sim *sim)
+sim_fixture_last_reason(struct sim *sim)
 {
     return sim_request(sim, sim->requests->len)->reason;
 }
 
 void
-scene_run(struct sim *sim, unsigned node, unsigned key, enum idem_state state)
+sim_fixture_run(struct sim *sim, unsigned node, unsigned key,
+                enum idem_state state)
 {
-    g_assert_cmpint(scene_ask(sim, node, key), ==, IDEM_PROCEED);
+    g_assert_cmpint(sim_fixture_request(sim, node, key), ==, IDEM_PROCEED);
     sim_end(sim, sim->requests->len, false, state);
     sim_advance(sim, USEC_PER_SEC);
 }
--- a/tests/idem/sim_members.c
+++ b/tests/idem/sim_members.c
@@ -39,15 +39,15 @@
 }
 
 static struct view_member
-describe(const struct sim *sim, unsigned node, enum member_health health)
+make_member(const struct sim *sim, unsigned node, enum member_health health)
 {
-    const struct sim_node *of = &sim->nodes[node];
+    const struct sim_node *subject = &sim->nodes[node];
 
     return (struct view_member){
         .id = sim_id(node),
-        .incarnation = of->incarnation,
+        .incarnation = subject->incarnation,
         .role = MEMBER_AGENT,
-        .state = of->leaving ? MEMBER_LEAVING : MEMBER_READY,
+        .state = subject->leaving ? MEMBER_LEAVING : MEMBER_READY,
         .health = health,
         .service = SIM_SERVICE,
         .slots = 2,
@@ -68,7 +68,7 @@
             .to = i,
             .about = about,
             .seq = seq,
-            .member = describe(sim, about, health),
+            .member = make_member(sim, about, health),
         };
 
         if (i != about) {
@@ -96,7 +96,7 @@
         WALL_US + sim->now_us + sim_random_us(sim, USEC_PER_SEC);
     self->idem = idem_new(sim_id(node), 1000);
     memset(self->known, 0, sizeof(self->known));
-    self->known[node].member = describe(sim, node, MEMBER_ALIVE);
+    self->known[node].member = make_member(sim, node, MEMBER_ALIVE);
     self->known[node].member.since_us = sim->now_us;
     sim_publish_view(sim, node);
     sim_announce(sim, node, MEMBER_ALIVE, 0);
@@ -114,8 +114,6 @@
     sim_advance(sim, after_us);
 }
 
-/* A newcomer gets the whole list from one who is there; others do so from
- * time to time. */
 void
 sim_join(struct sim *sim, unsigned node)
 {
@@ -251,7 +249,7 @@
         return;
     }
     known->seq = event->seq;
-    /* A refuted suspicion raises it by one, a restart by far more. */
+    /* A refuted suspicion raises the incarnation by 1, a restart by more. */
     if (known->member.id == 0 ||
         event->member.incarnation > incarnation + 99) {
         since_us = sim->now_us;
--- a/tests/idem/sim_quiesce.c
+++ b/tests/idem/sim_quiesce.c
@@ -21,12 +21,12 @@
         }
     }
     if (idem_unacked_records(sim->nodes[node].idem) != 0) {
-        sim_fail(sim, "node %u has %zu records that nobody acknowledged", node,
+        sim_fail(sim, "node %u has %zu unacknowledged records", node,
                  idem_unacked_records(sim->nodes[node].idem));
     }
 }
 
-/* A key that ran is never free again, whoever is asked. */
+/* Checks that a request of the key is settled with a final verdict. */
 static void
 check_key(struct sim *sim, unsigned key)
 {
@@ -50,7 +50,7 @@
     case IDEM_OUTCOME_UNKNOWN:
         break;
     default:
-        sim_fail(sim, "key %u is stuck: verdict %d reason %d", key,
+        sim_fail(sim, "key %u isn't settled: verdict %d, reason %d", key,
                  sim_request(sim, token)->verdict,
                  sim_request(sim, token)->reason);
     }
@@ -65,7 +65,7 @@
             sim_partition(sim, i, j, 0);
         }
     }
-    sim->net.lose = 0;
+    sim->net.loss_permille = 0;
     sim_advance(sim, sim->net.delay_us + USEC_PER_SEC);
     sim->net.delay_us = MIN(sim->net.delay_us, 20 * SIM_MSEC);
     for (size_t i = 0; i < sim->requests->len; i++) {
--- a/tests/idem/test_limits.c
+++ b/tests/idem/test_limits.c
@@ -1,11 +1,11 @@
-#include "scene.h"
+#include "sim_fixture.h"
 
 #define SUITE "/idem"
 
-/* A table at its bound refuses new keys and still knows the old ones. */
-SCENE(full, 3, SCENE_ELIGIBLE_US)
+/* A full table refuses new keys and keeps the old ones. */
+SIM_TEST(records_bound, 3, SIM_ELIGIBLE_US)
 {
-    scene_run(sim, 0, 1, IDEM_DONE);
+    sim_fixture_run(sim, 0, 1, IDEM_DONE);
     for (unsigned i = 0; i < 1000; i++) {
         (void)sim_begin(sim, 0, 1000 + i);
     }
@@ -15,9 +15,10 @@
     EXPECT(0, 1, IDEM_REPLAY);
 }
 
-SCENE(time_to_live, 5, SCENE_ELIGIBLE_US)
+/* Records are replayed until their TTL ends, then removed. */
+SIM_TEST(time_to_live, 5, SIM_ELIGIBLE_US)
 {
-    scene_run(sim, 0, 1, IDEM_DONE);
+    sim_fixture_run(sim, 0, 1, IDEM_DONE);
     sim->now_us += IDEM_TTL_US - 120 * USEC_PER_SEC;
     sim->next_tick_us = sim->now_us;
     sim_advance(sim, 60 * USEC_PER_SEC);
@@ -28,11 +29,11 @@
     }
 }
 
-/* Three newcomers at once: the records go out at a bounded rate, and are
- * all there before the newcomers count. */
-SCENE(join_storm, 4, SCENE_ELIGIBLE_US)
+/* After three joins at once records are copied at a bounded rate, and all
+ * copies are acknowledged before the new members are eligible. */
+SIM_TEST(joins_bounded_rate, 4, SIM_ELIGIBLE_US)
 {
-    uint64_t most = 0;
+    uint64_t max_messages = 0;
 
     for (unsigned i = 0; i < 900; i++) {
         (void)sim_begin(sim, i % 4, 100 + i);
@@ -49,20 +50,21 @@
         uint64_t before = sim->messages;
 
         sim_advance(sim, SIM_TICK_US);
-        most = MAX(most, sim->messages - before);
+        max_messages = MAX(max_messages, sim->messages - before);
     }
     g_test_message("at most %u messages in 50 ms from 4 agents",
-                   (unsigned)most);
-    /* Of each agent 73 visits in a tick of the pass and as many of the
-     * queue, three newcomers each, and their ACKs. */
-    g_assert_cmpuint(most, <=, 4 * 2 * 73 * 3 * 2);
+                   (unsigned)max_messages);
+    /* Per agent and tick: 73 visits of the pass and as many of the queue,
+     * three new members each, and their ACKs. */
+    g_assert_cmpuint(max_messages, <=, 4 * 2 * 73 * 3 * 2);
     for (unsigned i = 0; i < 7; i++) {
         g_assert_cmpuint(idem_unacked_records(sim->nodes[i].idem), ==, 0);
     }
 }
 
-/* Answers share a budget: the oldest goes, that it ran is still known. */
-TEST(answer_budget)
+/* At the bound of answer bytes the oldest answer is dropped, its record
+ * stays. */
+TEST(answer_bytes_bound)
 {
     size_t count = IDEM_ANSWERS_BYTES_MAX / IDEM_ANSWER_MAX;
     g_autofree uint8_t *answer = g_malloc0(IDEM_ANSWER_MAX);
@@ -87,8 +89,8 @@
     idem_actions_finish(&out);
 }
 
-/* What ran without an answer that could be kept is never run again. */
-SCENE(answer_too_long, 5, SCENE_ELIGIBLE_US)
+/* A key whose answer is too long to store doesn't run again. */
+SIM_TEST(answer_too_long, 5, SIM_ELIGIBLE_US)
 {
     g_autofree uint8_t *answer = g_malloc0(IDEM_ANSWER_MAX + 1);
     struct idem_actions out = {0};
--- a/tests/idem/test_property.c
+++ b/tests/idem/test_property.c
@@ -7,9 +7,9 @@
 #define SUITE "/idem/property"
 #define STEPS 160
 #define SEEDS 800
-/* Longer than it takes to notice a death, to settle and to push. */
+/* Exceeds the time to detect a death, become eligible and copy records. */
 #define LOSS_GAP_US (30 * USEC_PER_SEC)
-#define CUT_US (4 * USEC_PER_SEC)
+#define PARTITION_US (4 * USEC_PER_SEC)
 
 enum op_type {
     OP_BEGIN,
@@ -18,7 +18,7 @@
     OP_START,
     OP_FREEZE,
     OP_THAW,
-    OP_CUT,
+    OP_PARTITION,
     OP_LEAVE,
     OP_ISOLATE,
     OP_ADVANCE,
@@ -26,11 +26,11 @@
 };
 
 static const char *const names[OP_TYPES] = {
-    "OP_BEGIN", "OP_END", "OP_CRASH", "OP_START",   "OP_FREEZE",
-    "OP_THAW",  "OP_CUT", "OP_LEAVE", "OP_ISOLATE", "OP_ADVANCE",
+    "OP_BEGIN", "OP_END",       "OP_CRASH", "OP_START",   "OP_FREEZE",
+    "OP_THAW",  "OP_PARTITION", "OP_LEAVE", "OP_ISOLATE", "OP_ADVANCE",
 };
 
-/* One step: what, and up to two numbers. */
+/* A step; the meaning of @a and @b depends on @type. */
 struct op {
     enum op_type type;
     unsigned a;
@@ -78,7 +78,7 @@
         op->a = (unsigned)g_rand_int_range(rand, 0, SIM_NODES);
         op->b = (unsigned)g_rand_int_range(rand, 0, 1 + (int)seed % SIM_KEYS);
         if (op->type == OP_ADVANCE) {
-            /* Mostly short, some long enough to settle. */
+            /* Mostly short, some long enough to become eligible. */
             unsigned bound = g_rand_int_range(rand, 0, 4) == 0 ? 12000 : 400;
 
             op->a = (unsigned)g_rand_int_range(rand, 1, (int)bound);
@@ -87,10 +87,10 @@
     g_rand_free(rand);
 }
 
-/* One memory may be lost at a time: whether another one may be now. A
- * frozen node's counts from the moment it freezes. */
+/* Whether a node may lose its memory now. Only one loss at a time is
+ * tolerated; a frozen node counts as lost. */
 static bool
-may_lose(const struct sim *sim)
+may_lose_memory(const struct sim *sim)
 {
     unsigned up = 0;
 
@@ -105,7 +105,7 @@
 }
 
 static void
-end_some(struct sim *sim, unsigned how)
+end_latest_request(struct sim *sim, unsigned how)
 {
     for (size_t i = sim->requests->len; i > 0; i--) {
         if (sim_request(sim, i)->phase == SIM_RUNNING) {
@@ -116,7 +116,7 @@
     }
 }
 
-/* A planned stop ends when the records are handed on. */
+/* Stops leaving nodes whose records are all acknowledged. */
 static void
 stop_leaving_nodes(struct sim *sim)
 {
@@ -124,22 +124,22 @@
         struct sim_node *node = &sim->nodes[i];
 
         if (node->up && node->leaving && !node->frozen &&
-            sim->now_us > node->started_us && may_lose(sim) &&
+            sim->now_us > node->started_us && may_lose_memory(sim) &&
             idem_unacked_records(node->idem) == 0) {
             sim_crash(sim, i, true);
         }
     }
 }
 
-/* Two nodes are cut off from each other for CUT_US at most, and then not
- * again before everything could be pushed. */
+/* Partitions two nodes for PARTITION_US, unless records of their last
+ * partition may not have been copied yet. */
 static void
-cut(struct sim *sim, unsigned a, unsigned b)
+partition_pair(struct sim *sim, unsigned a, unsigned b)
 {
     if (a != b && (sim->partitioned_until_us[a][b] == 0 ||
                    sim->partitioned_until_us[a][b] + IDEM_ELIGIBLE_AFTER_US <
                        sim->now_us)) {
-        sim_partition(sim, a, b, CUT_US);
+        sim_partition(sim, a, b, PARTITION_US);
     }
 }
 
@@ -153,10 +153,10 @@
         (void)sim_begin(sim, op->a, op->b);
         break;
     case OP_END:
-        end_some(sim, op->b);
+        end_latest_request(sim, op->b);
         break;
     case OP_CRASH:
-        if (may_lose(sim)) {
+        if (may_lose_memory(sim)) {
             sim_crash(sim, op->a, op->b % 2 == 0);
         }
         break;
@@ -164,7 +164,7 @@
         sim_start(sim, op->a);
         break;
     case OP_FREEZE:
-        if (may_lose(sim)) {
+        if (may_lose_memory(sim)) {
             sim_freeze(sim, op->a);
         }
         break;
@@ -173,18 +173,18 @@
             sim_thaw(sim, i);
         }
         break;
-    case OP_CUT:
-        cut(sim, op->a, other);
+    case OP_PARTITION:
+        partition_pair(sim, op->a, other);
         break;
     case OP_LEAVE:
-        if (may_lose(sim)) {
+        if (may_lose_memory(sim)) {
             sim_leave(sim, op->a);
         }
         break;
     case OP_ISOLATE:
         for (unsigned i = 0; i < SIM_NODES; i++) {
             if ((op->b + i) % 3 != 0) {
-                cut(sim, op->a, i);
+                partition_pair(sim, op->a, i);
             }
         }
         break;
@@ -197,7 +197,7 @@
     stop_leaving_nodes(sim);
 }
 
-/* Run a plan; the steps it took to fail, 0 if it held. */
+/* Runs a plan. Returns the number of steps until a violation, 0 if none. */
 static size_t
 run(const struct plan *plan, char **failure)
 {
@@ -205,15 +205,15 @@
     static const unsigned losses[] = {0, 30, 100, 250};
     struct sim_net net = {
         .delay_us = delays_us[plan->seed % 4],
-        .lose = losses[plan->seed / 4 % 4],
-        .repeat = 30,
+        .loss_permille = losses[plan->seed / 4 % 4],
+        .repeat_permille = 30,
         .skew_us = (1 + plan->seed / 16 % 5) * USEC_PER_SEC,
     };
     struct sim sim;
     size_t failed = 0;
 
     sim_init(&sim, plan->seed, net);
-    /* A service that starts needs views that agree sooner. */
+    /* A starting service assumes views that differ by less. */
     sim_start_first(&sim, 5,
                     net.skew_us > 2 * USEC_PER_SEC ? 30 * USEC_PER_SEC
                                                    : 2 * USEC_PER_SEC);
@@ -234,7 +234,7 @@
     return failed;
 }
 
-/* Leave out every step that isn't needed to fail. */
+/* Removes the steps that the violation doesn't need. */
 static void
 shrink(struct plan *plan)
 {
@@ -273,7 +273,7 @@
     failure = NULL;
     shrink(&plan);
     (void)run(&plan, &failure);
-    printf("# shortest prefix, %zu steps: %s\n", plan.count, failure);
+    printf("# shrunk to %zu steps: %s\n", plan.count, failure);
     for (size_t i = 0; i < plan.count; i++) {
         printf("# {%s, %u, %u},\n", names[plan.ops[i].type], plan.ops[i].a,
                plan.ops[i].b);
@@ -282,9 +282,9 @@
     g_test_fail();
 }
 
-/* Each duplicate_runs a key once: two coordinators of a service that was 10 s
- * old went by sets that share members, with quorums that don't (1122422); a
- * replica settled and left within 10 s of one's view (1177494). */
+/* Regressions where a key ran twice: quorums of two overlapping earlier sets
+ * that don't overlap (1122422); a replica that becomes eligible and leaves
+ * within 10 s in one view (1177494). */
 TEST(seeds_with_duplicate_runs)
 {
     static const uint32_t seeds[] = {1122422, 1177494};
@@ -294,8 +294,9 @@
     }
 }
 
-/* Orders of joins, drains, freezes, cuts, lost, late and repeated messages,
- * with one memory lost at a time: nothing runs twice, nothing is stuck. */
+/* With random joins, drains, freezes, partitions, lost, late and repeated
+ * messages, and one lost memory at a time, no key runs twice and every key is
+ * settled. */
 TEST(one_loss)
 {
     const char *text = g_getenv("SEED");
--- a/tests/idem/test_rules.c
+++ b/tests/idem/test_rules.c
@@ -1,8 +1,9 @@
-#include "scene.h"
+#include "sim_fixture.h"
 
 #define SUITE "/idem"
 
-/* Nodes of the set of now for @key, as node @observer sees it. */
+/* Stores the nodes of @key's current replica set in the view of @observer.
+ * Returns their number. */
 static size_t
 replicas_of(const struct sim *sim, unsigned observer, unsigned key,
             unsigned nodes[IDEM_REPLICAS])
@@ -22,7 +23,7 @@
     return set.count;
 }
 
-/* The replicas of key 1, of which there must be all. */
+/* Stores the nodes of key 1's complete replica set. */
 static void
 find_replicas(const struct sim *sim, unsigned observer,
               unsigned nodes[IDEM_REPLICAS])
@@ -41,18 +42,20 @@
     g_assert_not_reached();
 }
 
-SCENE(retry, 5, SCENE_ELIGIBLE_US)
+/* Retries of a key report the state of its first request. */
+SIM_TEST(retry_reports_first_request, 5, SIM_ELIGIBLE_US)
 {
     EXPECT(0, 1, IDEM_PROCEED);
     EXPECT_ALL(1, IDEM_IN_PROGRESS);
     sim_end(sim, 1, false, IDEM_DONE);
     sim_advance(sim, USEC_PER_SEC);
     EXPECT_ALL(1, IDEM_REPLAY);
-    scene_run(sim, 3, 2, IDEM_UNKNOWN);
+    sim_fixture_run(sim, 3, 2, IDEM_UNKNOWN);
     EXPECT_ALL(2, IDEM_OUTCOME_UNKNOWN);
 }
 
-SCENE(not_run_frees, 5, SCENE_ELIGIBLE_US)
+/* A key whose request was not run may run at another agent. */
+SIM_TEST(not_run_releases_key, 5, SIM_ELIGIBLE_US)
 {
     EXPECT(0, 1, IDEM_PROCEED);
     sim_end(sim, 1, true, IDEM_UNKNOWN);
@@ -60,12 +63,13 @@
     EXPECT(4, 1, IDEM_PROCEED);
 }
 
-SCENE(mismatch, 5, SCENE_ELIGIBLE_US)
+/* A key reused for a different request is a mismatch. */
+SIM_TEST(fingerprint_mismatch, 5, SIM_ELIGIBLE_US)
 {
     struct idem_actions out = {0};
     struct idem_key key = sim_key(1);
 
-    scene_run(sim, 0, 1, IDEM_DONE);
+    sim_fixture_run(sim, 0, 1, IDEM_DONE);
     key.fingerprint++;
     g_assert_cmpint(
         idem_begin(sim->nodes[0].idem, 99, &key, sim->now_us, &out), ==, 0);
@@ -74,7 +78,8 @@
     idem_actions_finish(&out);
 }
 
-SCENE(no_quorum, 5, SCENE_ELIGIBLE_US)
+/* An isolated agent refuses, and leaves no reservation behind. */
+SIM_TEST(no_quorum, 5, SIM_ELIGIBLE_US)
 {
     for (unsigned i = 1; i < 5; i++) {
         sim_partition(sim, 0, i, 2 * USEC_PER_SEC);
@@ -84,8 +89,8 @@
     EXPECT(1, 1, IDEM_PROCEED);
 }
 
-/* Who ran it is dead: nobody may run it again, ever. */
-SCENE(owner_dead, 5, SCENE_ELIGIBLE_US)
+/* A key whose owner died while running never runs again. */
+SIM_TEST(owner_dead, 5, SIM_ELIGIBLE_US)
 {
     EXPECT(0, 1, IDEM_PROCEED);
     sim_crash(sim, 0, false);
@@ -97,9 +102,9 @@
     EXPECT_ALL(1, IDEM_OUTCOME_UNKNOWN);
 }
 
-/* A coordinator that slept through joins must not use the sets of before:
- * their keys may have run at the new ones. */
-SCENE(paused_member_missed_joins, 5, SCENE_ELIGIBLE_US)
+/* A coordinator that missed joins during a pause must not use its outdated
+ * replica sets: the key may have run with the new replicas. */
+SIM_TEST(paused_member_missed_joins, 5, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned key = 0;
@@ -128,9 +133,9 @@
     EXPECT(0, key, IDEM_IN_PROGRESS);
 }
 
-/* Who restarts doesn't know that a replica died with its own former life:
- * the survivors alone hold the record, and it must hear all of them. */
-SCENE(restarted_replica, 5, SCENE_ELIGIBLE_US)
+/* A restarted coordinator doesn't know that its earlier process was a replica:
+ * it must get grants of all survivors. */
+SIM_TEST(restarted_replica, 5, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
 
@@ -150,9 +155,9 @@
     EXPECT(at[2], 1, IDEM_IN_PROGRESS);
 }
 
-/* One replica missed the record, one died with it: of the two survivors both
- * must be heard. */
-SCENE(two_survivors, 5, SCENE_ELIGIBLE_US)
+/* One replica missed the record and one died with it: both survivors must
+ * grant. */
+SIM_TEST(two_survivors, 5, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
 
@@ -168,8 +173,9 @@
     EXPECT_REASON(other_than(at, 5), 1, IDEM_REFUSE, IDEM_REASON_QUORUM);
 }
 
-/* A replica that was paused may have missed what the others agreed on. */
-SCENE(paused_replica, 5, SCENE_ELIGIBLE_US)
+/* Grants of a replica that was paused don't count: it may have missed
+ * records. */
+SIM_TEST(paused_replica, 5, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
 
@@ -182,15 +188,15 @@
     EXPECT_REASON(at[0], 1, IDEM_REFUSE, IDEM_REASON_QUORUM);
 }
 
-/* An owner that says goodbye and then dies: what it didn't bring to the
- * others itself is pushed on once it is dead. */
-SCENE(owner_leaves_then_dies, 3, SCENE_ELIGIBLE_US)
+/* When an owner leaves and dies before it sent a record to all replicas,
+ * another holder copies the record. */
+SIM_TEST(owner_leaves_then_dies, 3, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
 
     find_replicas(sim, 0, at);
     sim_partition(sim, at[0], at[1], 15 * USEC_PER_SEC);
-    scene_run(sim, at[0], 1, IDEM_DONE);
+    sim_fixture_run(sim, at[0], 1, IDEM_DONE);
     sim_leave(sim, at[0]);
     sim_advance(sim, 4 * USEC_PER_SEC);
     g_assert_cmpuint(idem_records(sim->nodes[at[1]].idem), ==, 0);
@@ -199,9 +205,10 @@
     g_assert_cmpuint(idem_records(sim->nodes[at[1]].idem), ==, 1);
 }
 
-/* A frozen coordinator holds a reservation at one replica, the other two
- * let another run. Its return must not take that one's records along. */
-SCENE(two_reservations, 6, SCENE_ELIGIBLE_US)
+/* A frozen coordinator holds a reservation at one replica while another
+ * request runs with the other two. Its return must not remove the records of
+ * the request that runs. */
+SIM_TEST(conflicting_reservations, 6, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned frozen;
@@ -226,7 +233,7 @@
     EXPECT_ALL(1, IDEM_REPLAY);
 }
 
-/* How many of the replicas of all keys are nodes from @first on. */
+/* Counts the replicas of 100 keys on nodes from @first on. */
 static unsigned
 count_from(const struct sim *sim, unsigned first)
 {
@@ -243,8 +250,8 @@
     return count;
 }
 
-/* Newcomers get the records first, and have a say afterwards. */
-SCENE(settle, 4, SCENE_ELIGIBLE_US)
+/* New members become replicas only after IDEM_ELIGIBLE_AFTER_US. */
+SIM_TEST(new_members_become_eligible, 4, SIM_ELIGIBLE_US)
 {
     for (unsigned i = 4; i < 8; i++) {
         sim_start(sim, i);
@@ -255,8 +262,9 @@
     g_assert_cmpuint(count_from(sim, 4), >, 100);
 }
 
-/* A node that others may have taken for dead needs both other replicas. */
-SCENE(return, 5, SCENE_ELIGIBLE_US)
+/* A node that returns after others declared it dead isn't a replica and needs
+ * both other replicas. */
+SIM_TEST(returned_member, 5, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned others[IDEM_REPLICAS];
@@ -275,9 +283,9 @@
     EXPECT(at[1], 1, IDEM_PROCEED);
 }
 
-/* Another member says that this process's own open request was not run: it
- * can't know. */
-SCENE(foreign_release, 5, SCENE_ELIGIBLE_US)
+/* A RELEASE from another member doesn't end an open request of this process.
+ */
+SIM_TEST(foreign_release, 5, SIM_ELIGIBLE_US)
 {
     struct idem_actions out = {0};
     struct idem_msg msg = {.type = IDEM_MSG_RELEASE, .key = sim_key(1)};
@@ -294,8 +302,8 @@
     idem_actions_finish(&out);
 }
 
-/* Grants that waited in a paused coordinator's sockets are stale. */
-SCENE(paused_coordinator, 5, SCENE_ELIGIBLE_US)
+/* Grants that arrived during a coordinator's pause are refused as stale. */
+SIM_TEST(paused_coordinator, 5, SIM_ELIGIBLE_US)
 {
     uint64_t token = sim_begin(sim, 0, 1);
 
@@ -307,10 +315,10 @@
     EXPECT(1, 1, IDEM_PROCEED);
 }
 
-/* A replica that one member took for dead settles there anew and leaves
- * within 10 s: it is in neither of that member's sets, and the other holder
- * can't be reached. */
-SCENE(eligible_and_left, 6, SCENE_ELIGIBLE_US)
+/* A replica that one member declared dead becomes eligible there again and
+ * leaves within 10 s, so it is in neither of that member's sets, and the other
+ * holder is unreachable: the member must refuse. */
+SIM_TEST(eligible_and_left, 6, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned other;
@@ -332,8 +340,8 @@
     EXPECT(other, 1, IDEM_REFUSE);
 }
 
-/* The same with two of them, that nobody else shares a record with. */
-SCENE(two_eligible_and_left, 6, SCENE_ELIGIBLE_US)
+/* The same with two replicas that are the only holders of the record. */
+SIM_TEST(two_eligible_and_left, 6, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned other;
@@ -358,8 +366,8 @@
     EXPECT(other, 1, IDEM_REFUSE);
 }
 
-/* While a service starts, views differ too much to pick replicas. */
-SCENE(start, 5, USEC_PER_SEC)
+/* A starting agent refuses: its view may differ too much from others'. */
+SIM_TEST(refuse_while_starting, 5, USEC_PER_SEC)
 {
     EXPECT(0, 1, IDEM_REFUSE);
     sim_advance(sim, IDEM_START_US);
@@ -369,9 +377,10 @@
     EXPECT(5, 2, IDEM_REFUSE);
 }
 
-/* In a service that has just started one of the three oldest leaves, another
- * can't be reached: the third alone must not decide with a newcomer. */
-SCENE(leave_at_start, 5, USEC_PER_SEC + IDEM_START_US)
+/* In a service that has just started, one of the three oldest agents leaves
+ * and another is unreachable: the third and a new replica must not be a
+ * quorum. */
+SIM_TEST(leave_at_start, 5, USEC_PER_SEC + IDEM_START_US)
 {
     unsigned at[IDEM_REPLICAS];
 
@@ -387,9 +396,8 @@
     EXPECT(other_than(at, 5), 1, IDEM_IN_PROGRESS);
 }
 
-/* The same with one that restarts, before the others learn of it: what it
- * grants says nothing. */
-SCENE(restart_at_start, 5, USEC_PER_SEC + IDEM_START_US)
+/* The same with an agent that restarts unnoticed: its grant must not count. */
+SIM_TEST(restart_at_start, 5, USEC_PER_SEC + IDEM_START_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned other;
@@ -405,8 +413,9 @@
     EXPECT(other, 1, IDEM_REFUSE);
 }
 
-/* Five are cut into two and three: only the three go on, for a minute. */
-SCENE(cut, 5, SCENE_ELIGIBLE_US)
+/* In a partition of five agents into two and three only the three continue,
+ * until the partition counts as permanent after a minute. */
+SIM_TEST(partition, 5, SIM_ELIGIBLE_US)
 {
     sim->no_sync = true;
     for (unsigned i = 0; i < 2; i++) {
@@ -428,16 +437,16 @@
     EXPECT(0, 0, IDEM_PROCEED);
 }
 
-/* All three replicas die at once. The coordinator still knows, nobody runs
- * it again before it has told the new ones. */
-SCENE(all_replicas_dead, 8, SCENE_ELIGIBLE_US)
+/* When all three replicas die at once, others refuse until the coordinator has
+ * copied the record to the new replicas. */
+SIM_TEST(all_replicas_dead, 8, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned owner;
 
     find_replicas(sim, 0, at);
     owner = other_than(at, 8);
-    scene_run(sim, owner, 1, IDEM_DONE);
+    sim_fixture_run(sim, owner, 1, IDEM_DONE);
     for (unsigned i = 0; i < 8; i++) {
         sim_partition(sim, owner, i, i != owner ? 4 * USEC_PER_SEC : 0);
     }
@@ -453,9 +462,9 @@
     EXPECT_ALL(1, IDEM_REPLAY);
 }
 
-/* The owner dies before it told all replicas how it ended: those who know
- * tell the others. */
-SCENE(unfinished_reservation, 6, SCENE_ELIGIBLE_US)
+/* When the owner dies before it sent the outcome to all replicas, a replica
+ * with the outcome copies it to the others. */
+SIM_TEST(outcome_copied_after_owner_death, 6, SIM_ELIGIBLE_US)
 {
     unsigned at[IDEM_REPLICAS];
     unsigned owner;
@@ -474,11 +483,11 @@
     EXPECT(at[2], 1, IDEM_REPLAY);
 }
 
-/* Every process is replaced in turn, each one as soon as the last has
- * handed on its records and its successor is there. */
-SCENE(rolling_restart, 5, SCENE_ELIGIBLE_US)
+/* Records survive a restart of each process in turn, each after its records
+ * are acknowledged and the one before is back. */
+SIM_TEST(rolling_restart, 5, SIM_ELIGIBLE_US)
 {
-    scene_run(sim, 0, 1, IDEM_DONE);
+    sim_fixture_run(sim, 0, 1, IDEM_DONE);
     EXPECT(0, 2, IDEM_PROCEED);
     sim_end(sim, sim->requests->len, false, IDEM_UNKNOWN);
     for (unsigned i = 0; i < 5; i++) {
--- a/tests/stack/stack_loop.h
+++ b/tests/stack/stack_loop.h
@@ -1,5 +1,6 @@
 /**
- * DOC: stack_loop - a stack whose output comes back in, and its connections
+ * DOC: stack_loop - test support: a stack whose output is its input, and the
+ * ends of its connections
  */
 #ifndef SWIFTARCH_TESTS_STACK_STACK_LOOP_H
 #define SWIFTARCH_TESTS_STACK_STACK_LOOP_H
@@ -14,7 +15,7 @@
 
 /**
  * struct end - one end of a connection
- * @closes: close when everything is written
+ * @closes: close after @to_send bytes are written
  * @lingers: don't close on EOF
  */
 struct end {
@@ -33,10 +34,10 @@
 };
 
 /**
- * struct loop - a stack whose output comes back in
- * @loss: part of the packets that is lost
- * @reorder: part that goes before those that wait
- * @ends: accepted, newest first
+ * struct loop - a stack and the queue of its sent packets
+ * @loss: fraction of packets dropped, 0 to 1
+ * @reorder: fraction of packets put at the head of the queue, 0 to 1
+ * @ends: accepted ends, newest first
  */
 struct loop {
     struct stack_owner owner;
@@ -56,30 +57,30 @@
     bool server_closes;
 };
 
-/** loop_pattern() - the byte that each end sends at @at */
+/** loop_pattern() - the byte that each end sends at offset @at */
 uint8_t
 loop_pattern(size_t at);
 
-/** loop_init() - a stack that listens at LOOP_SERVER_IP, port 80 */
+/** loop_init() - create a stack that listens on LOOP_SERVER_IP, port 80 */
 void
 loop_init(struct loop *loop, uint32_t seed);
 
 void
 loop_finish(struct loop *loop);
 
-/** loop_step() - bring one packet back in, and poll */
+/** loop_step() - input one queued packet and poll */
 void
 loop_step(struct loop *loop);
 
-/** loop_for() - step for so long */
+/** loop_for() - step for @duration_us */
 void
 loop_for(struct loop *loop, gint64 duration_us);
 
-/** loop_connect() - a caller's end, g_free() it */
+/** loop_connect() - connect from @port (0: any); g_free() the returned end */
 struct end *
 loop_connect(struct loop *loop, uint16_t port, size_t to_send);
 
-/* Steps until @cond; a hang ends the test. */
+/* Steps until @cond holds; fails after LOOP_WAIT_US. */
 #define LOOP_UNTIL(loop, cond)                                                \
     do {                                                                      \
         gint64 deadline = g_get_monotonic_time() + LOOP_WAIT_US;              \
--- a/tests/stack/test_isn.c
+++ b/tests/stack/test_isn.c
@@ -5,7 +5,7 @@
 
 #define SUITE "/isn"
 
-/* 10.9.0.1:40000 -> 10.0.0.1:80, SYN and its answer, checksums right. */
+/* SYN+ACK from 10.0.0.1:80 to 10.9.0.1:40000 with valid checksums. */
 static const uint8_t syn_ack[] = {
     0x45, 0,    0,    40,   0, 1,  0,    0,    64, 6, 0x66, 0xbb, 10, 0, 0, 1,
     10,   9,    0,    1,    0, 80, 0x9c, 0x40, 0,  0, 0x19, 0x6e, 0,  0, 0, 8,
@@ -32,7 +32,7 @@
            (uint32_t)at[2] << 8 | at[3];
 }
 
-/* The caller's acknowledgement of a shifted number comes back unshifted. */
+/* The caller's acknowledgement of a shifted number is shifted back. */
 TEST(round_trip)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(1);
@@ -52,7 +52,7 @@
         memcpy(in, out, sizeof(in));
         isn_shift_out(secret, out, sizeof(out));
         g_assert_cmpuint(tcp_sum(out), ==, 0);
-        /* Now the answer: addresses and ports swapped. */
+        /* The caller's ACK: addresses and ports swapped. */
         memcpy(in + 12, out + 16, 4);
         memcpy(in + 16, out + 12, 4);
         memcpy(in + 20, out + 22, 2);
@@ -68,7 +68,7 @@
     }
 }
 
-/* Two processes that answer one SYN choose different numbers. */
+/* Two processes that answer one SYN send different sequence numbers. */
 TEST(processes_differ)
 {
     uint8_t a[40];
@@ -81,6 +81,7 @@
     g_assert_cmpuint(get32(a + 24), !=, get32(b + 24));
 }
 
+/* Truncated packets aren't modified. */
 TEST(short_packets)
 {
     uint8_t buf[40];
--- a/tests/stack/test_stack.c
+++ b/tests/stack/test_stack.c
@@ -9,8 +9,8 @@
 #define SUITE "/stack"
 #define ALL_SIZE 200000
 
-/* Whole bytes both ways, over packets that are lost and reordered. */
-TEST_F(loop, whole_bytes, 4711)
+/* All bytes arrive in both directions despite lost and reordered packets. */
+TEST_F(loop, loss_and_reordering, 4711)
 {
     struct end *clients[20];
     struct end *server;
@@ -35,6 +35,7 @@
     g_test_message("%zu packets lost", loop->dropped);
 }
 
+/* An abort is reported to both ends, with the reason. */
 TEST_F(loop, abort, 1)
 {
     g_autofree struct end *client = NULL;
@@ -45,7 +46,7 @@
     LOOP_UNTIL(loop, loop->closed == 2);
     g_assert_cmpint(loop->ends->reason, ==, -ECONNABORTED);
     g_assert_cmpint(client->reason, ==, -ECONNRESET);
-    /* Nobody listens: refused. */
+    /* The second call finds no listener. */
     g_assert_cmpint(
         stack_unlisten(loop->stack, (struct addr){LOOP_SERVER_IP, 80}), ==, 0);
     g_assert_cmpint(
@@ -53,7 +54,7 @@
         -ENOENT);
 }
 
-/* The caller ends its half first and still gets the whole answer. */
+/* A connection whose caller sends FIN first closes without an error. */
 TEST_F(loop, half_close, 2)
 {
     g_autofree struct end *client = NULL;
@@ -69,6 +70,7 @@
     g_assert_cmpint(client->reason, ==, 0);
 }
 
+/* A closed connection isn't aborted while its peer still reads slowly. */
 TEST_F(loop, slow_reader, 10)
 {
     g_autofree struct end *client = NULL;
@@ -98,7 +100,7 @@
     g_assert_cmpint(server->reason, ==, 0);
 }
 
-/* The same port again at once, though the server holds it in TIME-WAIT. */
+/* A caller can reuse its port at once while the server is in TIME-WAIT. */
 TEST_F(loop, port_reuse, 3)
 {
     struct end *client;
@@ -116,7 +118,7 @@
     g_assert_cmpuint(loop->accepted, ==, 5);
 }
 
-/* A paused reader holds back the writer after a window's worth of bytes. */
+/* A paused reader stops the writer after about one receive window. */
 TEST_F(loop, pause, 5)
 {
     g_autofree struct end *client = NULL;
@@ -135,7 +137,8 @@
     LOOP_UNTIL(loop, loop->ends->received == 10 * ALL_SIZE);
 }
 
-/* Open flows survive that listening stops; new ones aren't accepted. */
+/* Open flows continue after stack_unlisten(); stack_listen() accepts new ones
+ * again. */
 TEST_F(loop, unlisten, 6)
 {
     g_autofree struct end *client = NULL;
@@ -154,6 +157,7 @@
     LOOP_UNTIL(loop, late->opened);
 }
 
+/* Invalid packets are rejected with the matching error. */
 TEST_F(loop, bad_input, 7)
 {
     uint8_t buf[60] = {0x45, 0, 0, 40, 0,  0, 0, 0, 64, 6, 0, 0,
@@ -169,5 +173,5 @@
     buf[0] = 0x4f;
     g_assert_cmpint(stack_input(loop->stack, buf, 40), ==, -EINVAL);
     g_assert_cmpint(stack_input(loop->stack, buf, 0), ==, -EINVAL);
-    g_assert_null(stack_new(&loop->owner)); /* one in a process */
+    g_assert_null(stack_new(&loop->owner)); /* one per process */
 }
--- a/tests/stack/test_stack_closing.c
+++ b/tests/stack/test_stack_closing.c
@@ -20,7 +20,8 @@
     return acked;
 }
 
-/* The caller has ended its half, the server hasn't, all is acknowledged. */
+/* Sets up a connection that only the caller has closed, with all data
+ * acknowledged. */
 static struct end *
 loop_half_closed(struct loop *loop)
 {
@@ -38,8 +39,8 @@
     return client;
 }
 
-/* Every byte was acknowledged both ways: that the last ACK is lost and the
- * peer's TIME-WAIT over when our FIN comes again breaks nothing. */
+/* With all data acknowledged, a reset of the retransmitted FIN after the
+ * peer's TIME-WAIT isn't an error. */
 TEST(last_ack_lost)
 {
     struct loop loop;
@@ -60,7 +61,7 @@
     loop_finish(&loop);
 }
 
-/* A reset while the last bytes are unacknowledged is one, closing or not. */
+/* A reset while bytes are unacknowledged is an error, even while closing. */
 TEST(last_bytes_lost)
 {
     struct loop loop;
@@ -79,7 +80,8 @@
     loop_finish(&loop);
 }
 
-/* Makes all in TIME-WAIT older, sweeps, and counts those left. */
+/* Ages the connections in TIME-WAIT by @ms, sweeps, and returns the number of
+ * those left. */
 static size_t
 time_wait_after(uint32_t ms)
 {
@@ -98,8 +100,7 @@
     return count;
 }
 
-/* A peer in TIME-WAIT still acknowledges what comes again half a minute later,
- * after long backoffs, unless very many wait. */
+/* A peer in TIME-WAIT acknowledges a retransmission 30 s later. */
 TEST(late_retransmission)
 {
     struct loop loop;
@@ -118,6 +119,7 @@
     loop_finish(&loop);
 }
 
+/* Beyond PCBS_TIME_WAIT_MAX the oldest connections are freed sooner. */
 TEST_F(loop, time_wait_bound, 12)
 {
     enum { COUNT = PCBS_TIME_WAIT_MAX + 50 };
@@ -135,6 +137,3 @@
     g_assert_cmpuint(time_wait_after(30000), ==, PCBS_TIME_WAIT_MAX);
     g_assert_cmpuint(time_wait_after(60000), ==, 0);
 }
-
-/* A caller that reads slowly and closes late isn't reset: the wait for its
- * FIN starts when it has acknowledged everything. */
--- a/tests/stack/test_stack_load.c
+++ b/tests/stack/test_stack_load.c
@@ -6,7 +6,7 @@
 
 #define SUITE "/stack/load"
 
-/* A SYN with a right checksum from a caller that never goes on. */
+/* Writes a SYN from @src with valid checksums. */
 static void
 forge_syn(uint8_t *buf, uint32_t src)
 {
@@ -33,8 +33,9 @@
     buf[37] = (uint8_t)~tcp;
 }
 
-/* Openings that never go on are bounded, and others still get in. */
-TEST_F(loop, flood, 9)
+/* A SYN flood leaves a bounded number of half-open connections, and a new
+ * caller can still connect. */
+TEST_F(loop, syn_flood, 9)
 {
     enum { COUNT = 10000 };
     struct end *client;
@@ -57,7 +58,8 @@
     g_free(client);
 }
 
-TEST(many)
+/* Reports the memory of idle connections. */
+TEST(many_connections)
 {
     enum { COUNT = 2000 };
     struct loop loop;
@@ -72,8 +74,8 @@
     }
     LOOP_UNTIL(&loop, loop.opened == 2 * COUNT && loop.packets.length == 0);
     after = mallinfo2().uordblks + mallinfo2().hblkhd;
-    g_test_message("%d idle connections, both ends here: %zu bytes an end "
-                   "with the test's own",
+    g_test_message("%d idle connections, both ends in this process: "
+                   "%zu bytes per end, including the test's own",
                    COUNT, (after - before) / (2 * COUNT));
     loop_finish(&loop);
     for (size_t i = 0; i < COUNT; i++) {
