--- a/src/idem/idem.c
+++ b/src/idem/idem.c
@@ -48,7 +48,7 @@
         idem->last_us + IDEM_PAUSE_US <= now_us) {
         (void)replicas_resume(&idem->replicas, idem->self,
                               now_us - idem->last_us, now_us);
-        idem->pass_wanted = true;
+        idem->pass_due = true;
     }
     idem->last_us = now_us;
 }
@@ -71,7 +71,7 @@
             << STATE_WIRE_TOKEN_SHIFT;
         idem->next_wire_token = idem->first_wire_token;
     }
-    idem->pass_wanted |= changed;
+    idem->pass_due |= changed;
     reserve_tick(idem, now_us, out);
     return 0;
 }
@@ -139,7 +139,7 @@
 idem_unacked_records(const struct idem *idem)
 {
     return idem->records.unacked + idem->cursor +
-           (idem->pass_wanted ? idem->records.count : 0);
+           (idem->pass_due ? idem->records.count : 0);
 }
 
 size_t
--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -192,7 +192,8 @@
 
 /** idem_end() - end request @token: IDEM_DONE with its answer, IDEM_UNKNOWN,
  * or @not_run, which releases the key for another try. 0, -ENOENT for an
- * unknown @token, -EINVAL for another state */
+ * unknown @token, -EINVAL for IDEM_STARTED, -EEXIST when the outcome can't be
+ * stored */
 int
 idem_end(struct idem *idem, uint64_t token, bool not_run,
          enum idem_state state, const uint8_t *answer, size_t answer_len,
--- a/src/idem/push.c
+++ b/src/idem/push.c
@@ -37,7 +37,8 @@
 
     for (size_t i = 0; i < targets->count; i++) {
         const struct replica_session *session = targets->sessions[i];
-        bool with = full && record->answer_len <= idem->answer_credit;
+        bool with_answer =
+            full && record->answer_len <= idem->answer_bytes_left;
 
         if (session->id == idem->self ||
             record_is_held_by(record, session->number, full)) {
@@ -47,14 +48,14 @@
         if (!send || session->suspect) {
             continue;
         }
-        if (full && !with &&
+        if (full && !with_answer &&
             record_is_held_by(record, session->number, false)) {
             continue;
         }
         state_add_record_message(out, session->id, IDEM_MSG_RECORD, record,
-                                 with);
-        record_mark_sent(record, session->number, with, targets);
-        idem->answer_credit -= with ? record->answer_len : 0;
+                                 with_answer);
+        record_mark_sent(record, session->number, with_answer, targets);
+        idem->answer_bytes_left -= with_answer ? record->answer_len : 0;
     }
     return missing;
 }
@@ -151,7 +152,7 @@
     struct replica_set targets;
 
     replicas_targets(&idem->replicas, &record->key, now_us, &targets);
-    idem->answer_credit = SIZE_MAX;
+    idem->answer_bytes_left = SIZE_MAX;
     (void)push_to_targets(idem, record, &targets, record->answer != NULL, true,
                           out);
     record_queue(&idem->records, record, now_us + PUSH_RETRY_US);
@@ -178,11 +179,10 @@
               struct idem_actions *out)
 {
     if (idem->cursor == 0 &&
-        (idem->pass_wanted ||
-         idem->pass_us + PUSH_PASS_INTERVAL_US <= now_us)) {
+        (idem->pass_due || idem->pass_us + PUSH_PASS_INTERVAL_US <= now_us)) {
         idem->cursor = idem->records.count;
         idem->pass_us = now_us;
-        idem->pass_wanted = false;
+        idem->pass_due = false;
     }
     while (visits-- > 0 && idem->cursor > 0) {
         idem->cursor--;
@@ -198,7 +198,7 @@
     size_t visits = idem->records.count / PUSH_PASS_TICKS + PUSH_VISITS_MIN;
     struct record *record;
 
-    idem->answer_credit = PUSH_ANSWER_BYTES;
+    idem->answer_bytes_left = PUSH_ANSWER_BYTES;
     continue_pass(idem, visits, now_us, out);
     while (visits-- > 0 &&
            (record = TAILQ_FIRST(&idem->records.queue)) != NULL &&
--- a/src/idem/quorum.c
+++ b/src/idem/quorum.c
@@ -26,10 +26,10 @@
 }
 
 void
-quorum_choose(const struct idem *idem, struct reserve *reserve,
+quorum_select(const struct idem *idem, struct reserve *reserve,
               uint64_t now_us)
 {
-    int64_t ago = replicas_earlier_us(now_us);
+    int64_t earlier_us = replicas_earlier_us(now_us);
     struct replica_set set;
 
     replicas_targets(&idem->replicas, &reserve->key, now_us, &set);
@@ -41,15 +41,16 @@
         struct reserve_replica *queried =
             add_queried(reserve, set.sessions[i]);
 
-        queried->now = true;
-        queried->now_ineligible =
+        queried->in_current = true;
+        queried->current_ineligible =
             !replicas_eligible(set.sessions[i], (int64_t)now_us);
     }
-    replicas_at(&idem->replicas, &reserve->key, ago, &set);
+    replicas_at(&idem->replicas, &reserve->key, earlier_us, &set);
     reserve->service_existed_earlier = set.count > 0;
     replicas_earlier(&idem->replicas, &reserve->key, now_us, &set);
     reserve->had_earlier = set.count > 0;
-    reserve->missed = replicas_missed(&idem->replicas, &reserve->key, now_us);
+    reserve->recently_ended =
+        replicas_recently_ended(&idem->replicas, &reserve->key, now_us);
     for (size_t i = 0; i < set.count; i++) {
         struct reserve_replica *queried;
 
@@ -57,8 +58,9 @@
             continue;
         }
         queried = add_queried(reserve, set.sessions[i]);
-        queried->earlier = true;
-        queried->earlier_ineligible = !replicas_eligible(set.sessions[i], ago);
+        queried->in_earlier = true;
+        queried->earlier_ineligible =
+            !replicas_eligible(set.sessions[i], earlier_us);
     }
 }
 
@@ -89,11 +91,11 @@
 earlier_needed(const struct idem *idem, const struct reserve *reserve,
                size_t earlier, uint64_t now_us)
 {
-    bool all = reserve->missed > 0 ||
-               (reserve->service_existed_earlier &&
-                replicas_recently_started(&idem->replicas, now_us));
+    bool need_all = reserve->recently_ended > 0 ||
+                    (reserve->service_existed_earlier &&
+                     replicas_recently_started(&idem->replicas, now_us));
 
-    return all ? earlier : MIN(IDEM_QUORUM, earlier);
+    return need_all ? earlier : MIN(IDEM_QUORUM, earlier);
 }
 
 bool
@@ -101,31 +103,32 @@
                uint64_t now_us)
 {
     bool starting = replicas_starting(&idem->replicas, now_us);
-    size_t now = 0;
-    size_t now_granted = 0;
+    size_t current = 0;
+    size_t current_granted = 0;
     size_t earlier = 0;
     size_t earlier_granted = 0;
 
     for (size_t i = 0; i < reserve->queried_count; i++) {
         const struct reserve_replica *queried = &reserve->queried[i];
-        bool there = find_live_session(idem, queried) != NULL;
-        bool granted = there && queried->granted && !queried->starting;
+        bool live = find_live_session(idem, queried) != NULL;
+        bool granted = live && queried->granted && !queried->starting;
 
-        if (starting && queried->now && queried->now_ineligible) {
+        if (starting && queried->in_current && queried->current_ineligible) {
             return false;
         }
         /* An ineligible replica counts only in a set that lacked eligible
          * ones. */
-        now += queried->now;
-        now_granted += queried->now && granted &&
-                       (!queried->incomplete || queried->now_ineligible);
-        earlier += queried->earlier && there;
+        current += queried->in_current;
+        current_granted +=
+            queried->in_current && granted &&
+            (!queried->incomplete || queried->current_ineligible);
+        earlier += queried->in_earlier && live;
         earlier_granted +=
-            queried->earlier && granted &&
+            queried->in_earlier && granted &&
             (!queried->incomplete || queried->earlier_ineligible);
     }
-    if (now == 0 || now_granted < MIN(IDEM_QUORUM, now) ||
-        reserve->missed >= IDEM_QUORUM ||
+    if (current == 0 || current_granted < MIN(IDEM_QUORUM, current) ||
+        reserve->recently_ended >= IDEM_QUORUM ||
         replicas_stale(&idem->replicas, now_us) ||
         replicas_partitioned(&idem->replicas, reserve->key.service, now_us)) {
         return false;
@@ -138,14 +141,15 @@
 bool
 quorum_lost(const struct idem *idem, const struct reserve *reserve)
 {
-    bool any = false;
+    bool survivor = false;
 
     for (size_t i = 0; i < reserve->queried_count; i++) {
         const struct reserve_replica *queried = &reserve->queried[i];
 
-        any |= queried->earlier && find_live_session(idem, queried) != NULL;
+        survivor |=
+            queried->in_earlier && find_live_session(idem, queried) != NULL;
     }
-    return reserve->had_earlier && !any;
+    return reserve->had_earlier && !survivor;
 }
 
 bool
@@ -157,8 +161,9 @@
         const struct replica_session *session =
             find_live_session(idem, queried);
 
-        if ((queried->now || queried->earlier) && !queried->answered &&
-            session != NULL && (suspects || !session->suspect)) {
+        if ((queried->in_current || queried->in_earlier) &&
+            !queried->answered && session != NULL &&
+            (suspects || !session->suspect)) {
             return true;
         }
     }
--- a/src/idem/quorum.h
+++ b/src/idem/quorum.h
@@ -9,10 +9,10 @@
 
 #include "idem/reserve.h"
 
-/** quorum_choose() - set the members that @reserve queries: both sets, and the
+/** quorum_select() - set the members that @reserve queries: both sets, and the
  * future holders of the record */
 void
-quorum_choose(const struct idem *idem, struct reserve *reserve,
+quorum_select(const struct idem *idem, struct reserve *reserve,
               uint64_t now_us);
 
 /** quorum_find() - the queried member @id, or NULL */
--- a/src/idem/record.c
+++ b/src/idem/record.c
@@ -196,7 +196,7 @@
 record_is_held_by(const struct record *record, uint32_t session, bool full)
 {
     for (size_t i = 0; i < REPLICAS_TARGETS_MAX; i++) {
-        const struct record_holder *holder = &record->holder[i];
+        const struct record_holder *holder = &record->holders[i];
 
         if (holder->session == session) {
             return holder->acked && (!full || holder->full);
@@ -223,7 +223,7 @@
     struct record_holder *slot = NULL;
 
     for (size_t i = 0; i < REPLICAS_TARGETS_MAX; i++) {
-        struct record_holder *holder = &record->holder[i];
+        struct record_holder *holder = &record->holders[i];
 
         if (holder->session == session) {
             holder->full |= full;
@@ -242,8 +242,8 @@
 record_mark_acked(struct record *record, uint32_t session)
 {
     for (size_t i = 0; i < REPLICAS_TARGETS_MAX; i++) {
-        if (record->holder[i].session == session) {
-            record->holder[i].acked = true;
+        if (record->holders[i].session == session) {
+            record->holders[i].acked = true;
         }
     }
 }
@@ -261,7 +261,7 @@
 void
 record_reset_holders(struct record *record)
 {
-    memset(record->holder, 0, sizeof(record->holder));
+    memset(record->holders, 0, sizeof(record->holders));
     record->holders_assumed = false;
 }
 
--- a/src/idem/record.h
+++ b/src/idem/record.h
@@ -42,11 +42,11 @@
  * @answer_len: bytes of @answer
  * @state: enum idem_state
  * @queued: in the queue
- * @holders_assumed: @holder assumes that the owner sends the record to all
+ * @holders_assumed: @holders assumes that the owner sends the record to all
  *                   targets; reset when the owner's process ends
  * @unacked: some target hasn't acknowledged the record
  * @due_us: when to visit the record again
- * @holder: copies of this state at other members
+ * @holders: copies of this state at other members
  */
 struct record {
     struct record *next;
@@ -64,7 +64,7 @@
     bool holders_assumed;
     bool unacked;
     uint64_t due_us;
-    struct record_holder holder[REPLICAS_TARGETS_MAX];
+    struct record_holder holders[REPLICAS_TARGETS_MAX];
 };
 
 TAILQ_HEAD(record_list, record);
--- a/src/idem/replicas.c
+++ b/src/idem/replicas.c
@@ -270,10 +270,10 @@
 replicas_partitioned(const struct replicas *replicas, uint32_t service,
                      uint64_t now_us)
 {
-    uint64_t lowest = UINT64_MAX;
-    bool lowest_here = false;
-    size_t here = 0;
-    size_t silent = 0;
+    uint64_t lowest_id = UINT64_MAX;
+    bool lowest_present = false;
+    size_t present_count = 0;
+    size_t silent_count = 0;
 
     for (size_t i = 0; i < replicas->count; i++) {
         const struct replica_session *session = &replicas->sessions[i];
@@ -288,18 +288,19 @@
              replicas_find(replicas, session->id, service) != NULL)) {
             continue;
         }
-        here += present;
-        silent += !present;
-        if (session->id < lowest) {
-            lowest = session->id;
-            lowest_here = present;
+        present_count += present;
+        silent_count += !present;
+        if (session->id < lowest_id) {
+            lowest_id = session->id;
+            lowest_present = present;
         }
     }
     if (replicas->alone &&
         now_us < replicas->start_us + IDEM_ELIGIBLE_AFTER_US) {
         return true;
     }
-    return here < silent || (here == silent && !lowest_here);
+    return present_count < silent_count ||
+           (present_count == silent_count && !lowest_present);
 }
 
 static uint64_t
@@ -379,9 +380,9 @@
 replicas_earlier(const struct replicas *replicas, const struct idem_key *key,
                  uint64_t now_us, struct replica_set *set)
 {
-    int64_t ago = replicas_earlier_us(now_us);
+    int64_t earlier_us = replicas_earlier_us(now_us);
 
-    select_replicas(replicas, key, ago, ago, set);
+    select_replicas(replicas, key, earlier_us, earlier_us, set);
     if (set->count > 0) {
         return;
     }
@@ -389,8 +390,8 @@
         const struct replica_session *session = &replicas->sessions[i];
 
         if (session->service == key->service &&
-            (session->ended_us == 0 || session->ended_us > ago)) {
-            insert_ranked(set, session, key, ago);
+            (session->ended_us == 0 || session->ended_us > earlier_us)) {
+            insert_ranked(set, session, key, earlier_us);
         }
     }
 }
@@ -414,21 +415,21 @@
 }
 
 size_t
-replicas_missed(const struct replicas *replicas, const struct idem_key *key,
-                uint64_t now_us)
+replicas_recently_ended(const struct replicas *replicas,
+                        const struct idem_key *key, uint64_t now_us)
 {
-    int64_t ago = replicas_earlier_us(now_us);
-    size_t missed = 0;
+    int64_t earlier_us = replicas_earlier_us(now_us);
+    size_t recently_ended = 0;
 
     for (size_t i = 0; i < replicas->count; i++) {
         const struct replica_session *session = &replicas->sessions[i];
 
-        missed += session->service == key->service &&
-                  session->ended_us > ago &&
-                  !replicas_eligible(session, ago) &&
-                  was_replica(replicas, key, session);
+        recently_ended += session->service == key->service &&
+                          session->ended_us > earlier_us &&
+                          !replicas_eligible(session, earlier_us) &&
+                          was_replica(replicas, key, session);
     }
-    return missed;
+    return recently_ended;
 }
 
 void
--- a/src/idem/replicas.h
+++ b/src/idem/replicas.h
@@ -139,16 +139,16 @@
                  uint64_t now_us, struct replica_set *set);
 
 /**
- * replicas_missed() - number of recent replicas of @key that are in neither
- * the current nor the earlier set
+ * replicas_recently_ended() - number of recent replicas of @key that are in
+ * neither the current nor the earlier set
  *
  * A session that becomes eligible and ends within IDEM_ELIGIBLE_AFTER_US is
  * in neither set here, but may be in both at a member for which it became
  * eligible sooner.
  */
 size_t
-replicas_missed(const struct replicas *replicas, const struct idem_key *key,
-                uint64_t now_us);
+replicas_recently_ended(const struct replicas *replicas,
+                        const struct idem_key *key, uint64_t now_us);
 
 /** replicas_targets() - members that should store the record: the current
  * replicas, and those once all present members are eligible */
--- a/src/idem/reserve.c
+++ b/src/idem/reserve.c
@@ -254,7 +254,7 @@
     if (check_own_record(idem, reserve, now_us, out)) {
         return 0;
     }
-    quorum_choose(idem, reserve, now_us);
+    quorum_select(idem, reserve, now_us);
     own = quorum_find(reserve, idem->self);
     if (own != NULL) {
         own->answered = true;
@@ -320,7 +320,8 @@
     return record != NULL ? 0 : -EEXIST;
 }
 
-/* A grant for something that isn't being reserved: say how it ended. */
+/* Replies to a GRANT for a reservation without an open request with its
+ * outcome. */
 static void
 answer_grant(struct idem *idem, uint64_t from, const struct idem_msg *msg,
              struct idem_actions *out)
--- a/src/idem/reserve.h
+++ b/src/idem/reserve.h
@@ -14,9 +14,9 @@
  * struct reserve_replica - a member queried for the key
  * @id: member id
  * @session: number of its session
- * @now: in the current set
- * @earlier: in the earlier set
- * @now_ineligible: in the current set although ineligible, for lack of
+ * @in_current: in the current set
+ * @in_earlier: in the earlier set
+ * @current_ineligible: in the current set although ineligible, for lack of
  *                  eligible members
  * @earlier_ineligible: the same for the earlier set
  * @answered: its reply has arrived, or it is this agent
@@ -28,9 +28,9 @@
 struct reserve_replica {
     uint64_t id;
     uint32_t session;
-    bool now;
-    bool earlier;
-    bool now_ineligible;
+    bool in_current;
+    bool in_earlier;
+    bool current_ineligible;
     bool earlier_ineligible;
     bool answered;
     bool granted;
@@ -54,7 +54,7 @@
  * @service_existed_earlier: the service had members IDEM_ELIGIBLE_AFTER_US
  *                           ago; otherwise the earlier set holds its oldest
  *                           members since
- * @missed: see replicas_missed()
+ * @recently_ended: see replicas_recently_ended()
  * @conflict_state: most certain known state of the other request
  * @conflict_owner_gone: the process of the other request has ended
  * @queried: members queried
@@ -72,7 +72,7 @@
     bool conflict;
     bool had_earlier;
     bool service_existed_earlier;
-    size_t missed;
+    size_t recently_ended;
     enum idem_state conflict_state;
     bool conflict_owner_gone;
     struct reserve_replica queried[RESERVE_QUERIED_MAX];
--- a/src/idem/state.h
+++ b/src/idem/state.h
@@ -37,8 +37,8 @@
  * @last_us: time of the last call
  * @cursor: the current pass continues below this record index
  * @pass_us: when the last pass started
- * @pass_wanted: the members changed, another pass is due
- * @answer_credit: bytes of answers that this tick may still send
+ * @pass_due: the members changed, another pass is due
+ * @answer_bytes_left: bytes of answers that this tick may still send
  */
 struct idem {
     uint64_t self;
@@ -54,8 +54,8 @@
     uint64_t last_us;
     size_t cursor;
     uint64_t pass_us;
-    bool pass_wanted;
-    size_t answer_credit;
+    bool pass_due;
+    size_t answer_bytes_left;
 };
 
 /** state_add_action() - append an action */
--- a/tests/idem/sim.c
+++ b/tests/idem/sim.c
@@ -329,7 +329,7 @@
             if (for_us >= 4 * USEC_PER_SEC &&
                 for_us < 4 * USEC_PER_SEC + SIM_TICK_US) {
                 sim_announce(sim, i, MEMBER_DEAD, 0);
-                sim->lost_us = sim->now_us;
+                sim->memory_lost_us = sim->now_us;
             }
         }
     }
--- a/tests/idem/sim.h
+++ b/tests/idem/sim.h
@@ -98,7 +98,7 @@
  * @no_sync: nodes don't copy each other's member lists periodically
  * @failure: first violation found, or NULL
  * @duplicate_runs: number of repeated runs of a key
- * @lost_us: when a node lost its memory last
+ * @memory_lost_us: when a node lost its memory last
  * @messages: messages sent between agents
  * @bytes: approximate bytes of @messages on the wire
  */
@@ -116,7 +116,7 @@
     bool no_sync;
     char *failure;
     unsigned duplicate_runs;
-    uint64_t lost_us;
+    uint64_t memory_lost_us;
     uint64_t messages;
     uint64_t bytes;
 };
--- a/tests/idem/sim_members.c
+++ b/tests/idem/sim_members.c
@@ -172,7 +172,7 @@
         return;
     }
     stop(sim, node);
-    sim->lost_us = sim->now_us;
+    sim->memory_lost_us = sim->now_us;
     if (!noticed) {
         sim_announce(sim, node, MEMBER_SUSPECT, USEC_PER_SEC);
     }
--- a/tests/idem/test_property.c
+++ b/tests/idem/test_property.c
@@ -100,8 +100,8 @@
         }
         up += sim->nodes[i].up && !sim->nodes[i].leaving;
     }
-    return up >= 4 &&
-           (sim->lost_us == 0 || sim->lost_us + LOSS_GAP_US <= sim->now_us);
+    return up >= 4 && (sim->memory_lost_us == 0 ||
+                       sim->memory_lost_us + LOSS_GAP_US <= sim->now_us);
 }
 
 static void
--- a/tests/stack/test_stack.c
+++ b/tests/stack/test_stack.c
@@ -7,7 +7,7 @@
 #include "stack_loop.h"
 
 #define SUITE "/stack"
-#define ALL_SIZE 200000
+#define TRANSFER_SIZE 200000
 
 /* All bytes arrive in both directions despite lost and reordered packets. */
 TEST_F(loop, loss_and_reordering, 4711)
@@ -17,16 +17,16 @@
 
     loop->loss = 0.01;
     loop->reorder = 0.02;
-    loop->server_sends = ALL_SIZE;
+    loop->server_sends = TRANSFER_SIZE;
     loop->server_closes = true;
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
-        clients[i] = loop_connect(loop, 0, ALL_SIZE / 2);
+        clients[i] = loop_connect(loop, 0, TRANSFER_SIZE / 2);
     }
     LOOP_UNTIL(loop, loop->closed == 2 * G_N_ELEMENTS(clients));
     g_assert_cmpuint(loop->dropped, >, 0);
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
         g_assert_cmpint(clients[i]->reason, ==, 0);
-        g_assert_cmpuint(clients[i]->received, ==, ALL_SIZE);
+        g_assert_cmpuint(clients[i]->received, ==, TRANSFER_SIZE);
         g_free(clients[i]);
     }
     for (server = loop->ends; server != NULL; server = server->next) {
@@ -122,19 +122,19 @@
 TEST_F(loop, pause, 5)
 {
     g_autofree struct end *client = NULL;
-    size_t stuck;
+    size_t sent_while_paused;
 
     loop->pause_server = true;
-    client = loop_connect(loop, 40000, 10 * ALL_SIZE);
+    client = loop_connect(loop, 40000, 10 * TRANSFER_SIZE);
     LOOP_UNTIL(loop, client->sent > 65535);
     for (int i = 0; i < 500; i++) {
         loop_step(loop);
     }
-    stuck = client->sent;
-    g_assert_cmpuint(stuck, <=, 2 * 65535);
+    sent_while_paused = client->sent;
+    g_assert_cmpuint(sent_while_paused, <=, 2 * 65535);
     g_assert_cmpuint(loop->ends->received, ==, 0);
     stack_conn_pause(loop->ends->conn, false);
-    LOOP_UNTIL(loop, loop->ends->received == 10 * ALL_SIZE);
+    LOOP_UNTIL(loop, loop->ends->received == 10 * TRANSFER_SIZE);
 }
 
 /* Open flows continue after stack_unlisten(); stack_listen() accepts new ones
@@ -142,7 +142,7 @@
 TEST_F(loop, unlisten, 6)
 {
     g_autofree struct end *client = NULL;
-    g_autofree struct end *late = NULL;
+    g_autofree struct end *second = NULL;
     struct addr addr = {LOOP_SERVER_IP, 80};
     uint8_t byte = loop_pattern(0);
 
@@ -153,8 +153,8 @@
     g_assert_cmpuint(stack_write(client->conn, &byte, 1), ==, 1);
     LOOP_UNTIL(loop, loop->ends->received == 1);
     g_assert_cmpint(stack_listen(loop->stack, addr), ==, 0);
-    late = loop_connect(loop, 40001, 0);
-    LOOP_UNTIL(loop, late->opened);
+    second = loop_connect(loop, 40001, 0);
+    LOOP_UNTIL(loop, second->opened);
 }
 
 /* Invalid packets are rejected with the matching error. */
