--- a/src/idem/idem.h
+++ b/src/idem/idem.h
@@ -18,9 +18,9 @@
  * join never hides a record before it has been copied.
  *
  * A member is eligible for the current set IDEM_ELIGIBLE_AFTER_US after its
- * process started or came back from the dead. While fewer than IDEM_REPLICAS
- * are eligible (a service that is starting), the oldest other members fill
- * the set.
+ * process started, or reappeared after it was declared dead. While fewer than
+ * IDEM_REPLICAS are eligible (a service that is starting), the oldest other
+ * members fill the set.
  *
  * A coordinator starts no request
  * - while it is younger than IDEM_START_US and a replica isn't eligible: it
@@ -57,14 +57,17 @@
 
 #define IDEM_REPLICAS 3
 #define IDEM_QUORUM 2
+/* Bytes of the longest answer that is stored. */
 #define IDEM_ANSWER_MAX 16384
 #define IDEM_TTL_US (24 * 3600 * USEC_PER_SEC)
 #define IDEM_ELIGIBLE_AFTER_US (10 * USEC_PER_SEC)
 #define IDEM_START_US (3 * USEC_PER_SEC)
+/* A gap of this length between calls counts as a pause of the process. */
 #define IDEM_PAUSE_US (2 * USEC_PER_SEC)
 /* The member list is out of date after a pause of this length. */
 #define IDEM_STALE_US (5 * USEC_PER_SEC)
 #define IDEM_RESERVE_TIMEOUT_US (300 * USEC_PER_MSEC)
+/* Bytes of all answers that an agent stores. */
 #define IDEM_ANSWERS_BYTES_MAX (16u << 20)
 
 /**
@@ -90,7 +93,7 @@
 /** enum idem_msg_type - type of a message between agents */
 enum idem_msg_type {
     IDEM_MSG_RESERVE, /* coordinator to replica */
-    IDEM_MSG_GRANT,   /* replica to coordinator: recorded as started */
+    IDEM_MSG_GRANT,   /* replica to coordinator: stored; repeated as a query */
     IDEM_MSG_EXISTS,  /* replica to coordinator: record of another request */
     IDEM_MSG_RELEASE, /* coordinator to replica: not run, remove it */
     IDEM_MSG_RECORD,  /* an outcome or a copy of a record; idempotent */
@@ -143,7 +146,14 @@
     IDEM_REASON_NO_ANSWER   /* unknown: it ran, its answer isn't stored */
 };
 
-/** struct idem_action - an action; its answer is valid until the next call
+/**
+ * struct idem_action - an action
+ * @type: what to do
+ * @reason: reason for IDEM_OUTCOME_UNKNOWN or IDEM_REFUSE
+ * @token: the caller's number of the request; 0 for IDEM_SEND
+ * @to: IDEM_SEND: member id of the receiver
+ * @msg: IDEM_SEND: the message; IDEM_REPLAY: its answer. The answer's memory
+ *       is valid until the next call
  */
 struct idem_action {
     enum idem_action_type type;
--- a/src/idem/replicas.h
+++ b/src/idem/replicas.h
@@ -2,9 +2,9 @@
  * DOC: replicas - ranks the members that store the record of a key
  *
  * A session is a period in which a member stores records of one service. It
- * starts when the process is first seen, announces the service or comes back
- * from the dead, and ends when it dies, restarts, leaves or drops the
- * service. The local session also restarts after a pause of this process,
+ * starts when the process is first seen, announces the service or reappears
+ * after it was declared dead, and ends when it dies, restarts, leaves or drops
+ * the service. The local session also restarts after a pause of this process,
  * since other members may have declared it dead.
  *
  * An ended session stays in the list for REPLICAS_PARTITION_US, and until its
@@ -75,7 +75,8 @@
     bool alone;
 };
 
-/** struct replica_set - replicas of a key, highest rank first */
+/** struct replica_set - replicas of a key, highest rank first. Pointers are
+ * valid until the sessions change */
 struct replica_set {
     const struct replica_session *sessions[REPLICAS_TARGETS_MAX];
     size_t count;
@@ -89,7 +90,7 @@
  * replicas_update() - update the sessions from a view
  * @changed: set to whether a session started, ended or was removed
  *
- * Return: 0 or -ENOMEM, -EINVAL for a view without the own member.
+ * Return: 0 or -ENOMEM, -EINVAL for a view without this member.
  */
 int
 replicas_update(struct replicas *replicas, const struct view *view,
--- a/src/idem/reserve.c
+++ b/src/idem/reserve.c
@@ -268,7 +268,7 @@
 }
 
 /* Returns the record of a request that ran, or NULL when a record of another
- * request with a state as certain has replaced it. */
+ * request with a state as certain has replaced it, or without memory. */
 static struct record *
 ended_record(struct idem *idem, const struct reserve *reserve,
              enum idem_state state, uint64_t now_us)
--- a/src/idem/reserve.h
+++ b/src/idem/reserve.h
@@ -17,7 +17,7 @@
  * @in_current: in the current set
  * @in_earlier: in the earlier set
  * @current_ineligible: in the current set although ineligible, for lack of
- *                  eligible members
+ *                      eligible members
  * @earlier_ineligible: the same for the earlier set
  * @answered: its reply has arrived, or it is this agent
  * @granted: it stored this request's reservation
--- a/src/stack/conn.c
+++ b/src/stack/conn.c
@@ -8,7 +8,8 @@
 
 #include "stack/stack_private.h"
 
-/* A closed connection in FIN-WAIT-2 is aborted after 60 s without data. */
+/* A connection that the owner closed is aborted after 60 s in FIN-WAIT-2
+ * without data from the peer. */
 #define FIN_WAIT_TICKS (60000 / TCP_SLOW_INTERVAL)
 
 static void
--- a/src/stack/stack_private.h
+++ b/src/stack/stack_private.h
@@ -19,13 +19,23 @@
 
 /**
  * struct stack_conn - a connection
+ * @stack: its stack
  * @pcb: lwIP's connection; NULL once detached or freed by lwIP
  * @in: received bytes not yet delivered to the owner; NULL when empty. At most
  *      one receive window, which opens only by delivered bytes
  * @prev, @next: list of all connections of the stack
  * @next_event: next in the list of connections with events, while @queued
+ * @data: pointer for the owner's use
+ * @local: local address
+ * @peer: remote address
+ * @close_ticks: after stack_close(): start of FIN-WAIT-2 or last data of the
+ *               peer, in lwIP's ticks
  * @reason: argument of on_closed
- * @close_ticks: last activity of the peer after stack_close(), in lwIP's ticks
+ * @queued: in the list of connections with events
+ * @open_due, @eof_due, @writable_due, @closed_due: callbacks to make
+ * @want_write: the last stack_write() was short
+ * @paused: see stack_conn_pause()
+ * @closing: the owner called stack_close() or stack_abort()
  */
 struct stack_conn {
     struct stack *stack;
@@ -51,7 +61,17 @@
 
 /**
  * struct stack - see stack.h
+ * @owner: receiver of the callbacks
+ * @secret: key of the sequence number shift, see isn.h
+ * @event_fd: readable while @events isn't empty
+ * @out: interface that all sent packets leave by
+ * @addresses: an interface for each address of stack_add_address()
+ * @address_count: number of @addresses
  * @half_open: upper bound of the number of connections in SYN-RECEIVED
+ * @listeners: listening addresses, including stopped ones
+ * @conns: all connections
+ * @events: connections with events, oldest first
+ * @last_event: tail of @events
  */
 struct stack {
     struct stack_owner *owner;
--- a/tests/idem/sim.h
+++ b/tests/idem/sim.h
@@ -60,7 +60,13 @@
  * struct sim_node - an agent process
  * @idem: instance under test, NULL while the process is down
  * @generation: number of starts
+ * @up: the process is running
+ * @frozen: the process is paused
+ * @leaving: it has announced that it is leaving
  * @joined: it has copied the member list of another node
+ * @started_us: time of the last start
+ * @frozen_us: start of the last pause
+ * @incarnation: incarnation of the process
  * @known: its view of the nodes
  * @inbox: events that wait while it is frozen
  */
@@ -94,7 +100,16 @@
 
 /**
  * struct sim - state of the simulation
+ * @rand: source of all randomness
+ * @net: faults of the network
+ * @now_us: simulated time
+ * @next_tick_us: time of the next idem_tick() of all nodes
+ * @seq: number of the last change of membership
+ * @nodes: processes
  * @partitioned_until_us: when the partition between two nodes ends
+ * @events: messages and changes in transit
+ * @requests: all requests, by token
+ * @answers: answer of each key's run
  * @no_sync: nodes don't copy each other's member lists periodically
  * @failure: first violation found, or NULL
  * @duplicate_runs: number of repeated runs of a key
--- a/tests/idem/test_rules.c
+++ b/tests/idem/test_rules.c
@@ -413,8 +413,8 @@
     EXPECT(other, 1, IDEM_REFUSE);
 }
 
-/* In a partition of five agents into two and three only the three continue,
- * until the partition counts as permanent after a minute. */
+/* In a partition of five agents into two and three only the three continue
+ * until REPLICAS_PARTITION_US has passed. */
 SIM_TEST(partition, 5, SIM_ELIGIBLE_US)
 {
     sim->no_sync = true;
--- a/tests/stack/stack_loop.h
+++ b/tests/stack/stack_loop.h
@@ -15,8 +15,16 @@
 
 /**
  * struct end - one end of a connection
+ * @server: it was accepted
+ * @opened, @eof, @closed: callbacks received
  * @closes: close after @to_send bytes are written
  * @lingers: don't close on EOF
+ * @reason: argument of on_closed
+ * @to_send: bytes to send
+ * @sent: bytes taken by stack_write()
+ * @received: bytes received
+ * @conn: connection, NULL once closed
+ * @next: next accepted end
  */
 struct end {
     bool server;
@@ -35,9 +43,19 @@
 
 /**
  * struct loop - a stack and the queue of its sent packets
+ * @owner: owner of @stack
+ * @stack: stack of both ends
+ * @lock: guards @packets, @rand and @dropped
+ * @packets: sent packets to be input
+ * @rand: decides on loss and order
  * @loss: fraction of packets dropped, 0 to 1
  * @reorder: fraction of packets put at the head of the queue, 0 to 1
+ * @dropped: packets dropped
+ * @server_sends: bytes that accepted ends send
  * @ends: accepted ends, newest first
+ * @accepted, @opened, @closed: number of callbacks received
+ * @pause_server: pause reading at accepted ends
+ * @server_closes: accepted ends close after their last byte
  */
 struct loop {
     struct stack_owner owner;
