--- a/src/idem/push.c
+++ b/src/idem/push.c
@@ -11,7 +11,8 @@
     return false;
 }
 
-/* The first living replica of a while ago surely has the answer. */
+/* Whether this agent is the first live replica of the earlier set, which
+ * sends the answers. */
 static bool
 is_answer_source(const struct idem *idem, const struct replica_set *earlier)
 {
@@ -25,8 +26,8 @@
     return true;
 }
 
-/* Send the record to those targets that aren't known to hold it; whether
- * there are any. */
+/* Sends the record to the targets that haven't acknowledged it. Returns
+ * whether there are any. */
 static bool
 push_to_targets(struct idem *idem, struct record *record,
                 const struct replica_set *targets, bool full, bool send,
@@ -36,7 +37,8 @@
 
     for (size_t i = 0; i < targets->count; i++) {
         const struct replica_session *session = targets->sessions[i];
-        bool with = full && record->answer_len <= idem->answer_credit;
+        bool with_answer =
+            full && record->answer_len <= idem->answer_bytes_left;
 
         if (session->id == idem->self ||
             record_is_held_by(record, session->number, full)) {
@@ -46,20 +48,20 @@
         if (!send || session->suspect) {
             continue;
         }
-        if (full && !with &&
+        if (full && !with_answer &&
             record_is_held_by(record, session->number, false)) {
             continue;
         }
         state_add_record_message(out, session->id, IDEM_MSG_RECORD, record,
-                                 with);
-        record_mark_sent(record, session->number, with, targets);
-        idem->answer_credit -= with ? record->answer_len : 0;
+                                 with_answer);
+        record_mark_sent(record, session->number, with_answer, targets);
+        idem->answer_bytes_left -= with_answer ? record->answer_len : 0;
     }
     return missing;
 }
 
-/* A replica asks the owner of a long reservation from time to time, in case
- * its end got lost. */
+/* Queries the owner of a long reservation at intervals, in case the message
+ * that ended it was lost. */
 static void
 query_owner(const struct record *record, uint64_t now_us,
             struct idem_actions *out)
@@ -72,8 +74,8 @@
     }
 }
 
-/* A reservation by this process that has no open request: given up, or of
- * an earlier session, of which nothing is known. Whether it is over. */
+/* Ends a reservation of this member without an open request: it was released,
+ * or made by an earlier process. Returns whether to remove the record. */
 static bool
 expire_own(struct idem *idem, struct record *record, uint64_t now_us)
 {
@@ -87,8 +89,8 @@
     return false;
 }
 
-/* What time does to a record; whether it is over. A reservation stays one
- * when its owner seems to be dead: it may come back and say how it ended. */
+/* Returns whether the record has expired. A reservation is kept when its owner
+ * seems dead: the owner may come back and report the outcome. */
 static bool
 expire_record(struct idem *idem, struct record *record, bool owner_gone,
               uint64_t now_us, struct idem_actions *out)
@@ -105,8 +107,8 @@
 }
 
 static void
-visit(struct idem *idem, struct record *record, uint64_t now_us,
-      struct idem_actions *out)
+visit_record(struct idem *idem, struct record *record, uint64_t now_us,
+             struct idem_actions *out)
 {
     struct replica_set targets;
     struct replica_set earlier;
@@ -150,7 +152,7 @@
     struct replica_set targets;
 
     replicas_targets(&idem->replicas, &record->key, now_us, &targets);
-    idem->answer_credit = SIZE_MAX;
+    idem->answer_bytes_left = SIZE_MAX;
     (void)push_to_targets(idem, record, &targets, record->answer != NULL, true,
                           out);
     record_queue(&idem->records, record, now_us + PUSH_RETRY_US);
@@ -177,16 +179,15 @@
               struct idem_actions *out)
 {
     if (idem->cursor == 0 &&
-        (idem->pass_wanted ||
-         idem->pass_us + PUSH_PASS_INTERVAL_US <= now_us)) {
+        (idem->pass_due || idem->pass_us + PUSH_PASS_INTERVAL_US <= now_us)) {
         idem->cursor = idem->records.count;
         idem->pass_us = now_us;
-        idem->pass_wanted = false;
+        idem->pass_due = false;
     }
     while (visits-- > 0 && idem->cursor > 0) {
         idem->cursor--;
         if (idem->cursor < idem->records.count) {
-            visit(idem, idem->records.items[idem->cursor], now_us, out);
+            visit_record(idem, idem->records.items[idem->cursor], now_us, out);
         }
     }
 }
@@ -197,11 +198,11 @@
     size_t visits = idem->records.count / PUSH_PASS_TICKS + PUSH_VISITS_MIN;
     struct record *record;
 
-    idem->answer_credit = PUSH_ANSWER_BYTES;
+    idem->answer_bytes_left = PUSH_ANSWER_BYTES;
     continue_pass(idem, visits, now_us, out);
     while (visits-- > 0 &&
            (record = TAILQ_FIRST(&idem->records.queue)) != NULL &&
            record->due_us <= now_us) {
-        visit(idem, record, now_us, out);
+        visit_record(idem, record, now_us, out);
     }
 }
--- a/src/idem/quorum.c
+++ b/src/idem/quorum.c
@@ -12,7 +12,7 @@
 }
 
 static struct reserve_replica *
-add(struct reserve *reserve, const struct replica_session *session)
+add_queried(struct reserve *reserve, const struct replica_session *session)
 {
     struct reserve_replica *queried = quorum_find(reserve, session->id);
 
@@ -25,44 +25,46 @@
     return queried;
 }
 
-/* Who must be queried: both sets, and those who will hold the record later. */
 void
-quorum_choose(const struct idem *idem, struct reserve *reserve,
+quorum_select(const struct idem *idem, struct reserve *reserve,
               uint64_t now_us)
 {
-    int64_t ago = replicas_earlier_us(now_us);
+    int64_t earlier_us = replicas_earlier_us(now_us);
     struct replica_set set;
 
     replicas_targets(&idem->replicas, &reserve->key, now_us, &set);
     for (size_t i = 0; i < set.count; i++) {
-        (void)add(reserve, set.sessions[i]);
+        (void)add_queried(reserve, set.sessions[i]);
     }
     replicas_at(&idem->replicas, &reserve->key, (int64_t)now_us, &set);
     for (size_t i = 0; i < set.count; i++) {
-        struct reserve_replica *queried = add(reserve, set.sessions[i]);
+        struct reserve_replica *queried =
+            add_queried(reserve, set.sessions[i]);
 
-        queried->now = true;
-        queried->now_ineligible =
+        queried->in_current = true;
+        queried->current_ineligible =
             !replicas_eligible(set.sessions[i], (int64_t)now_us);
     }
-    replicas_at(&idem->replicas, &reserve->key, ago, &set);
+    replicas_at(&idem->replicas, &reserve->key, earlier_us, &set);
     reserve->service_existed_earlier = set.count > 0;
     replicas_earlier(&idem->replicas, &reserve->key, now_us, &set);
     reserve->had_earlier = set.count > 0;
-    reserve->missed = replicas_missed(&idem->replicas, &reserve->key, now_us);
+    reserve->recently_ended =
+        replicas_recently_ended(&idem->replicas, &reserve->key, now_us);
     for (size_t i = 0; i < set.count; i++) {
         struct reserve_replica *queried;
 
         if (set.sessions[i]->gone) {
             continue;
         }
-        queried = add(reserve, set.sessions[i]);
-        queried->earlier = true;
-        queried->earlier_ineligible = !replicas_eligible(set.sessions[i], ago);
+        queried = add_queried(reserve, set.sessions[i]);
+        queried->in_earlier = true;
+        queried->earlier_ineligible =
+            !replicas_eligible(set.sessions[i], earlier_us);
     }
 }
 
-/* The session that was queried, while its memory is still there. */
+/* Returns the queried session, or NULL when its memory is lost. */
 static const struct replica_session *
 find_live_session(const struct idem *idem,
                   const struct reserve_replica *queried)
@@ -77,56 +79,56 @@
     return NULL;
 }
 
-/* How many of the @earlier ones left must grant: all if they are fewer than
- * the quorum, and all in three more cases.
- * - A replica came and went: it may hold a record together with one of them.
- * - One that a newcomer never saw die may have had the place of any of them;
- *   then the others are the survivors.
- * - The service was starting then: who lived at that time depends on the
- *   clock of the process that tells. Two sets share members, but two of three
- *   of one and two of three of the other needn't. While nobody lived that
- *   long ago they are the oldest for everybody, and the quorum does. */
+/* Returns how many of the @earlier survivors must grant: IDEM_QUORUM, or all
+ * of them when
+ * - a replica that is in neither set has ended: it may share a record with
+ *   only one of the survivors;
+ * - this process has just started: it may have missed the death of a replica,
+ *   or have derived another earlier set from its clock than other
+ *   coordinators, and quorums of two overlapping sets needn't overlap. In a
+ *   younger service the earlier set is the same for all. */
 static size_t
 earlier_needed(const struct idem *idem, const struct reserve *reserve,
                size_t earlier, uint64_t now_us)
 {
-    bool all = reserve->missed > 0 ||
-               (reserve->service_existed_earlier &&
-                replicas_recently_started(&idem->replicas, now_us));
+    bool need_all = reserve->recently_ended > 0 ||
+                    (reserve->service_existed_earlier &&
+                     replicas_recently_started(&idem->replicas, now_us));
 
-    return all ? earlier : MIN(IDEM_QUORUM, earlier);
+    return need_all ? earlier : MIN(IDEM_QUORUM, earlier);
 }
 
-/* Grants of both sets. Of the earlier set at least one must be left. */
 bool
 quorum_reached(const struct idem *idem, const struct reserve *reserve,
                uint64_t now_us)
 {
     bool starting = replicas_starting(&idem->replicas, now_us);
-    size_t now = 0;
-    size_t now_granted = 0;
+    size_t current = 0;
+    size_t current_granted = 0;
     size_t earlier = 0;
     size_t earlier_granted = 0;
 
     for (size_t i = 0; i < reserve->queried_count; i++) {
         const struct reserve_replica *queried = &reserve->queried[i];
-        bool there = find_live_session(idem, queried) != NULL;
-        bool granted = there && queried->granted && !queried->starting;
+        bool live = find_live_session(idem, queried) != NULL;
+        bool granted = live && queried->granted && !queried->starting;
 
-        if (starting && queried->now && queried->now_ineligible) {
+        if (starting && queried->in_current && queried->current_ineligible) {
             return false;
         }
-        /* A incomplete memory counts only where nobody had an older one. */
-        now += queried->now;
-        now_granted += queried->now && granted &&
-                       (!queried->incomplete || queried->now_ineligible);
-        earlier += queried->earlier && there;
+        /* An ineligible replica counts only in a set that lacked eligible
+         * ones. */
+        current += queried->in_current;
+        current_granted +=
+            queried->in_current && granted &&
+            (!queried->incomplete || queried->current_ineligible);
+        earlier += queried->in_earlier && live;
         earlier_granted +=
-            queried->earlier && granted &&
+            queried->in_earlier && granted &&
             (!queried->incomplete || queried->earlier_ineligible);
     }
-    if (now == 0 || now_granted < MIN(IDEM_QUORUM, now) ||
-        reserve->missed >= IDEM_QUORUM ||
+    if (current == 0 || current_granted < MIN(IDEM_QUORUM, current) ||
+        reserve->recently_ended >= IDEM_QUORUM ||
         replicas_stale(&idem->replicas, now_us) ||
         replicas_partitioned(&idem->replicas, reserve->key.service, now_us)) {
         return false;
@@ -136,22 +138,20 @@
             earlier_granted >= earlier_needed(idem, reserve, earlier, now_us));
 }
 
-/* Whether nobody of the earlier set is left. */
 bool
 quorum_lost(const struct idem *idem, const struct reserve *reserve)
 {
-    bool any = false;
+    bool survivor = false;
 
     for (size_t i = 0; i < reserve->queried_count; i++) {
         const struct reserve_replica *queried = &reserve->queried[i];
 
-        any |= queried->earlier && find_live_session(idem, queried) != NULL;
+        survivor |=
+            queried->in_earlier && find_live_session(idem, queried) != NULL;
     }
-    return reserve->had_earlier && !any;
+    return reserve->had_earlier && !survivor;
 }
 
-/* Whether the word of somebody who should know is still out; of suspects
- * only with @suspects. */
 bool
 quorum_must_wait(const struct idem *idem, const struct reserve *reserve,
                  bool suspects)
@@ -161,8 +161,9 @@
         const struct replica_session *session =
             find_live_session(idem, queried);
 
-        if ((queried->now || queried->earlier) && !queried->answered &&
-            session != NULL && (suspects || !session->suspect)) {
+        if ((queried->in_current || queried->in_earlier) &&
+            !queried->answered && session != NULL &&
+            (suspects || !session->suspect)) {
             return true;
         }
     }
