--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -13,7 +13,8 @@
 #define JITTER_LOW 0.75
 #define JITTER_HIGH 1.25
 
-/* Slots that serve our queue: our own and the idle share of our peers'. */
+/* Slots that serve the local queue: local ones and the idle share of the
+ * peers' slots. */
 static double
 serving_slots(const struct engine *engine, uint32_t service)
 {
@@ -30,7 +31,7 @@
     return slots;
 }
 
-/* A peer that is busy nearly all the time comes for nobody's requests. */
+/* A peer that is busy nearly all the time pulls no requests. */
 static bool
 may_have_idle_slot(const struct engine *engine, const struct peer *peer)
 {
@@ -38,7 +39,7 @@
            (peer->load_at_us == 0 || peer->load < IDLE_SLOT_LOAD_MAX);
 }
 
-/* Run time at the fastest peer with slots to spare, UINT64_MAX if unknown. */
+/* Run time at the fastest peer with idle slots, UINT64_MAX if unknown. */
 static uint64_t
 fastest_peer_us(const struct engine *engine, uint32_t service)
 {
@@ -64,7 +65,8 @@
     return fastest_us < own / SLOW_FACTOR;
 }
 
-/* A slow local upstream is no reason to refuse what a peer can serve. */
+/* A slow local upstream is no reason to refuse a request that a peer can
+ * serve in time. */
 static uint64_t
 needed_run_us(const struct engine *engine, uint32_t service)
 {
@@ -90,7 +92,7 @@
            peers_working(&engine->peers, service);
 }
 
-/* A free slot and nobody before it: no estimate can say no. */
+/* With a free slot and an empty queue, no estimate of the wait applies. */
 static bool
 can_start_immediately(const struct engine *engine,
                       const struct engine_request *request)
@@ -123,8 +125,7 @@
            (double)left;
 }
 
-/* An urgent request takes the place of the ordinary one that would have
- * been served last. */
+/* In a full queue, an urgent request displaces the last ordinary one. */
 static bool
 displace_ordinary(struct engine *engine, const struct engine_request *request)
 {
@@ -199,8 +200,8 @@
            is_slower_than_peer(engine, fastest);
 }
 
-/* An urgent request is tried while it has a fair chance. An ordinary one
- * must not use up a slot for an answer that likely comes too late. */
+/* An urgent request starts if the mean run fits before its deadline, an
+ * ordinary one only if most runs would. */
 static uint64_t
 min_time_left_us(const struct engine *engine,
                  const struct engine_request *request)
@@ -210,7 +211,7 @@
                : needed_run_max_us(engine, request->service);
 }
 
-/* Whether anybody is left who could run it. */
+/* Whether the local upstream or an untried peer may run the request. */
 static bool
 has_candidate(const struct engine *engine, const struct entry *entry)
 {
@@ -254,7 +255,7 @@
     return ENGINE_REASON_NONE;
 }
 
-/* Queues pass quickly; what needs an upstream to come back does not. */
+/* A queue drains quickly; an outage lasts longer. */
 static uint64_t
 min_retry_after_us(enum engine_reason reason)
 {
--- a/src/request/admit.h
+++ b/src/request/admit.h
@@ -1,37 +1,45 @@
 /**
- * DOC: admit - which requests are taken, and when the others may come back
+ * DOC: admit - admission of requests
+ *
+ * Refuses a request that can't be served by its deadline or exceeds a limit,
+ * and spreads the times at which refused callers retry.
  */
 #ifndef SWIFTARCH_REQUEST_ADMIT_H
 #define SWIFTARCH_REQUEST_ADMIT_H
 
 #include "request/state.h"
 
-/** admit_check() - why @request can't be taken, ENGINE_REASON_NONE if it
- * can; may make room by giving up an ordinary request */
+/**
+ * admit_check() - decide whether @request is admitted
+ *
+ * May displace a queued ordinary request.
+ * Return: ENGINE_REASON_NONE, or the reason of the refusal
+ */
 enum engine_reason
 admit_check(struct engine *engine, const struct engine_request *request);
 
-/** admit_requeue() - @entry came back and waits here again; over the limit of
- * the queue, the least hopeful is given up, maybe @entry itself */
+/** admit_requeue() - queue @entry again after a failed attempt; over the
+ * queue limit, the last ordinary request (or else the last urgent one) is
+ * dropped */
 void
 admit_requeue(struct engine *engine, struct entry *entry);
 
-/** admit_unservable() - why waiting @entry can't be served any more,
- * ENGINE_REASON_NONE while it can */
+/** admit_unservable() - reason why the queued @entry can't be served any
+ * more, or ENGINE_REASON_NONE */
 enum engine_reason
 admit_unservable(const struct engine *engine, const struct entry *entry);
 
-/** admit_local_too_slow() - the local upstream would rather miss the deadline
- * of @entry, and some peer is much faster */
+/** admit_local_too_slow() - whether the local upstream would likely miss
+ * the deadline of @entry and some peer is much faster */
 bool
 admit_local_too_slow(const struct engine *engine, const struct entry *entry);
 
 /**
- * admit_retry_after_ms() - when a refused caller may come back
+ * admit_retry_after_ms() - Retry-After of a refused request, in milliseconds
  *
- * Worked out from the queue: after those that wait now, and after those who
- * were told to come back before, one for each start, with jitter; a second
- * later at the least when an upstream has to come back first.
+ * Covers the time to drain the queue and the callers refused before, one
+ * start interval each, with jitter. At least one second if an upstream or a
+ * quorum has to recover first.
  */
 uint32_t
 admit_retry_after_ms(struct engine *engine, enum engine_reason reason);
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -3,7 +3,7 @@
 #include "request/admit.h"
 #include "request/finish.h"
 
-/* With no local slot free, only the first few are offered to peers. */
+/* Queued requests without a local slot that are offered to peers per class. */
 #define UNPLACED_MAX 4
 
 const struct dispatch_ops *
@@ -32,7 +32,7 @@
     return ops != NULL ? ops->name : "unknown";
 }
 
-/* It failed here; somebody else may still do better. */
+/* After a failed local run, peers are preferred for a while. */
 static bool
 avoids_local(const struct engine *engine, const struct entry *entry)
 {
@@ -213,7 +213,7 @@
     return NULL;
 }
 
-/* Giving one up may change others, so the search starts again. */
+/* Finishing a request may change others, so the scan starts again. */
 static void
 drop_unservable(struct engine *engine, enum text_class class)
 {
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -1,8 +1,8 @@
 /**
- * DOC: dispatch - where a request runs
+ * DOC: dispatch - decides where each queued request runs
  *
- * A policy is a vtable. It places the next waiting request, says what else
- * to do once nothing more can be started, and hears what peers tell.
+ * The policy is a vtable: it places the next queued request, acts once no more
+ * requests can be started, and processes reports of peers.
  */
 #ifndef SWIFTARCH_REQUEST_DISPATCH_H
 #define SWIFTARCH_REQUEST_DISPATCH_H
@@ -10,12 +10,13 @@
 #include "request/state.h"
 
 /**
- * struct dispatch_ops - a policy
- * @name: its name
- * @place: member to run @entry now: engine->self, a peer, or 0 to wait
- * @after_dispatch: called after all starts of a call, or NULL
- * @on_report: a STATUS, a PULL or a DONE with free slots came from @peer, or
- * NULL
+ * struct dispatch_ops - a dispatch policy
+ * @name: see engine_policy_name()
+ * @place: member that runs @entry now: engine->self, a peer, or 0 to keep
+ *   it queued
+ * @after_dispatch: called at the end of dispatch_run(), or NULL
+ * @on_report: called for a STATUS, a PULL or a DONE with free slots from
+ *   @peer, or NULL
  */
 struct dispatch_ops {
     const char *name;
@@ -31,15 +32,17 @@
 extern const struct dispatch_ops dispatch_probe;
 extern const struct dispatch_ops dispatch_pull;
 
-/** dispatch_ops_of() - vtable of a policy */
+/** dispatch_ops_of() - vtable of @policy, NULL if unknown */
 const struct dispatch_ops *
 dispatch_ops_of(enum engine_policy policy);
 
-/** dispatch_run() - start what can be started, give up what is hopeless */
+/** dispatch_run() - drop requests that can't be served, then start as many
+ * as possible */
 void
 dispatch_run(struct engine *engine);
 
-/** dispatch_free_slots() - local slots free for @entry */
+/** dispatch_free_slots() - local slots free for @entry; 0 while it avoids
+ * the local upstream */
 unsigned
 dispatch_free_slots(const struct engine *engine, const struct entry *entry);
 
@@ -48,26 +51,30 @@
 dispatch_may_send(const struct engine *engine, const struct entry *entry,
                   const struct peer *peer);
 
-/** dispatch_random() - some peer that may be sent @entry, or NULL */
+/** dispatch_random() - random peer that may be sent @entry, or NULL */
 struct peer *
 dispatch_random(struct engine *engine, const struct entry *entry);
 
-/** dispatch_default() - place of @entry: here if a slot is free; to wait if
- * the local upstream will serve it; else random peers one after the other, 0
- * when none is left */
+/**
+ * dispatch_default() - where @entry runs without a hint from the policy
+ *
+ * Return: engine->self if a local slot is free, 0 to wait for the local
+ * upstream if it serves the request, else a random untried peer or 0
+ */
 uint64_t
 dispatch_default(struct engine *engine, struct entry *entry);
 
-/** dispatch_on_report() - the policy hears of @msg from @peer */
+/** dispatch_on_report() - pass report @msg of @peer to the policy */
 void
 dispatch_on_report(struct engine *engine, struct peer *peer,
                    const struct engine_peer_msg *msg);
 
-/** dispatch_send_status() - send our status to @peer */
+/** dispatch_send_status() - send a STATUS of this agent to @peer */
 void
 dispatch_send_status(struct engine *engine, struct peer *peer);
 
-/** dispatch_on_remote_run() - a peer sent a request to be run here */
+/** dispatch_on_remote_run() - update the pull state: a RUN of a peer
+ * arrived */
 void
 dispatch_on_remote_run(struct engine *engine);
 
--- a/src/request/dispatch_idle.c
+++ b/src/request/dispatch_idle.c
@@ -1,8 +1,8 @@
 /**
- * DOC: dispatch_idle - join the idle queue
+ * DOC: dispatch_idle - join-idle-queue policy
  *
- * An agent whose slot becomes free with nobody waiting tells one random
- * peer. A request that finds no local slot goes to a peer that on_report so.
+ * An agent whose slot becomes free reports this to one random peer. A request
+ * without a local slot goes to a peer that reported one.
  */
 #include "request/dispatch.h"
 
--- a/src/request/dispatch_local.c
+++ b/src/request/dispatch_local.c
@@ -1,7 +1,7 @@
 /**
- * DOC: dispatch_local - a request runs where its flow ends (hash only)
+ * DOC: dispatch_local - runs requests at the agent of their flow
  *
- * Peers get requests only when no local upstream serves them.
+ * Peers get requests only when the local upstream doesn't serve them.
  */
 #include "request/dispatch.h"
 
--- a/src/request/dispatch_probe.c
+++ b/src/request/dispatch_probe.c
@@ -1,9 +1,9 @@
 /**
- * DOC: dispatch_probe - probe a few peers for each request
+ * DOC: dispatch_probe - probe policy
  *
- * Each arrival probes two random peers; their answers serve later requests
- * for a short while. A request goes to whoever has the fewest in flight for
- * each slot, the local upstream included; an answer is used once.
+ * Each new request probes random peers; their replies serve later requests
+ * for PROBE_TTL_US. A request goes to the agent with the fewest requests in
+ * flight per slot, this one included. A reply is used once.
  */
 #include "request/dispatch.h"
 
@@ -45,12 +45,12 @@
 
     for (guint i = 0; i < list->len; i++) {
         struct peer *peer = g_ptr_array_index(list, i);
-        double its = per_slot(peer->in_flight, peer->slots);
+        double load = per_slot(peer->in_flight, peer->slots);
 
-        if (is_fresh(engine, peer) && its < MIN(below, 1.0) &&
+        if (is_fresh(engine, peer) && load < MIN(below, 1.0) &&
             dispatch_may_send(engine, entry, peer)) {
             least = peer;
-            below = its;
+            below = load;
         }
     }
     return least;
--- a/src/request/dispatch_pull.c
+++ b/src/request/dispatch_pull.c
@@ -1,17 +1,16 @@
 /**
- * DOC: dispatch_pull - agents with free slots send_pull for waiting requests
+ * DOC: dispatch_pull - agents with free slots pull queued requests
  *
- * An agent where requests wait tells a few random peers, more rarely while
- * nobody comes. One with a free slot and no work asks those that on_report it,
- * urgent first. One that has been less busy than its peers offers a free
- * slot to a busier one, which sends it a request even when it could run it
- * itself: so slot time evens out, not only queues. Offers grow rare while
- * none is taken, and the rate that reaches one busy agent is bounded,
- * however many are idle.
+ * An agent with queued requests announces them to a few random peers, at
+ * growing intervals until a PULL comes. An agent with a free slot and an empty
+ * queue pulls from those peers, urgent requests first. An agent less busy than
+ * its peers also advertises a slot to a busier one, which may use it even if
+ * it could run the request itself; this evens out slot time. Unused adverts
+ * become rarer, and the rate at one busy agent is bounded.
  *
- * A slot about to take an ordinary request while a peer is known to have
- * urgent ones waiting is held for the answer to one PULL, at most
- * HOLD_US; so is one in turn for a peer that has no upstream of its own.
+ * Before an ordinary request takes the last free slot while a peer has urgent
+ * requests queued, the slot is held for one PULL, at most HOLD_US. The same is
+ * done in turn for draining and leaving peers with queued requests.
  */
 #include "request/dispatch.h"
 
@@ -41,7 +40,7 @@
            dispatch_may_send(engine, entry, peer);
 }
 
-/* The least busy of those that offered a slot. */
+/* Returns the least loaded peer that advertised a slot. */
 static struct peer *
 find_slot_advert(const struct engine *engine, const struct entry *entry)
 {
@@ -71,7 +70,7 @@
     engine->dispatch.pulled_at_us = engine->now_us;
 }
 
-/* Some peer where requests of @class wait, as it said lately. */
+/* Returns a random peer that recently reported queued requests of @class. */
 static struct peer *
 find_waiting(struct engine *engine, enum text_class class)
 {
@@ -101,7 +100,7 @@
     send_pull(engine, peer, wanted);
 }
 
-/* Some peer that takes requests but has no upstream to run them on. */
+/* Returns a random draining or leaving peer with queued requests. */
 static struct peer *
 find_without_upstream(struct engine *engine)
 {
@@ -112,10 +111,10 @@
 
     for (guint i = 0; i < list->len; i++) {
         struct peer *peer = g_ptr_array_index(list, i);
-        bool leaves =
+        bool is_departing =
             peer->state == MEMBER_DRAINING || peer->state == MEMBER_LEAVING;
 
-        if (leaves &&
+        if (is_departing &&
             (peer_has_waiting(peer, TEXT_URGENT, engine->now_us) ||
              peer_has_waiting(peer, TEXT_ORDINARY, engine->now_us)) &&
             g_rand_int_range(engine->random, 0, ++seen) == 0) {
@@ -150,8 +149,8 @@
     return peer;
 }
 
-/* Keep the last free slot for work of a peer instead of starting @entry;
- * true while it is kept. */
+/* Holds the last free slot for a request of a peer instead of starting
+ * @entry. Returns whether it is held. */
 static bool
 hold_slot(struct engine *engine, const struct entry *entry)
 {
@@ -198,8 +197,8 @@
     return engine->self;
 }
 
-/* A peer clearly busier than @own, the likelier the busier it is; @count of
- * them are. */
+/* Picks a random busier peer, weighted by its load above @own, and sets
+ * @count to the number of busier peers. */
 static struct peer *
 find_busier(struct engine *engine, unsigned own, unsigned *count)
 {
@@ -227,9 +226,8 @@
     return chosen;
 }
 
-/* All idle agents may send_pull the same few busier ones. If each leaves this
- * much time, a busier one is slots_requested once in SLOT_ADVERT_SPACING_US by
- * all of them. */
+/* Spaces adverts so that all idle agents together reach a busy peer about
+ * once in SLOT_ADVERT_SPACING_US. */
 static uint64_t
 slot_advert_spacing_us(const struct engine *engine, unsigned busier)
 {
@@ -325,7 +323,7 @@
 {
     struct dispatch *dispatch = &engine->dispatch;
     const struct entry *first = engine->queue.head[TEXT_URGENT];
-    bool news = has_new_waiting(engine);
+    bool has_new = has_new_waiting(engine);
     bool lacks_upstream;
 
     if (queue_total(&engine->queue) == 0) {
@@ -335,7 +333,7 @@
         return;
     }
     if (engine->now_us < dispatch->announced_at_us + ANNOUNCE_MIN_US ||
-        (!news && engine->now_us < dispatch->announce_at_us)) {
+        (!has_new && engine->now_us < dispatch->announce_at_us)) {
         return;
     }
     first = first != NULL ? first : engine->queue.head[TEXT_ORDINARY];
@@ -365,8 +363,8 @@
     }
 }
 
-/* A PULL is an slot_advert of slots; one that comes for work that is gone gets
- * on_report, so that it holds no slot in vain. */
+/* A PULL also advertises slots. If nothing is queued here, a STATUS tells
+ * the sender to stop holding a slot. */
 static void
 on_report(struct engine *engine, struct peer *peer,
           const struct engine_peer_msg *msg)
--- a/src/request/dispatch_two.c
+++ b/src/request/dispatch_two.c
@@ -1,9 +1,9 @@
 /**
- * DOC: dispatch_two - two choices on the load that the view reports
+ * DOC: dispatch_two - power-of-two-choices policy on reported load
  *
- * Each request looks at two random agents, its own_load included, and goes to
- * the one with less busy and waiting for each slot. One that is declined
- * waits for the local upstream.
+ * Compares random agents, this one included, and picks the one with fewer busy
+ * slots and queued requests per slot. A declined request waits for the local
+ * upstream.
  */
 #include "request/dispatch.h"
 
--- a/src/request/engine.c
+++ b/src/request/engine.c
@@ -59,7 +59,7 @@
 }
 
 static void
-note_own_state(struct engine *engine, const struct view *view)
+update_own_state(struct engine *engine, const struct view *view)
 {
     const struct view_member *own;
 
@@ -82,7 +82,7 @@
     GArray *gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
     begin_call(engine, now_us, out);
-    note_own_state(engine, view);
+    update_own_state(engine, view);
     peers_set_view(&engine->peers, view, engine->self, gone);
     for (guint i = 0; i < gone->len; i++) {
         remote_peer_lost(engine, g_array_index(gone, uint64_t, i));
@@ -176,10 +176,10 @@
     return 0;
 }
 
-/* Its caller may come back with the key: what has begun should end and be
- * recorded for it. */
+/* A started request with a key completes even without its caller, so that
+ * the outcome is recorded for a retry. */
 static bool
-must_end(const struct entry *entry)
+must_complete(const struct entry *entry)
 {
     return entry->request.keyed && entry->state != ENTRY_WAITING;
 }
@@ -195,7 +195,7 @@
     if (entry == NULL || entry->state == ENTRY_ABORTED) {
         return -ENOENT;
     }
-    if (must_end(entry)) {
+    if (must_complete(entry)) {
         entry->caller_gone = true;
     }
     else if (entry->state == ENTRY_WAITING) {
@@ -280,16 +280,16 @@
     return 0;
 }
 
-/* No answer by the deadline blames whoever took much longer than usual for
- * it: a hung upstream or a frozen peer loses no connection. */
+/* A hung upstream or frozen peer breaks no connection, so a run that
+ * exceeds both its deadline and the usual run time counts as a failure. */
 static void
-note_overrun(struct engine *engine, const struct entry *entry)
+record_overrun(struct engine *engine, const struct entry *entry)
 {
     uint64_t took_us = engine->now_us - entry->started_us;
-    uint64_t most_us = estimate_run_max_us(&engine->estimate, engine->now_us);
+    uint64_t max_us = estimate_run_max_us(&engine->estimate, engine->now_us);
     struct peer *peer;
 
-    if (took_us < most_us) {
+    if (took_us < max_us) {
         return;
     }
     if (entry->state == ENTRY_RUNNING) {
@@ -314,7 +314,7 @@
     }
     if (entry->state != ENTRY_WAITING &&
         engine->now_us >= entry->request.deadline_us) {
-        note_overrun(engine, entry);
+        record_overrun(engine, entry);
         finish_unknown(engine, entry, ENGINE_DEADLINE);
     }
 }
--- a/src/request/finish.c
+++ b/src/request/finish.c
@@ -16,7 +16,7 @@
     }
 }
 
-/* A run that is aborted keeps its slot until the upstream let go of it. */
+/* An aborted run keeps its slot until the upstream has ended it. */
 static void
 release(struct engine *engine, struct entry *entry)
 {
@@ -38,7 +38,7 @@
     entry->started_us = engine->now_us;
 }
 
-/* An answer is also an slot_advert of the slot that it frees. */
+/* A DONE also advertises the slot that it frees. */
 static void
 add_slot_advert(struct engine *engine, const struct entry *entry,
                 struct engine_action *action)
@@ -106,7 +106,8 @@
        enum engine_reason reason, const uint8_t *answer, size_t answer_len)
 {
     notify(engine, entry, outcome, reason);
-    entry->runnable = true; /* whatever its reservation says from now on */
+    entry->runnable =
+        true; /* the request has ended, even if its key is not reserved */
     if (entry->request.keyed && engine_is_local(engine, entry)) {
         keyed_end(engine, entry, outcome, answer, answer_len);
     }
--- a/src/request/health.h
+++ b/src/request/health.h
@@ -1,11 +1,11 @@
 /**
- * DOC: health - what traffic shows of one upstream
+ * DOC: health - passive health check of one upstream
  *
- * Lost, cut and unreached runs in a row shun an upstream for a while, each
- * time longer; then one request tries it. Whole answers, also errors, are
- * no failure: an upstream that says 500 because something it depends on
- * fails is working. Whether an upstream may be shunned at all is up to the
- * caller, who knows how many others are left.
+ * Consecutive lost, truncated and unreached runs eject an upstream for growing
+ * periods; after each, a single trial request tests it. Complete answers,
+ * errors included, are no failures: an upstream may return errors because of a
+ * failing dependency. The caller decides whether enough other upstreams remain
+ * for an ejection.
  */
 #ifndef SWIFTARCH_REQUEST_HEALTH_H
 #define SWIFTARCH_REQUEST_HEALTH_H
@@ -16,12 +16,12 @@
 #define HEALTH_FAILURES_MAX 3
 
 /**
- * struct health - one upstream
- * @failures: in a row
- * @ejections: times shunned without an answer in between
- * @ejected_until_us: gets nothing before
- * @trial: shunned until lately: one request at a time
- * @run_us: smoothed time of runs sent there, 0 if none
+ * struct health - health of one upstream
+ * @failures: consecutive failures
+ * @ejections: ejections since the last answer
+ * @ejected_until_us: gets no requests until then
+ * @trial: was ejected: gets one request at a time until it answers
+ * @run_us: moving average of its run time, 0 if none
  */
 struct health {
     unsigned failures;
@@ -31,20 +31,20 @@
     uint64_t run_us;
 };
 
-/** health_answered() - a whole answer came after @took_us */
+/** health_answered() - record a complete answer after @took_us */
 void
 health_answered(struct health *health, uint64_t took_us);
 
-/** health_failed() - a run was lost, cut or not begun; true when the
- * upstream should be shunned */
+/** health_failed() - record a failed run; returns whether the upstream
+ * should be ejected */
 bool
 health_failed(struct health *health);
 
-/** health_eject() - give it nothing for a while */
+/** health_eject() - eject the upstream for a period */
 void
 health_eject(struct health *health, uint64_t now_us);
 
-/** health_is_ejected() - whether it gets nothing now */
+/** health_is_ejected() - whether the upstream is ejected now */
 bool
 health_is_ejected(const struct health *health, uint64_t now_us);
 
--- a/src/request/keyed.c
+++ b/src/request/keyed.c
@@ -24,11 +24,10 @@
     action->msg.idem = todo->msg;
 }
 
-/* The first request of the key decides the answer of this one, or nobody
- * could be asked. */
+/* Applies the decision on the key: run, wait, replay or refuse. */
 static void
-apply_verdict(struct engine *engine, struct entry *entry,
-              const struct idem_action *todo)
+apply_decision(struct engine *engine, struct entry *entry,
+               const struct idem_action *todo)
 {
     switch (todo->type) {
     case IDEM_PROCEED:
@@ -65,11 +64,11 @@
     }
     entry = entry_find(engine->entries, engine->self, todo->token);
     if (entry != NULL && entry->state == ENTRY_WAITING && !entry->runnable) {
-        apply_verdict(engine, entry, todo);
+        apply_decision(engine, entry, todo);
     }
 }
 
-/* Answers are copied first: the next call into idem would free them. */
+/* Copies answers first, since the next call into idem frees them. */
 static void
 run_idem_actions(struct engine *engine)
 {
--- a/src/request/outcome.c
+++ b/src/request/outcome.c
@@ -5,7 +5,7 @@
 
 #define AVOID_LOCAL_US (50 * USEC_PER_MSEC)
 
-/* A second attempt goes to another upstream, if one can be had soon. */
+/* Prefers peers for the next attempt after a failed local run. */
 static void
 avoid_local(struct engine *engine, struct entry *entry)
 {
@@ -26,8 +26,7 @@
     admit_requeue(engine, entry);
 }
 
-/* The agent that accepted a request is the only one to try it again, while
- * its caller is there. */
+/* Only the accepting agent retries, and only while the caller waits. */
 static bool
 may_retry_elsewhere(struct engine *engine, const struct entry *entry)
 {
--- a/src/request/peers.h
+++ b/src/request/peers.h
@@ -1,8 +1,8 @@
 /**
- * DOC: peers - the other agents, from the view and from their messages
+ * DOC: peers - state of the other agents
  *
- * The view lags by seconds; messages between engines are fresh. What
- * passive_health shows of a peer goes before both.
+ * Combines the membership view, which lags by seconds, with reports in engine
+ * messages. Passive health overrides both.
  */
 #ifndef SWIFTARCH_REQUEST_PEERS_H
 #define SWIFTARCH_REQUEST_PEERS_H
@@ -16,27 +16,27 @@
 #define PEERS_LOAD_FRESH_US (10 * USEC_PER_SEC)
 
 /**
- * struct peer - one other agent
+ * struct peer - another agent
  * @id: member id
  * @service: service of its upstream
- * @state: as announced
- * @health: as judged by the membership
- * @slots: of its upstream
- * @view_busy: busy slots by the view, late
- * @view_waiting: waiting requests by the view, late
- * @load: per mille of slot time busy, as it said
- * @load_at_us: when it said so, 0: never
- * @waiting: urgent and ordinary requests waiting there, as it said
- * @waiting_at_us: when it said so
- * @in_flight: PROBE: busy and waiting there, as it said
- * @in_flight_at_us: when it said so, 0: never or used up
- * @slot_advert: slots it offered to run our requests on
- * @slot_advert_until_us: when the slot_advert lapses
- * @status_sent_us: when we last told it our status
- * @sent: our requests that it has now
- * @declines: requests it declined in a row
- * @declined_until_us: it gets nothing before, it had no slot
- * @passive_health: what passive_health shows of it
+ * @state: announced state
+ * @health: health by membership
+ * @slots: slots of its upstream
+ * @view_busy: busy slots in the view
+ * @view_waiting: queued requests in the view
+ * @load: reported busy share of its slot time, per mille
+ * @load_at_us: time of that report, 0 if none
+ * @waiting: reported queued requests by class
+ * @waiting_at_us: time of that report
+ * @in_flight: policy probe: reported busy slots and queued requests
+ * @in_flight_at_us: time of that report, 0 if none or used
+ * @slot_advert: slots it advertised for our requests
+ * @slot_advert_until_us: expiry of the advert
+ * @status_sent_us: time of our last STATUS to it
+ * @sent: our requests in progress there
+ * @declines: consecutive requests it declined
+ * @declined_until_us: gets no requests until then, after a decline
+ * @passive_health: health by the outcome of our requests
  */
 struct peer {
     uint64_t id;
@@ -62,10 +62,10 @@
 };
 
 /**
- * struct peers - all agents but this one
+ * struct peers - all other agents
  * @by_id: struct peer by member id
  * @by_service: GPtrArray of struct peer, in order of id, by service
- * @ever_working: services that had a working agent once
+ * @ever_working: services that have had a working agent
  */
 struct peers {
     GHashTable *by_id;
@@ -73,62 +73,64 @@
     GHashTable *ever_working;
 };
 
-/** peers_init() - nobody */
+/** peers_init() - initialise without peers */
 void
 peers_init(struct peers *peers);
 
-/** peers_finish() - free */
+/** peers_finish() - free all peers */
 void
 peers_finish(struct peers *peers);
 
 /**
- * peers_set_view() - take over a view
- * @gone: ids of members that left or died are appended (uint64_t)
+ * peers_set_view() - apply a new membership view
+ * @gone: receives the ids (uint64_t) of members that left or died
  */
 void
 peers_set_view(struct peers *peers, const struct view *view, uint64_t self,
                GArray *gone);
 
-/** peers_find() - peer or NULL */
+/** peers_find() - look up a peer, or NULL */
 struct peer *
 peers_find(const struct peers *peers, uint64_t id);
 
-/** peers_of_service() - peers of @service; an empty list when there are none
- */
+/** peers_of_service() - peers of @service, possibly an empty list */
 const GPtrArray *
 peers_of_service(const struct peers *peers, uint32_t service);
 
-/** peers_working() - whether any peer of @service takes work */
+/** peers_working() - whether any peer of @service accepts work */
 bool
 peers_working(const struct peers *peers, uint32_t service);
 
-/** peers_lost_service() - @service had working agents and has none now */
+/** peers_lost_service() - whether @service had working agents and has none
+ * now */
 bool
 peers_lost_service(const struct peers *peers, uint32_t service);
 
-/** peer_accepts() - whether @peer may be sent work at all now */
+/** peer_accepts() - whether @peer may be sent requests now */
 bool
 peer_accepts(const struct peer *peer, uint64_t now_us);
 
-/** peer_idle_slots() - slots of @peer that were idle lately, by its load */
+/** peer_idle_slots() - idle slots of @peer by its reported load */
 double
 peer_idle_slots(const struct peer *peer);
 
-/** peer_has_waiting() - @peer said lately that requests of @class wait */
+/** peer_has_waiting() - whether @peer recently reported queued requests of
+ * @class */
 bool
 peer_has_waiting(const struct peer *peer, enum text_class class,
                  uint64_t now_us);
 
-/** peer_answered() - a request sent to @peer was answered after @took_us */
+/** peer_answered() - record an answer of @peer after @took_us */
 void
 peer_answered(struct peer *peer, uint64_t took_us);
 
-/** peer_declined() - @peer had no slot for a request; what it reported
- * counts for less each time */
+/** peer_declined() - record that @peer had no slot; backs off longer each
+ * time */
 void
 peer_declined(struct peer *peer, uint64_t now_us);
 
-/** peer_failed() - @peer lost a request; shunned unless too many are */
+/** peer_failed() - record that @peer lost a request; ejects it unless too
+ * many peers are ejected */
 void
 peer_failed(struct peers *peers, struct peer *peer, uint64_t now_us);
 
--- a/src/request/queue.h
+++ b/src/request/queue.h
@@ -1,9 +1,8 @@
 /**
- * DOC: queue - requests waiting here, urgent before ordinary
+ * DOC: queue - queued requests, urgent before ordinary
  *
- * Each class is ordered by deadline, ties by arrival. Ordinary requests
- * have a floor: while both classes wait, one start in
- * QUEUE_ORDINARY_EVERY is ordinary.
+ * Each class is ordered by deadline, then by arrival. While both classes are
+ * queued, one start in QUEUE_ORDINARY_EVERY is ordinary (the minimum share).
  */
 #ifndef SWIFTARCH_REQUEST_QUEUE_H
 #define SWIFTARCH_REQUEST_QUEUE_H
@@ -14,12 +13,12 @@
 #define QUEUE_ORDINARY_EVERY 8
 
 /**
- * struct queue - waiting requests
+ * struct queue - queued requests
  * @head: first of each class
  * @tail: last of each class
- * @count: waiting, of each class
+ * @count: requests of each class
  * @urgent_streak: urgent starts since the last ordinary one, counted while
- *                 ordinary requests wait
+ *   ordinary requests are queued
  */
 struct queue {
     struct entry *head[QUEUE_CLASSES];
@@ -28,34 +27,34 @@
     unsigned urgent_streak;
 };
 
-/** queue_push() - put @entry in the order of its deadline */
+/** queue_push() - insert @entry by deadline */
 void
 queue_push(struct queue *queue, struct entry *entry);
 
-/** queue_remove() - take @entry out */
+/** queue_remove() - unlink @entry */
 void
 queue_remove(struct queue *queue, struct entry *entry);
 
-/** queue_first_class() - class whose turn it is, given what waits */
+/** queue_first_class() - class of the next start */
 enum text_class
 queue_first_class(const struct queue *queue);
 
-/** queue_min_share_due() - an ordinary request waits and it is its turn though
- * urgent ones may wait */
+/** queue_min_share_due() - whether the minimum share makes the next start
+ * ordinary */
 bool
 queue_min_share_due(const struct queue *queue);
 
-/** queue_started() - a request of @class left the queue to be run */
+/** queue_started() - record a start of @class */
 void
 queue_started(struct queue *queue, enum text_class class);
 
-/** queue_ahead() - requests that go before one with @class and @deadline_us,
- * counting the floor's share of ordinary ones */
+/** queue_ahead() - queued requests that start before one with @class and
+ * @deadline_us, the minimum share included */
 unsigned
 queue_ahead(const struct queue *queue, enum text_class class,
             uint64_t deadline_us);
 
-/** queue_total() - waiting, of both classes */
+/** queue_total() - queued requests of both classes */
 unsigned
 queue_total(const struct queue *queue);
 
--- a/src/request/quota.h
+++ b/src/request/quota.h
@@ -1,5 +1,5 @@
 /**
- * DOC: quota - open requests of each caller
+ * DOC: quota - limits the open requests of each caller
  */
 #ifndef SWIFTARCH_REQUEST_QUOTA_H
 #define SWIFTARCH_REQUEST_QUOTA_H
@@ -8,24 +8,24 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** struct quota - @open: requests without an answer, by caller address */
+/** struct quota - @open: unanswered requests by caller address */
 struct quota {
     GHashTable *open;
 };
 
-/** quota_init() - nobody has any */
+/** quota_init() - initialise without callers */
 void
 quota_init(struct quota *quota);
 
-/** quota_finish() - free */
+/** quota_finish() - free the table */
 void
 quota_finish(struct quota *quota);
 
-/** quota_acquire() - count one more of @caller, or false at @max */
+/** quota_acquire() - count a request of @caller; false if it has @max open */
 bool
 quota_acquire(struct quota *quota, uint32_t caller, unsigned max);
 
-/** quota_release() - one of @caller got its answer */
+/** quota_release() - a request of @caller was answered */
 void
 quota_release(struct quota *quota, uint32_t caller);
 
--- a/src/request/remote.c
+++ b/src/request/remote.c
@@ -79,7 +79,7 @@
     accept_run(engine, msg);
 }
 
-/* All but a shedding upstream are the peer's own word: nothing was tried. */
+/* A decline by the agent itself is no failure of its upstream. */
 static void
 peer_refused(struct engine *engine, struct entry *entry, struct peer *peer,
              enum engine_reason reason)
@@ -157,7 +157,7 @@
     }
 }
 
-/* A cancel may overtake its RUN: seen_add() keeps that from running. */
+/* seen_add() keeps a RUN that arrives after its CANCEL from running. */
 static void
 receive_cancel(struct engine *engine, uint64_t from,
                const struct engine_peer_msg *msg)
@@ -171,8 +171,8 @@
 }
 
 static void
-note_load(struct engine *engine, struct peer *peer,
-          const struct engine_peer_msg *msg)
+update_load(struct engine *engine, struct peer *peer,
+            const struct engine_peer_msg *msg)
 {
     if (msg->load > 0) {
         peer->load = (uint16_t)(msg->load - 1);
@@ -203,7 +203,7 @@
     struct peer *peer = peers_find(&engine->peers, from);
 
     if (peer != NULL) {
-        note_load(engine, peer, msg);
+        update_load(engine, peer, msg);
     }
     switch (msg->type) {
     case ENGINE_PEER_RUN:
@@ -241,9 +241,9 @@
     return -EPROTO;
 }
 
-/* Ours that it had: may have begun. Its own that run here: their answer
- * has nobody to go to; one that isn't idempotent is rather ended than cut
- * half way. */
+/* Requests sent to the lost member may have started there. Its own
+ * requests that run here have no receiver; idempotent ones are aborted,
+ * others complete. */
 static void
 fail_entry(struct engine *engine, struct entry *entry, uint64_t member)
 {
--- a/src/request/remote.h
+++ b/src/request/remote.h
@@ -1,28 +1,28 @@
 /**
- * DOC: remote - messages between engines
+ * DOC: remote - handles messages between engines and lost peers
  */
 #ifndef SWIFTARCH_REQUEST_REMOTE_H
 #define SWIFTARCH_REQUEST_REMOTE_H
 
 #include "request/state.h"
 
-/** remote_receive() - a message other than IDEM came from member @from;
- * -EPROTO when it speaks for somebody else */
+/** remote_receive() - process a message of member @from; -EPROTO if it is
+ * an IDEM, or if its origin doesn't fit sender and type */
 int
 remote_receive(struct engine *engine, uint64_t from,
                const struct engine_peer_msg *msg, const uint8_t *answer,
                size_t answer_len);
 
-/** remote_peer_lost() - @member is gone, and with it all that it had of ours
- */
+/** remote_peer_lost() - fail the requests exchanged with @member, whose
+ * connection broke */
 void
 remote_peer_lost(struct engine *engine, uint64_t member);
 
-/** remote_send_failed() - a RUN for local @entry never left for its peer */
+/** remote_send_failed() - the RUN of local @entry was never sent */
 void
 remote_send_failed(struct engine *engine, struct entry *entry);
 
-/** remote_detach() - @entry is not at its peer any more */
+/** remote_detach() - @entry is no longer in progress at its peer */
 void
 remote_detach(struct engine *engine, struct entry *entry);
 
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -1,9 +1,8 @@
 /**
- * DOC: retry - budget for running a request at a second upstream
+ * DOC: retry - retry budget
  *
- * Successes earn a share of a retry, so retries never add more than
- * RETRY_PERCENT of the useful work, whatever fails. The agent that accepted
- * the request is the only layer that retries.
+ * Each success adds a share of a retry, which limits retries to RETRY_PERCENT
+ * of the answered requests. Only the accepting agent retries.
  */
 #ifndef SWIFTARCH_REQUEST_RETRY_H
 #define SWIFTARCH_REQUEST_RETRY_H
@@ -13,20 +12,20 @@
 #define RETRY_PERCENT 10
 #define RETRY_ATTEMPTS_MAX 3
 
-/** struct retry - @hundredths: of a retry, saved up */
+/** struct retry - @hundredths: available budget, in hundredths of a retry */
 struct retry {
     unsigned hundredths;
 };
 
-/** retry_init() - a few retries to begin with */
+/** retry_init() - start with a small budget */
 void
 retry_init(struct retry *retry);
 
-/** retry_succeeded() - a request was answered */
+/** retry_succeeded() - add the share of an answered request */
 void
 retry_succeeded(struct retry *retry);
 
-/** retry_take() - spend one retry, or false */
+/** retry_take() - spend one retry; false if the budget is used up */
 bool
 retry_take(struct retry *retry);
 
--- a/src/request/runs.c
+++ b/src/request/runs.c
@@ -3,7 +3,7 @@
 #include "request/finish.h"
 #include "request/outcome.h"
 
-/* Whether the peers have room for the work of the local upstream. */
+/* Whether the peers have capacity for the load of the local upstream. */
 static bool
 peers_have_capacity(const struct engine *engine)
 {
--- a/src/request/seen.c
+++ b/src/request/seen.c
@@ -26,7 +26,7 @@
 }
 
 static void
-forget_oldest(struct seen *seen)
+remove_oldest(struct seen *seen)
 {
     struct seen_item *item = g_queue_pop_head(&seen->order);
 
@@ -57,7 +57,7 @@
         return false;
     }
     if (seen->order.length >= SEEN_MAX) {
-        forget_oldest(seen);
+        remove_oldest(seen);
     }
     item = g_memdup2(&key, sizeof(key));
     g_hash_table_add(seen->table, item);
@@ -71,7 +71,7 @@
     const struct seen_item *oldest = g_queue_peek_head(&seen->order);
 
     while (oldest != NULL && oldest->at_us + SEEN_TTL_US < now_us) {
-        forget_oldest(seen);
+        remove_oldest(seen);
         oldest = g_queue_peek_head(&seen->order);
     }
 }
--- a/src/request/seen.h
+++ b/src/request/seen.h
@@ -1,8 +1,7 @@
 /**
- * DOC: seen - requests of peers that were decided here, for a while
+ * DOC: seen - recently received requests of peers
  *
- * A request that came once, or was cancelled before it came, is never run
- * when it comes (again), whatever was answered the first time.
+ * Keeps a repeated RUN, or one that arrives after its CANCEL, from running.
  */
 #ifndef SWIFTARCH_REQUEST_SEEN_H
 #define SWIFTARCH_REQUEST_SEEN_H
@@ -17,8 +16,8 @@
 #define SEEN_MAX 65536
 
 /**
- * struct seen - requests remembered
- * @table: by origin and id
+ * struct seen - recent requests
+ * @table: requests by origin and id
  * @order: oldest first
  */
 struct seen {
@@ -26,19 +25,19 @@
     GQueue order;
 };
 
-/** seen_init() - nothing seen */
+/** seen_init() - initialise empty */
 void
 seen_init(struct seen *seen);
 
-/** seen_finish() - free */
+/** seen_finish() - free all requests */
 void
 seen_finish(struct seen *seen);
 
-/** seen_add() - remember; false when it was already */
+/** seen_add() - add a request; false if it is present */
 bool
 seen_add(struct seen *seen, uint64_t origin, uint64_t id, uint64_t now_us);
 
-/** seen_expire() - forget what is older than SEEN_TTL_US */
+/** seen_expire() - remove requests older than SEEN_TTL_US */
 void
 seen_expire(struct seen *seen, uint64_t now_us);
 
--- a/src/request/services.c
+++ b/src/request/services.c
@@ -19,7 +19,7 @@
     g_free(service);
 }
 
-/* Visits every service reachable from @index once; cycles are harmless. */
+/* Collects every service reachable from @index once; cycles are allowed. */
 static void
 collect_dependencies(const struct text *text, size_t index, gboolean *visited,
                      GArray *dependencies)
--- a/src/request/services.h
+++ b/src/request/services.h
@@ -1,12 +1,11 @@
 /**
- * DOC: services - what the engine dependencies of the configuration in force
+ * DOC: services - service configuration as used by the engine
  *
- * A service that an urgent one depends on, directly or not, counts as
- * urgent for calls that ask for it (Priority with u below 3, which the
- * upstream of the urgent service sends with calls on behalf of its work); any
- * other ordinary service stays ordinary whatever its callers ask for. Who
- * may reach such a needed service is trusted to ask truly: its other callers
- * could ask too, and would go before its ordinary ones only.
+ * A service that an urgent one depends on, directly or not, runs a request as
+ * urgent if its Priority field asks for it (u below 3), as calls made for
+ * urgent work do. Any other ordinary service stays ordinary. Callers that
+ * reach such a dependency are trusted: a false urgent request overtakes only
+ * other ordinary requests of that service.
  */
 #ifndef SWIFTARCH_REQUEST_SERVICES_H
 #define SWIFTARCH_REQUEST_SERVICES_H
@@ -16,12 +15,12 @@
 #include "text/text.h"
 
 /**
- * struct service - one service
+ * struct service - configuration of one service
  * @id: service id
- * @class: as configured
+ * @class: configured class
  * @needed_by_urgent: an urgent service depends on it
- * @limits: as configured
- * @dependencies: ids of all it depends on, directly or not
+ * @limits: configured limits
+ * @dependencies: ids of its direct and indirect dependencies
  */
 struct service {
     uint32_t id;
@@ -31,19 +30,19 @@
     GArray *dependencies;
 };
 
-/** services_new() - copy of @text, found by id */
+/** services_new() - table of the services in @text by id (copied) */
 GHashTable *
 services_new(const struct text *text);
 
-/** services_find() - service or NULL; @services may be NULL */
+/** services_find() - look up a service, or NULL; @services may be NULL */
 const struct service *
 services_find(GHashTable *services, uint32_t id);
 
-/** services_class() - class a request for service @id gets */
+/** services_class() - effective class of a request for service @id */
 enum text_class
 services_class(GHashTable *services, uint32_t id, enum text_class requested);
 
-/** services_limits() - limits of service @id, defaults when unknown */
+/** services_limits() - limits of service @id, defaults if unknown */
 struct text_limits
 services_limits(GHashTable *services, uint32_t id);
 
--- a/src/request/state.h
+++ b/src/request/state.h
@@ -1,8 +1,8 @@
 /**
- * DOC: state - what the parts of one engine share (private to src/request)
+ * DOC: state - internal state of an engine (private to src/request)
  *
- * During a call into the engine, @now_us and @out hold the arguments of
- * that call, so the parts need not pass them on.
+ * During a call into the engine, @now_us and @out hold the arguments of that
+ * call.
  */
 #ifndef SWIFTARCH_REQUEST_STATE_H
 #define SWIFTARCH_REQUEST_STATE_H
@@ -25,19 +25,18 @@
 struct dispatch_ops;
 
 /**
- * struct dispatch - what the dispatch policy remembers
- * @announced: urgent and ordinary waiting, as last announced
- * @announced_at_us: when that was
- * @announce_at_us: when peers are told next that requests wait here
- * @announce_gap_us: time until then grows while nobody comes for them
- * @slot_advert_at_us: when a slot was last offered for balance
- * @slot_advert_interval_us: time until the next offer grows while none is
- * taken
- * @load_report_at_us: when some peers are told our load next
- * @pulled_at_us: when a peer was last slots_requested for waiting work
- * @slots_requested: requests slots_requested for that have not come
- * @hold_until_us: a slot is kept for a request of a peer until then
- * @local_starts: local starts since a slot was last kept
+ * struct dispatch - state of the dispatch policy
+ * @announced: queued requests by class in the last announcement
+ * @announced_at_us: time of the last announcement
+ * @announce_at_us: time of the next announcement
+ * @announce_gap_us: interval of announcements, grows until a PULL comes
+ * @slot_advert_at_us: time of the last slot advert for balance
+ * @slot_advert_interval_us: interval of slot adverts, grows while unused
+ * @load_report_at_us: time of the next load report
+ * @pulled_at_us: time of the last PULL
+ * @slots_requested: requests pulled that have not arrived
+ * @hold_until_us: a slot is held for a peer's request until then
+ * @local_starts: local starts since a slot was last held
  */
 struct dispatch {
     unsigned announced[2];
@@ -54,28 +53,28 @@
 };
 
 /**
- * struct engine - one agent's engine
+ * struct engine - engine of one agent
  * @ops: dispatch policy (must come first)
  * @self: own member id
- * @random: seeded random numbers
- * @services: the configuration, NULL before there is one
- * @entries: every request known, local and remote
- * @queue: those of them that wait
+ * @random: seeded random generator
+ * @services: service configuration, NULL before the first
+ * @entries: all known requests, local and remote
+ * @queue: requests waiting to run
  * @quota: open requests by caller
- * @retry: budget for retries
- * @estimate: of run and waiting times
+ * @retry: retry budget
+ * @estimate: run time and queue estimates
  * @peers: other agents
  * @upstream: local upstream
- * @seen: requests of peers decided here
- * @dispatch: what the policy remembers
+ * @seen: recently received requests of peers
+ * @dispatch: state of the dispatch policy
  * @idem: idempotency keys
- * @idem_out: actions of @idem not yet carried out
- * @idem_done: how many of them have been
- * @copied_answers: answers that actions of the last call point to
+ * @idem_out: actions of @idem
+ * @idem_done: actions in @idem_out already applied
+ * @copied_answers: answers referenced by actions of the last call
  * @open: local requests without a final answer
- * @next_retry_at_us: refused callers have been told to come back until then
- * @stopping: a planned stop has begun
- * @counters: what happened so far
+ * @next_retry_at_us: latest retry time given to a refused caller
+ * @stopping: engine_stop() was called
+ * @counters: totals
  * @now_us: time of the current call
  * @out: actions of the current call
  */
@@ -105,11 +104,12 @@
     struct engine_actions *out;
 };
 
-/** engine_emit() - append an action of @type, zeroed otherwise */
+/** engine_emit() - append an action of @type, other fields zero */
 struct engine_action *
 engine_emit(struct engine *engine, enum engine_action_type type);
 
-/** engine_send() - append a message of @type about @entry (or NULL) to @to */
+/** engine_send() - append a message of @type to member @to, about @entry
+ * unless NULL */
 struct engine_action *
 engine_send(struct engine *engine, uint64_t to, enum engine_peer_type type,
             const struct entry *entry);
@@ -121,8 +121,8 @@
     return entry->key.origin == engine->self;
 }
 
-/** engine_dependency_down() - a service that @service depends on has no
- * working upstream any more */
+/** engine_dependency_down() - whether a dependency of @service has lost all
+ * its working agents */
 bool
 engine_dependency_down(const struct engine *engine, uint32_t service);
 
--- a/src/request/upstream.h
+++ b/src/request/upstream.h
@@ -1,12 +1,11 @@
 /**
- * DOC: upstream - the local upstream: slots, cold start, faults
+ * DOC: upstream - state of the local upstream: slots, slow start, failures
  *
- * While it warms up it gets a growing share of its slots. When it sheds
- * load or can't be reached it is left alone for a short, growing while.
- * When it loses requests it is shunned like a peer would be. When all it
- * says is an error (and nothing it depends on is down) it runs what comes
- * to it but attracts no work from peers: an upstream that fails fast would
- * else look idle and take everything.
+ * During slow start, a growing share of its slots is used. After it sheds load
+ * or can't be reached, it backs off for growing periods; after lost requests
+ * it is ejected. While it returns only errors (and its dependencies are up) it
+ * runs local requests but pulls none: an upstream that fails fast would look
+ * idle and attract all the load.
  */
 #ifndef SWIFTARCH_REQUEST_UPSTREAM_H
 #define SWIFTARCH_REQUEST_UPSTREAM_H
@@ -22,17 +21,17 @@
 
 /**
  * struct upstream - the local upstream
- * @service: its service, 0 while there is none
- * @slots: requests it runs at once
- * @accepting: it takes new work
- * @slow_start_since_us: when its cold start began, 0 when warm
+ * @service: its service, 0 if there is none
+ * @slots: maximum concurrent requests
+ * @accepting: accepts new work
+ * @slow_start_since_us: start of slow start, 0 when warm
  * @busy: slots in use
- * @backoffs: times it refused in a row
- * @backoff_until_us: gets nothing before
- * @errors: answers in a row that were server errors
- * @passive_health: what passive_health shows of it
- * @load: smoothed share of slots busy
- * @load_at_us: when @load was last worked out
+ * @backoffs: consecutive refusals
+ * @backoff_until_us: gets no requests until then
+ * @errors: consecutive server errors
+ * @passive_health: health by the outcome of runs
+ * @load: moving average of the busy share of its slots
+ * @load_at_us: time of the last update of @load
  */
 struct upstream {
     uint32_t service;
@@ -48,11 +47,12 @@
     uint64_t load_at_us;
 };
 
-/** upstream_usable_slots() - slots that may be used now */
+/** upstream_usable_slots() - slots that may be used now, busy ones included */
 unsigned
 upstream_usable_slots(const struct upstream *upstream, uint64_t now_us);
 
-/** upstream_serves() - whether it will serve @service, if not right now */
+/** upstream_serves() - whether it accepts requests of @service, even if
+ * none can start now */
 bool
 upstream_serves(const struct upstream *upstream, uint32_t service);
 
@@ -61,30 +61,31 @@
 upstream_free_slots(const struct upstream *upstream, uint32_t service,
                     uint64_t now_us);
 
-/** upstream_may_pull() - whether it may ask peers for work */
+/** upstream_may_pull() - whether this agent may pull requests from peers */
 bool
 upstream_may_pull(const struct upstream *upstream, uint64_t now_us);
 
-/** upstream_acquire_slot() - a slot is taken */
+/** upstream_acquire_slot() - take a slot */
 void
 upstream_acquire_slot(struct upstream *upstream, uint64_t now_us);
 
-/** upstream_release_slot() - a slot is free again */
+/** upstream_release_slot() - free a slot */
 void
 upstream_release_slot(struct upstream *upstream, uint64_t now_us);
 
-/** upstream_answered() - a whole answer came; @ignore_errors: errors are no
- * wonder, something it depends on is down */
+/** upstream_answered() - record a complete answer; @ignore_errors: server
+ * errors don't count because a dependency is down */
 void
 upstream_answered(struct upstream *upstream, uint64_t took_us,
                   const uint8_t *answer, size_t answer_len,
                   bool ignore_errors);
 
-/** upstream_refused() - it took no work: shed or unreached */
+/** upstream_refused() - record that it shed a request or was not reached;
+ * backs off */
 void
 upstream_refused(struct upstream *upstream, uint64_t now_us);
 
-/** upstream_load() - smoothed busy share of its slots, per mille */
+/** upstream_load() - average busy share of its slots, per mille */
 unsigned
 upstream_load(struct upstream *upstream, uint64_t now_us);
 
