--- a/bench/dispatch/dispatch_bench.c
+++ b/bench/dispatch/dispatch_bench.c
@@ -1,4 +1,5 @@
-/* Compares the dispatch policies; prints a table and writes JSON. */
+/* Compares the dispatch policies under load; prints a table and writes
+ * JSON. */
 #include <errno.h>
 #include <json-c/json.h>
 #include <stdio.h>
@@ -22,7 +23,7 @@
 };
 
 static void
-work(gpointer data, gpointer unused)
+run_job(gpointer data, gpointer unused)
 {
     struct job *job = data;
 
@@ -142,7 +143,7 @@
 static void
 run_all(GArray *jobs)
 {
-    GThreadPool *pool = g_thread_pool_new(work, NULL, THREADS, FALSE, NULL);
+    GThreadPool *pool = g_thread_pool_new(run_job, NULL, THREADS, FALSE, NULL);
 
     for (guint i = 0; i < jobs->len; i++) {
         g_thread_pool_push(pool, &g_array_index(jobs, struct job, i), NULL);
@@ -165,7 +166,7 @@
     return rc;
 }
 
-/* dispatch_bench [JSON [SECONDS [SEED [POLICY]]]] */
+/* Usage: dispatch_bench [JSON [SECONDS [SEED [POLICY]]]] */
 int
 main(int argc, char **argv)
 {
--- a/bench/dispatch/engine_bench.c
+++ b/bench/dispatch/engine_bench.c
@@ -1,4 +1,4 @@
-/* Time and memory of one engine, by the number of peers of its service. */
+/* Measures CPU time and memory of one engine by its number of peers. */
 #include <glib.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -15,7 +15,7 @@
 static const uint8_t answer[] = "HTTP/1.1 200 OK\r\n\r\n";
 
 static struct engine *
-make(unsigned peers, uint64_t now_us)
+engine_with_peers(unsigned peers, uint64_t now_us)
 {
     unsigned count = peers + 1;
     struct view *view =
@@ -39,9 +39,9 @@
     return engine;
 }
 
-/* Every peer has told its load, as in a cell that has run for a while. */
+/* Delivers a load report of every peer. */
 static void
-tell_loads(struct engine *engine, unsigned peers, uint64_t now_us)
+report_loads(struct engine *engine, unsigned peers, uint64_t now_us)
 {
     struct engine_peer_msg msg = {.type = ENGINE_PEER_STATUS};
     struct engine_actions out = {0};
@@ -97,11 +97,11 @@
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         uint64_t now_us = WARM_US;
         size_t before = mallinfo2().uordblks;
-        struct engine *engine = make(sizes[i], now_us);
+        struct engine *engine = engine_with_peers(sizes[i], now_us);
         size_t bytes = mallinfo2().uordblks - before;
         double request_ns;
 
-        tell_loads(engine, sizes[i], now_us);
+        report_loads(engine, sizes[i], now_us);
         request_ns = ns_per_request(engine, &now_us);
         printf("%6u %14.0f %10.0f %12zu\n", sizes[i], request_ns,
                ns_per_tick(engine, &now_us), bytes);
--- a/bench/dispatch/sim.c
+++ b/bench/dispatch/sim.c
@@ -102,7 +102,7 @@
 }
 
 static void
-sum_up_service(struct sim *sim, unsigned service)
+summarize_service(struct sim *sim, unsigned service)
 {
     double most = 0;
     double shares = 0;
@@ -130,7 +130,7 @@
 sim_summarize(struct sim *sim)
 {
     for (unsigned service = 0; service < SITE_SERVICES; service++) {
-        sum_up_service(sim, service);
+        summarize_service(sim, service);
     }
     for (int class = 0; class < 2; class ++) {
         g_array_sort(sim->latencies[class], compare);
--- a/bench/dispatch/sim.h
+++ b/bench/dispatch/sim.h
@@ -1,5 +1,5 @@
 /**
- * DOC: sim - state and measures of one run (private to the bench)
+ * DOC: sim - state and results of one simulation (private to the benchmark)
  */
 #ifndef SWIFTARCH_BENCH_DISPATCH_SIM_H
 #define SWIFTARCH_BENCH_DISPATCH_SIM_H
@@ -12,7 +12,7 @@
 #define SIM_VIEW_DELAY 4
 #define SIM_WARM_UP_US (10 * USEC_PER_SEC)
 
-/** struct node - an agent and its upstream */
+/** struct node - agent and its upstream */
 struct node {
     struct engine *engine;
     unsigned service;
@@ -26,7 +26,7 @@
     double flow_rate;
 };
 
-/** struct call - a request */
+/** struct call - request */
 struct call {
     enum text_class class;
     uint64_t arrived_us;
@@ -38,7 +38,7 @@
     bool running;
 };
 
-/** struct sim - one run */
+/** struct sim - one simulation */
 struct sim {
     const struct site_case *run;
     GRand *random;
@@ -57,23 +57,25 @@
     struct site_result result;
 };
 
-/** sim_find_call() - request by id */
+/** sim_find_call() - look up a request by id */
 struct call *
 sim_find_call(const struct sim *sim, uint64_t id);
 
-/** sim_measured() - part of a stretch that lies within the measured time */
+/** sim_measured() - part of an interval within the measured period, in
+ * microseconds */
 uint64_t
 sim_measured(const struct sim *sim, uint64_t from_us, uint64_t to_us);
 
-/** sim_run_ended() - a run ended: its slot time counts as busy */
+/** sim_run_ended() - add the slot time of a run to the busy time of its
+ * node */
 void
 sim_run_ended(struct sim *sim, struct call *call);
 
-/** sim_finish() - a request got its final answer */
+/** sim_finish() - record the final answer of a request */
 void
 sim_finish(struct sim *sim, const struct engine_action *action);
 
-/** sim_summarize() - work out the result */
+/** sim_summarize() - compute the result */
 void
 sim_summarize(struct sim *sim);
 
--- a/bench/dispatch/site.c
+++ b/bench/dispatch/site.c
@@ -202,9 +202,9 @@
     apply_actions(sim, node, &out);
 }
 
-/* A third of the way in: the drain begins, or the cold starts come up. */
+/* Applies the drain or the cold starts of the condition. */
 static void
-change(struct sim *sim)
+apply_condition(struct sim *sim)
 {
     sim->changed = true;
     if (sim->run->condition == SITE_DRAIN) {
@@ -226,7 +226,7 @@
 on_tick(struct sim *sim)
 {
     if (!sim->changed && sim->now_us >= sim->change_us) {
-        change(sim);
+        apply_condition(sim);
     }
     for (unsigned i = 0; i < sim->count; i++) {
         struct node *at = &sim->nodes[i];
@@ -254,7 +254,7 @@
     return (uint64_t)(-log(u) * mean_us);
 }
 
-/* Half of a service time is fixed, half exponential. */
+/* Half of a service time is constant, half exponential. */
 static void
 on_arrive(struct sim *sim, unsigned node)
 {
@@ -329,9 +329,10 @@
     }
 }
 
-/* Flows of different rates are hashed to endpoints: their shares differ. */
+/* Assigns flows of different rates to random endpoints, so their load
+ * differs. */
 static void
-spread_flows(struct sim *sim, unsigned first, unsigned service)
+assign_flows(struct sim *sim, unsigned first, unsigned service)
 {
     const struct site_service *from = &sim->run->site->services[service];
     unsigned flows = FLOWS_PER_ENDPOINT * from->endpoints;
@@ -373,7 +374,7 @@
             set_upstream(sim, i, cold ? 0 : SIM_SLOTS, !cold);
         }
         sim->count += endpoints;
-        spread_flows(sim, first, s);
+        assign_flows(sim, first, s);
         first += endpoints;
     }
     publish_views(sim);
--- a/bench/dispatch/site.h
+++ b/bench/dispatch/site.h
@@ -1,9 +1,8 @@
 /**
- * DOC: site - one site's engines under a seeded load, without processes
+ * DOC: site - simulated engines of one data centre under a seeded load
  *
- * Engines, an upstream model with slots and service times, messages that
- * take 1 ms, views that are 2 s late. The same seed gives the same requests
- * under every policy.
+ * Upstreams are modelled by slots and service times. Messages take 1 ms, views
+ * are 2 s old. A seed gives the same requests under every policy.
  */
 #ifndef SWIFTARCH_BENCH_DISPATCH_SITE_H
 #define SWIFTARCH_BENCH_DISPATCH_SITE_H
@@ -14,24 +13,23 @@
 
 #define SITE_SERVICES 2
 
-/** enum site_condition - what goes wrong */
+/** enum site_condition - fault during the run */
 enum site_condition {
     SITE_PLAIN,
-    SITE_FALSE_REPORT, /* an endpoint reports idle and takes four times as long
-                        */
-    SITE_COLD,         /* two endpoints start cold, a third of the way in */
-    SITE_DRAIN,        /* an endpoint drains then; its flows stay */
+    SITE_FALSE_REPORT, /* an endpoint reports idle and is slow */
+    SITE_COLD,         /* two endpoints start cold after a third of the run */
+    SITE_DRAIN,        /* an endpoint drains after a third; its flows stay */
     SITE_CONDITIONS
 };
 
 /**
- * struct site_service - a service of a site
- * @name: for the table
- * @endpoints: upstreams, two slots each
- * @class: as configured
- * @lowered: share of its requests that a Priority header makes ordinary
+ * struct site_service - service of a data centre
+ * @name: name in the table
+ * @endpoints: number of upstreams, with two slots each
+ * @class: configured class
+ * @lowered: share of its requests that a Priority field makes ordinary
  * @run_us: mean service time
- * @left_us: deadline of urgent requests, after arrival
+ * @left_us: deadline of urgent requests, from arrival
  */
 struct site_service {
     const char *name;
@@ -42,13 +40,13 @@
     uint64_t left_us;
 };
 
-/** struct site - a site */
+/** struct site - simulated data centre */
 struct site {
     const char *name;
     struct site_service services[SITE_SERVICES];
 };
 
-/** struct site_case - one run */
+/** struct site_case - parameters of one run */
 struct site_case {
     const struct site *site;
     enum engine_policy policy;
@@ -59,19 +57,19 @@
 };
 
 /**
- * struct site_result - what came of it
- * @imbalance: busiest over mean busy share of an endpoint, by service
+ * struct site_result - result of one run
+ * @imbalance: highest over mean busy share of an endpoint, by service
  * @useful: share of slot time spent on answers in time, by service
  * @requests: by class
- * @answered: in time, by class
+ * @answered: answered in time, by class
  * @refused: not run, by class
- * @refused_late: of those, more than 10 ms after arrival, by class
- * @missed: no answer by the deadline, or unknown, by class
- * @urgent_behind: urgent requests not answered while ordinary ones of the
- *                 service waited at some agent
- * @p50_us: median time to the answer, by class
- * @p99_us: 99th percentile, by class
- * @messages: between engines
+ * @refused_late: refused more than 10 ms after arrival, by class
+ * @missed: unknown or not answered by the deadline, by class
+ * @urgent_behind: unanswered urgent requests while ordinary ones of the
+ *   service were queued at some agent
+ * @p50_us: median time to answer, by class
+ * @p99_us: 99th percentile of it, by class
+ * @messages: messages between engines
  */
 struct site_result {
     double imbalance[SITE_SERVICES];
@@ -87,11 +85,11 @@
     uint64_t messages;
 };
 
-/** site_dar, site_perth - the sites of today */
+/** site_dar, site_perth - data centres to simulate */
 extern const struct site site_dar;
 extern const struct site site_perth;
 
-/** site_run() - run one case */
+/** site_run() - simulate one case */
 struct site_result
 site_run(const struct site_case *run);
 
--- a/bench/dispatch/size_bench.c
+++ b/bench/dispatch/size_bench.c
@@ -1,4 +1,4 @@
-/* How the default policy grows with the endpoints of a service, at 0.8. */
+/* Runs the default policy with growing numbers of endpoints of a service. */
 #include <stdio.h>
 
 #include "site.h"
--- a/src/request/peers.c
+++ b/src/request/peers.c
@@ -133,11 +133,11 @@
 const GPtrArray *
 peers_of_service(const struct peers *peers, uint32_t service)
 {
-    static const GPtrArray nobody = {0};
+    static const GPtrArray empty = {0};
     const GPtrArray *list =
         g_hash_table_lookup(peers->by_service, service_key(service));
 
-    return list != NULL ? list : &nobody;
+    return list != NULL ? list : &empty;
 }
 
 bool
--- a/tests/request/admit_test.c
+++ b/tests/request/admit_test.c
@@ -1,4 +1,4 @@
-/* Which requests are taken, in which order, on which upstream. */
+/* Tests of admission, start order and placement. */
 #include <errno.h>
 
 #include "fixture.h"
@@ -44,12 +44,12 @@
 }
 
 static void
-test_too_late_at_once(struct fixture *f, gconstpointer data)
+test_too_late_on_arrival(struct fixture *f, gconstpointer data)
 {
     const struct engine_action *refused;
     uint64_t waiting;
 
-    fixture_learn_run_time(f, 100 * MS);
+    fixture_set_run_time(f, 100 * MS);
     fixture_fill_slots(f);
     fixture_arrive(f, TEXT_URGENT, false, 90 * MS);
     fixture_assert_finished(f, f->next_id, ENGINE_NOT_RUN, ENGINE_TOO_LATE);
@@ -63,11 +63,11 @@
     fixture_assert_finished(f, waiting, ENGINE_NOT_RUN, ENGINE_TOO_LATE);
 }
 
-/* Not its own run, but those before it in the queue make it too late. */
+/* The requests queued before it make it miss its deadline. */
 static void
 test_too_late_by_queue(struct fixture *f, gconstpointer data)
 {
-    fixture_learn_run_time(f, 100 * MS);
+    fixture_set_run_time(f, 100 * MS);
     fixture_fill_slots(f);
     for (int i = 0; i < 10; i++) {
         fixture_arrive(f, TEXT_URGENT, false, 5 * USEC_PER_SEC);
@@ -79,13 +79,13 @@
     g_assert_cmpuint(engine_waiting(f->engine), ==, 11);
 }
 
-/* Refused callers are spread over the time that serving them would take. */
+/* Retry-After spreads refused callers over the time needed to serve them. */
 static void
 test_retry_after_spread(struct fixture *f, gconstpointer data)
 {
     unsigned per_second[8] = {0};
 
-    fixture_learn_run_time(f, 100 * MS);
+    fixture_set_run_time(f, 100 * MS);
     fixture_fill_slots(f);
     for (int i = 0; i < 100; i++) {
         uint64_t id = fixture_arrive(f, TEXT_URGENT, false, 10 * MS);
@@ -99,7 +99,7 @@
     }
 }
 
-/* Half of the runs fail: retries stay within the first few and a tenth. */
+/* With half of the runs failing, retries stay within the budget. */
 static void
 test_retry_budget(struct fixture *f, gconstpointer data)
 {
@@ -136,7 +136,7 @@
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, id));
 }
 
-/* What runs when the dependency fails does not condemn the upstream. */
+/* Failures while a dependency is down don't count against the upstream. */
 static void
 test_dependency_errors_ignored(struct fixture *f, gconstpointer data)
 {
@@ -195,7 +195,7 @@
                      ==, 2);
 }
 
-/* Of two peers that fail only one is shunned, and tried again later. */
+/* Only one of two failing peers is ejected; it gets a trial later. */
 static void
 test_peers_ejected(struct fixture *f, gconstpointer data)
 {
@@ -219,12 +219,12 @@
     g_assert_true(peer_accepts(peer, f->now_us));
 }
 
-/* One that never answers loses no connection, and is shunned all the same;
- * a deadline shorter than a usual run is not its fault. */
+/* An upstream that never answers is ejected, unless the deadline is
+ * shorter than a usual run. */
 static void
 test_hung_upstream(struct fixture *f, gconstpointer data)
 {
-    fixture_learn_run_time(f, 100 * MS);
+    fixture_set_run_time(f, 100 * MS);
     for (int i = 0; i < 5; i++) {
         fixture_arrive(f, TEXT_URGENT, false, 50 * MS);
         fixture_tick_to(f, f->now_us + 200 * MS);
@@ -239,7 +239,7 @@
                      ==, 0);
 }
 
-/* An upstream that only fails fast must not look idle to the others. */
+/* An upstream that returns only errors pulls no requests. */
 static void
 test_errors_stop_pulling(struct fixture *f, gconstpointer data)
 {
@@ -294,7 +294,7 @@
 }
 
 static void
-test_warming(struct fixture *f, gconstpointer data)
+test_slow_start(struct fixture *f, gconstpointer data)
 {
     fixture_members(f, MEMBER_WARMING, 2, true);
     fixture_arrive(f, TEXT_URGENT, false, 60 * USEC_PER_SEC);
@@ -304,7 +304,7 @@
     g_assert_cmpuint(engine_busy(f->engine), ==, 2);
 }
 
-/* While draining nothing new runs here; a stop still serves what waits. */
+/* A draining upstream starts no requests; a stop still serves queued ones. */
 static void
 test_drain_and_stop(struct fixture *f, gconstpointer data)
 {
@@ -328,8 +328,8 @@
     g_assert_nonnull(fixture_find_sent(f, ENGINE_PEER_DONE, PEER));
 }
 
-/* The key is reserved at its replicas while the request queues, and the
- * request runs only when they have granted it. */
+/* A keyed request is queued while its key is reserved, and runs only once
+ * its replicas have granted the key. */
 static void
 test_key_reserved_first(struct fixture *f, gconstpointer data)
 {
@@ -343,7 +343,8 @@
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, id));
 }
 
-/* A planned stop must know that a key's outcome is not told everywhere. */
+/* A key record counts as unacknowledged until its replicas have
+ * acknowledged it. */
 static void
 test_key_unacked(struct fixture *f, gconstpointer data)
 {
@@ -378,7 +379,8 @@
                      3000);
 }
 
-/* An ordinary start gives way to urgent work known at a peer. */
+/* A slot is held for an urgent request of a peer before an ordinary one
+ * starts. */
 static void
 test_hold_for_urgent(struct fixture *f, gconstpointer data)
 {
@@ -398,15 +400,16 @@
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, ordinary));
 }
 
-/* Says that a request waits at @from; true when it was asked for it. */
+/* Reports queued requests of both peers; returns whether @from was sent a
+ * PULL. */
 static bool
 pulls_from(struct fixture *f, uint64_t from)
 {
     struct engine_peer_msg msg = {.type = ENGINE_PEER_STATUS,
                                   .waiting = {9, 0}};
-    bool asked = false;
+    bool pulled = false;
 
-    for (int i = 0; i < 60 && !asked; i++) {
+    for (int i = 0; i < 60 && !pulled; i++) {
         uint64_t id;
 
         engine_peer(f->engine, PEER, &msg, NULL, 0, f->now_us, &f->out);
@@ -414,14 +417,13 @@
         id = fixture_arrive(f, TEXT_URGENT, false, 60 * USEC_PER_SEC);
         f->now_us += 10 * MS;
         fixture_end(f, SELF, id - 2, ENGINE_UP_ANSWERED);
-        asked = fixture_find_sent(f, ENGINE_PEER_PULL, from) != NULL;
+        pulled = fixture_find_sent(f, ENGINE_PEER_PULL, from) != NULL;
         fixture_tick_to(f, f->now_us + 10 * MS);
     }
-    return asked;
+    return pulled;
 }
 
-/* Peers whose upstreams drain get slots in turn, though local urgent work
- * never ends, and each of them does. */
+/* Draining peers get slots in turn, even under constant local urgent load. */
 static void
 test_serves_draining_peers(struct fixture *f, gconstpointer data)
 {
@@ -433,14 +435,14 @@
     g_assert_true(pulls_from(f, PEER));
 }
 
-/* Requests that this slow upstream would miss wait for faster peers, and
- * hide nothing behind them that it can still serve. */
+/* Requests that a slow upstream would miss wait for faster peers and don't
+ * block those behind them. */
 static void
 test_slow_upstream(struct fixture *f, gconstpointer data)
 {
     uint64_t behind;
 
-    fixture_learn_run_time(f, 100 * MS);
+    fixture_set_run_time(f, 100 * MS);
     peer_answered(peers_find(&f->engine->peers, PEER), 10 * MS);
     fixture_fill_slots(f);
     for (int i = 0; i < 5; i++) {
@@ -455,14 +457,13 @@
     g_assert_nonnull(fixture_find_sent(f, ENGINE_PEER_RUN, PEER));
 }
 
-/* Peers that have no slot to spare don't come for them: nobody is parked
- * for a peer until its deadline. */
+/* Requests don't wait for peers without idle slots. */
 static void
 test_slow_upstream_full_peers(struct fixture *f, gconstpointer data)
 {
     uint64_t id;
 
-    fixture_learn_run_time(f, 100 * MS);
+    fixture_set_run_time(f, 100 * MS);
     peer_answered(peers_find(&f->engine->peers, PEER), 10 * MS);
     fixture_fill_slots(f);
     fixture_report_load(f, PEER, 1001);
@@ -495,7 +496,7 @@
     g_test_init(&argc, &argv, NULL);
     FIXTURE_ADD("admit", urgent_displaces);
     FIXTURE_ADD("admit", ordinary_min_share);
-    FIXTURE_ADD("admit", too_late_at_once);
+    FIXTURE_ADD("admit", too_late_on_arrival);
     FIXTURE_ADD("admit", too_late_by_queue);
     FIXTURE_ADD("admit", retry_after_spread);
     FIXTURE_ADD("admit", retry_budget);
@@ -505,7 +506,7 @@
     FIXTURE_ADD("admit", errors_stop_pulling);
     FIXTURE_ADD("admit", inherits_priority);
     FIXTURE_ADD("admit", caller_limit);
-    FIXTURE_ADD("admit", warming);
+    FIXTURE_ADD("admit", slow_start);
     FIXTURE_ADD("admit", drain_and_stop);
     FIXTURE_ADD("admit", key_reserved_first);
     FIXTURE_ADD("admit", key_unacked);
--- a/tests/request/cell.c
+++ b/tests/request/cell.c
@@ -27,7 +27,7 @@
 }
 
 static uint64_t
-between(struct cell *cell, unsigned low_us, unsigned high_us)
+random_between(struct cell *cell, unsigned low_us, unsigned high_us)
 {
     return (uint64_t)g_rand_int_range(cell->random, (gint32)low_us,
                                       (gint32)high_us);
@@ -61,13 +61,13 @@
 {
     int node = find_node(cell, to);
     struct event *event;
-    uint64_t delay = between(cell, 300, 2500);
+    uint64_t delay = random_between(cell, 300, 2500);
 
     if (node < 0 || chance(cell, cell->faults.lose)) {
         return;
     }
     if (chance(cell, cell->faults.slow)) {
-        delay += between(cell, 1000, 400000);
+        delay += random_between(cell, 1000, 400000);
     }
     event = event_new(cell, EVENT_MESSAGE, (unsigned)node);
     event->from = from;
@@ -76,7 +76,7 @@
     timeline_add(&cell->timeline, &event->base, cell->now_us + delay);
 }
 
-/* The upstream runs it, or says or shows that it did not. */
+/* Simulates a run on the upstream, with its faults. */
 static void
 run(struct cell *cell, unsigned node, const struct engine_action *action)
 {
@@ -93,14 +93,14 @@
     else if (kind < no_run) {
         event->how = ENGINE_UP_UNREACHED;
     }
-    else if (kind < no_run + cell->faults.cut) {
+    else if (kind < no_run + cell->faults.lose_run) {
         event->how = kind % 2 == 0 ? ENGINE_UP_LOST : ENGINE_UP_TRUNCATED;
     }
     if (kind >= no_run) {
         invariants_run(cell, action->id);
     }
     timeline_add(&cell->timeline, &event->base,
-                 cell->now_us + between(cell, 2000, CELL_RUN_MAX_US));
+                 cell->now_us + random_between(cell, 2000, CELL_RUN_MAX_US));
 }
 
 static void
@@ -224,7 +224,7 @@
     set_view(cell, node);
 }
 
-/* Others learn of it soon: their connections break. */
+/* Crashes a node; the others see their connections break soon after. */
 static void
 crash_node(struct cell *cell, unsigned node)
 {
@@ -243,7 +243,7 @@
         event = event_new(cell, EVENT_LOST, i);
         event->from = at->id;
         timeline_add(&cell->timeline, &event->base,
-                     cell->now_us + between(cell, 500, 3000));
+                     cell->now_us + random_between(cell, 500, 3000));
     }
 }
 
@@ -273,8 +273,7 @@
     apply_actions(cell, event->node, &out);
 }
 
-/* What was on its way to a node that crashed is gone with its connections;
- * a frozen one reads everything when it thaws. */
+/* Drops events of a crashed node and delays those of a frozen one. */
 static void
 handle(struct cell *cell, struct event *event)
 {
@@ -359,13 +358,13 @@
 {
     cell_arrive(cell, node, chance(cell, 600) ? TEXT_URGENT : TEXT_ORDINARY,
                 chance(cell, 300), chance(cell, 300),
-                between(cell, 30000, 1000000));
+                random_between(cell, 30000, 1000000));
 }
 
 static void
 random_cancel(struct cell *cell)
 {
-    uint64_t back = between(cell, 0, 20);
+    uint64_t back = random_between(cell, 0, 20);
     const struct invariants_record *record;
     struct engine_actions out = {0};
 
@@ -400,7 +399,8 @@
         return;
     }
     if (chance(cell, cell->faults.freeze)) {
-        at->frozen_until_us = cell->now_us + between(cell, 1000, 2000000);
+        at->frozen_until_us =
+            cell->now_us + random_between(cell, 1000, 2000000);
         at->was_frozen = true;
         return;
     }
@@ -428,7 +428,7 @@
     if (is_up(cell, seer) && chance(cell, 50)) {
         set_view(cell, seer);
     }
-    cell_advance(cell, between(cell, 100, 8000));
+    cell_advance(cell, random_between(cell, 100, 8000));
 }
 
 void
--- a/tests/request/cell.h
+++ b/tests/request/cell.h
@@ -1,10 +1,10 @@
 /**
- * DOC: cell - several engines, a bad network and bad upstreams, seeded
+ * DOC: cell - seeded simulation of engines with a faulty network and upstreams
  *
- * Messages are delayed, reordered, lost and doubled; upstreams answer, shed,
- * can't be reached, lose or cut answers; engines crash and come back empty,
- * freeze and thaw, drain; each sees its own late view. The rules are checked
- * at every step; the first one that is broken is kept in @failure.
+ * Messages are delayed, reordered, lost and duplicated. Upstreams answer,
+ * shed, are unreachable, or lose and truncate answers. Engines crash and
+ * restart empty, freeze and drain, each with its own outdated view. Invariants
+ * are checked at every step; the first violation is stored in @failure.
  */
 #ifndef SWIFTARCH_TESTS_REQUEST_CELL_H
 #define SWIFTARCH_TESTS_REQUEST_CELL_H
@@ -20,22 +20,22 @@
 #define CELL_SERVICE 7
 #define CELL_RUN_MAX_US (60 * USEC_PER_MSEC)
 
-/** struct cell_faults - share of each fault, per mille (of messages, of
- * runs, or of steps) */
+/** struct cell_faults - rate of each fault per mille, of messages, runs or
+ * steps */
 struct cell_faults {
     unsigned lose;
     unsigned duplicate;
     unsigned slow;
     unsigned shed;
     unsigned unreached;
-    unsigned cut;
+    unsigned lose_run;
     unsigned crash;
     unsigned freeze;
     unsigned drain;
     unsigned cancel;
 };
 
-/** struct cell_node - one engine and its upstream */
+/** struct cell_node - engine and its upstream */
 struct cell_node {
     uint64_t id;
     struct engine *engine;
@@ -51,7 +51,7 @@
     GHashTable *running;
 };
 
-/** struct cell - all of it */
+/** struct cell - simulation state */
 struct cell {
     GRand *random;
     uint64_t now_us;
@@ -68,29 +68,30 @@
     unsigned finished[ENGINE_OUTCOMES];
 };
 
-/** cell_init() - @count engines, settled and idle */
+/** cell_init() - start @count engines that are ready and idle */
 void
 cell_init(struct cell *cell, unsigned count, enum engine_policy policy,
           struct cell_faults faults, guint32 seed);
 
-/** cell_finish() - free */
+/** cell_finish() - free the simulation */
 void
 cell_finish(struct cell *cell);
 
-/** cell_step() - one random thing happens, then a little time passes */
+/** cell_step() - apply one random event, then advance a short time */
 void
 cell_step(struct cell *cell);
 
-/** cell_quiesce() - heal everything, let all end, check that all did */
+/** cell_quiesce() - end all faults and check that every request completes */
 void
 cell_quiesce(struct cell *cell);
 
-/** cell_arrive() - a request at a node; returns its id */
+/** cell_arrive() - add a request at @node with a deadline in @left_us;
+ * returns its id */
 uint64_t
 cell_arrive(struct cell *cell, unsigned node, enum text_class class,
             bool idempotent, bool keyed, uint64_t left_us);
 
-/** cell_advance() - let @us pass, event by event */
+/** cell_advance() - process the events of the next @us */
 void
 cell_advance(struct cell *cell, uint64_t us);
 
--- a/tests/request/fixture.c
+++ b/tests/request/fixture.c
@@ -209,9 +209,8 @@
     g_assert_cmpint(action->reason, ==, reason);
 }
 
-/* Makes runs take @run_us as far as the engine knows. */
 void
-fixture_learn_run_time(struct fixture *f, uint64_t run_us)
+fixture_set_run_time(struct fixture *f, uint64_t run_us)
 {
     for (int i = 0; i < 20; i++) {
         uint64_t id = fixture_arrive(f, TEXT_URGENT, false, 10 * USEC_PER_SEC);
--- a/tests/request/fixture.h
+++ b/tests/request/fixture.h
@@ -1,7 +1,7 @@
 /**
- * DOC: fixture - one engine whose peers and upstream are played by the test
+ * DOC: fixture - one engine; the test acts as its peers and its upstream
  *
- * @out holds the actions since the last event played.
+ * @out holds the actions of the last event.
  */
 #ifndef SWIFTARCH_TESTS_REQUEST_FIXTURE_H
 #define SWIFTARCH_TESTS_REQUEST_FIXTURE_H
@@ -16,15 +16,15 @@
 #define UNNEEDED 9
 #define MS USEC_PER_MSEC
 
-/** FIXTURE_ADD - add test_NAME under @group */
+/** FIXTURE_ADD - add test_NAME as /request/GROUP/NAME */
 #define FIXTURE_ADD(group, name)                                              \
     g_test_add("/request/" group "/" #name, struct fixture, NULL,             \
                fixture_set_up, test_##name, fixture_tear_down)
 
-/** server_error - an answer with status 500 */
+/** server_error - HTTP answer with status 500 */
 extern const uint8_t server_error[20];
 
-/** struct fixture - the engine, its last actions, the time */
+/** struct fixture - engine, its last actions and the current time */
 struct fixture {
     struct engine *engine;
     struct engine_actions out;
@@ -32,57 +32,59 @@
     uint64_t next_id;
 };
 
-/** fixture_members() - view of this agent, @peers of its service and one agent
- * of the service it depends on */
+/** fixture_members() - set a view with this agent, @peers of its service
+ * and one agent of NEEDED */
 void
 fixture_members(struct fixture *f, enum member_state own, unsigned peers,
                 bool needed_alive);
 
-/** fixture_services() - SERVICE depends on NEEDED, none on UNNEEDED */
+/** fixture_services() - set a configuration where SERVICE depends on NEEDED
+ * and no service on UNNEEDED */
 void
 fixture_services(struct fixture *f, enum text_class needed_class);
 
-/** fixture_set_up() - agent SELF with two free slots and two peers */
+/** fixture_set_up() - create agent SELF with two free slots and two peers */
 void
 fixture_set_up(struct fixture *f, gconstpointer data);
 
-/** fixture_tear_down() - free it */
+/** fixture_tear_down() - free the engine */
 void
 fixture_tear_down(struct fixture *f, gconstpointer data);
 
-/** fixture_arrive() - a request arrives; its id */
+/** fixture_arrive() - add a request with a deadline in @left_us; returns
+ * its id */
 uint64_t
 fixture_arrive(struct fixture *f, enum text_class class, bool idempotent,
                uint64_t left_us);
 
-/** fixture_arrive_keyed() - a request with an Idempotency-Key arrives, a
- * second before its deadline; its id */
+/** fixture_arrive_keyed() - add a request with an Idempotency-Key and a
+ * deadline in one second; returns its id */
 uint64_t
 fixture_arrive_keyed(struct fixture *f);
 
-/** fixture_acknowledge() - both replicas acknowledge the record sent last */
+/** fixture_acknowledge() - both replicas acknowledge the last key record */
 void
 fixture_acknowledge(struct fixture *f);
 
-/** fixture_grant() - PEER and OTHER grant the key they were just asked for */
+/** fixture_grant() - PEER and OTHER grant the last requested key */
 void
 fixture_grant(struct fixture *f);
 
-/** fixture_end() - a run ends */
+/** fixture_end() - end a run on the local upstream */
 void
 fixture_end(struct fixture *f, uint64_t origin, uint64_t id,
             enum engine_upstream how);
 
-/** fixture_receive() - PEER sends a message */
+/** fixture_receive() - deliver a message of PEER */
 void
 fixture_receive(struct fixture *f, enum engine_peer_type type, uint64_t id,
                 enum engine_outcome outcome, enum engine_reason reason);
 
-/** fixture_tick_to() - let time pass, tick by tick */
+/** fixture_tick_to() - advance to @at_us, tick by tick */
 void
 fixture_tick_to(struct fixture *f, uint64_t at_us);
 
-/** fixture_find() - action about request @id, or NULL */
+/** fixture_find() - action of @type about request @id, or NULL */
 const struct engine_action *
 fixture_find(const struct fixture *f, enum engine_action_type type,
              uint64_t id);
@@ -92,21 +94,22 @@
 fixture_find_sent(const struct fixture *f, enum engine_peer_type type,
                   uint64_t to);
 
-/** fixture_assert_finished() - request @id got this final answer */
+/** fixture_assert_finished() - assert the final answer of request @id */
 void
 fixture_assert_finished(const struct fixture *f, uint64_t id,
                         enum engine_outcome outcome,
                         enum engine_reason reason);
 
-/** fixture_learn_run_time() - make runs take @run_us as far as is known */
+/** fixture_set_run_time() - set the estimated run time to @run_us */
 void
-fixture_learn_run_time(struct fixture *f, uint64_t run_us);
+fixture_set_run_time(struct fixture *f, uint64_t run_us);
 
-/** fixture_fill_slots() - start two runs that stay */
+/** fixture_fill_slots() - occupy both slots with runs that don't end */
 void
 fixture_fill_slots(struct fixture *f);
 
-/** fixture_report_load() - @from says its load, per mille plus one */
+/** fixture_report_load() - deliver a load report of @from, per mille plus
+ * one */
 void
 fixture_report_load(struct fixture *f, uint64_t from, uint16_t load);
 
--- a/tests/request/invariants.c
+++ b/tests/request/invariants.c
@@ -31,7 +31,7 @@
     return g_hash_table_lookup(cell->requests, &id);
 }
 
-/* Of all requests with one key, one that isn't idempotent runs once. */
+/* Among the non-idempotent requests with one key, at most one runs. */
 static void
 check_key(struct cell *cell, const struct invariants_record *record)
 {
@@ -40,8 +40,8 @@
     }
     if (!g_hash_table_add(cell->keys_run,
                           g_memdup2(&record->key, sizeof(record->key)))) {
-        fail(cell, "%" PRIu64 " runs key %" PRIu64 " again", record->id,
-             record->key);
+        fail(cell, "request %" PRIu64 " runs key %" PRIu64 " again",
+             record->id, record->key);
     }
 }
 
@@ -52,10 +52,10 @@
 
     record->runs++;
     if (record->finishes > 0 && record->outcome == ENGINE_NOT_RUN) {
-        fail(cell, "%" PRIu64 " runs after 'not run'", record->id);
+        fail(cell, "request %" PRIu64 " runs after 'not run'", record->id);
     }
     if (record->runs > 1 && !record->idempotent) {
-        fail(cell, "%" PRIu64 " runs twice", record->id);
+        fail(cell, "request %" PRIu64 " runs twice", record->id);
     }
     check_key(cell, record);
 }
@@ -75,8 +75,8 @@
     g_hash_table_insert(cell->requests, &record->id, record);
 }
 
-/* What the engine holds for too slow here can be so only shortly before its
- * deadline: runs of the cell are short, unless a freeze made one long. */
+/* Runs in the cell are short, so a request is too slow for the local
+ * upstream only shortly before its deadline, or after a freeze. */
 static bool
 is_too_slow(const struct cell *cell, const struct cell_node *at,
             const struct entry *entry)
@@ -86,7 +86,7 @@
             cell->now_us + SLOWEST_US > entry->request.deadline_us);
 }
 
-/* It failed here and may still be tried elsewhere. */
+/* Whether the request failed locally and prefers peers for now. */
 static bool
 is_avoiding(const struct cell *cell, const struct cell_node *at,
             const struct entry *entry)
@@ -95,7 +95,7 @@
            peers_working(&at->engine->peers, entry->request.service);
 }
 
-/* Some urgent request that could have run at @node instead. */
+/* Whether a queued urgent request could run at @node. */
 static bool
 urgent_could_run(const struct cell *cell, unsigned node)
 {
@@ -111,8 +111,8 @@
     return false;
 }
 
-/* Some urgent request that could have gone to @peer instead; the engine
- * looks at the first few only. */
+/* Whether a queued urgent request could be sent to @peer; as the engine
+ * does, checks only the first few. */
 static bool
 urgent_could_be_sent(const struct cell *cell, unsigned node, uint64_t peer)
 {
@@ -129,8 +129,7 @@
     return false;
 }
 
-/* The floor counts urgent starts while ordinary requests wait, see also
- * invariants_node(). */
+/* Counts urgent starts for the minimum share; invariants_node() resets it. */
 static void
 count_start(struct cell_node *at, enum text_class class)
 {
@@ -144,9 +143,8 @@
     return at->urgent_starts + 1 >= QUEUE_ORDINARY_EVERY;
 }
 
-/* Ordinary work goes before waiting urgent work only by its floor, or if
- * the urgent one would miss its deadline on this much slower upstream, or
- * has just failed here and may still be tried elsewhere. */
+/* An ordinary request starts before a queued urgent one only by the
+ * minimum share, or if the urgent one avoids the local upstream. */
 void
 invariants_start(struct cell *cell, unsigned node,
                  const struct engine_action *action)
@@ -165,9 +163,8 @@
     count_start(at, entry->request.class);
 }
 
-/* Pull alone sends what could run here, and then urgent first. What has just
- * failed here, or is too slow here, takes no local slot from an urgent one
- * that waits for it. */
+/* Only the pull policy sends requests that could run locally, urgent
+ * first. A request that avoids the local upstream is exempt. */
 void
 invariants_send_run(struct cell *cell, unsigned node,
                     const struct engine_action *action)
@@ -176,11 +173,11 @@
     const struct entry *entry =
         entry_find(at->engine->entries, action->origin, action->id);
     enum text_class class = action->msg.request.class;
-    bool only_there = entry != NULL && (is_avoiding(cell, at, entry) ||
-                                        is_too_slow(cell, at, entry));
+    bool avoids_local = entry != NULL && (is_avoiding(cell, at, entry) ||
+                                          is_too_slow(cell, at, entry));
 
-    if (cell->policy == ENGINE_PULL && class == TEXT_ORDINARY && !only_there &&
-        !is_min_share_due(at) &&
+    if (cell->policy == ENGINE_PULL && class == TEXT_ORDINARY &&
+        !avoids_local && !is_min_share_due(at) &&
         urgent_could_be_sent(cell, node, action->to)) {
         fail(cell, "node %u sends ordinary before waiting urgent", node);
     }
@@ -194,20 +191,20 @@
 
     record->finishes++;
     if (record->finishes > 1) {
-        fail(cell, "%" PRIu64 " finished twice", record->id);
+        fail(cell, "request %" PRIu64 " finished twice", record->id);
     }
     record->outcome = action->outcome;
     cell->finished[action->outcome]++;
     if (action->outcome == ENGINE_NOT_RUN && record->runs > 0) {
-        fail(cell, "%" PRIu64 " 'not run' but it ran (reason %d)", record->id,
-             action->reason);
+        fail(cell, "request %" PRIu64 " 'not run' but it ran (reason %d)",
+             record->id, action->reason);
     }
     if (action->outcome == ENGINE_ANSWERED && !action->replayed &&
         record->runs == 0) {
-        fail(cell, "%" PRIu64 " answered but never run", record->id);
+        fail(cell, "request %" PRIu64 " answered but never run", record->id);
     }
     if (action->outcome == ENGINE_NOT_RUN && action->retry_after_ms == 0) {
-        fail(cell, "%" PRIu64 " without Retry-After", record->id);
+        fail(cell, "request %" PRIu64 " without Retry-After", record->id);
     }
 }
 
@@ -242,7 +239,7 @@
 
         if (record->finishes == 0 && at->generation == record->generation &&
             cell->now_us > due + ANSWER_SLACK_US) {
-            fail(cell, "%" PRIu64 " has no answer", record->id);
+            fail(cell, "request %" PRIu64 " has no answer", record->id);
         }
     }
 }
@@ -255,7 +252,8 @@
     if (engine_busy(engine) > 0 || engine_waiting(engine) > 0 ||
         engine_open_requests(engine) > 0 ||
         g_hash_table_size(engine->entries) > 0) {
-        fail(cell, "node %u keeps %u busy, %u waiting, %u open, %u entries",
+        fail(cell,
+             "node %u still has %u busy, %u waiting, %u open, %u entries",
              node, engine_busy(engine), engine_waiting(engine),
              engine_open_requests(engine), g_hash_table_size(engine->entries));
     }
--- a/tests/request/invariants.h
+++ b/tests/request/invariants.h
@@ -1,15 +1,15 @@
 /**
- * DOC: rules - what must hold in a cell, whatever goes wrong
+ * DOC: invariants - properties that hold in a cell under every fault
  *
- * The first rule that is broken is kept in cell->failure.
+ * The first violation is stored in cell->failure.
  */
-#ifndef SWIFTARCH_TESTS_REQUEST_RULES_H
-#define SWIFTARCH_TESTS_REQUEST_RULES_H
+#ifndef SWIFTARCH_TESTS_REQUEST_INVARIANTS_H
+#define SWIFTARCH_TESTS_REQUEST_INVARIANTS_H
 
 #include "cell.h"
 #include "request/state.h"
 
-/** struct invariants_record - what is known of a request from outside */
+/** struct invariants_record - observed history of a request */
 struct invariants_record {
     uint64_t id;
     uint64_t key;
@@ -22,43 +22,47 @@
     enum engine_outcome outcome;
 };
 
-/** invariants_record() - record of request @id */
+/** invariants_record() - history of request @id */
 struct invariants_record *
 invariants_record(const struct cell *cell, uint64_t id);
 
-/** invariants_arrive() - a request arrives at @node */
+/** invariants_arrive() - record the arrival of a request at @node */
 void
 invariants_arrive(struct cell *cell, unsigned node,
                   const struct engine_request *request);
 
-/** invariants_start() - an engine starts a request: urgent before ordinary */
+/** invariants_start() - check a local start: urgent before ordinary */
 void
 invariants_start(struct cell *cell, unsigned node,
                  const struct engine_action *action);
 
-/** invariants_send_run() - an engine sends a request to a peer: the same */
+/** invariants_send_run() - check a RUN sent to a peer: urgent before
+ * ordinary */
 void
 invariants_send_run(struct cell *cell, unsigned node,
                     const struct engine_action *action);
 
-/** invariants_run() - an upstream begins it: once, and never after "not run"
- */
+/** invariants_run() - check a start on an upstream: at most one, none after
+ * "not run" */
 void
 invariants_run(struct cell *cell, uint64_t id);
 
-/** invariants_finish() - a final answer: one, and true */
+/** invariants_finish() - check a final answer: only one, and consistent
+ * with the runs */
 void
 invariants_finish(struct cell *cell, const struct engine_action *action);
 
-/** invariants_node() - after each step: slots and queue within their bounds */
+/** invariants_node() - check the limits of slots and queue, after each step */
 void
 invariants_node(struct cell *cell, unsigned node);
 
-/** invariants_answers() - after each tick: every answer by its deadline */
+/** invariants_answers() - check that requests are answered by their
+ * deadline, after each tick */
 void
 invariants_answers(struct cell *cell);
 
-/** invariants_empty() - when all has ended: nothing kept */
+/** invariants_empty() - check that no state is left after all requests
+ * ended */
 void
 invariants_empty(struct cell *cell, unsigned node);
 
--- a/tests/request/offer_test.c
+++ b/tests/request/offer_test.c
@@ -1,24 +1,23 @@
-/* Offers for balance: how often an idle agent asks a busier one for work
- * that may not be there. */
+/* Tests the rate of slot adverts that an idle agent sends to a busier one. */
 #include "fixture.h"
 
 #define BUSY_LOAD 601
 #define REFRESH_US (500 * MS)
 
-/* Lets @us pass; PEER says every half second how busy it is, and takes the
- * slot each time when @taken. Returns the offers that PEER got. */
+/* Advances by @us while PEER reports its load, and uses each advert if
+ * @used. Returns the number of adverts. */
 static unsigned
-count_slot_adverts(struct fixture *f, uint64_t us, bool taken)
+count_slot_adverts(struct fixture *f, uint64_t us, bool used)
 {
     uint64_t end_us = f->now_us + us;
-    uint64_t told_us = 0;
+    uint64_t reported_us = 0;
     unsigned n = 0;
 
     while (f->now_us < end_us) {
         f->out.count = 0;
-        if (f->now_us >= told_us + REFRESH_US) {
+        if (f->now_us >= reported_us + REFRESH_US) {
             fixture_report_load(f, PEER, BUSY_LOAD);
-            told_us = f->now_us;
+            reported_us = f->now_us;
         }
         f->now_us += 10 * MS;
         engine_tick(f->engine, f->now_us, &f->out);
@@ -26,7 +25,7 @@
             continue;
         }
         n++;
-        if (taken) {
+        if (used) {
             uint64_t id = ++f->next_id;
 
             fixture_receive(f, ENGINE_PEER_RUN, id, 0, 0);
@@ -41,7 +40,7 @@
 {
     unsigned n = count_slot_adverts(f, 10 * USEC_PER_SEC, false);
 
-    g_test_message("%u offers in 10 s, none taken", n);
+    g_test_message("%u slot adverts in 10 s, none used", n);
     g_assert_cmpuint(n, >=, 3);
     g_assert_cmpuint(n, <=, 12);
 }
@@ -54,12 +53,12 @@
     count_slot_adverts(f, 10 * USEC_PER_SEC, false);
     count_slot_adverts(f, 2 * USEC_PER_SEC, true);
     n = count_slot_adverts(f, 2 * USEC_PER_SEC, true);
-    g_test_message("%u offers in 2 s, all taken", n);
+    g_test_message("%u slot adverts in 2 s, all used", n);
     g_assert_cmpuint(n, >=, 20);
     g_assert_cmpuint(n, <=, 41);
 }
 
-/* All idle peers of a busy one together send it a bounded rate. */
+/* The adverts of all idle peers to one busy agent have a bounded rate. */
 static void
 test_share_among_idle(struct fixture *f, gconstpointer data)
 {
@@ -67,7 +66,7 @@
 
     fixture_members(f, MEMBER_READY, 40, true);
     n = count_slot_adverts(f, 10 * USEC_PER_SEC, true);
-    g_test_message("%u offers in 10 s from one of 40 idle agents", n);
+    g_test_message("%u slot adverts in 10 s from one of 40 idle agents", n);
     g_assert_cmpuint(n, >=, 5);
     g_assert_cmpuint(n, <=, 11);
 }
--- a/tests/request/outcome_test.c
+++ b/tests/request/outcome_test.c
@@ -1,4 +1,4 @@
-/* What becomes of a request that runs here or at a peer. */
+/* Tests the final answer of requests that run locally or at a peer. */
 #include <errno.h>
 
 #include "fixture.h"
@@ -19,7 +19,7 @@
     fixture_assert_finished(f, id, ENGINE_UNKNOWN, ENGINE_TRUNCATED);
 }
 
-/* A second attempt prefers a peer for a while, then takes the same. */
+/* A retry prefers a peer for a while, then uses the same upstream. */
 static void
 test_retried_elsewhere(struct fixture *f, gconstpointer data)
 {
@@ -36,8 +36,7 @@
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, id));
 }
 
-/* An idempotent request that may have run is never "not run" afterwards. */
-/* With nobody else left it runs again where it failed, at once. */
+/* Without peers, the retry runs locally at once. */
 static void
 test_retried_locally_last(struct fixture *f, gconstpointer data)
 {
@@ -50,6 +49,7 @@
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, id));
 }
 
+/* A request that may have run never ends as "not run". */
 static void
 test_lost_then_refused(struct fixture *f, gconstpointer data)
 {
@@ -109,7 +109,7 @@
     g_assert_null(fixture_find_sent(f, ENGINE_PEER_DONE, PEER));
 }
 
-/* Sends a request to PEER by its slot_advert; returns its id. */
+/* Sends a request to PEER in reply to a PULL; returns its id. */
 static uint64_t
 send_to_peer(struct fixture *f, bool idempotent)
 {
@@ -181,7 +181,7 @@
 }
 
 static void
-test_cancel_goes_down(struct fixture *f, gconstpointer data)
+test_cancel_propagates(struct fixture *f, gconstpointer data)
 {
     uint64_t id = send_to_peer(f, false);
 
@@ -211,10 +211,10 @@
     return NULL;
 }
 
-/* A caller that went away comes back with its key: what has begun is ended
- * and recorded for it. */
+/* A started request with a key completes and is recorded after its caller
+ * has gone. */
 static void
-test_cancelled_key_ends(struct fixture *f, gconstpointer data)
+test_cancelled_key_completes(struct fixture *f, gconstpointer data)
 {
     const struct idem_msg *record;
     uint64_t id;
@@ -234,7 +234,7 @@
     g_assert_cmpuint(engine_open_requests(f->engine), ==, 0);
 }
 
-/* It is not held longer than its deadline. */
+/* It is aborted at its deadline. */
 static void
 test_cancelled_key_deadline(struct fixture *f, gconstpointer data)
 {
@@ -250,7 +250,7 @@
 }
 
 static void
-test_cancelled_key_waits(struct fixture *f, gconstpointer data)
+test_cancelled_key_queued(struct fixture *f, gconstpointer data)
 {
     uint64_t id;
 
@@ -264,7 +264,8 @@
     g_assert_nonnull(find_idem(f, IDEM_MSG_RELEASE));
 }
 
-/* At a peer it may have begun; if not, nobody is left to run it for. */
+/* It isn't cancelled at a peer; if the peer declines it, its key is
+ * released. */
 static void
 test_cancelled_key_declined(struct fixture *f, gconstpointer data)
 {
@@ -285,7 +286,8 @@
     g_assert_nonnull(find_idem(f, IDEM_MSG_RELEASE));
 }
 
-/* A peer that drains has not tried it: no attempt, no budget, no blame. */
+/* A decline by a draining peer counts neither against the retry budget nor
+ * as a failure of the peer. */
 static void
 test_draining_peer_declines(struct fixture *f, gconstpointer data)
 {
@@ -300,12 +302,13 @@
         peers_find(&f->engine->peers, PEER)->passive_health.failures, ==, 0);
 }
 
-/* Whatever authenticated peers send, the engine keeps its bounds. */
+/* Slots and queue stay within their limits under random messages of peers. */
 static void
 test_any_message(struct fixture *f, gconstpointer data)
 {
     GRand *random = g_rand_new_with_seed(20261202);
-    uint64_t kept = fixture_arrive(f, TEXT_URGENT, true, 600 * USEC_PER_SEC);
+    uint64_t recent_id =
+        fixture_arrive(f, TEXT_URGENT, true, 600 * USEC_PER_SEC);
 
     for (int i = 0; i < 20000; i++) {
         struct engine_peer_msg msg;
@@ -323,13 +326,13 @@
         msg.idem.key.service = SERVICE;
         if (msg.type == ENGINE_PEER_DONE) {
             msg.origin = SELF;
-            msg.request.id = kept + g_rand_int_range(random, 0, 10);
+            msg.request.id = recent_id + g_rand_int_range(random, 0, 10);
         }
         fixture_arrive(f, TEXT_URGENT, true, 100 * MS);
         f->now_us += MS;
         (void)engine_peer(f->engine, g_rand_int_range(random, 1, 5), &msg,
                           NULL, 0, f->now_us, &f->out);
-        kept = f->next_id > 10 ? f->next_id - 10 : 1;
+        recent_id = f->next_id > 10 ? f->next_id - 10 : 1;
         engine_tick(f->engine, f->now_us, &f->out);
         g_assert_cmpuint(engine_busy(f->engine), <=, 2);
         g_assert_cmpuint(engine_waiting(f->engine), <=, 16);
@@ -353,10 +356,10 @@
     FIXTURE_ADD("outcome", peer_lost);
     FIXTURE_ADD("outcome", peer_lost_idempotent);
     FIXTURE_ADD("outcome", unsent);
-    FIXTURE_ADD("outcome", cancel_goes_down);
-    FIXTURE_ADD("outcome", cancelled_key_ends);
+    FIXTURE_ADD("outcome", cancel_propagates);
+    FIXTURE_ADD("outcome", cancelled_key_completes);
     FIXTURE_ADD("outcome", cancelled_key_deadline);
-    FIXTURE_ADD("outcome", cancelled_key_waits);
+    FIXTURE_ADD("outcome", cancelled_key_queued);
     FIXTURE_ADD("outcome", cancelled_key_declined);
     FIXTURE_ADD("outcome", draining_peer_declines);
     FIXTURE_ADD("outcome", any_message);
--- a/tests/request/priority_test.c
+++ b/tests/request/priority_test.c
@@ -1,5 +1,5 @@
-/* Priority from the caller's field to the order of runs: the agent's reader,
- * front and requests with the engine; the upstream is played by the test. */
+/* Tests the Priority field from the HTTP reader to the order of runs; the
+ * test acts as the upstream. */
 #include <string.h>
 
 #include "agent/program.h"
@@ -26,8 +26,8 @@
     char *target;
 };
 
-/** struct scene - one agent and its callers */
-struct scene {
+/** struct fixture - one agent and its callers */
+struct fixture {
     struct agent agent;
     struct clock_manual clock;
     struct stack_conn callers[CALLERS];
@@ -35,7 +35,7 @@
     size_t run_count;
 };
 
-static struct scene *now_playing;
+static struct fixture *current_fixture;
 
 void
 back_init(struct back *back, struct event_base *base, struct back_owner *owner)
@@ -47,11 +47,11 @@
 back_start(struct back *back, struct addr upstream, const GByteArray *http,
            const char *lines, size_t body_max, void *data)
 {
-    struct scene *scene = now_playing;
-    struct back_run *run = &scene->runs[scene->run_count++];
+    struct fixture *fixture = current_fixture;
+    struct back_run *run = &fixture->runs[fixture->run_count++];
     char **words = g_strsplit((const char *)http->data, " ", 3);
 
-    g_assert_cmpuint(scene->run_count, <=, RUNS_MAX);
+    g_assert_cmpuint(fixture->run_count, <=, RUNS_MAX);
     run->data = data;
     run->target = g_strdup(words[1]);
     g_strfreev(words);
@@ -83,9 +83,9 @@
 }
 
 static void
-set_text(struct scene *scene, const char *service)
+set_text(struct fixture *fixture, const char *service)
 {
-    struct agent *agent = &scene->agent;
+    struct agent *agent = &fixture->agent;
     struct text *text = NULL;
     char *report = NULL;
 
@@ -93,23 +93,23 @@
         text_parse(source, sizeof(source) - 1, "priority", &text, &report), ==,
         0);
     agent->service = *text_find(text, hash_service(service));
-    agent->service.ip = FLOW_LOCAL; /* where the fake flows come to */
+    agent->service.ip = FLOW_LOCAL; /* local address of the fake flows */
     agent->service_known = true;
-    engine_set_text(agent->requests.engine, text, scene->clock.now_us,
+    engine_set_text(agent->requests.engine, text, fixture->clock.now_us,
                     &agent->requests.out);
     requests_act(agent);
     text_free(text);
 }
 
 static void
-scene_init(struct scene *scene, const char *service)
+fixture_init(struct fixture *fixture, const char *service)
 {
-    struct agent *agent = &scene->agent;
+    struct agent *agent = &fixture->agent;
 
-    memset(scene, 0, sizeof(*scene));
-    now_playing = scene;
-    clock_manual_init(&scene->clock, START_US);
-    agent->clock = &scene->clock.base;
+    memset(fixture, 0, sizeof(*fixture));
+    current_fixture = fixture;
+    clock_manual_init(&fixture->clock, START_US);
+    agent->clock = &fixture->clock.base;
     agent->ticked_us = START_US;
     agent->self = hash_name("self");
     agent->trace.fd = -1;
@@ -121,76 +121,76 @@
     front_init(&agent->front, &agent->requests.front_owner, "self");
     agent->front.limits =
         (struct front_limits){10, 10, 1024, 3600 * USEC_PER_SEC};
-    set_text(scene, service);
+    set_text(fixture, service);
     engine_set_upstream(agent->requests.engine, hash_service(service), 2, true,
-                        scene->clock.now_us, &agent->requests.out);
+                        fixture->clock.now_us, &agent->requests.out);
     requests_act(agent);
     for (unsigned i = 0; i < CALLERS; i++) {
-        fake_conn_init(&scene->callers[i], CALLER + i);
-        front_open(&agent->front, &scene->callers[i], scene->clock.now_us);
+        fake_conn_init(&fixture->callers[i], CALLER + i);
+        front_open(&agent->front, &fixture->callers[i], fixture->clock.now_us);
     }
 }
 
 static void
-scene_finish(struct scene *scene)
+fixture_finish(struct fixture *fixture)
 {
-    requests_finish(&scene->agent);
-    front_finish(&scene->agent.front);
-    counter_table_finish(&scene->agent.counters);
+    requests_finish(&fixture->agent);
+    front_finish(&fixture->agent.front);
+    counter_table_finish(&fixture->agent.counters);
     for (unsigned i = 0; i < CALLERS; i++) {
-        fake_conn_finish(&scene->callers[i]);
+        fake_conn_finish(&fixture->callers[i]);
     }
-    for (size_t i = 0; i < scene->run_count; i++) {
-        g_free(scene->runs[i].target);
+    for (size_t i = 0; i < fixture->run_count; i++) {
+        g_free(fixture->runs[i].target);
     }
 }
 
 static void
-ask(struct scene *scene, unsigned caller, const char *target,
-    const char *fields)
+send_request(struct fixture *fixture, unsigned caller, const char *target,
+             const char *fields)
 {
     char *text = g_strdup_printf("GET %s HTTP/1.1\r\nHost: h\r\n%s\r\n",
                                  target, fields);
 
-    clock_manual_advance(&scene->clock, USEC_PER_MSEC);
-    front_data(&scene->agent.front, &scene->callers[caller],
-               (const uint8_t *)text, strlen(text), scene->clock.now_us);
+    clock_manual_advance(&fixture->clock, USEC_PER_MSEC);
+    front_data(&fixture->agent.front, &fixture->callers[caller],
+               (const uint8_t *)text, strlen(text), fixture->clock.now_us);
     g_free(text);
 }
 
-/* Both slots are taken; two requests wait; a slot comes free. Returns which
- * request gets it. */
+/* Queues two requests while both slots are busy, then frees a slot.
+ * Returns the target of the request that runs. */
 static const char *
-next_run(struct scene *scene, const char *first, const char *second)
+run_after_busy(struct fixture *fixture, const char *first, const char *second)
 {
-    struct back_owner *owner = scene->agent.back.owner;
+    struct back_owner *owner = fixture->agent.back.owner;
     static const char text[] = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     GByteArray *answer = g_byte_array_new();
 
-    ask(scene, 0, "/busy", "");
-    ask(scene, 1, "/busy", "");
-    ask(scene, 2, "/first", first);
-    ask(scene, 3, "/second", second);
-    g_assert_cmpuint(scene->run_count, ==, 2);
+    send_request(fixture, 0, "/busy", "");
+    send_request(fixture, 1, "/busy", "");
+    send_request(fixture, 2, "/first", first);
+    send_request(fixture, 3, "/second", second);
+    g_assert_cmpuint(fixture->run_count, ==, 2);
     g_byte_array_append(answer, (const guint8 *)text, sizeof(text) - 1);
-    owner->ops->on_end(owner, scene->runs[0].data, ENGINE_UP_ANSWERED, answer);
-    g_assert_cmpuint(scene->run_count, ==, 3);
-    return scene->runs[2].target;
+    owner->ops->on_end(owner, fixture->runs[0].data, ENGINE_UP_ANSWERED,
+                       answer);
+    g_assert_cmpuint(fixture->run_count, ==, 3);
+    return fixture->runs[2].target;
 }
 
 static void
 check(const char *service, const char *first, const char *second,
       const char *expected)
 {
-    struct scene scene;
+    struct fixture fixture;
 
-    scene_init(&scene, service);
-    g_assert_cmpstr(next_run(&scene, first, second), ==, expected);
-    scene_finish(&scene);
+    fixture_init(&fixture, service);
+    g_assert_cmpstr(run_after_busy(&fixture, first, second), ==, expected);
+    fixture_finish(&fixture);
 }
 
-/* A call on behalf of urgent work goes first at a service that an urgent one
- * depends on. */
+/* Urgent calls go first at a service that an urgent one depends on. */
 static void
 test_inherited(void)
 {
@@ -200,7 +200,7 @@
     check("prices", "", "Priority: u=4\r\n", "/first");
 }
 
-/* Nothing that its caller says raises any other ordinary service. */
+/* The Priority field can't raise any other ordinary service. */
 static void
 test_not_raised(void)
 {
--- a/tests/request/property_test.c
+++ b/tests/request/property_test.c
@@ -1,5 +1,5 @@
-/* Random runs of a cell under each kind of fault and all together; a seed
- * that breaks a rule is printed with its shortest failing prefix. */
+/* Checks the invariants of a cell under each fault and all together.
+ * Prints a failing seed with its shortest failing prefix. */
 #include "cell.h"
 
 #define SEEDS 12
@@ -32,8 +32,8 @@
     return failure;
 }
 
-/* Rules are checked at every step, so a failing step ends the prefix; only
- * a fault that shows at the end needs a search. */
+/* Looks for a shorter failing prefix, for failures that show only at the
+ * end. */
 static void
 report(const struct suite *suite, guint32 seed, const char *failure,
        unsigned steps)
@@ -76,14 +76,16 @@
 #define ALL_FAULTS                                                            \
     {                                                                         \
         .lose = 20, .duplicate = 20, .slow = 30, .shed = 30, .unreached = 20, \
-        .cut = 40, .crash = 10, .freeze = 10, .drain = 10, .cancel = 50       \
+        .lose_run = 40, .crash = 10, .freeze = 10, .drain = 10, .cancel = 50  \
     }
 
 static const struct suite suites[] = {
-    {"calm", ENGINE_PULL, {0}},
+    {"no-faults", ENGINE_PULL, {0}},
     {"lost-messages", ENGINE_PULL, {.lose = 100}},
-    {"doubled-and-late", ENGINE_PULL, {.duplicate = 150, .slow = 150}},
-    {"bad-upstreams", ENGINE_PULL, {.shed = 80, .unreached = 50, .cut = 100}},
+    {"duplicated-and-late", ENGINE_PULL, {.duplicate = 150, .slow = 150}},
+    {"bad-upstreams",
+     ENGINE_PULL,
+     {.shed = 80, .unreached = 50, .lose_run = 100}},
     {"crashes", ENGINE_PULL, {.crash = 20}},
     {"freezes", ENGINE_PULL, {.freeze = 20, .slow = 50}},
     {"drains", ENGINE_PULL, {.drain = 50}},
--- a/tests/request/session_test.c
+++ b/tests/request/session_test.c
@@ -1,5 +1,5 @@
-/* A whole session of two agents, step by step, against a golden file.
- * UPDATE_GOLDEN=1 writes the file anew. */
+/* Compares a session of two agents, step by step, with a golden file.
+ * UPDATE_GOLDEN=1 rewrites the file. */
 #include <glib.h>
 
 #include "request/engine.h"
@@ -100,7 +100,7 @@
             log_line(s, "  %u finishes %u: %s, reason %d%s", agent + 1,
                      (unsigned)action->id, outcome_names[action->outcome],
                      action->reason,
-                     action->retry_after_ms > 0 ? ", come back later" : "");
+                     action->retry_after_ms > 0 ? ", retry later" : "");
             break;
         }
     }
@@ -208,7 +208,7 @@
 }
 
 static void
-play_work(struct session *s)
+run_requests(struct session *s)
 {
     arrive(s, 0, 1, TEXT_ORDINARY, 1000);
     arrive(s, 1, 101, TEXT_URGENT, 1000);
@@ -224,7 +224,7 @@
 }
 
 static void
-play_faults(struct session *s)
+run_faults(struct session *s)
 {
     struct engine_actions out = {0};
 
@@ -236,7 +236,7 @@
     wait_ms(s, 5);
     end(s, 1, 1, 2, ENGINE_UP_ANSWERED);
     wait_ms(s, 5);
-    log_line(s, "the caller of 4 goes away");
+    log_line(s, "the caller of 4 closes");
     engine_cancel(s->engines[0], 4, s->now_us, &out);
     apply_actions(s, 0, &out);
     wait_ms(s, 5);
@@ -251,7 +251,7 @@
 }
 
 static void
-compare(const char *log)
+assert_golden(const char *log)
 {
     char *path = g_test_build_filename(G_TEST_DIST, "session.golden", NULL);
     char *golden = NULL;
@@ -277,9 +277,9 @@
         set_upstream(&s, i, true);
     }
     set_views(&s);
-    play_work(&s);
-    play_faults(&s);
-    compare(s.log->str);
+    run_requests(&s);
+    run_faults(&s);
+    assert_golden(s.log->str);
     for (unsigned i = 0; i < AGENTS; i++) {
         g_assert_cmpuint(engine_open_requests(s.engines[i]), ==, 0);
         g_assert_cmpuint(engine_busy(s.engines[i]), ==, 0);
