--- a/bench/dispatch/sim.c
+++ b/bench/dispatch/sim.c
@@ -1,6 +1,6 @@
 #include "sim.h"
 
-#define PROMPT_US (10 * USEC_PER_MSEC)
+#define REFUSED_LATE_US (10 * USEC_PER_MSEC)
 
 struct call *
 sim_find_call(const struct sim *sim, uint64_t id)
@@ -70,7 +70,7 @@
     }
     if (action->outcome == ENGINE_NOT_RUN) {
         sim->result.refused[call->class]++;
-        if (sim->now_us > call->arrived_us + PROMPT_US) {
+        if (sim->now_us > call->arrived_us + REFUSED_LATE_US) {
             sim->result.refused_late[call->class]++;
         }
     }
--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -2,7 +2,7 @@
 
 #include "request/finish.h"
 
-#define IDLE_SLOT_LOAD_MAX 980
+#define IDLE_SLOT_LOAD_MAX 980 /* per mille */
 #define WAIT_MARGIN 2.0
 #define RUN_MAX_TO_MEAN 3
 #define SLOW_FACTOR 2
--- a/src/request/dispatch_pull.c
+++ b/src/request/dispatch_pull.c
@@ -29,7 +29,7 @@
 #define LOAD_REPORT_PEERS 3
 #define LOAD_REPORT_INTERVAL_US USEC_PER_SEC
 #define HOLD_US (4 * USEC_PER_MSEC)
-#define BALANCE_MARGIN 20
+#define BALANCE_MARGIN 20 /* per mille of load */
 
 static bool
 has_slot_advert(const struct engine *engine, const struct entry *entry,
@@ -363,8 +363,8 @@
     }
 }
 
-/* A PULL also advertises slots. If nothing is queued here, a STATUS tells
- * the sender to stop holding a slot. */
+/* A PULL also advertises slots. If nothing is queued here, a STATUS
+ * makes the sender of the PULL release the slot it holds. */
 static void
 on_report(struct engine *engine, struct peer *peer,
           const struct engine_peer_msg *msg)
--- a/src/request/peers.c
+++ b/src/request/peers.c
@@ -3,8 +3,8 @@
 #define WAITING_FRESH_US USEC_PER_SEC
 #define DECLINED_FIRST_US (2 * USEC_PER_MSEC)
 #define DECLINED_DOUBLINGS 8
-#define EJECTED_DIVISOR 3
-#define FULL_LOAD 1000.0
+#define EJECTED_DIVISOR 3 /* ejects at most a third of the agents */
+#define FULL_LOAD 1000.0  /* per mille */
 
 static gpointer
 service_key(uint32_t service)
--- a/src/request/upstream.c
+++ b/src/request/upstream.c
@@ -9,8 +9,8 @@
 #define BACKOFF_BASE_US (10 * USEC_PER_MSEC)
 #define BACKOFF_DOUBLINGS_MAX 6
 #define LOAD_WINDOW_US (5.0 * (double)USEC_PER_SEC)
-#define STATUS_OFFSET 9
-#define FULL_LOAD 1000.0
+#define STATUS_OFFSET 9  /* length of "HTTP/1.1 " */
+#define FULL_LOAD 1000.0 /* per mille */
 
 unsigned
 upstream_usable_slots(const struct upstream *upstream, uint64_t now_us)
--- a/tests/request/invariants.c
+++ b/tests/request/invariants.c
@@ -6,8 +6,8 @@
 #include "request/dispatch.h"
 
 #define ANSWER_SLACK_US (25 * USEC_PER_MSEC)
-#define SLOWEST_US (2 * CELL_RUN_MAX_US)
-#define PLACED_FIRST 4
+#define TOO_SLOW_LEFT_US (2 * CELL_RUN_MAX_US)
+#define UNPLACED_MAX 4 /* as in dispatch.c */
 
 static void
 fail(struct cell *cell, const char *format, ...) G_GNUC_PRINTF(2, 3);
@@ -83,7 +83,7 @@
 {
     return admit_local_too_slow(at->engine, entry) &&
            (at->was_frozen ||
-            cell->now_us + SLOWEST_US > entry->request.deadline_us);
+            cell->now_us + TOO_SLOW_LEFT_US > entry->request.deadline_us);
 }
 
 /* Whether the request failed locally and prefers peers for now. */
@@ -120,7 +120,7 @@
     const struct entry *urgent = engine->queue.head[TEXT_URGENT];
     const struct peer *to = peers_find(&engine->peers, peer);
 
-    for (int i = 0; urgent != NULL && i < PLACED_FIRST; i++) {
+    for (int i = 0; urgent != NULL && i < UNPLACED_MAX; i++) {
         if (urgent->runnable && dispatch_may_send(engine, urgent, to)) {
             return true;
         }
