--- a/bench/dispatch/sim.c
+++ b/bench/dispatch/sim.c
@@ -1,6 +1,6 @@
 #include "sim.h"
 
-#define PROMPT_US (10 * USEC_PER_MSEC)
+#define REFUSED_LATE_US (10 * USEC_PER_MSEC)
 
 struct call *
 sim_find_call(const struct sim *sim, uint64_t id)
@@ -70,7 +70,7 @@
     }
     if (action->outcome == ENGINE_NOT_RUN) {
         sim->result.refused[call->class]++;
-        if (sim->now_us > call->arrived_us + PROMPT_US) {
+        if (sim->now_us > call->arrived_us + REFUSED_LATE_US) {
             sim->result.refused_late[call->class]++;
         }
     }
@@ -102,7 +102,7 @@
 }
 
 static void
-sum_up_service(struct sim *sim, unsigned service)
+summarize_service(struct sim *sim, unsigned service)
 {
     double most = 0;
     double shares = 0;
@@ -130,7 +130,7 @@
 sim_summarize(struct sim *sim)
 {
     for (unsigned service = 0; service < SITE_SERVICES; service++) {
-        sum_up_service(sim, service);
+        summarize_service(sim, service);
     }
     for (int class = 0; class < 2; class ++) {
         g_array_sort(sim->latencies[class], compare);
