--- a/bench/control/bench_control.c
+++ b/bench/control/bench_control.c
@@ -23,9 +23,9 @@
 static const size_t default_sizes[] = {10, 25, 50, 100, 200, 400};
 static const size_t thread_sizes[] = {10, 20, 40, 80};
 
-static const size_t text_sizes[] = {250, 500, 1000, 2000, 4000};
+static const size_t config_sizes[] = {250, 500, 1000, 2000, 4000};
 
-#define TEXT_SIZES (sizeof(text_sizes) / sizeof(text_sizes[0]))
+#define CONFIG_SIZES (sizeof(config_sizes) / sizeof(config_sizes[0]))
 #define THREAD_SIZES (sizeof(thread_sizes) / sizeof(thread_sizes[0]))
 
 struct table {
@@ -146,32 +146,32 @@
 }
 
 static int
-print_texts(struct json_object *root)
+print_config_edits(struct json_object *root)
 {
-    double sizes[TEXT_SIZES];
-    double values[4][TEXT_SIZES];
+    double sizes[CONFIG_SIZES];
+    double values[4][CONFIG_SIZES];
 
-    for (size_t i = 0; i < TEXT_SIZES; i++) {
-        struct measure_text got;
-        int ret = measure_text(text_sizes[i], &got);
+    for (size_t i = 0; i < CONFIG_SIZES; i++) {
+        struct measure_config_edit got;
+        int ret = measure_config_edit(config_sizes[i], &got);
 
         if (ret < 0)
             return ret;
-        sizes[i] = text_sizes[i];
+        sizes[i] = config_sizes[i];
         values[0][i] = got.bytes;
         values[1][i] = got.edit_bytes;
         values[2][i] = got.diff_us;
         values[3][i] = got.apply_us;
     }
     printf("\nA change of one line in a text, by services\n");
-    print_header("services", sizes, TEXT_SIZES, SERVICES_TARGET);
-    print_row(root, "text_bytes", sizes, values[0], TEXT_SIZES,
+    print_header("services", sizes, CONFIG_SIZES, SERVICES_TARGET);
+    print_row(root, "text_bytes", sizes, values[0], CONFIG_SIZES,
               SERVICES_TARGET);
-    print_row(root, "text_edit_bytes", sizes, values[1], TEXT_SIZES,
+    print_row(root, "text_edit_bytes", sizes, values[1], CONFIG_SIZES,
               SERVICES_TARGET);
-    print_row(root, "text_diff_us", sizes, values[2], TEXT_SIZES,
+    print_row(root, "text_diff_us", sizes, values[2], CONFIG_SIZES,
               SERVICES_TARGET);
-    print_row(root, "text_apply_us", sizes, values[3], TEXT_SIZES,
+    print_row(root, "text_apply_us", sizes, values[3], CONFIG_SIZES,
               SERVICES_TARGET);
     return 0;
 }
@@ -209,7 +209,7 @@
         measure_cell(table.sizes[i], table.columns[i]);
     }
     print_cells(root, &table);
-    ret = print_texts(root);
+    ret = print_config_edits(root);
     if (ret == 0)
         ret = print_threads(root);
     if (ret == 0)
--- a/bench/control/text_cost.c
+++ b/bench/control/config_edit_cost.c
@@ -20,7 +20,7 @@
 
 /* A text of @services, one of which has the deadline @deadline_ms. */
 static GString *
-make_text(size_t services, unsigned deadline_ms)
+make_config(size_t services, unsigned deadline_ms)
 {
     GString *text = g_string_new("{\"services\":[\n");
 
@@ -42,10 +42,10 @@
 /* What a process does with one change: finds it as an edit of its text,
  * makes the new text from a peer's edit, and reads it. */
 int
-measure_text(size_t services, struct measure_text *out)
+measure_config_edit(size_t services, struct measure_config_edit *out)
 {
-    GString *old = make_text(services, 5000);
-    GString *new = make_text(services, 4000);
+    GString *old = make_config(services, 5000);
+    GString *new = make_config(services, 4000);
     struct history history = {0};
     const struct history_step *step;
     double begin;
--- a/bench/control/measure.c
+++ b/bench/control/measure.c
@@ -11,16 +11,16 @@
 #include "fit.h"
 #include "net.h"
 
-#define REST_S 60
+#define IDLE_S 60
 #define CHANGES 20
 #define CHANGE_GAP_S 5
 #define CHANGE_EDIT_BYTES 400
-#define VICTIMS 12
+#define KILLS 12
 #define SAMPLE_US (20 * USEC_PER_MSEC)
 #define SETTLE_MAX_S 300
 #define STATES 20
 #define RACK_WATCH_S 30
-#define CUT_S 60
+#define PARTITION_S 60
 #define LOSS 300
 #define LOSS_S 120
 #define OUTAGE_S 1800
@@ -45,7 +45,7 @@
     [MEASURE_RACK_P99_MS] = "rack_p99_ms",
     [MEASURE_RACK_MAX_MS] = "rack_max_ms",
     [MEASURE_RACK_BYTES] = "rack_bytes_out_per_s",
-    [MEASURE_CUT_BYTES] = "cut_bytes_out_per_s",
+    [MEASURE_PARTITION_BYTES] = "cut_bytes_out_per_s",
     [MEASURE_HEAL_S] = "heal_s",
     [MEASURE_FLOOD_S] = "flood_s",
     [MEASURE_FLOOD_BYTES] = "flood_bytes_out_per_s",
@@ -54,9 +54,9 @@
     [MEASURE_LOSS_DEATHS] = "loss30_false_deaths",
     [MEASURE_LOSS_BYTES] = "loss30_bytes_out_per_s",
     [MEASURE_MEMORY_BYTES] = "memory_bytes",
-    [MEASURE_PLATFORM_REST] = "platform_calls_per_s",
+    [MEASURE_PLATFORM_IDLE] = "platform_calls_per_s",
     [MEASURE_PLATFORM_DOWN] = "platform_calls_per_s_outage",
-    [MEASURE_PLATFORM_BACK] = "platform_peak_calls_in_1_s_after",
+    [MEASURE_PLATFORM_RECOVERY] = "platform_peak_calls_in_1_s_after",
 };
 
 struct sums {
@@ -91,13 +91,13 @@
 }
 
 static void
-measure_rest(struct net *net, double *columns)
+measure_idle(struct net *net, double *columns)
 {
     struct sums before = sum(net);
     struct sums after;
-    double per = net->count * (double)REST_S;
+    double per = net->count * (double)IDLE_S;
 
-    net_run(net, REST_S * USEC_PER_SEC);
+    net_run(net, IDLE_S * USEC_PER_SEC);
     after = sum(net);
     columns[MEASURE_BYTES_OUT] = (after.out - before.out) / per;
     columns[MEASURE_BYTES_IN] = (after.in - before.in) / per;
@@ -267,9 +267,9 @@
 
     for (size_t i = 0; i < net->count; i++)
         net->nodes[i].group = i % 2;
-    net_run(net, CUT_S * USEC_PER_SEC);
-    columns[MEASURE_CUT_BYTES] =
-        (sum(net).out - before.out) / (double)net->count / CUT_S;
+    net_run(net, PARTITION_S * USEC_PER_SEC);
+    columns[MEASURE_PARTITION_BYTES] =
+        (sum(net).out - before.out) / (double)net->count / PARTITION_S;
     for (size_t i = 0; i < net->count; i++)
         net->nodes[i].group = 0;
     columns[MEASURE_HEAL_S] = run_until_agreed(net);
@@ -278,12 +278,12 @@
 static void
 measure_deaths(struct net *net, bool refuses, double *columns)
 {
-    uint64_t *samples = g_new(uint64_t, VICTIMS * net->count);
+    uint64_t *samples = g_new(uint64_t, KILLS * net->count);
     struct sums before = sum(net);
     uint64_t begin = net->now_us;
     size_t count = 0;
 
-    for (size_t i = 0; i < VICTIMS; i++) {
+    for (size_t i = 0; i < KILLS; i++) {
         size_t victim = 1 + i % (net->count - 1);
 
         net_kill(net, victim, refuses);
@@ -305,7 +305,7 @@
         columns[MEASURE_DEATH_BYTES] =
             ((sum(net).out - before.out) / (double)net->count -
              columns[MEASURE_BYTES_OUT] * seconds) /
-            VICTIMS;
+            KILLS;
     }
     g_free(samples);
 }
@@ -396,16 +396,16 @@
 
     cell_init(cell, size, size);
     cell->version = 1;
-    cell->shown = 1;
+    cell->served_version = 1;
     cell_run(cell, 130);
-    columns[MEASURE_PLATFORM_REST] = cell_calls(cell, 30, 100) / 100.0;
+    columns[MEASURE_PLATFORM_IDLE] = cell_calls(cell, 30, 100) / 100.0;
     cell->down = true;
     cell_run(cell, OUTAGE_S);
     columns[MEASURE_PLATFORM_DOWN] =
         cell_calls(cell, 130, OUTAGE_S) / (double)OUTAGE_S;
     cell->down = false;
     cell_run(cell, 30);
-    columns[MEASURE_PLATFORM_BACK] = cell_peak(cell, 130 + OUTAGE_S, 30);
+    columns[MEASURE_PLATFORM_RECOVERY] = cell_peak(cell, 130 + OUTAGE_S, 30);
     cell_finish(cell);
     g_free(cell);
 }
@@ -420,7 +420,7 @@
     net.seal = true;
     measure_flood(&net, columns);
     net_run(&net, 120 * USEC_PER_SEC);
-    measure_rest(&net, columns);
+    measure_idle(&net, columns);
     measure_config(&net, columns);
     measure_states(&net, columns);
     measure_deaths(&net, false, columns);
--- a/bench/control/measure.h
+++ b/bench/control/measure.h
@@ -27,19 +27,19 @@
     MEASURE_DEATH_BYTES,    /* bytes a node sends more for one death, return */
     MEASURE_RACK_P99_MS,    /* a tenth vanishes: each suspected, over all */
     MEASURE_RACK_MAX_MS,
-    MEASURE_RACK_BYTES,    /* bytes/s a node sends in the 30 s after it */
-    MEASURE_CUT_BYTES,     /* cut in halves: bytes/s a node sends */
-    MEASURE_HEAL_S,        /* the cut ends: until all know all */
-    MEASURE_FLOOD_S,       /* all join at once: until all know all */
-    MEASURE_FLOOD_BYTES,   /* mean bytes/s a node sends meanwhile */
-    MEASURE_FLOOD_PEAK,    /* most that any node sent in one second */
-    MEASURE_LOSS_SUSPECT,  /* 30% loss: false suspicions a node and hour */
-    MEASURE_LOSS_DEATHS,   /* 30% loss: false deaths in the run */
-    MEASURE_LOSS_BYTES,    /* 30% loss: bytes/s a node sends */
-    MEASURE_MEMORY_BYTES,  /* membership tables of one node */
-    MEASURE_PLATFORM_REST, /* calls/s of the cell */
-    MEASURE_PLATFORM_DOWN, /* in an outage */
-    MEASURE_PLATFORM_BACK, /* peak calls/s in the 30 s after it */
+    MEASURE_RACK_BYTES,        /* bytes/s a node sends in the 30 s after it */
+    MEASURE_PARTITION_BYTES,   /* cut in halves: bytes/s a node sends */
+    MEASURE_HEAL_S,            /* the cut ends: until all know all */
+    MEASURE_FLOOD_S,           /* all join at once: until all know all */
+    MEASURE_FLOOD_BYTES,       /* mean bytes/s a node sends meanwhile */
+    MEASURE_FLOOD_PEAK,        /* most that any node sent in one second */
+    MEASURE_LOSS_SUSPECT,      /* 30% loss: false suspicions a node and hour */
+    MEASURE_LOSS_DEATHS,       /* 30% loss: false deaths in the run */
+    MEASURE_LOSS_BYTES,        /* 30% loss: bytes/s a node sends */
+    MEASURE_MEMORY_BYTES,      /* membership tables of one node */
+    MEASURE_PLATFORM_IDLE,     /* calls/s of the cell */
+    MEASURE_PLATFORM_DOWN,     /* in an outage */
+    MEASURE_PLATFORM_RECOVERY, /* peak calls/s in the 30 s after it */
     MEASURE_COLUMNS
 };
 
@@ -65,16 +65,16 @@
 int
 measure_threads(size_t size, unsigned seconds, struct measure_threads *out);
 
-/** struct measure_text - a change of one line in a text */
-struct measure_text {
+/** struct measure_config_edit - a change of one line in a text */
+struct measure_config_edit {
     double bytes;      /* of the text */
     double edit_bytes; /* what is sent in its place */
     double diff_us;    /* to find the edit, at the first reader */
     double apply_us;   /* to apply it and read the text, at each process */
 };
 
-/** measure_text() - for a text of @services */
+/** measure_config_edit() - for a text of @services */
 int
-measure_text(size_t services, struct measure_text *out);
+measure_config_edit(size_t services, struct measure_config_edit *out);
 
 #endif
--- a/bench/control/threads.c
+++ b/bench/control/threads.c
@@ -20,7 +20,7 @@
 
 struct process {
     struct settings settings;
-    struct board board;
+    struct blackboard blackboard;
     struct counter_table counters;
     struct control *control;
 };
@@ -57,7 +57,7 @@
       struct addr seed, struct clock *clock)
 {
     struct settings *settings = &process->settings;
-    struct board_local local = {.state = MEMBER_READY, .service = 1};
+    struct blackboard_local local = {.state = MEMBER_READY, .service = 1};
     struct error err = {0};
 
     settings->role = SETTINGS_AGENT;
@@ -74,11 +74,11 @@
         settings->seeds[0] = seed;
         settings->seed_count = 1;
     }
-    board_init(&process->board);
-    board_set_local(&process->board, &local);
+    blackboard_init(&process->blackboard);
+    blackboard_set_local(&process->blackboard, &local);
     if (counter_table_init(&process->counters) < 0)
         return -ENOMEM;
-    process->control = control_start(settings, &process->board, clock,
+    process->control = control_start(settings, &process->blackboard, clock,
                                      &process->counters, &err);
     if (process->control == NULL)
         g_printerr("%s: %s\n", err.step, err.detail);
@@ -91,7 +91,7 @@
     if (process->control == NULL)
         return;
     control_stop(process->control);
-    board_finish(&process->board);
+    blackboard_finish(&process->blackboard);
     counter_table_finish(&process->counters);
 }
 
@@ -132,7 +132,7 @@
 
     rcu_read_lock();
     for (size_t i = 0; i < size; i++) {
-        const struct text *text = board_text(&processes[i].board);
+        const struct text *text = blackboard_config(&processes[i].blackboard);
 
         count += text != NULL && text->version >= version;
     }
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -200,7 +200,7 @@
     agent->self = hash_name(agent->settings.name);
     clock_runtime_init(&agent->runtime);
     agent->clock = &agent->runtime;
-    board_init(&agent->board);
+    blackboard_init(&agent->blackboard);
     pthread_mutex_init(&agent->flow_lock, NULL);
     front_init(&agent->front, &agent->requests.front_owner,
                agent->settings.name);
@@ -251,7 +251,7 @@
     if (agent->stack == NULL) {
         return error_set(err, -ENOMEM, "stack", NULL, "cannot start TCP");
     }
-    agent->control = control_start(settings, &agent->board, agent->clock,
+    agent->control = control_start(settings, &agent->blackboard, agent->clock,
                                    &agent->counters, err);
     return agent->control == NULL ? err->code : add_events(agent, err);
 }
@@ -288,7 +288,7 @@
         event_base_free(agent->base);
     }
     counter_table_finish(&agent->counters);
-    board_finish(&agent->board);
+    blackboard_finish(&agent->blackboard);
     pthread_mutex_destroy(&agent->flow_lock);
 }
 
--- a/src/agent/ingress.c
+++ b/src/agent/ingress.c
@@ -61,7 +61,7 @@
 report_refused(struct agent *agent, struct addr to)
 {
     rcu_read_lock();
-    const struct view *view = board_view(&agent->board);
+    const struct view *view = blackboard_view(&agent->blackboard);
     for (size_t i = 0; view != NULL && i < view->count; i++) {
         const struct view_member *member = &view->members[i];
         if (addr_equal(member->data, to) && i != view->self &&
--- a/src/agent/notices.c
+++ b/src/agent/notices.c
@@ -70,7 +70,7 @@
         return;
     }
     rcu_read_lock();
-    const struct view *view = board_view(&agent->board);
+    const struct view *view = blackboard_view(&agent->blackboard);
     if (view != NULL) {
         answer = orphan_receive(core, view, from, &message, agent_now(agent),
                                 &reply);
--- a/src/agent/peer_links.c
+++ b/src/agent/peer_links.c
@@ -64,7 +64,7 @@
 {
     *to = (struct addr){0};
     rcu_read_lock();
-    const struct view *view = board_view(&agent->board);
+    const struct view *view = blackboard_view(&agent->blackboard);
     const struct view_member *member =
         view == NULL ? NULL : view_find(view, id);
     if (member != NULL) {
@@ -97,7 +97,7 @@
 is_peer(struct agent *agent, uint64_t id)
 {
     rcu_read_lock();
-    const struct view *view = board_view(&agent->board);
+    const struct view *view = blackboard_view(&agent->blackboard);
     const struct view_member *member =
         view == NULL ? NULL : view_find(view, id);
     bool peer =
@@ -195,7 +195,7 @@
 report_dead(struct agent *agent, uint64_t id)
 {
     rcu_read_lock();
-    const struct view *view = board_view(&agent->board);
+    const struct view *view = blackboard_view(&agent->blackboard);
     const struct view_member *member =
         view == NULL ? NULL : view_find(view, id);
     if (member != NULL && member->health != MEMBER_DEAD) {
--- a/src/agent/program.h
+++ b/src/agent/program.h
@@ -30,7 +30,7 @@
 #include "base/httpd.h"
 #include "base/settings.h"
 #include "base/trace.h"
-#include "control/board.h"
+#include "control/blackboard.h"
 #include "control/control.h"
 #include "flow/flow.h"
 #include "stack/stack.h"
@@ -73,7 +73,7 @@
     struct clock *clock;
     struct counter_table counters;
     struct trace trace;
-    struct board board;
+    struct blackboard blackboard;
     struct control *control;
     struct event_base *base;
     struct stack *stack;
@@ -153,7 +153,8 @@
 void
 agent_upstream_changed(struct agent *agent);
 
-/** agent_tell_load() - put slots busy and requests waiting on the board */
+/** agent_tell_load() - put slots busy and requests waiting on the blackboard
+ */
 void
 agent_tell_load(struct agent *agent);
 
--- a/src/agent/refresh.c
+++ b/src/agent/refresh.c
@@ -140,13 +140,13 @@
     return upstream->lost ? MEMBER_DRAINING : upstream->state;
 }
 
-static struct board_local
+static struct blackboard_local
 local_now(const struct agent *agent)
 {
     const struct upstream *upstream = &agent->upstream;
     bool known = agent->service_known;
 
-    return (struct board_local){
+    return (struct blackboard_local){
         .state = announced_state(agent),
         .service = known ? agent->service.id : 0,
         .slots = known ? upstream->slots : 0,
@@ -159,10 +159,11 @@
 static void
 tell(struct agent *agent)
 {
-    struct board_local local = local_now(agent);
-    struct board_local before = board_local(&agent->board, NULL);
+    struct blackboard_local local = local_now(agent);
+    struct blackboard_local before =
+        blackboard_local(&agent->blackboard, NULL);
 
-    board_set_local(&agent->board, &local);
+    blackboard_set_local(&agent->blackboard, &local);
     if (before.state != local.state || before.service != local.service ||
         before.slots != local.slots) {
         control_announce(agent->control);
@@ -201,7 +202,8 @@
 agent_upstream_changed(struct agent *agent)
 {
     rcu_read_lock();
-    apply(agent, board_view(&agent->board), board_text(&agent->board));
+    apply(agent, blackboard_view(&agent->blackboard),
+          blackboard_config(&agent->blackboard));
     rcu_read_unlock();
 }
 
@@ -223,8 +225,8 @@
 agent_refresh(struct agent *agent)
 {
     rcu_read_lock();
-    const struct view *view = board_view(&agent->board);
-    const struct text *text = board_text(&agent->board);
+    const struct view *view = blackboard_view(&agent->blackboard);
+    const struct text *text = blackboard_config(&agent->blackboard);
     if (view != NULL && view->seq != agent->view_seq) {
         agent->view_seq = view->seq;
         set_flow_view(agent, view);
--- a/src/balancer/balancer.c
+++ b/src/balancer/balancer.c
@@ -32,7 +32,7 @@
  * @clock: time source
  * @counters: counters of all modules
  * @trace: span writer
- * @board: view and configuration, published by the control thread
+ * @blackboard: view and configuration, published by the control thread
  * @pool: packet workers
  * @builder: rebuilds the route table of @pool
  * @directory: services of other cells
@@ -53,7 +53,7 @@
     struct clock clock;
     struct counter_table counters;
     struct trace trace;
-    struct board board;
+    struct blackboard blackboard;
     struct worker_pool pool;
     struct builder builder;
     struct directory_service directory;
@@ -93,7 +93,7 @@
     enum readiness readiness;
 
     rcu_read_lock();
-    const struct view *view = board_view(&balancer->board);
+    const struct view *view = blackboard_view(&balancer->blackboard);
     readiness = readiness_evaluate(&input, view);
     if (view != NULL && readiness_has_live_peers(view, input.self))
         balancer->seen_peers = true;
@@ -145,12 +145,13 @@
 static void
 set_member_state(struct balancer *balancer, enum member_state state)
 {
-    struct board_local local = board_local(&balancer->board, NULL);
+    struct blackboard_local local =
+        blackboard_local(&balancer->blackboard, NULL);
 
     if (local.state == state)
         return;
     local.state = state;
-    board_set_local(&balancer->board, &local);
+    blackboard_set_local(&balancer->blackboard, &local);
     control_announce(balancer->control);
 }
 
@@ -250,21 +251,21 @@
 static int
 start_threads(struct balancer *balancer, struct error *err)
 {
-    int result = builder_init(&balancer->builder, &balancer->board,
+    int result = builder_init(&balancer->builder, &balancer->blackboard,
                               &balancer->pool, &balancer->counters);
     if (result < 0)
         return error_set(err, result, "register counters", NULL,
                          "too many counters");
 
-    result =
-        directory_service_init(&balancer->directory, &balancer->settings,
-                               &balancer->board, &balancer->counters, err);
+    result = directory_service_init(&balancer->directory, &balancer->settings,
+                                    &balancer->blackboard, &balancer->counters,
+                                    err);
     if (result < 0)
         return result;
     balancer->pool.directory = &balancer->directory.table;
     balancer->control =
-        control_start(&balancer->settings, &balancer->board, &balancer->clock,
-                      &balancer->counters, err);
+        control_start(&balancer->settings, &balancer->blackboard,
+                      &balancer->clock, &balancer->counters, err);
     if (balancer->control == NULL)
         return err->code;
     return worker_pool_start(&balancer->pool, err);
@@ -313,7 +314,7 @@
     httpd_free(balancer->httpd);
     if (balancer->base != NULL)
         event_base_free(balancer->base);
-    board_finish(&balancer->board);
+    blackboard_finish(&balancer->blackboard);
     counter_table_finish(&balancer->counters);
     trace_finish(&balancer->trace);
 }
@@ -366,7 +367,7 @@
         return EXIT_SETTINGS;
 
     clock_runtime_init(&balancer.clock);
-    board_init(&balancer.board);
+    blackboard_init(&balancer.blackboard);
     rcu_register_thread();
     if (start(&balancer, &err) == 0) {
         log_start(&balancer);
--- a/src/balancer/builder.c
+++ b/src/balancer/builder.c
@@ -32,11 +32,11 @@
 }
 
 int
-builder_init(struct builder *builder, struct board *board,
+builder_init(struct builder *builder, struct blackboard *blackboard,
              struct worker_pool *pool, struct counter_table *counters)
 {
     memset(builder, 0, sizeof(*builder));
-    builder->board = board;
+    builder->blackboard = blackboard;
     builder->pool = pool;
     builder->counters = counters;
     builder->rebuilds =
@@ -58,8 +58,8 @@
     int result = 0;
 
     rcu_read_lock();
-    const struct view *view = board_view(builder->board);
-    const struct text *text = board_text(builder->board);
+    const struct view *view = blackboard_view(builder->blackboard);
+    const struct text *text = blackboard_config(builder->blackboard);
     if (view != NULL && text != NULL && !is_current(builder, view, text))
         result = route_table_new(view, text, builder->pool->table, &table);
     rcu_read_unlock();
--- a/src/balancer/builder.h
+++ b/src/balancer/builder.h
@@ -10,11 +10,11 @@
 
 #include "balancer/worker.h"
 #include "base/counter.h"
-#include "control/board.h"
+#include "control/blackboard.h"
 
 /**
  * struct builder - builder of route tables
- * @board: source of views and configurations
+ * @blackboard: source of views and configurations
  * @pool: workers that receive the tables
  * @counters: table of the counters below
  * @built: whether a table has been published
@@ -27,7 +27,7 @@
  * @bytes: gauge of the current table's memory in bytes
  */
 struct builder {
-    struct board *board;
+    struct blackboard *blackboard;
     struct worker_pool *pool;
     struct counter_table *counters;
     bool built;
@@ -46,7 +46,7 @@
  * Return: 0, or -ENOSPC when the counter table is full.
  */
 int
-builder_init(struct builder *builder, struct board *board,
+builder_init(struct builder *builder, struct blackboard *blackboard,
              struct worker_pool *pool, struct counter_table *counters);
 
 /**
--- a/src/balancer/readiness.h
+++ b/src/balancer/readiness.h
@@ -11,7 +11,7 @@
 #include <stdint.h>
 
 #include "base/clock.h"
-#include "control/board.h"
+#include "control/blackboard.h"
 
 /*
  * A balancer without live peers drops packets that other balancers could
--- a/src/control/config.c
+++ b/src/control/config.c
@@ -12,28 +12,29 @@
 {
     memset(core, 0, sizeof(*core));
     core->random.state = seed;
-    core->place.alive = 1;
+    core->membership.alive = 1;
     core->start_us = now_us;
     bucket_init(&core->calls, CONFIG_CALL_RATE, CONFIG_CALL_BURST, now_us);
 }
 
 void
-config_set_place(struct config_core *core, const struct config_place *place)
+config_set_membership(struct config_core *core,
+                      const struct config_membership *membership)
 {
-    core->place = *place;
+    core->membership = *membership;
 }
 
 /* A refused body isn't asked for again; a later version may be good. */
 static bool
-is_news(const struct config_core *core, uint64_t version)
+is_acceptable_version(const struct config_core *core, uint64_t version)
 {
     return version > core->have && version > core->refused;
 }
 
-/* @word_us: when @from last knew @version to be current, 0 for never */
+/* @confirmed_us: when @from last knew @version to be current, 0 for never */
 static void
 add_source(struct config_core *core, struct addr from, uint64_t version,
-           uint64_t word_us)
+           uint64_t confirmed_us)
 {
     struct config_source *source;
     size_t at = core->source_count;
@@ -57,10 +58,10 @@
         core->source_count++;
     source = &core->sources[at];
     if (is_new || source->version != version)
-        source->word_us = 0;
+        source->confirmed_us = 0;
     source->at = from;
     source->version = version;
-    source->word_us = MAX(source->word_us, word_us);
+    source->confirmed_us = MAX(source->confirmed_us, confirmed_us);
 }
 
 static void
@@ -73,35 +74,36 @@
 drop_old_sources(struct config_core *core)
 {
     for (size_t i = core->source_count; i-- > 0;) {
-        if (!is_news(core, core->sources[i].version))
+        if (!is_acceptable_version(core, core->sources[i].version))
             drop_source(core, i);
     }
 }
 
 /* Takes a peer's word on the version in force, 0 for none. */
 static void
-take_word(struct config_core *core, uint64_t word_us)
+update_confirmed(struct config_core *core, uint64_t confirmed_us)
 {
-    core->word_us = MAX(core->word_us, word_us);
+    core->confirmed_us = MAX(core->confirmed_us, confirmed_us);
     /* Our own word comes back a little younger than it is. */
-    if (word_us > core->platform_us + CONFIG_OTHER_MARGIN_US)
-        core->other_word_us = MAX(core->other_word_us, word_us);
+    if (confirmed_us > core->platform_us + CONFIG_PEER_MARGIN_US)
+        core->peer_confirmed_us = MAX(core->peer_confirmed_us, confirmed_us);
 }
 
 void
-config_heard(struct config_core *core, struct addr from, uint64_t version,
-             uint32_t word_age_ms, uint64_t now_us)
+config_handle_peer_version(struct config_core *core, struct addr from,
+                           uint64_t version, uint32_t confirmed_age_ms,
+                           uint64_t now_us)
 {
-    uint64_t age_us = word_age_ms * USEC_PER_MSEC;
-    uint64_t word_us = 0;
+    uint64_t age_us = confirmed_age_ms * USEC_PER_MSEC;
+    uint64_t confirmed_us = 0;
 
-    if (word_age_ms != UINT32_MAX && age_us <= now_us)
-        word_us = now_us - age_us;
-    if (is_news(core, version))
-        add_source(core, from, version, word_us);
+    if (confirmed_age_ms != UINT32_MAX && age_us <= now_us)
+        confirmed_us = now_us - age_us;
+    if (is_acceptable_version(core, version))
+        add_source(core, from, version, confirmed_us);
     /* A word on another version says nothing of ours. */
     else if (version == core->have)
-        take_word(core, word_us);
+        update_confirmed(core, confirmed_us);
 }
 
 static uint64_t
@@ -115,9 +117,9 @@
 
 /* The next turn of a cell of @alive members that share one call. */
 static uint64_t
-self_read_turn(struct config_core *core, uint64_t now_us)
+next_self_read(struct config_core *core, uint64_t now_us)
 {
-    uint64_t round = core->place.alive * CONFIG_SELF_READ_US;
+    uint64_t round = core->membership.alive * CONFIG_SELF_READ_INTERVAL_US;
 
     return now_us + random_between(&core->random, round / 2, round * 3 / 2);
 }
@@ -131,8 +133,8 @@
 }
 
 bool
-config_answered(struct config_core *core, int status, uint64_t version,
-                uint64_t now_us)
+config_handle_platform_reply(struct config_core *core, int status,
+                             uint64_t version, uint64_t now_us)
 {
     bool fresh = status == 0 || status == -EAGAIN || status == -ENOENT;
 
@@ -153,21 +155,23 @@
             random_between(&core->random, 2 * USEC_PER_SEC, 4 * USEC_PER_SEC);
     }
     /* A watch may have slept through a change. */
-    core->quiet_watches = status == -EAGAIN ? core->quiet_watches + 1 : 0;
+    core->unchanged_watches =
+        status == -EAGAIN ? core->unchanged_watches + 1 : 0;
     if (status == 0 && version < core->have) {
         core->stats.stale++;
         return false;
     }
     if (status == 0 && version > core->have)
-        return is_news(core, version);
+        return is_acceptable_version(core, version);
     /* No object at all is older than any version, too. */
     if (status != -ENOENT || core->have == 0)
-        core->word_us = now_us;
+        core->confirmed_us = now_us;
     return false;
 }
 
 bool
-config_fetched(struct config_core *core, uint64_t version, uint64_t now_us)
+config_handle_fetch_reply(struct config_core *core, uint64_t version,
+                          uint64_t now_us)
 {
     core->fetching = false;
     if (version == 0) {
@@ -176,18 +180,19 @@
             drop_source(core, 0);
         return false;
     }
-    return is_news(core, version);
+    return is_acceptable_version(core, version);
 }
 
 void
-config_adopted(struct config_core *core, uint64_t version, uint64_t word_us)
+config_applied(struct config_core *core, uint64_t version,
+               uint64_t confirmed_us)
 {
     g_assert(version > core->have);
     core->have = version;
-    core->word_us = MAX(core->word_us, word_us);
+    core->confirmed_us = MAX(core->confirmed_us, confirmed_us);
     for (size_t i = 0; i < core->source_count; i++) {
         if (core->sources[i].version == version)
-            take_word(core, core->sources[i].word_us);
+            update_confirmed(core, core->sources[i].confirmed_us);
     }
     drop_old_sources(core);
 }
@@ -203,47 +208,48 @@
 bool
 config_is_reader(const struct config_core *core, uint64_t now_us)
 {
-    return core->place.rank < CONFIG_READERS || now_us < core->substitute_us;
+    return core->membership.rank < CONFIG_READERS ||
+           now_us < core->substitute_us;
 }
 
 static bool
-is_starved(const struct config_core *core, uint64_t now_us)
+confirmation_overdue(const struct config_core *core, uint64_t now_us)
 {
-    uint64_t since = MAX(core->word_us, core->start_us);
+    uint64_t since = MAX(core->confirmed_us, core->start_us);
 
-    return now_us >= since + CONFIG_STARVED_US;
+    return now_us >= since + CONFIG_CONFIRM_TIMEOUT_US;
 }
 
 /* A lone process that knows of others waits for them, then reads seldom:
  * a whole data centre may be starting with it. */
 static bool
-wants_alone(struct config_core *core, uint64_t now_us)
+isolated_read_due(struct config_core *core, uint64_t now_us)
 {
     if (core->self_read_us == 0) {
         core->self_read_us =
-            core->start_us + CONFIG_START_US +
-            random_below(&core->random, CONFIG_START_SPREAD_US);
+            core->start_us + CONFIG_START_DELAY_US +
+            random_below(&core->random, CONFIG_START_JITTER_US);
     }
     if (now_us < core->self_read_us)
         return false;
     core->self_read_us =
-        now_us + random_between(&core->random, CONFIG_ALONE_GAP_US,
-                                3 * CONFIG_ALONE_GAP_US);
+        now_us + random_between(&core->random, CONFIG_ISOLATED_INTERVAL_US,
+                                3 * CONFIG_ISOLATED_INTERVAL_US);
     return true;
 }
 
 static bool
-wants_self_read(struct config_core *core, uint64_t now_us)
+self_read_due(struct config_core *core, uint64_t now_us)
 {
-    if (!is_starved(core, now_us)) {
+    if (!confirmation_overdue(core, now_us)) {
         core->self_read_us = 0;
         return false;
     }
     if (core->self_read_us == 0)
-        core->self_read_us = self_read_turn(core, now_us);
+        core->self_read_us = next_self_read(core, now_us);
     if (now_us < core->self_read_us)
         return false;
-    core->self_read_us = self_read_turn(core, now_us);
+    core->self_read_us = next_self_read(core, now_us);
     return true;
 }
 
@@ -253,7 +259,7 @@
 {
     if (core->substitute_us == 0 || now_us < core->substitute_us)
         return;
-    if (now_us < core->other_word_us + CONFIG_STARVED_US)
+    if (now_us < core->peer_confirmed_us + CONFIG_CONFIRM_TIMEOUT_US)
         core->substitute_us = 0;
     else
         core->substitute_us = now_us + CONFIG_SUBSTITUTE_US;
@@ -285,8 +291,8 @@
     }
     if (core->calling || now_us < core->next_call_us)
         return;
-    if (!core->place.joined && core->place.has_contacts) {
-        if (wants_alone(core, now_us))
+    if (!core->membership.joined && core->membership.has_contacts) {
+        if (isolated_read_due(core, now_us))
             add_call(core, CONFIG_READ, now_us, out);
         return;
     }
@@ -294,12 +300,13 @@
     if (config_is_reader(core, now_us)) {
         core->self_read_us = 0;
         add_call(core,
-                 core->quiet_watches < CONFIG_WATCHES_PER_READ ? CONFIG_WATCH
-                                                               : CONFIG_READ,
+                 core->unchanged_watches < CONFIG_WATCHES_PER_READ
+                     ? CONFIG_WATCH
+                     : CONFIG_READ,
                  now_us, out);
         return;
     }
-    if (wants_self_read(core, now_us)) {
+    if (self_read_due(core, now_us)) {
         core->stats.self_reads++;
         add_call(core, CONFIG_READ, now_us, out);
         core->self_reading = core->calling;
@@ -314,7 +321,7 @@
     size_t best = 0;
 
     if (core->fetching && now_us >= core->fetch_us + CONFIG_FETCH_TIMEOUT_US)
-        config_fetched(core, 0, now_us);
+        config_handle_fetch_reply(core, 0, now_us);
     if (core->fetching || core->source_count == 0)
         return;
     for (size_t i = 1; i < core->source_count; i++) {
--- a/src/control/control.c
+++ b/src/control/control.c
@@ -22,19 +22,19 @@
 
 /* A process takes no new work before it has a configuration. */
 static void
-take_local(struct control *control, uint64_t now_us)
+announce_local(struct control *control, uint64_t now_us)
 {
-    struct board_local local =
-        board_local(control->board, &control->local_seq);
+    struct blackboard_local local =
+        blackboard_local(control->blackboard, &control->local_seq);
 
-    if (local.state == MEMBER_READY && control->board->text == NULL)
+    if (local.state == MEMBER_READY && control->blackboard->text == NULL)
         local.state = MEMBER_WARMING;
     member_announce(&control->members, local.state, local.service, local.slots,
                     local.busy, local.waiting, now_us);
 }
 
 static void
-take_reports(struct control *control, uint64_t now_us)
+handle_dead_reports(struct control *control, uint64_t now_us)
 {
     pthread_mutex_lock(&control->lock);
     for (size_t i = 0; i < control->report_count; i++)
@@ -59,7 +59,7 @@
     control->members.changed = false;
     control->members.load_changed = false;
     control->load_us = now_us + LOAD_PUBLISH_US;
-    board_publish_view(control->board, view);
+    blackboard_publish_view(control->blackboard, view);
 }
 
 static void
@@ -81,7 +81,7 @@
 static void
 start_extension(struct control *control)
 {
-    struct extension *extension = control->board->extension;
+    struct extension *extension = control->blackboard->extension;
 
     control->extension_us = UINT64_MAX;
     if (extension == NULL)
@@ -94,7 +94,7 @@
 static void
 step_extension(struct control *control, uint64_t now_us)
 {
-    struct extension *extension = control->board->extension;
+    struct extension *extension = control->blackboard->extension;
 
     if (extension != NULL)
         control->extension_us =
@@ -107,10 +107,10 @@
 {
     uint64_t now_us = control_now(control);
 
-    take_local(control, now_us);
+    announce_local(control, now_us);
     control_config_step(control);
     member_set_config(&control->members, control->config.have,
-                      control->config.word_us, now_us);
+                      control->config.confirmed_us, now_us);
     if (now_us >= member_next_us(&control->members))
         member_tick(&control->members, now_us, &control->out);
     control_net_send(control);
@@ -147,7 +147,7 @@
     struct control *control = data;
 
     step(control);
-    control_count(control);
+    control_update_counters(control);
 }
 
 static void
@@ -158,7 +158,7 @@
 
     if (read(control->wake, &count, sizeof(count)) < 0)
         return;
-    take_reports(control, control_now(control));
+    handle_dead_reports(control, control_now(control));
     step(control);
     if (__atomic_load_n(&control->stopping, __ATOMIC_ACQUIRE))
         event_base_loopbreak(control->base);
@@ -166,7 +166,7 @@
 
 /* Says goodbye, and lets the frames that are queued go out. */
 static void
-say_goodbye(struct control *control)
+leave_cell(struct control *control)
 {
     member_leave(&control->members, control_now(control), &control->out);
     control_net_send(control);
@@ -188,8 +188,8 @@
     start_extension(control);
     step(control);
     event_base_dispatch(control->base);
-    say_goodbye(control);
-    control_count(control);
+    leave_cell(control);
+    control_update_counters(control);
     rcu_unregister_thread();
     return NULL;
 }
@@ -273,7 +273,7 @@
 }
 
 struct control *
-control_start(const struct settings *settings, struct board *board,
+control_start(const struct settings *settings, struct blackboard *blackboard,
               struct clock *clock, struct counter_table *counters,
               struct error *err)
 {
@@ -286,7 +286,7 @@
     }
     control->ops = &control_ops;
     control->settings = settings;
-    control->board = board;
+    control->blackboard = blackboard;
     control->clock = clock;
     control->counters = counters;
     control->udp = -1;
@@ -297,7 +297,7 @@
         error_set(err, -ENOMEM, "event base", NULL, "No event base.");
         goto err;
     }
-    if (control_count_register(control, err) < 0 ||
+    if (control_register_counters(control, err) < 0 ||
         control_net_open(control, err) < 0 || start_cores(control, err) < 0 ||
         start_events(control, err) < 0 ||
         control_config_open(control, err) < 0)
--- a/src/control/control_config.c
+++ b/src/control/control_config.c
@@ -17,13 +17,13 @@
     return name;
 }
 
-/* Puts a body in force if it is a valid text. @word_us as for
- * config_adopted(). */
+/* Puts a body in force if it is a valid text. @confirmed_us as for
+ * config_applied(). */
 static void
-adopt(struct control *control, uint64_t version, const char *body, size_t len,
-      uint64_t word_us)
+apply_config_body(struct control *control, uint64_t version, const char *body,
+                  size_t len, uint64_t confirmed_us)
 {
-    const struct text *old = control->board->text;
+    const struct text *old = control->blackboard->text;
     struct text *text = NULL;
     char *report = NULL;
 
@@ -39,11 +39,12 @@
         history_add(&control->history, old->version,
                     (const uint8_t *)old->source, old->source_len, version,
                     (const uint8_t *)text->source, text->source_len);
-    if (!board_publish_text(control->board, text, control_now(control))) {
+    if (!blackboard_publish_config(control->blackboard, text,
+                                   control_now(control))) {
         text_free(text);
         return;
     }
-    config_adopted(&control->config, version, word_us);
+    config_applied(&control->config, version, confirmed_us);
     g_message("Configuration version %" PRIu64 " is in force.", version);
 }
 
@@ -54,14 +55,15 @@
         caa_container_of(call, struct control, config_call);
     uint64_t now_us = control_now(control);
 
-    if (config_answered(&control->config, reply->status, reply->version,
-                        now_us))
-        adopt(control, reply->version, reply->value, reply->len, now_us);
+    if (config_handle_platform_reply(&control->config, reply->status,
+                                     reply->version, now_us))
+        apply_config_body(control, reply->version, reply->value, reply->len,
+                          now_us);
     control->ops->step(control);
 }
 
 static void
-take_seeds(struct control *control, const struct platform_reply *reply)
+handle_seeds(struct control *control, const struct platform_reply *reply)
 {
     struct seed_list list;
     uint64_t now_us = control_now(control);
@@ -89,7 +91,7 @@
         seeds_write_done(&control->seeds, reply->status, reply->version,
                          control_now(control));
     else if (control->seeds.calling == SEEDS_READ)
-        take_seeds(control, reply);
+        handle_seeds(control, reply);
     control->ops->step(control);
 }
 
@@ -104,7 +106,7 @@
 }
 
 static void
-ask_peer(struct control *control, const struct config_action *action)
+fetch_from_peer(struct control *control, const struct config_action *action)
 {
     Swiftarch__ConfigRequest request = SWIFTARCH__CONFIG_REQUEST__INIT;
     uint8_t body[32];
@@ -115,7 +117,7 @@
     control->fetch_from = action->from;
     if (link_send(&control->hub, action->from, CONTROL_FRAME_CONFIG_REQUEST,
                   body, len) < 0)
-        config_fetched(&control->config, 0, control_now(control));
+        config_handle_fetch_reply(&control->config, 0, control_now(control));
 }
 
 static void
@@ -127,17 +129,18 @@
     switch (action->type) {
     case CONFIG_WATCH:
         ret = platform_watch(control->platform, object, action->after,
-                             CONFIG_WAIT_S, &control->config_call);
+                             CONFIG_WATCH_TIMEOUT_S, &control->config_call);
         break;
     case CONFIG_READ:
         ret = platform_get(control->platform, object, &control->config_call);
         break;
     case CONFIG_FETCH:
-        ask_peer(control, action);
+        fetch_from_peer(control, action);
         break;
     }
     if (ret < 0)
-        config_answered(&control->config, ret, 0, control_now(control));
+        config_handle_platform_reply(&control->config, ret, 0,
+                                     control_now(control));
 }
 
 static void
@@ -170,13 +173,14 @@
 control_config_step(struct control *control)
 {
     struct config_actions actions;
-    struct config_place place;
+    struct config_membership membership;
     uint64_t now_us = control_now(control);
 
-    place.rank = member_rank(&control->members, control->cell, &place.alive);
-    place.joined = control->members.joined;
-    place.has_contacts = control->members.contact_count > 0;
-    config_set_place(&control->config, &place);
+    membership.rank =
+        member_rank(&control->members, control->cell, &membership.alive);
+    membership.joined = control->members.joined;
+    membership.has_contacts = control->members.contact_count > 0;
+    config_set_membership(&control->config, &membership);
     config_tick(&control->config, now_us, &actions);
     for (size_t i = 0; i < actions.count; i++)
         do_config_action(control, &actions.items[i]);
@@ -235,7 +239,7 @@
     Swiftarch__ConfigEdit edits[HISTORY_STEPS_MAX];
     Swiftarch__ConfigEdit *pointers[HISTORY_STEPS_MAX];
     /* Only this thread replaces the text. */
-    const struct text *text = control->board->text;
+    const struct text *text = control->blackboard->text;
 
     request = swiftarch__config_request__unpack(NULL, len, body);
     if (request == NULL) {
@@ -281,15 +285,16 @@
 }
 
 static void
-take_reply(struct control *control, const Swiftarch__ConfigReply *reply)
+handle_config_reply(struct control *control,
+                    const Swiftarch__ConfigReply *reply)
 {
-    const struct text *text = control->board->text;
+    const struct text *text = control->blackboard->text;
     uint8_t *body;
     size_t len;
 
     if (reply->n_edits == 0) {
-        adopt(control, reply->version, (const char *)reply->body.data,
-              reply->body.len, 0);
+        apply_config_body(control, reply->version,
+                          (const char *)reply->body.data, reply->body.len, 0);
         return;
     }
     /* Our version may have moved on while the edits were on their way. */
@@ -300,7 +305,7 @@
         control->bad_messages++;
         return;
     }
-    adopt(control, reply->version, (const char *)body, len, 0);
+    apply_config_body(control, reply->version, (const char *)body, len, 0);
     g_free(body);
 }
 
@@ -312,10 +317,11 @@
     reply = swiftarch__config_reply__unpack(NULL, len, body);
     if (reply == NULL) {
         control->bad_messages++;
-        config_fetched(&control->config, 0, control_now(control));
+        config_handle_fetch_reply(&control->config, 0, control_now(control));
         return;
     }
-    if (config_fetched(&control->config, reply->version, control_now(control)))
-        take_reply(control, reply);
+    if (config_handle_fetch_reply(&control->config, reply->version,
+                                  control_now(control)))
+        handle_config_reply(control, reply);
     swiftarch__config_reply__free_unpacked(reply, NULL);
 }
--- a/src/control/control_internal.h
+++ b/src/control/control_internal.h
@@ -66,8 +66,8 @@
     CONTROL_COUNTERS
 };
 
-/** struct control_report - a process proved dead by the data side */
-struct control_report {
+/** struct control_dead_report - a process proved dead by the data side */
+struct control_dead_report {
     uint64_t member;
     uint64_t incarnation;
 };
@@ -87,7 +87,7 @@
  * struct control - the control thread
  * @ops: its program, control.c
  * @conn: connection whose frame is being handled, or NULL
- * @local_seq: sequence of the board's local part taken last
+ * @local_seq: sequence of the blackboard's local part taken last
  * @load_us: when loads may be published again
  * @extension_us: when the extension is due, UINT64_MAX without one
  */
@@ -95,7 +95,7 @@
     struct link_handler handler;
     const struct control_ops *ops;
     const struct settings *settings;
-    struct board *board;
+    struct blackboard *blackboard;
     struct clock *clock;
     struct counter_table *counters;
     int handles[CONTROL_COUNTERS];
@@ -129,7 +129,7 @@
     uint64_t bad_messages;
     pthread_t thread;
     pthread_mutex_t lock;
-    struct control_report reports[CONTROL_REPORTS_MAX];
+    struct control_dead_report reports[CONTROL_REPORTS_MAX];
     size_t report_count;
     bool stopping;
 };
@@ -189,12 +189,12 @@
 control_show(struct control *control, struct link_conn *conn,
              const uint8_t *body, size_t len);
 
-/** control_count_register() - register the counters */
+/** control_register_counters() - register the counters */
 int
-control_count_register(struct control *control, struct error *err);
+control_register_counters(struct control *control, struct error *err);
 
-/** control_count() - bring the counters up to date */
+/** control_update_counters() - bring the counters up to date */
 void
-control_count(struct control *control);
+control_update_counters(struct control *control);
 
 #endif
--- a/src/control/control_net.c
+++ b/src/control/control_net.c
@@ -36,13 +36,13 @@
             return;
         for (struct cmsghdr *cmsg = CMSG_FIRSTHDR(&msg); cmsg != NULL;
              cmsg = CMSG_NXTHDR(&msg, cmsg)) {
-            struct sock_extended_err told;
+            struct sock_extended_err ext_err;
 
             if (cmsg->cmsg_level != IPPROTO_IP ||
                 cmsg->cmsg_type != IP_RECVERR)
                 continue;
-            memcpy(&told, CMSG_DATA(cmsg), sizeof(told));
-            if (told.ee_errno == ECONNREFUSED)
+            memcpy(&ext_err, CMSG_DATA(cmsg), sizeof(ext_err));
+            if (ext_err.ee_errno == ECONNREFUSED)
                 member_refused(&control->members, addr_from_sockaddr(&sin),
                                control_now(control));
         }
@@ -52,7 +52,7 @@
 static void
 handle_extension(struct control *control, const uint8_t *body, size_t len)
 {
-    struct extension *extension = control->board->extension;
+    struct extension *extension = control->blackboard->extension;
 
     if (extension != NULL)
         extension->ops->on_message(extension, body, len, control_now(control));
@@ -73,8 +73,9 @@
     member_receive(&control->members, &msg, from, now_us, &control->out);
     entry = member_find(&control->members, sender);
     if (entry != NULL)
-        config_heard(&control->config, entry->member.control,
-                     msg.config_version, msg.word_age_ms, now_us);
+        config_handle_peer_version(&control->config, entry->member.control,
+                                   msg.config_version, msg.word_age_ms,
+                                   now_us);
     member_msg_finish(&msg);
 }
 
@@ -152,7 +153,7 @@
     if (reason == -ECONNREFUSED)
         member_refused(&control->members, peer, now_us);
     if (control->config.fetching && addr_equal(peer, control->fetch_from))
-        config_fetched(&control->config, 0, now_us);
+        config_handle_fetch_reply(&control->config, 0, now_us);
     control->ops->step(control);
 }
 
@@ -232,7 +233,7 @@
     g_assert(len + AUTH_OVERHEAD <= MEMBER_DATAGRAM_MAX);
     len = auth_seal(&control->auth, body, len, control_wall_ms(), sealed);
     do {
-        /* An earlier datagram's error is told once here. */
+        /* An earlier datagram's error is ext_err once here. */
         sent = sendto(control->udp, sealed, len, 0, (struct sockaddr *)&sin,
                       sizeof(sin));
     } while (sent < 0 && (errno == EINTR || errno == ECONNREFUSED));
--- a/src/control/control_show.c
+++ b/src/control/control_show.c
@@ -46,7 +46,7 @@
 };
 
 int
-control_count_register(struct control *control, struct error *err)
+control_register_counters(struct control *control, struct error *err)
 {
     for (size_t i = 0; i < CONTROL_COUNTERS; i++) {
         int handle;
@@ -80,7 +80,7 @@
 
 /* The cores count for themselves; the table takes their sums. */
 void
-control_count(struct control *control)
+control_update_counters(struct control *control)
 {
     const struct member_stats *stats = &control->members.stats;
     const struct config_stats *config = &control->config.stats;
@@ -154,7 +154,7 @@
            uint64_t now_us)
 {
     const struct member_core *members = &control->members;
-    const struct text *text = control->board->text;
+    const struct text *text = control->blackboard->text;
 
     reply->name = (char *)control->settings->name;
     reply->data_centre = (char *)control->settings->data_centre;
@@ -162,8 +162,9 @@
     reply->state = members->entries[members->self].member.state;
     reply->config_version = control->config.have;
     reply->in_force_ms =
-        text == NULL ? 0 : age_ms(control->board->text_since_us, now_us);
-    reply->heard_ms = age_ms(control->config.word_us, now_us);
+        text == NULL ? 0
+                     : age_ms(control->blackboard->config_since_us, now_us);
+    reply->heard_ms = age_ms(control->config.confirmed_us, now_us);
     reply->from_platform = config_is_reader(&control->config, now_us);
     reply->platform_ok_ms = age_ms(control->config.platform_us, now_us);
 }
@@ -186,7 +187,7 @@
 {
     struct view *view =
         member_view(&control->members, control->view_seq, now_us);
-    const struct text *text = control->board->text;
+    const struct text *text = control->blackboard->text;
     Swiftarch__ShowMember *members;
     Swiftarch__ShowMember **pointers;
 
@@ -226,7 +227,7 @@
     }
     fill_reply(control, &reply, now_us);
     if (request->counters) {
-        control_count(control);
+        control_update_counters(control);
         counters = counter_render(control->counters, NULL);
         reply.counters = counters;
     }
--- a/src/control/extension.h
+++ b/src/control/extension.h
@@ -1,7 +1,7 @@
 /**
  * DOC: extension - a controller that the control thread runs besides its own
  *
- * A program sets board.extension before control_start(). All calls come
+ * A program sets blackboard.extension before control_start(). All calls come
  * from the control thread. Messages go to any process of the site, also of
  * other cells, sealed like all control messages: small ones in a datagram,
  * in which a zero byte comes before the body (no member message begins with
--- a/src/control/member.c
+++ b/src/control/member.c
@@ -14,7 +14,7 @@
 
 #define PUSH_RATE 5
 #define PUSH_BURST 20
-#define CONTACT_FIRST_GAP_US (100 * USEC_PER_MSEC)
+#define CONTACT_FIRST_INTERVAL_US (100 * USEC_PER_MSEC)
 
 int
 member_core_init(struct member_core *core, const struct member_update *self,
@@ -43,9 +43,9 @@
     entry->start = self->start;
     entry->member.incarnation = self->start;
     entry->revision = self->revision;
-    member_touch(core, entry, false, now_us);
+    member_mark_changed(core, entry, false, now_us);
     core->next_seq = random_next(&core->random);
-    core->contact_gap_us = CONTACT_FIRST_GAP_US;
+    core->contact_interval_us = CONTACT_FIRST_INTERVAL_US;
     core->period_us = now_us + random_below(&core->random, MEMBER_PERIOD_US);
     core->dead_probe_us =
         now_us + random_below(&core->random, MEMBER_DEAD_PROBE_US);
@@ -80,7 +80,7 @@
 
 /* What each message says of its sender. */
 static void
-take_header(struct member_core *core, const struct member_msg *msg)
+apply_header(struct member_core *core, const struct member_msg *msg)
 {
     struct member_entry *sender = member_lookup(core, msg->from);
     struct view_member *member;
@@ -100,10 +100,10 @@
 
 /* Lists of old news from a sync are not told on: others sync as well. */
 static void
-take_updates(struct member_core *core, const struct member_msg *msg,
-             uint64_t now_us)
+apply_updates(struct member_core *core, const struct member_msg *msg,
+              uint64_t now_us)
 {
-    bool quiet = msg->kind >= MEMBER_WELCOME;
+    bool quiet = msg->kind >= MEMBER_JOIN_REPLY;
 
     for (size_t i = 0; i < msg->update_count; i++) {
         const struct member_update *update = &msg->updates[i];
@@ -122,7 +122,7 @@
 
 /* After a pause of its own a process judges nobody by the old times. */
 static void
-note_stall(struct member_core *core, uint64_t now_us)
+detect_stall(struct member_core *core, uint64_t now_us)
 {
     uint64_t pause_us = now_us - core->tick_us;
 
@@ -136,7 +136,7 @@
 
         if (entry->member.id == 0 || entry->member.health != MEMBER_SUSPECT)
             continue;
-        entry->judged_us = now_us;
+        entry->health_since_us = now_us;
         entry->confirm_us = now_us + MEMBER_CONFIRM_PROBE_US;
     }
 }
@@ -155,15 +155,15 @@
             g_warning("A member of another cell sent a message.");
         return;
     }
-    note_stall(core, now_us);
-    take_updates(core, msg, now_us);
-    take_header(core, msg);
-    if (msg->kind <= MEMBER_PING_FOR)
+    detect_stall(core, now_us);
+    apply_updates(core, msg, now_us);
+    apply_header(core, msg);
+    if (msg->kind <= MEMBER_PING_REQ)
         member_probe_receive(core, msg, from, now_us, out);
     else
         member_sync_receive(core, msg, from, now_us, out);
     sender = member_lookup(core, msg->from);
-    if (sender != NULL && msg->kind < MEMBER_SYNC_LIST)
+    if (sender != NULL && msg->kind < MEMBER_SYNC_SUMMARY)
         member_sync_digest(core, sender, msg->digest, now_us, out);
     member_push(core, now_us, out);
 }
@@ -174,7 +174,7 @@
 {
     if (core->left)
         return;
-    note_stall(core, now_us);
+    detect_stall(core, now_us);
     core->tick_us = now_us;
     member_contact_tick(core, now_us, out);
     member_probe_tick(core, now_us, out);
@@ -196,8 +196,8 @@
         if (!probe->active)
             continue;
         next = MIN(next, probe->resend_us);
-        if (!probe->helped)
-            next = MIN(next, probe->start_us + MEMBER_INDIRECT_US);
+        if (!probe->indirect_sent)
+            next = MIN(next, probe->start_us + MEMBER_INDIRECT_DELAY_US);
     }
     for (size_t i = 0; i < MEMBER_RELAYS_MAX; i++) {
         if (core->relays[i].tries_left > 0)
@@ -224,14 +224,14 @@
     self->member.service = service;
     self->member.slots = slots;
     self->revision++;
-    member_touch(core, self, true, now_us);
+    member_mark_changed(core, self, true, now_us);
 }
 
 void
-member_set_config(struct member_core *core, uint64_t version, uint64_t word_us,
-                  uint64_t now_us)
+member_set_config(struct member_core *core, uint64_t version,
+                  uint64_t confirmed_us, uint64_t now_us)
 {
-    core->word_us = word_us;
+    core->confirmed_us = confirmed_us;
     if (version <= core->config_version)
         return;
     core->config_version = version;
@@ -252,7 +252,7 @@
     self->member.state = MEMBER_LEAVING;
     self->member.health = MEMBER_DEAD;
     self->revision++;
-    member_touch(core, self, true, now_us);
+    member_mark_changed(core, self, true, now_us);
     for (size_t i = 0; i < 2 * MEMBER_PUSH_FANOUT; i++) {
         const struct member_entry *peer = member_random_alive(core);
         struct member_msg *msg;
--- a/src/control/member.h
+++ b/src/control/member.h
@@ -4,13 +4,14 @@
  * Each member probes two others each MEMBER_PERIOD_US: the next in the order
  * of a random permutation, and the one that follows it in the order of ids,
  * so that everybody is probed in every period by one that doesn't change.
- * It pings them directly, then through MEMBER_HELPERS others. A
- * failed round makes a suspect; the news of it is pushed at once, so new
+ * It pings them directly, then through MEMBER_INDIRECT_PROBES others. A
+ * failed round makes a suspect; the change_seq of it is pushed at once, so new
  * flows stop soon. Death comes only from proof (connection refused, a
- * goodbye) or from MEMBER_CONFIRM_US without a refutation, longer than a
+ * left_cleanly) or from MEMBER_CONFIRM_US without a refutation, longer than a
  * freeze of 5 s and the way of its refutation through the cell. The
  * MEMBER_CONFIRMERS highest-ranked members for a suspect probe it again
- * before they declare it; the others wait MEMBER_DEATH_US for that word.
+ * before they declare it; the others wait MEMBER_SUSPECT_TIMEOUT_US for that
+ * word.
  *
  * What is known of a member is two values that only grow: its announcement
  * by (start, revision), its health by (incarnation, health). Merging is
@@ -37,28 +38,28 @@
 
 #define MEMBER_PERIOD_US (500 * USEC_PER_MSEC)
 #define MEMBER_RESEND_US (70 * USEC_PER_MSEC)
-#define MEMBER_INDIRECT_US (140 * USEC_PER_MSEC)
-#define MEMBER_HELPERS 3
+#define MEMBER_INDIRECT_DELAY_US (140 * USEC_PER_MSEC)
+#define MEMBER_INDIRECT_PROBES 3
 #define MEMBER_PROBES 2
 #define MEMBER_RELAYS_MAX 16
 #define MEMBER_RELAY_TRIES 4
 #define MEMBER_CONFIRMERS 3
 #define MEMBER_CONFIRM_PROBE_US (8 * USEC_PER_SEC)
 #define MEMBER_CONFIRM_US (10 * USEC_PER_SEC)
-#define MEMBER_DEATH_US (16 * USEC_PER_SEC)
-#define MEMBER_LATE_US (100 * USEC_PER_MSEC)
+#define MEMBER_SUSPECT_TIMEOUT_US (16 * USEC_PER_SEC)
+#define MEMBER_TICK_DELAY_MAX_US (100 * USEC_PER_MSEC)
 #define MEMBER_STALL_US (1500 * USEC_PER_MSEC)
 #define MEMBER_TOMBSTONE_US (2 * 3600 * USEC_PER_SEC)
-#define MEMBER_GOODBYE_US (600 * USEC_PER_SEC)
-#define MEMBER_DEAD_SHOWN_US (60 * USEC_PER_SEC)
+#define MEMBER_LEFT_TOMBSTONE_US (600 * USEC_PER_SEC)
+#define MEMBER_DEAD_VISIBLE_US (60 * USEC_PER_SEC)
 #define MEMBER_DEAD_PROBE_US (10 * USEC_PER_SEC)
 #define MEMBER_PUSH_FANOUT 3
 #define MEMBER_PUSH_DELAY_US (10 * USEC_PER_MSEC)
 #define MEMBER_SYNC_AFTER_US (2 * USEC_PER_SEC)
 #define MEMBER_SYNC_MATCHES 8
-#define MEMBER_SYNC_SOON_US (1 * USEC_PER_SEC)
-#define MEMBER_SYNC_GAP_US (5 * USEC_PER_SEC)
-#define MEMBER_SEED_GAP_US (20 * USEC_PER_SEC)
+#define MEMBER_SYNC_RETRY_US (1 * USEC_PER_SEC)
+#define MEMBER_SYNC_INTERVAL_US (5 * USEC_PER_SEC)
+#define MEMBER_CONTACT_INTERVAL_US (20 * USEC_PER_SEC)
 #define MEMBER_CONTACTS_MAX 32
 #define MEMBER_DATAGRAM_MAX 1200
 #define MEMBER_GOSSIP_RATE 2500 /* bytes a second of updates */
@@ -70,16 +71,16 @@
 
 /** enum member_kind - messages between members */
 enum member_kind {
-    MEMBER_PING,        /* are you there? */
-    MEMBER_ACK,         /* @target is here, answer to probe @seq */
-    MEMBER_NOT_ME,      /* @target is not at this address */
-    MEMBER_PING_FOR,    /* ping @target for me */
-    MEMBER_PUSH,        /* news, unasked */
-    MEMBER_JOIN,        /* I know nobody: tell me some members */
-    MEMBER_WELCOME,     /* some members */
-    MEMBER_SYNC_LIST,   /* stream: a summary of my list */
-    MEMBER_SYNC_ANSWER, /* stream: what you lack, what I want */
-    MEMBER_SYNC_PUSH,   /* stream: what you wanted */
+    MEMBER_PING,         /* are you there? */
+    MEMBER_ACK,          /* @target is here, answer to probe @seq */
+    MEMBER_WRONG_TARGET, /* @target is not at this address */
+    MEMBER_PING_REQ,     /* ping @target for me */
+    MEMBER_PUSH,         /* change_seq, unasked */
+    MEMBER_JOIN,         /* I know nobody: tell me some members */
+    MEMBER_JOIN_REPLY,   /* some members */
+    MEMBER_SYNC_SUMMARY, /* stream: a summary of my list */
+    MEMBER_SYNC_REPLY,   /* stream: what you lack, what I want */
+    MEMBER_SYNC_PUSH,    /* stream: what you wanted */
     MEMBER_KINDS
 };
 
@@ -142,13 +143,13 @@
     struct view_member member;
     uint64_t start;
     uint32_t revision;
-    uint32_t digest;     /* its share of the list's digest */
-    uint64_t judged_us;  /* when it became suspect or dead here */
-    uint64_t confirm_us; /* next probe before declaring it dead */
-    uint64_t news;       /* order of its last change, newer is higher */
-    uint16_t sends_left; /* times its news is still to be sent */
+    uint32_t digest;          /* its share of the list's digest */
+    uint64_t health_since_us; /* when it became suspect or dead here */
+    uint64_t confirm_us;      /* next probe before declaring it dead */
+    uint64_t change_seq;      /* order of its last change, newer is higher */
+    uint16_t sends_left;      /* times its change_seq is still to be sent */
     bool urgent;
-    bool goodbye; /* left by itself */
+    bool left_cleanly; /* left by itself */
 };
 
 /** struct member_probe - a probe under way */
@@ -159,15 +160,15 @@
     uint32_t seq;
     uint64_t start_us;
     uint64_t resend_us;
-    bool helped; /* helpers were asked */
+    bool indirect_sent; /* helpers were asked */
 };
 
 /** struct member_relay - a ping sent for another member */
 struct member_relay {
     uint64_t target;
     uint32_t seq; /* own number of the ping */
-    struct addr asker;
-    uint32_t asker_seq; /* the asker's number */
+    struct addr requester;
+    uint32_t requester_seq; /* the requester's number */
     uint64_t resend_us;
     unsigned tries_left;
 };
@@ -198,7 +199,7 @@
  * @order: slots sorted by id
  * @probe_order: slots in the order in which they are probed
  * @config_version: own version, told in each message
- * @word_us: when the version was last confirmed, 0 for never
+ * @confirmed_us: when the version was last confirmed, 0 for never
  * @changed: the view should be published again
  * @load_changed: only loads or configuration versions in it changed
  */
@@ -214,7 +215,7 @@
     size_t probe_count;
     size_t probe_next;
     uint64_t digest;
-    uint64_t news;
+    uint64_t change_seq;
     size_t pending; /* entries with sends left */
     struct random random;
     uint32_t next_seq;
@@ -224,7 +225,7 @@
     size_t contact_count;
     size_t contact_next;
     uint64_t contact_us;
-    uint64_t contact_gap_us;
+    uint64_t contact_interval_us;
     uint64_t period_us; /* start of the next probe */
     uint64_t dead_probe_us;
     uint64_t push_us; /* 0: nothing to push */
@@ -237,7 +238,7 @@
     struct bucket sync_bucket;
     struct bucket join_bucket;
     uint64_t config_version;
-    uint64_t word_us;
+    uint64_t confirmed_us;
     bool joined; /* the list was synced with another member */
     bool left;
     bool changed;
@@ -289,7 +290,7 @@
 member_refused(struct member_core *core, struct addr at, uint64_t now_us);
 
 /** member_announce() - own state, service or slots; busy and waiting ride
- * on each message and make no news */
+ * on each message and make no change_seq */
 void
 member_announce(struct member_core *core, enum member_state state,
                 uint32_t service, uint16_t slots, uint16_t busy,
@@ -297,10 +298,10 @@
 
 /** member_set_config() - own version; a higher one is pushed at once */
 void
-member_set_config(struct member_core *core, uint64_t version, uint64_t word_us,
-                  uint64_t now_us);
+member_set_config(struct member_core *core, uint64_t version,
+                  uint64_t confirmed_us, uint64_t now_us);
 
-/** member_leave() - say goodbye to some members; nothing is sent after */
+/** member_leave() - say left_cleanly to some members; nothing is sent after */
 void
 member_leave(struct member_core *core, uint64_t now_us,
              struct member_actions *out);
--- a/src/control/member_gossip.c
+++ b/src/control/member_gossip.c
@@ -8,8 +8,9 @@
 #include "control/wire.h"
 
 #define UPDATE_BYTES_MIN 40
-#define UPDATES_ROOM (MEMBER_DATAGRAM_MAX - AUTH_OVERHEAD - WIRE_HEADER_MAX)
-#define UPDATES_MAX (UPDATES_ROOM / UPDATE_BYTES_MIN)
+#define UPDATES_BYTES_MAX                                                     \
+    (MEMBER_DATAGRAM_MAX - AUTH_OVERHEAD - WIRE_HEADER_MAX)
+#define UPDATES_MAX (UPDATES_BYTES_MAX / UPDATE_BYTES_MIN)
 
 struct member_update
 member_update_of(const struct member_entry *entry)
@@ -39,7 +40,7 @@
     action = &out->items[out->count++];
     memset(action, 0, sizeof(*action));
     action->to = to;
-    action->stream = kind >= MEMBER_SYNC_LIST;
+    action->stream = kind >= MEMBER_SYNC_SUMMARY;
     msg = &action->msg;
     msg->kind = kind;
     msg->from = self->member.id;
@@ -50,24 +51,25 @@
     msg->waiting = self->member.waiting;
     msg->config_version = core->config_version;
     msg->word_age_ms = UINT32_MAX;
-    if (core->word_us != 0) {
-        age_us = now_us > core->word_us ? now_us - core->word_us : 0;
+    if (core->confirmed_us != 0) {
+        age_us = now_us > core->confirmed_us ? now_us - core->confirmed_us : 0;
         msg->word_age_ms = MIN(age_us / USEC_PER_MSEC, UINT32_MAX);
     }
     return msg;
 }
 
 static bool
-goes_before(const struct member_entry *a, const struct member_entry *b)
+has_priority(const struct member_entry *a, const struct member_entry *b)
 {
     if (a->urgent != b->urgent)
         return a->urgent;
-    return a->news > b->news;
+    return a->change_seq > b->change_seq;
 }
 
-/* The @max entries whose news goes first, best first. */
+/* The @max entries whose change_seq goes first, best first. */
 static size_t
-pick_news(struct member_core *core, struct member_entry **picked, size_t max)
+pick_updates(struct member_core *core, struct member_entry **picked,
+             size_t max)
 {
     size_t count = 0;
 
@@ -77,10 +79,10 @@
 
         if (entry->member.id == 0 || entry->sends_left == 0)
             continue;
-        if (count == max && !goes_before(entry, picked[count - 1]))
+        if (count == max && !has_priority(entry, picked[count - 1]))
             continue;
         at = count < max ? count++ : count - 1;
-        while (at > 0 && goes_before(entry, picked[at - 1])) {
+        while (at > 0 && has_priority(entry, picked[at - 1])) {
             picked[at] = picked[at - 1];
             at--;
         }
@@ -90,7 +92,7 @@
 }
 
 void
-member_spread_once(struct member_core *core, struct member_entry *entry)
+member_count_send(struct member_core *core, struct member_entry *entry)
 {
     if (entry->sends_left == 0)
         return;
@@ -123,23 +125,23 @@
               struct member_entry *first, uint64_t now_us)
 {
     struct member_entry *picked[UPDATES_MAX];
-    size_t room = UPDATES_ROOM;
+    size_t room = UPDATES_BYTES_MAX;
     size_t spent;
     size_t count;
 
     if (first != NULL && add_update(msg, first, &room))
-        member_spread_once(core, first);
+        member_count_send(core, first);
     if (core->pending == 0)
         return;
     room = MIN(room, bucket_level(&core->gossip_bucket, now_us));
     spent = room;
-    count = pick_news(core, picked, UPDATES_MAX - 1);
+    count = pick_updates(core, picked, UPDATES_MAX - 1);
     for (size_t i = 0; i < count; i++) {
         if (picked[i] == first)
             continue;
         if (!add_update(msg, picked[i], &room))
             break;
-        member_spread_once(core, picked[i]);
+        member_count_send(core, picked[i]);
     }
     spent -= room;
     bucket_take(&core->gossip_bucket, spent, now_us);
@@ -148,7 +150,7 @@
 void
 member_attach_sample(struct member_core *core, struct member_msg *msg)
 {
-    size_t room = UPDATES_ROOM;
+    size_t room = UPDATES_BYTES_MAX;
     size_t first = random_below(&core->random, core->count);
 
     add_update(msg, member_self(core), &room);
--- a/src/control/member_internal.h
+++ b/src/control/member_internal.h
@@ -20,10 +20,10 @@
 void
 member_remove(struct member_core *core, struct member_entry *entry);
 
-/** member_touch() - an entry changed: its digest, and news to spread */
+/** member_mark_changed() - an entry changed: its digest, and news to spread */
 void
-member_touch(struct member_core *core, struct member_entry *entry, bool urgent,
-             uint64_t now_us);
+member_mark_changed(struct member_core *core, struct member_entry *entry,
+                    bool urgent, uint64_t now_us);
 
 /** member_self() - own entry */
 struct member_entry *
@@ -36,10 +36,10 @@
 member_merge(struct member_core *core, const struct member_update *update,
              uint64_t now_us);
 
-/** member_judge() - set the health of another member */
+/** member_worsen_health() - set the health of another member */
 void
-member_judge(struct member_core *core, struct member_entry *entry,
-             enum member_health health, uint64_t now_us);
+member_worsen_health(struct member_core *core, struct member_entry *entry,
+                     enum member_health health, uint64_t now_us);
 
 /** member_expire() - declare the suspects whose time is up, forget old
  * tombstones, probe suspects before their end */
@@ -63,10 +63,10 @@
 void
 member_attach_sample(struct member_core *core, struct member_msg *msg);
 
-/** member_spread_once() - the news of @entry was sent once more, or came
+/** member_count_send() - the news of @entry was sent once more, or came
  * back from another */
 void
-member_spread_once(struct member_core *core, struct member_entry *entry);
+member_count_send(struct member_core *core, struct member_entry *entry);
 
 /** member_update_of() - what is told of an entry */
 struct member_update
--- a/src/control/member_merge.c
+++ b/src/control/member_merge.c
@@ -35,11 +35,11 @@
 }
 
 static void
-take_announcement(struct member_entry *entry,
-                  const struct member_update *update, uint64_t now_us)
+apply_announcement(struct member_entry *entry,
+                   const struct member_update *update, uint64_t now_us)
 {
     struct view_member *member = &entry->member;
-    const struct view_member *told = &update->member;
+    const struct view_member *announced = &update->member;
 
     if (update->start != entry->start) {
         member->since_us = now_us;
@@ -47,15 +47,15 @@
         member->waiting = 0;
         member->config_version = 0;
     }
-    memcpy(member->name, told->name, sizeof(member->name));
-    memcpy(member->data_centre, told->data_centre,
+    memcpy(member->name, announced->name, sizeof(member->name));
+    memcpy(member->data_centre, announced->data_centre,
            sizeof(member->data_centre));
-    member->role = told->role;
-    member->state = told->state;
-    member->data = told->data;
-    member->control = told->control;
-    member->service = told->service;
-    member->slots = told->slots;
+    member->role = announced->role;
+    member->state = announced->state;
+    member->data = announced->data;
+    member->control = announced->control;
+    member->service = announced->service;
+    member->slots = announced->slots;
     entry->start = update->start;
     entry->revision = update->revision;
 }
@@ -67,7 +67,7 @@
     if (entry->member.health == health)
         return;
     entry->member.health = health;
-    entry->judged_us = now_us;
+    entry->health_since_us = now_us;
     entry->confirm_us = now_us + MEMBER_CONFIRM_PROBE_US;
 }
 
@@ -83,10 +83,10 @@
     entry = member_insert(core, update->member.id, now_us);
     if (entry == NULL)
         return false;
-    take_announcement(entry, update, now_us);
+    apply_announcement(entry, update, now_us);
     entry->member.incarnation = update->member.incarnation;
     set_health(entry, update->member.health, now_us);
-    member_touch(core, entry, false, now_us);
+    member_mark_changed(core, entry, false, now_us);
     return true;
 }
 
@@ -96,8 +96,8 @@
  * process of that name.
  */
 static bool
-merge_other_self(struct member_core *core, struct member_entry *self,
-                 const struct member_update *update, uint64_t now_us)
+merge_name_conflict(struct member_core *core, struct member_entry *self,
+                    const struct member_update *update, uint64_t now_us)
 {
     if (update->member.health == MEMBER_ALIVE &&
         !addr_equal(update->member.control, self->member.control)) {
@@ -107,7 +107,7 @@
     }
     self->start = update->member.incarnation + 1;
     self->member.incarnation = self->start;
-    member_touch(core, self, true, now_us);
+    member_mark_changed(core, self, true, now_us);
     return true;
 }
 
@@ -120,13 +120,13 @@
     if (core->left || update->member.incarnation < self->member.incarnation)
         return false;
     if (update->start > self->start)
-        return merge_other_self(core, self, update, now_us);
+        return merge_name_conflict(core, self, update, now_us);
     if (update->member.incarnation == self->member.incarnation &&
         update->member.health == MEMBER_ALIVE)
         return false;
     self->member.incarnation = update->member.incarnation + 1;
     core->stats.self_refutations++;
-    member_touch(core, self, true, now_us);
+    member_mark_changed(core, self, true, now_us);
     return true;
 }
 
@@ -148,12 +148,12 @@
     newer_health = is_newer_health(update, entry);
     if (!newer_announcement && !newer_health) {
         if (is_same(update, entry))
-            member_spread_once(core, entry);
+            member_count_send(core, entry);
         return false;
     }
     urgent = newer_announcement && update->member.state != entry->member.state;
     if (newer_announcement)
-        take_announcement(entry, update, now_us);
+        apply_announcement(entry, update, now_us);
     if (newer_health) {
         urgent |= update->member.health != entry->member.health;
         if (update->member.health == MEMBER_ALIVE &&
@@ -166,21 +166,21 @@
         set_health(entry, update->member.health, now_us);
     }
     if (entry->member.health == MEMBER_DEAD)
-        entry->goodbye = entry->member.state == MEMBER_LEAVING;
-    member_touch(core, entry, urgent, now_us);
+        entry->left_cleanly = entry->member.state == MEMBER_LEAVING;
+    member_mark_changed(core, entry, urgent, now_us);
     return true;
 }
 
 void
-member_judge(struct member_core *core, struct member_entry *entry,
-             enum member_health health, uint64_t now_us)
+member_worsen_health(struct member_core *core, struct member_entry *entry,
+                     enum member_health health, uint64_t now_us)
 {
     g_assert(entry != member_self(core));
     if (entry->member.health >= health)
         return;
     set_health(entry, health, now_us);
-    entry->goodbye = entry->member.state == MEMBER_LEAVING;
-    member_touch(core, entry, true, now_us);
+    entry->left_cleanly = entry->member.state == MEMBER_LEAVING;
+    member_mark_changed(core, entry, true, now_us);
 }
 
 /* Whether this process is one of those that confirm the death of @entry. */
@@ -207,7 +207,7 @@
              uint64_t now_us)
 {
     core->stats.deaths++;
-    member_judge(core, entry, MEMBER_DEAD, now_us);
+    member_worsen_health(core, entry, MEMBER_DEAD, now_us);
 }
 
 static void
@@ -216,13 +216,13 @@
 {
     struct member_msg *msg;
 
-    if (now_us >= entry->judged_us + MEMBER_DEATH_US) {
+    if (now_us >= entry->health_since_us + MEMBER_SUSPECT_TIMEOUT_US) {
         declare_dead(core, entry, now_us);
         return;
     }
     if (now_us < entry->confirm_us || !is_confirmer(core, entry))
         return;
-    if (now_us >= entry->judged_us + MEMBER_CONFIRM_US) {
+    if (now_us >= entry->health_since_us + MEMBER_CONFIRM_US) {
         declare_dead(core, entry, now_us);
         return;
     }
@@ -238,7 +238,7 @@
 {
     for (size_t i = core->entry_count; i-- > 0;) {
         struct member_entry *entry = &core->entries[i];
-        uint64_t kept;
+        uint64_t retention_us;
 
         if (entry->member.id == 0 || i == core->self)
             continue;
@@ -246,8 +246,9 @@
             expire_suspect(core, entry, now_us, out);
         if (entry->member.health != MEMBER_DEAD)
             continue;
-        kept = entry->goodbye ? MEMBER_GOODBYE_US : MEMBER_TOMBSTONE_US;
-        if (now_us >= entry->judged_us + kept)
+        retention_us = entry->left_cleanly ? MEMBER_LEFT_TOMBSTONE_US
+                                           : MEMBER_TOMBSTONE_US;
+        if (now_us >= entry->health_since_us + retention_us)
             member_remove(core, entry);
     }
 }
@@ -263,7 +264,7 @@
         entry->member.health == MEMBER_DEAD)
         return;
     core->stats.proven++;
-    member_judge(core, entry, MEMBER_DEAD, now_us);
+    member_worsen_health(core, entry, MEMBER_DEAD, now_us);
 }
 
 void
--- a/src/control/member_probe.c
+++ b/src/control/member_probe.c
@@ -46,11 +46,11 @@
 {
     struct member_msg *msg =
         member_send(core, MEMBER_PING, entry->member.control, now_us, out);
-    bool tell = entry->member.health != MEMBER_ALIVE;
+    bool include_entry = entry->member.health != MEMBER_ALIVE;
 
     msg->target = entry->member.id;
     msg->seq = seq;
-    member_attach(core, msg, tell ? entry : NULL, now_us);
+    member_attach(core, msg, include_entry ? entry : NULL, now_us);
 }
 
 /* The living member whose id is the next above ours, or NULL. */
@@ -82,7 +82,7 @@
     probe->seq = ++core->next_seq;
     probe->start_us = now_us;
     probe->resend_us = now_us + MEMBER_RESEND_US;
-    probe->helped = false;
+    probe->indirect_sent = false;
     core->stats.probes++;
     send_ping(core, entry, probe->seq, now_us, out);
 }
@@ -112,18 +112,20 @@
         entry->member.incarnation != probe->incarnation)
         return;
     core->stats.suspicions++;
-    member_judge(core, entry, MEMBER_SUSPECT, now_us);
+    member_worsen_health(core, entry, MEMBER_SUSPECT, now_us);
 }
 
 static void
-ask_helpers(struct member_core *core, struct member_probe *probe,
-            uint64_t now_us, struct member_actions *out)
+send_ping_reqs(struct member_core *core, struct member_probe *probe,
+               uint64_t now_us, struct member_actions *out)
 {
-    uint64_t asked[MEMBER_HELPERS];
+    uint64_t asked[MEMBER_INDIRECT_PROBES];
     size_t count = 0;
 
-    probe->helped = true;
-    for (size_t i = 0; i < 2 * MEMBER_HELPERS && count < MEMBER_HELPERS; i++) {
+    probe->indirect_sent = true;
+    for (size_t i = 0;
+         i < 2 * MEMBER_INDIRECT_PROBES && count < MEMBER_INDIRECT_PROBES;
+         i++) {
         const struct member_entry *helper = member_random_alive(core);
         struct member_msg *msg;
         bool again = false;
@@ -135,7 +137,7 @@
         if (again || helper->member.id == probe->target)
             continue;
         asked[count++] = helper->member.id;
-        msg = member_send(core, MEMBER_PING_FOR, helper->member.control,
+        msg = member_send(core, MEMBER_PING_REQ, helper->member.control,
                           now_us, out);
         msg->target = probe->target;
         msg->seq = probe->seq;
@@ -144,8 +146,8 @@
 }
 
 static void
-go_on_probing(struct member_core *core, struct member_probe *probe,
-              uint64_t now_us, struct member_actions *out)
+continue_probe(struct member_core *core, struct member_probe *probe,
+               uint64_t now_us, struct member_actions *out)
 {
     struct member_entry *entry = member_lookup(core, probe->target);
 
@@ -155,7 +157,7 @@
     }
     /* A suspect is pinged again by those who confirm its death. */
     if (entry->member.health != MEMBER_ALIVE) {
-        probe->helped = true;
+        probe->indirect_sent = true;
         probe->resend_us = core->period_us;
         return;
     }
@@ -163,8 +165,9 @@
         probe->resend_us = now_us + MEMBER_RESEND_US;
         send_ping(core, entry, probe->seq, now_us, out);
     }
-    if (!probe->helped && now_us >= probe->start_us + MEMBER_INDIRECT_US)
-        ask_helpers(core, probe, now_us, out);
+    if (!probe->indirect_sent &&
+        now_us >= probe->start_us + MEMBER_INDIRECT_DELAY_US)
+        send_ping_reqs(core, probe, now_us, out);
 }
 
 static void
@@ -202,7 +205,7 @@
         size_t slot = (first + i) % core->entry_count;
         struct member_entry *entry = &core->entries[slot];
 
-        if (entry->member.id == 0 || entry->goodbye ||
+        if (entry->member.id == 0 || entry->left_cleanly ||
             entry->member.health != MEMBER_DEAD)
             continue;
         send_ping(core, entry, ++core->next_seq, now_us, out);
@@ -223,7 +226,7 @@
            struct member_actions *out)
 {
     /* On a busy host the answer may lie unread while this runs late. */
-    bool late = now_us >= core->period_us + MEMBER_LATE_US;
+    bool late = now_us >= core->period_us + MEMBER_TICK_DELAY_MAX_US;
 
     for (size_t i = 0; i < MEMBER_PROBES; i++) {
         if (core->probes[i].active && !late)
@@ -250,13 +253,13 @@
     }
     for (size_t i = 0; i < MEMBER_PROBES; i++) {
         if (core->probes[i].active)
-            go_on_probing(core, &core->probes[i], now_us, out);
+            continue_probe(core, &core->probes[i], now_us, out);
     }
 }
 
 /* Whether the sender told what it holds of us: a suspicion or a death. */
 static bool
-tells_of_self(const struct member_core *core, const struct member_msg *msg)
+mentions_self(const struct member_core *core, const struct member_msg *msg)
 {
     uint64_t self = core->entries[core->self].member.id;
 
@@ -280,17 +283,17 @@
      * if others have long heard it: this sender has not. */
     if (first != NULL && first->member.health == MEMBER_ALIVE)
         first = NULL;
-    if (self->urgent || tells_of_self(core, msg))
+    if (self->urgent || mentions_self(core, msg))
         first = self;
-    answer = member_send(core, mine ? MEMBER_ACK : MEMBER_NOT_ME, from, now_us,
-                         out);
+    answer = member_send(core, mine ? MEMBER_ACK : MEMBER_WRONG_TARGET, from,
+                         now_us, out);
     answer->target = msg->target;
     answer->seq = msg->seq;
     member_attach(core, answer, first, now_us);
 }
 
 static void
-receive_ping_for(struct member_core *core, const struct member_msg *msg,
+receive_ping_req(struct member_core *core, const struct member_msg *msg,
                  struct addr from, uint64_t now_us, struct member_actions *out)
 {
     struct member_entry *entry = member_lookup(core, msg->target);
@@ -304,16 +307,16 @@
         return;
     relay->target = msg->target;
     relay->seq = ++core->next_seq;
-    relay->asker = from;
-    relay->asker_seq = msg->seq;
+    relay->requester = from;
+    relay->requester_seq = msg->seq;
     relay->resend_us = now_us + MEMBER_RESEND_US;
     relay->tries_left = MEMBER_RELAY_TRIES;
     send_ping(core, entry, relay->seq, now_us, out);
 }
 
 static void
-pass_on_ack(struct member_core *core, const struct member_msg *msg,
-            uint64_t now_us, struct member_actions *out)
+relay_ack(struct member_core *core, const struct member_msg *msg,
+          uint64_t now_us, struct member_actions *out)
 {
     for (size_t i = 0; i < MEMBER_RELAYS_MAX; i++) {
         struct member_relay *relay = &core->relays[i];
@@ -323,9 +326,9 @@
             relay->target != msg->target)
             continue;
         relay->tries_left = 0;
-        answer = member_send(core, MEMBER_ACK, relay->asker, now_us, out);
+        answer = member_send(core, MEMBER_ACK, relay->requester, now_us, out);
         answer->target = relay->target;
-        answer->seq = relay->asker_seq;
+        answer->seq = relay->requester_seq;
         member_attach(core, answer, NULL, now_us);
     }
 }
@@ -339,13 +342,13 @@
             core->probes[i].target == msg->target)
             core->probes[i].active = false;
     }
-    pass_on_ack(core, msg, now_us, out);
+    relay_ack(core, msg, now_us, out);
 }
 
 /* Another process has taken over the address of @target. */
 static void
-receive_not_me(struct member_core *core, const struct member_msg *msg,
-               struct addr from, uint64_t now_us)
+receive_wrong_target(struct member_core *core, const struct member_msg *msg,
+                     struct addr from, uint64_t now_us)
 {
     const struct member_entry *entry = member_lookup(core, msg->target);
 
@@ -363,14 +366,14 @@
     case MEMBER_PING:
         receive_ping(core, msg, from, now_us, out);
         break;
-    case MEMBER_PING_FOR:
-        receive_ping_for(core, msg, from, now_us, out);
+    case MEMBER_PING_REQ:
+        receive_ping_req(core, msg, from, now_us, out);
         break;
     case MEMBER_ACK:
         receive_ack(core, msg, now_us, out);
         break;
-    case MEMBER_NOT_ME:
-        receive_not_me(core, msg, from, now_us);
+    case MEMBER_WRONG_TARGET:
+        receive_wrong_target(core, msg, from, now_us);
         break;
     default:
         break;
--- a/src/control/member_sync.c
+++ b/src/control/member_sync.c
@@ -12,7 +12,7 @@
                   struct member_actions *out)
 {
     struct member_msg *msg =
-        member_send(core, MEMBER_SYNC_LIST, to, now_us, out);
+        member_send(core, MEMBER_SYNC_SUMMARY, to, now_us, out);
 
     msg->summary = g_new(struct member_summary, core->count);
     for (size_t i = 0; i < core->count; i++) {
@@ -26,14 +26,15 @@
     }
     core->stats.syncs++;
     core->mismatch_us = 0;
-    core->sync_us = now_us + random_between(&core->random, MEMBER_SYNC_GAP_US,
-                                            2 * MEMBER_SYNC_GAP_US);
+    core->sync_us =
+        now_us + random_between(&core->random, MEMBER_SYNC_INTERVAL_US,
+                                2 * MEMBER_SYNC_INTERVAL_US);
 }
 
 /* Adds an entry to a sync message while the bucket pays for it. */
 static bool
-add_paid(struct member_core *core, struct member_msg *msg,
-         const struct member_entry *entry, uint64_t now_us)
+add_within_budget(struct member_core *core, struct member_msg *msg,
+                  const struct member_entry *entry, uint64_t now_us)
 {
     struct member_update update = member_update_of(entry);
 
@@ -53,8 +54,8 @@
 }
 
 static void
-answer_list(struct member_core *core, const struct member_msg *msg,
-            struct addr from, uint64_t now_us, struct member_actions *out)
+reply_sync(struct member_core *core, const struct member_msg *msg,
+           struct addr from, uint64_t now_us, struct member_actions *out)
 {
     struct member_msg *answer;
     size_t first = random_below(&core->random, core->count);
@@ -63,7 +64,7 @@
     core->joined = true;
     qsort(msg->summary, msg->summary_count, sizeof(msg->summary[0]),
           compare_summary);
-    answer = member_send(core, MEMBER_SYNC_ANSWER, from, now_us, out);
+    answer = member_send(core, MEMBER_SYNC_REPLY, from, now_us, out);
     answer->updates = g_new(struct member_update, core->count);
     answer->want = g_new(uint64_t, msg->summary_count);
     for (size_t i = 0; i < core->count; i++) {
@@ -78,7 +79,7 @@
             continue;
         if (theirs != NULL && theirs->digest == entry->digest)
             continue;
-        if (!add_paid(core, answer, entry, now_us))
+        if (!add_within_budget(core, answer, entry, now_us))
             break;
     }
     for (size_t i = 0; i < msg->summary_count; i++) {
@@ -91,7 +92,7 @@
 }
 
 static void
-push_wanted(struct member_core *core, const struct member_msg *msg,
+send_wanted(struct member_core *core, const struct member_msg *msg,
             struct addr from, uint64_t now_us, struct member_actions *out)
 {
     struct member_msg *answer;
@@ -101,8 +102,8 @@
      * budget. Somebody else is asked soon. */
     if (msg->digest != core->digest)
         core->sync_us =
-            now_us + random_between(&core->random, MEMBER_SYNC_SOON_US,
-                                    2 * MEMBER_SYNC_SOON_US);
+            now_us + random_between(&core->random, MEMBER_SYNC_RETRY_US,
+                                    2 * MEMBER_SYNC_RETRY_US);
     if (msg->want_count == 0)
         return;
     answer = member_send(core, MEMBER_SYNC_PUSH, from, now_us, out);
@@ -110,14 +111,14 @@
     for (size_t i = 0; i < msg->want_count; i++) {
         const struct member_entry *entry = member_lookup(core, msg->want[i]);
 
-        if (entry != NULL && !add_paid(core, answer, entry, now_us))
+        if (entry != NULL && !add_within_budget(core, answer, entry, now_us))
             return;
     }
 }
 
 static void
-welcome(struct member_core *core, struct addr from, uint64_t now_us,
-        struct member_actions *out)
+reply_join(struct member_core *core, struct addr from, uint64_t now_us,
+           struct member_actions *out)
 {
     struct member_msg *answer;
 
@@ -125,13 +126,14 @@
         core->stats.refused_joins++;
         return;
     }
-    answer = member_send(core, MEMBER_WELCOME, from, now_us, out);
+    answer = member_send(core, MEMBER_JOIN_REPLY, from, now_us, out);
     member_attach_sample(core, answer);
 }
 
 /* A newcomer syncs with a random member, so that seeds aren't flooded. */
 static void
-welcomed(struct member_core *core, uint64_t now_us, struct member_actions *out)
+handle_join_reply(struct member_core *core, uint64_t now_us,
+                  struct member_actions *out)
 {
     const struct member_entry *peer = member_random_alive(core);
 
@@ -148,16 +150,16 @@
 {
     switch (msg->kind) {
     case MEMBER_JOIN:
-        welcome(core, from, now_us, out);
+        reply_join(core, from, now_us, out);
         break;
-    case MEMBER_WELCOME:
-        welcomed(core, now_us, out);
+    case MEMBER_JOIN_REPLY:
+        handle_join_reply(core, now_us, out);
         break;
-    case MEMBER_SYNC_LIST:
-        answer_list(core, msg, from, now_us, out);
+    case MEMBER_SYNC_SUMMARY:
+        reply_sync(core, msg, from, now_us, out);
         break;
-    case MEMBER_SYNC_ANSWER:
-        push_wanted(core, msg, from, now_us, out);
+    case MEMBER_SYNC_REPLY:
+        send_wanted(core, msg, from, now_us, out);
         break;
     default:
         break;
@@ -222,17 +224,17 @@
     if (now_us < core->contact_us)
         return;
     if (core->joined)
-        core->contact_gap_us = MEMBER_SEED_GAP_US;
+        core->contact_interval_us = MEMBER_CONTACT_INTERVAL_US;
     else
-        core->contact_gap_us =
-            MIN(2 * core->contact_gap_us, MEMBER_SEED_GAP_US / 4);
+        core->contact_interval_us =
+            MIN(2 * core->contact_interval_us, MEMBER_CONTACT_INTERVAL_US / 4);
     core->contact_us =
-        now_us + random_between(&core->random, core->contact_gap_us / 2,
-                                core->contact_gap_us);
+        now_us + random_between(&core->random, core->contact_interval_us / 2,
+                                core->contact_interval_us);
     contact = next_contact(core);
     if (contact == NULL) {
         /* All contacts are known: a first sync may have been lost. */
-        welcomed(core, now_us, out);
+        handle_join_reply(core, now_us, out);
         return;
     }
     msg = member_send(core, MEMBER_JOIN, *contact, now_us, out);
--- a/src/control/member_table.c
+++ b/src/control/member_table.c
@@ -43,7 +43,7 @@
 
 /* Spreads the 32-bit digest, so that equal shares of two ids differ. */
 static uint64_t
-entry_share(const struct member_entry *entry)
+entry_digest_part(const struct member_entry *entry)
 {
     return entry->digest == 0 ? 0 : hash_pair(entry->member.id, entry->digest);
 }
@@ -75,7 +75,7 @@
 
         if (entry->member.id == 0 || entry->member.health != MEMBER_DEAD)
             continue;
-        if (oldest == NULL || entry->judged_us < oldest->judged_us)
+        if (oldest == NULL || entry->health_since_us < oldest->health_since_us)
             oldest = entry;
     }
     if (oldest == NULL)
@@ -97,7 +97,7 @@
 }
 
 static uint16_t
-rounds_to_send(const struct member_core *core)
+send_limit(const struct member_core *core)
 {
     uint16_t log = 1;
 
@@ -135,7 +135,7 @@
 {
     size_t position;
     size_t slot;
-    size_t place;
+    size_t probe_position;
 
     g_assert(id != 0);
     if (core->count == VIEW_MEMBERS_MAX && !evict_dead(core)) {
@@ -152,12 +152,13 @@
     core->entries[slot].member.id = id;
     core->entries[slot].member.since_us = now_us;
 
-    /* A random place in what is left of this round of probes. */
+    /* A random probe_position in what is left of this round of probes. */
     if (core->probe_count < core->entry_capacity) {
-        place =
+        probe_position =
             random_between(&core->random, core->probe_next, core->probe_count);
-        core->probe_order[core->probe_count] = core->probe_order[place];
-        core->probe_order[place] = slot;
+        core->probe_order[core->probe_count] =
+            core->probe_order[probe_position];
+        core->probe_order[probe_position] = slot;
         core->probe_count++;
     }
     return &core->entries[slot];
@@ -172,7 +173,7 @@
     memmove(&core->order[position], &core->order[position + 1],
             (core->count - position - 1) * sizeof(core->order[0]));
     core->count--;
-    core->digest ^= entry_share(entry);
+    core->digest ^= entry_digest_part(entry);
     if (entry->sends_left > 0)
         core->pending--;
     memset(entry, 0, sizeof(*entry));
@@ -180,16 +181,16 @@
 }
 
 void
-member_touch(struct member_core *core, struct member_entry *entry, bool urgent,
-             uint64_t now_us)
+member_mark_changed(struct member_core *core, struct member_entry *entry,
+                    bool urgent, uint64_t now_us)
 {
-    core->digest ^= entry_share(entry);
+    core->digest ^= entry_digest_part(entry);
     entry->digest = entry_digest(entry);
-    core->digest ^= entry_share(entry);
+    core->digest ^= entry_digest_part(entry);
     if (entry->sends_left == 0)
         core->pending++;
-    entry->sends_left = rounds_to_send(core);
-    entry->news = ++core->news;
+    entry->sends_left = send_limit(core);
+    entry->change_seq = ++core->change_seq;
     entry->urgent = urgent;
     core->changed = true;
     if (urgent && core->push_us == 0)
@@ -247,10 +248,10 @@
 }
 
 static bool
-is_shown(const struct member_entry *entry, uint64_t now_us)
+is_visible(const struct member_entry *entry, uint64_t now_us)
 {
     return entry->member.health != MEMBER_DEAD ||
-           now_us < entry->judged_us + MEMBER_DEAD_SHOWN_US;
+           now_us < entry->health_since_us + MEMBER_DEAD_VISIBLE_US;
 }
 
 struct view *
@@ -264,7 +265,7 @@
     for (size_t i = 0; i < core->count; i++) {
         const struct member_entry *entry = &core->entries[core->order[i]];
 
-        if (!is_shown(entry, now_us))
+        if (!is_visible(entry, now_us))
             continue;
         if (core->order[i] == core->self)
             view->self = view->count;
--- a/src/control/seeds.c
+++ b/src/control/seeds.c
@@ -15,9 +15,10 @@
 {
     memset(core, 0, sizeof(*core));
     core->random.state = seed;
-    core->alone_us = now_us + SEEDS_START_US +
-                     random_below(&core->random, SEEDS_START_SPREAD_US);
-    core->read_us = core->alone_us;
+    core->isolated_read_us =
+        now_us + SEEDS_START_DELAY_US +
+        random_below(&core->random, SEEDS_START_JITTER_US);
+    core->read_us = core->isolated_read_us;
 }
 
 static int
@@ -99,8 +100,8 @@
 /* What the object should say: members known here, and for some rounds
  * those in it that nobody here knows yet. */
 static void
-want_list(const struct seeds_core *core, const struct member_core *members,
-          uint64_t cell, struct seed_list *list)
+wanted_seeds(const struct seeds_core *core, const struct member_core *members,
+             uint64_t cell, struct seed_list *list)
 {
     const struct member_entry *best[SEEDS_MAX];
     size_t count = best_ranked(members, cell, best);
@@ -131,11 +132,12 @@
 
 /* A lone process that learned something goes on soon. */
 static void
-hurry_alone(struct seeds_core *core, uint64_t now_us)
+advance_isolated_read(struct seeds_core *core, uint64_t now_us)
 {
-    uint64_t soon = now_us + random_below(&core->random, SEEDS_ALONE_SOON_US);
+    uint64_t soon =
+        now_us + random_below(&core->random, SEEDS_ISOLATED_RETRY_US);
 
-    core->alone_us = MIN(core->alone_us, soon);
+    core->isolated_read_us = MIN(core->isolated_read_us, soon);
 }
 
 static void
@@ -164,27 +166,28 @@
 
 /* None of the object's members answers a lone process, if it names any. */
 static bool
-is_useless(const struct seeds_core *core)
+lacks_live_member(const struct seeds_core *core)
 {
     return core->stored.count == 0 ||
            core->foreign_rounds >= SEEDS_FOREIGN_ROUNDS;
 }
 
 static enum seeds_action
-tick_alone(struct seeds_core *core, const struct member_core *members,
-           uint64_t cell, uint64_t now_us)
+tick_isolated(struct seeds_core *core, const struct member_core *members,
+              uint64_t cell, uint64_t now_us)
 {
-    if (now_us < core->alone_us)
+    if (now_us < core->isolated_read_us)
         return SEEDS_NOTHING;
-    if (core->known && is_useless(core)) {
-        want_list(core, members, cell, &core->pending);
+    if (core->known && lacks_live_member(core)) {
+        wanted_seeds(core, members, cell, &core->pending);
         if (!lists_equal(&core->pending, &core->stored)) {
-            core->alone_us = now_us + SEEDS_WRITE_US;
+            core->isolated_read_us = now_us + SEEDS_WRITE_INTERVAL_US;
             return start_call(core, SEEDS_WRITE, now_us);
         }
     }
-    core->alone_us = now_us + random_between(&core->random, SEEDS_ALONE_GAP_US,
-                                             3 * SEEDS_ALONE_GAP_US);
+    core->isolated_read_us =
+        now_us + random_between(&core->random, SEEDS_ISOLATED_INTERVAL_US,
+                                3 * SEEDS_ISOLATED_INTERVAL_US);
     return start_call(core, SEEDS_READ, now_us);
 }
 
@@ -194,16 +197,17 @@
 {
     if (now_us >= core->read_us) {
         core->read_us =
-            now_us + random_between(&core->random, SEEDS_READ_US * 3 / 4,
-                                    SEEDS_READ_US * 5 / 4);
+            now_us + random_between(&core->random,
+                                    SEEDS_READ_INTERVAL_US * 3 / 4,
+                                    SEEDS_READ_INTERVAL_US * 5 / 4);
         return start_call(core, SEEDS_READ, now_us);
     }
     if (!core->known || now_us < core->write_us)
         return SEEDS_NOTHING;
-    want_list(core, members, cell, &core->pending);
+    wanted_seeds(core, members, cell, &core->pending);
     if (lists_equal(&core->pending, &core->stored))
         return SEEDS_NOTHING;
-    core->write_us = now_us + SEEDS_WRITE_US;
+    core->write_us = now_us + SEEDS_WRITE_INTERVAL_US;
     return start_call(core, SEEDS_WRITE, now_us);
 }
 
@@ -218,11 +222,11 @@
         call_failed(core, now_us);
     }
     if (!members->joined && members->contact_count > 0)
-        return tick_alone(core, members, cell, now_us);
+        return tick_isolated(core, members, cell, now_us);
     if (member_rank(members, cell, NULL) > 0) {
         /* Whoever writes next reads first. */
         core->known = false;
-        core->read_us = MAX(now_us, core->call_us + SEEDS_WRITE_US);
+        core->read_us = MAX(now_us, core->call_us + SEEDS_WRITE_INTERVAL_US);
         return SEEDS_NOTHING;
     }
     if (core->known && core->foreign_rounds > 0 && !has_foreign(core, members))
@@ -252,7 +256,7 @@
     if (read.count > 0)
         core->foreign_rounds++;
     else
-        hurry_alone(core, now_us);
+        advance_isolated_read(core, now_us);
     core->stored = read;
 }
 
@@ -268,10 +272,10 @@
     }
     if (status == -ESTALE) {
         core->stats.lost_races++;
-        hurry_alone(core, now_us);
+        advance_isolated_read(core, now_us);
         core->known = false;
         core->read_us =
-            now_us + random_between(&core->random, 0, SEEDS_WRITE_US);
+            now_us + random_between(&core->random, 0, SEEDS_WRITE_INTERVAL_US);
         return;
     }
     call_failed(core, now_us);
--- a/src/control/seeds.h
+++ b/src/control/seeds.h
@@ -3,13 +3,13 @@
  *
  * It lists up to SEEDS_MAX members of a cell, so that a process whose
  * settings name no living member finds the others. Only the first-ranked
- * member writes it, by conditional update, at most once each SEEDS_WRITE_US
- * and only when the list changed; entries are merged by incarnation. Two
- * writers at once harm nobody: one update fails and is tried again after
- * another read. The writer also reads it now and then and tries members
- * that it doesn't know: two halves of a cell find each other so. A process
- * that finds nobody writes itself into an object that is missing or names
- * only members that don't answer.
+ * member writes it, by conditional update, at most once each
+ * SEEDS_WRITE_INTERVAL_US and only when the list changed; entries are merged
+ * by incarnation. Two writers at once harm nobody: one update fails and is
+ * tried again after another read. The writer also reads it now and then and
+ * tries members that it doesn't know: two halves of a cell find each other so.
+ * A process that finds nobody writes itself into an object that is missing or
+ * names only members that don't answer.
  */
 #ifndef SWIFTARCH_CONTROL_SEEDS_H
 #define SWIFTARCH_CONTROL_SEEDS_H
@@ -25,14 +25,14 @@
 
 #define SEEDS_MAX 16
 #define SEEDS_VALUE_MAX 4096
-#define SEEDS_WRITE_US (10 * USEC_PER_SEC)
-#define SEEDS_READ_US (60 * USEC_PER_SEC)
+#define SEEDS_WRITE_INTERVAL_US (10 * USEC_PER_SEC)
+#define SEEDS_READ_INTERVAL_US (60 * USEC_PER_SEC)
 #define SEEDS_RETRY_MAX_US (60 * USEC_PER_SEC)
 #define SEEDS_CALL_TIMEOUT_US (5 * USEC_PER_SEC)
-#define SEEDS_START_US (3 * USEC_PER_SEC)
-#define SEEDS_START_SPREAD_US (5 * USEC_PER_SEC)
-#define SEEDS_ALONE_GAP_US (15 * USEC_PER_SEC)
-#define SEEDS_ALONE_SOON_US (2 * USEC_PER_SEC)
+#define SEEDS_START_DELAY_US (3 * USEC_PER_SEC)
+#define SEEDS_START_JITTER_US (5 * USEC_PER_SEC)
+#define SEEDS_ISOLATED_INTERVAL_US (15 * USEC_PER_SEC)
+#define SEEDS_ISOLATED_RETRY_US (2 * USEC_PER_SEC)
 #define SEEDS_FOREIGN_ROUNDS 3
 
 /** struct seed - one entry */
@@ -76,9 +76,9 @@
     struct random random;
     enum seeds_action calling;
     uint64_t call_us;
-    uint64_t write_us; /* earliest next write */
-    uint64_t read_us;  /* next read of the writer */
-    uint64_t alone_us; /* next read of a lone process */
+    uint64_t write_us;         /* earliest next write */
+    uint64_t read_us;          /* next read of the writer */
+    uint64_t isolated_read_us; /* next read of a lone process */
     uint64_t backoff_us;
     struct seeds_stats stats;
 };
--- a/src/control/view.h
+++ b/src/control/view.h
@@ -1,7 +1,7 @@
 /**
  * DOC: view - an immutable picture of a cell's members
  *
- * The membership controller publishes a new view on the board at each
+ * The membership controller publishes a new view on the blackboard at each
  * change; everyone else only reads. Members are sorted by id, so every
  * process that knows the same members gives them the same order.
  */
--- a/src/control/wire.c
+++ b/src/control/wire.c
@@ -156,7 +156,7 @@
 
 /* Calls @use with the protobuf form of @msg, whose arrays live meanwhile. */
 static size_t
-with_packed(const struct member_msg *msg, uint8_t *buf)
+pack_message(const struct member_msg *msg, uint8_t *buf)
 {
     Swiftarch__Gossip out;
     Swiftarch__GossipMember *members;
@@ -207,13 +207,13 @@
 size_t
 wire_size(const struct member_msg *msg)
 {
-    return with_packed(msg, NULL);
+    return pack_message(msg, NULL);
 }
 
 size_t
 wire_encode(const struct member_msg *msg, uint8_t *buf)
 {
-    return with_packed(msg, buf);
+    return pack_message(msg, buf);
 }
 
 int
--- a/src/directory/service.c
+++ b/src/directory/service.c
@@ -96,8 +96,8 @@
 load_blackboard(struct directory_service *service)
 {
     /* Only this thread replaces them, so no RCU read section is needed. */
-    const struct view *view = service->board->view;
-    const struct text *text = service->board->text;
+    const struct view *view = service->blackboard->view;
+    const struct text *text = service->blackboard->text;
     const char *cell = service->settings->cell;
     uint64_t version = text != NULL ? text->version : 0;
     struct directory_entry *own;
@@ -197,13 +197,14 @@
 
 int
 directory_service_init(struct directory_service *service,
-                       const struct settings *settings, struct board *board,
+                       const struct settings *settings,
+                       struct blackboard *blackboard,
                        struct counter_table *counters, struct error *err)
 {
     memset(service, 0, sizeof(*service));
     service->extension.ops = &service_ops;
     service->settings = settings;
-    service->board = board;
+    service->blackboard = blackboard;
     service->counters = counters;
     for (size_t i = 0; i < DIRECTORY_COUNTER_COUNT; i++) {
         int handle =
@@ -217,7 +218,7 @@
                              counter_names[i].name);
         service->handles[i] = handle;
     }
-    board->extension = &service->extension;
+    blackboard->extension = &service->extension;
     return 0;
 }
 
--- a/src/directory/service.h
+++ b/src/directory/service.h
@@ -12,7 +12,7 @@
 #include "base/counter.h"
 #include "base/error.h"
 #include "base/settings.h"
-#include "control/board.h"
+#include "control/blackboard.h"
 #include "control/extension.h"
 #include "directory/directory.h"
 #include "directory/table.h"
@@ -39,7 +39,7 @@
  * struct directory_service - directory of one process
  * @extension: callbacks for the control thread
  * @settings: process settings
- * @board: source of views and configurations
+ * @blackboard: source of views and configurations
  * @counters: table of the counters
  * @handles: counter handles
  * @core: protocol state; used by the control thread only
@@ -55,7 +55,7 @@
 struct directory_service {
     struct extension extension;
     const struct settings *settings;
-    struct board *board;
+    struct blackboard *blackboard;
     struct counter_table *counters;
     int handles[DIRECTORY_COUNTER_COUNT];
     struct directory_core core;
@@ -78,7 +78,8 @@
  */
 int
 directory_service_init(struct directory_service *service,
-                       const struct settings *settings, struct board *board,
+                       const struct settings *settings,
+                       struct blackboard *blackboard,
                        struct counter_table *counters, struct error *err);
 
 /**
--- a/src/orphans/backup.c
+++ b/src/orphans/backup.c
@@ -6,7 +6,7 @@
  * Start of each probe round after the owner was found dead. Some stacks reply
  * to only two unacceptable segments a second for each connection. The late
  * rounds are for callers whose replies were not reset because another member
- * was suspected, which lasts up to MEMBER_DEATH_US.
+ * was suspected, which lasts up to MEMBER_SUSPECT_TIMEOUT_US.
  */
 static const uint64_t round_starts_us[BACKUP_ROUNDS] = {
     0,
--- a/tests/agent/test_ingress.c
+++ b/tests/agent/test_ingress.c
@@ -96,7 +96,7 @@
     g_assert_cmpint(flow_set_view(agent->flows, view, hash_service("lots"),
                                   true, world->clock.now_us),
                     ==, 0);
-    board_publish_view(&agent->board, view);
+    blackboard_publish_view(&agent->blackboard, view);
 }
 
 static void
@@ -124,7 +124,7 @@
     agent->settings.data = (struct addr){INADDR_LOOPBACK, 0};
     agent->front.limits.connections = 1;
     pthread_mutex_init(&agent->flow_lock, NULL);
-    board_init(&agent->board);
+    blackboard_init(&agent->blackboard);
     counter_table_init(&agent->counters);
     ingress_register(agent);
     agent->base = event_base_new();
@@ -147,7 +147,7 @@
     flow_table_free(agent->flows);
     event_base_free(agent->base);
     counter_table_finish(&agent->counters);
-    board_finish(&agent->board);
+    blackboard_finish(&agent->blackboard);
     close(world->fabric);
 }
 
--- a/tests/agent/test_links.c
+++ b/tests/agent/test_links.c
@@ -94,7 +94,7 @@
     agent->settings.site_key_len = 16;
     pthread_mutex_init(&agent->flow_lock, NULL);
     agent->flows = flow_table_new(agent->self, 16);
-    board_init(&agent->board);
+    blackboard_init(&agent->blackboard);
     g_assert_cmpint(peer_links_init(agent, &err), ==, 0);
 }
 
@@ -103,7 +103,7 @@
 {
     peer_links_finish(agent);
     flow_table_free(agent->flows);
-    board_finish(&agent->board);
+    blackboard_finish(&agent->blackboard);
 }
 
 /* Makes @agent know one other agent, at @data. */
@@ -118,7 +118,7 @@
     view->members[0].id = hash_name(name);
     view->members[0].role = MEMBER_AGENT;
     view->members[0].data = data;
-    board_publish_view(&agent->board, view);
+    blackboard_publish_view(&agent->blackboard, view);
 }
 
 /** struct links - two agents on one loop; @a knows @b */
--- a/tests/balancer/builder_test.c
+++ b/tests/balancer/builder_test.c
@@ -15,7 +15,7 @@
     struct clock_manual clock;
     struct counter_table counters;
     struct trace trace;
-    struct board board;
+    struct blackboard blackboard;
     struct worker_pool pool;
     struct builder builder;
 };
@@ -28,15 +28,15 @@
     memset(setup, 0, sizeof(*setup));
     clock_manual_init(&setup->clock, 0);
     counter_table_init(&setup->counters);
-    board_init(&setup->board);
+    blackboard_init(&setup->blackboard);
     setup->trace.fd = -1;
     g_assert_cmpint(worker_pool_init(&setup->pool,
                                      (struct addr){0x7f000001, 0}, 1,
                                      &setup->owner, &setup->clock.base,
                                      &setup->counters, &setup->trace, &err),
                     ==, 0);
-    g_assert_cmpint(builder_init(&setup->builder, &setup->board, &setup->pool,
-                                 &setup->counters),
+    g_assert_cmpint(builder_init(&setup->builder, &setup->blackboard,
+                                 &setup->pool, &setup->counters),
                     ==, 0);
 }
 
@@ -44,7 +44,7 @@
 setup_finish(struct setup *setup)
 {
     worker_pool_finish(&setup->pool);
-    board_finish(&setup->board);
+    blackboard_finish(&setup->blackboard);
     counter_table_finish(&setup->counters);
 }
 
@@ -62,22 +62,23 @@
     struct text *text;
 
     g_assert_cmpint(builder_poll(&setup->builder), ==, 0);
-    board_publish_view(&setup->board, view_of(1, 2));
+    blackboard_publish_view(&setup->blackboard, view_of(1, 2));
     g_assert_cmpint(builder_poll(&setup->builder), ==, 0);
     g_assert_null(setup->pool.table);
 
-    g_assert_true(board_publish_text(&setup->board, route_fixture_text(), 0));
+    g_assert_true(blackboard_publish_config(&setup->blackboard,
+                                            route_fixture_text(), 0));
     g_assert_cmpint(builder_poll(&setup->builder), ==, 1);
     g_assert_cmpuint(setup->pool.table->services[0].count, ==, 2);
     g_assert_cmpint(builder_poll(&setup->builder), ==, 0);
 
-    board_publish_view(&setup->board, view_of(2, 3));
+    blackboard_publish_view(&setup->blackboard, view_of(2, 3));
     g_assert_cmpint(builder_poll(&setup->builder), ==, 1);
     g_assert_cmpuint(setup->pool.table->services[0].count, ==, 3);
 
     text = route_fixture_text();
     text->version = 7;
-    g_assert_true(board_publish_text(&setup->board, text, 0));
+    g_assert_true(blackboard_publish_config(&setup->blackboard, text, 0));
     g_assert_cmpint(builder_poll(&setup->builder), ==, 1);
     g_assert_cmpuint(setup->pool.table->config_version, ==, 7);
     g_assert_cmpuint(counter_read(&setup->counters, setup->builder.rebuilds),
--- a/tests/balancer/program_test.c
+++ b/tests/balancer/program_test.c
@@ -23,7 +23,7 @@
 /** struct control - fake that records the calls of the balancer */
 struct control {
     const struct settings *settings;
-    struct board *board;
+    struct blackboard *blackboard;
     int announced;
     uint64_t dead;
     int stopped;
@@ -32,11 +32,11 @@
 static struct control fake;
 
 struct control *
-control_start(const struct settings *settings, struct board *board,
+control_start(const struct settings *settings, struct blackboard *blackboard,
               struct clock *clock, struct counter_table *counters,
               struct error *err)
 {
-    fake.board = board;
+    fake.blackboard = blackboard;
     __atomic_store_n(&fake.settings, settings, __ATOMIC_SEQ_CST);
     return &fake;
 }
@@ -182,7 +182,7 @@
             member->data = data;
     }
     sample_sort(view);
-    board_publish_view(fake.board, view);
+    blackboard_publish_view(fake.blackboard, view);
 }
 
 static void
@@ -221,7 +221,8 @@
     g_assert_cmpint(http_get("/ready", response), ==, 503);
     publish_view(1, data);
     g_assert_cmpint(http_get("/ready", response), ==, 503);
-    g_assert_true(board_publish_text(fake.board, route_fixture_text(), 0));
+    g_assert_true(
+        blackboard_publish_config(fake.blackboard, route_fixture_text(), 0));
     wait_ready(200);
     send_packet(caller);
     expect_packet(endpoint);
@@ -231,7 +232,8 @@
 
     kill(getpid(), SIGTERM);
     wait_ready(503);
-    g_assert_cmpint(board_local(fake.board, NULL).state, ==, MEMBER_LEAVING);
+    g_assert_cmpint(blackboard_local(fake.blackboard, NULL).state, ==,
+                    MEMBER_LEAVING);
     g_assert_cmpint(__atomic_load_n(&fake.announced, __ATOMIC_SEQ_CST), ==,
                     2); /* ready, leaving */
     for (int i = 0; i < 10; i++) {
@@ -253,7 +255,8 @@
 
     run_start(&run);
     publish_view(1, data);
-    g_assert_true(board_publish_text(fake.board, route_fixture_text(), 0));
+    g_assert_true(
+        blackboard_publish_config(fake.blackboard, route_fixture_text(), 0));
     wait_ready(200);
 
     close(endpoint); /* refusals are reported to the control thread */
--- a/tests/control/cell.c
+++ b/tests/control/cell.c
@@ -16,12 +16,12 @@
     cell->answer_us = 5 * USEC_PER_MSEC;
     cell->now_us = 100 * USEC_PER_SEC;
     for (size_t i = 0; i < count; i++) {
-        struct config_place place = {
+        struct config_membership membership = {
             .rank = i, .alive = count, .joined = true, .has_contacts = true};
 
         config_core_init(&cell->nodes[i].config, random_next(&cell->random),
                          cell->now_us);
-        config_set_place(&cell->nodes[i].config, &place);
+        config_set_membership(&cell->nodes[i].config, &membership);
     }
 }
 
@@ -58,27 +58,27 @@
 {
     node->done_us = cell->now_us + after_us;
     node->status = status;
-    node->answer = status == 0 ? cell->shown : 0;
+    node->answer = status == 0 ? cell->served_version : 0;
 }
 
 /* What the platform does with a call that waits for its answer. */
 static void
-serve(struct cell *cell, struct cell_node *node)
+answer_call(struct cell *cell, struct cell_node *node)
 {
     uint64_t waited = cell->now_us - node->begun_us;
-    bool over = waited >= CONFIG_WAIT_S * USEC_PER_SEC;
+    bool over = waited >= CONFIG_WATCH_TIMEOUT_S * USEC_PER_SEC;
 
-    if (cell->down || node->cut_off || chance(cell, cell->lost)) {
+    if (cell->down || node->platform_unreachable || chance(cell, cell->lost)) {
         end_call(cell, node, -ETIMEDOUT, TIMEOUT_US);
         return;
     }
-    if (cell->shown == 0)
+    if (cell->served_version == 0)
         end_call(cell, node, -ENOENT, cell->answer_us);
     else if (!node->watching)
         end_call(cell, node, 0, cell->answer_us);
     else if (chance(cell, cell->watch_ends))
         end_call(cell, node, -ECONNRESET, 0);
-    else if (cell->shown > node->after && !node->skips)
+    else if (cell->served_version > node->after && !node->skips)
         end_call(cell, node, 0, cell->answer_us);
     else if (over)
         end_call(cell, node, -EAGAIN, cell->answer_us);
@@ -88,31 +88,34 @@
 finish_call(struct cell *cell, struct cell_node *node)
 {
     node->calling = false;
-    if (config_answered(&node->config, node->status, node->answer,
-                        cell->now_us))
-        config_adopted(&node->config, node->answer, cell->now_us);
+    if (config_handle_platform_reply(&node->config, node->status, node->answer,
+                                     cell->now_us))
+        config_applied(&node->config, node->answer, cell->now_us);
 }
 
 /* Each process hears one other, as gossip would bring it. */
 static void
-spread(struct cell *cell)
+spread_versions(struct cell *cell)
 {
     uint64_t best = 0;
-    uint64_t word = 0;
+    uint64_t confirmed = 0;
 
     for (size_t i = 0; i < cell->count; i++)
         best = MAX(best, cell->nodes[i].config.have);
     for (size_t i = 0; i < cell->count; i++) {
         if (cell->nodes[i].config.have == best)
-            word = MAX(word, cell->nodes[i].config.word_us);
+            confirmed = MAX(confirmed, cell->nodes[i].config.confirmed_us);
     }
     for (size_t i = 0; i < cell->count; i++) {
         struct config_core *config = &cell->nodes[i].config;
-        uint32_t age = word == 0 ? UINT32_MAX : (cell->now_us - word) / 1000;
-
-        config_heard(config, (struct addr){1, 1}, best, age, cell->now_us);
-        if (config->fetching && config_fetched(config, best, cell->now_us))
-            config_adopted(config, best, 0);
+        uint32_t age =
+            confirmed == 0 ? UINT32_MAX : (cell->now_us - confirmed) / 1000;
+
+        config_handle_peer_version(config, (struct addr){1, 1}, best, age,
+                                   cell->now_us);
+        if (config->fetching &&
+            config_handle_fetch_reply(config, best, cell->now_us))
+            config_applied(config, best, 0);
     }
 }
 
@@ -125,7 +128,7 @@
         uint64_t had = node->config.have;
 
         if (node->calling && node->done_us == 0)
-            serve(cell, node);
+            answer_call(cell, node);
         if (node->calling && node->done_us != 0 &&
             cell->now_us >= node->done_us)
             finish_call(cell, node);
@@ -146,7 +149,7 @@
             cell->now_us += STEP_US;
             step(cell);
         }
-        spread(cell);
+        spread_versions(cell);
         cell->second++;
     }
 }
@@ -172,7 +175,7 @@
 }
 
 size_t
-cell_behind(const struct cell *cell)
+cell_count_outdated(const struct cell *cell)
 {
     size_t behind = 0;
 
--- a/tests/control/cell.h
+++ b/tests/control/cell.h
@@ -16,14 +16,14 @@
 
 /**
  * struct cell_node - one process; its call to the platform, if one is out
- * @cut_off: it doesn't reach the platform
+ * @platform_unreachable: it doesn't reach the platform
  */
 struct cell_node {
     struct config_core config;
     bool calling;
     bool watching;
     bool skips;
-    bool cut_off;
+    bool platform_unreachable;
     uint64_t after;
     uint64_t begun_us;
     uint64_t done_us;
@@ -34,7 +34,7 @@
 /**
  * struct cell - see DOC
  * @version: of the platform's object
- * @shown: version that the platform answers (older after a fault)
+ * @served_version: version that the platform answers (older after a fault)
  * @down: no answer; calls fail after 2.5 s
  * @answer_us: time to answer
  * @lost: answers lost, of 1000
@@ -47,7 +47,7 @@
     size_t count;
     uint64_t now_us;
     uint64_t version;
-    uint64_t shown;
+    uint64_t served_version;
     bool down;
     uint64_t answer_us;
     unsigned lost;
@@ -79,8 +79,8 @@
 uint32_t
 cell_peak(const struct cell *cell, size_t first, size_t seconds);
 
-/** cell_behind() - processes whose version is below the platform's */
+/** cell_count_outdated() - processes whose version is below the platform's */
 size_t
-cell_behind(const struct cell *cell);
+cell_count_outdated(const struct cell *cell);
 
 #endif
--- a/tests/control/net.c
+++ b/tests/control/net.c
@@ -159,7 +159,8 @@
         g_free(event.bytes);
         return;
     }
-    if (net->nodes[to].group != node->group || net->nodes[to].deaf_to == i ||
+    if (net->nodes[to].group != node->group ||
+        net->nodes[to].blocked_from == i ||
         (!action->stream && random_below(&net->random, 1000) < net->loss)) {
         g_free(event.bytes);
         return;
@@ -199,14 +200,15 @@
 step(struct net *net, size_t i)
 {
     struct net_node *node = &net->nodes[i];
-    struct config_place place = {.rank = SIZE_MAX, .alive = 1, .joined = true};
+    struct config_membership membership = {
+        .rank = SIZE_MAX, .alive = 1, .joined = true};
     struct config_actions actions;
     struct net_event tick = {.type = NET_TICK, .node = i};
     uint64_t next;
 
-    config_set_place(&node->config, &place);
+    config_set_membership(&node->config, &membership);
     /* Nobody starves here either. */
-    node->config.word_us = net->now_us;
+    node->config.confirmed_us = net->now_us;
     config_tick(&node->config, net->now_us, &actions);
     for (size_t j = 0; j < actions.count; j++) {
         if (actions.items[j].type == CONFIG_FETCH)
@@ -258,7 +260,7 @@
                                   self.member.id, wall_ms(net)),
                         ==, 0);
     node->running = true;
-    node->deaf_to = SIZE_MAX;
+    node->blocked_from = SIZE_MAX;
     node->frozen_us = 0;
     node->tick_us = 0;
     node->adopted_us = 0;
@@ -293,7 +295,7 @@
 
     if (version <= node->config.have)
         return;
-    config_adopted(&node->config, version, net->now_us);
+    config_applied(&node->config, version, net->now_us);
     node->adopted_us = net->now_us;
     step(net, i);
 }
@@ -329,8 +331,9 @@
                    &net->out);
     sender = member_find(&node->members, from);
     if (sender != NULL)
-        config_heard(&node->config, sender->member.control, msg.config_version,
-                     msg.word_age_ms, net->now_us);
+        config_handle_peer_version(&node->config, sender->member.control,
+                                   msg.config_version, msg.word_age_ms,
+                                   net->now_us);
     member_msg_finish(&msg);
 }
 
@@ -351,13 +354,14 @@
 }
 
 static void
-take_fetched(struct net *net, const struct net_event *event)
+handle_fetched(struct net *net, const struct net_event *event)
 {
     struct net_node *node = &net->nodes[event->node];
 
     node->stream_bytes_in += FRAME_OVERHEAD + net->body_len;
-    if (config_fetched(&node->config, event->version, net->now_us)) {
-        config_adopted(&node->config, event->version, 0);
+    if (config_handle_fetch_reply(&node->config, event->version,
+                                  net->now_us)) {
+        config_applied(&node->config, event->version, 0);
         node->adopted_us = net->now_us;
     }
 }
@@ -387,13 +391,13 @@
     case NET_REFUSED:
         member_refused(&node->members, event->from_addr, net->now_us);
         if (node->config.fetching)
-            config_fetched(&node->config, 0, net->now_us);
+            config_handle_fetch_reply(&node->config, 0, net->now_us);
         break;
     case NET_FETCH:
         answer_fetch(net, event);
         break;
     case NET_FETCHED:
-        take_fetched(net, event);
+        handle_fetched(net, event);
         break;
     }
     step(net, event->node);
--- a/tests/control/net.h
+++ b/tests/control/net.h
@@ -19,7 +19,7 @@
  * @frozen_us: until then it doesn't run; what comes waits
  * @refuses: once killed, its host still answers that nobody listens
  * @group: nodes of different groups don't hear each other
- * @deaf_to: node whose messages don't arrive here, SIZE_MAX for none
+ * @blocked_from: node whose messages don't arrive here, SIZE_MAX for none
  */
 struct net_node {
     struct member_core members;
@@ -31,7 +31,7 @@
     bool running;
     bool refuses;
     unsigned group;
-    size_t deaf_to;
+    size_t blocked_from;
     uint64_t frozen_us;
     uint64_t tick_us;
     struct addr fetch_from;
--- a/tests/control/test_config.c
+++ b/tests/control/test_config.c
@@ -15,7 +15,7 @@
 publish(struct cell *cell, uint64_t version)
 {
     cell->version = version;
-    cell->shown = version;
+    cell->served_version = version;
 }
 
 /* Calls a second of a whole cell: in rest, and in an hour without the
@@ -28,7 +28,7 @@
     cell_init(cell, count, 11 + count);
     publish(cell, 1);
     cell_run(cell, 100);
-    g_assert_cmpuint(cell_behind(cell), ==, 0);
+    g_assert_cmpuint(cell_count_outdated(cell), ==, 0);
     *rest = cell_calls(cell, 30, 70) / 70.0;
     cell->down = true;
     cell_run(cell, HOUR_S);
@@ -38,7 +38,7 @@
     publish(cell, 2);
     cell_run(cell, 30);
     *peak = cell_peak(cell, 100 + HOUR_S, 30);
-    g_assert_cmpuint(cell_behind(cell), ==, 0);
+    g_assert_cmpuint(cell_count_outdated(cell), ==, 0);
     /* Those who read for themselves leave it to the readers again. */
     cell_run(cell, 300);
     g_assert_cmpfloat(cell_calls(cell, 230 + HOUR_S, 200) / 200.0, <, 0.7);
@@ -82,7 +82,7 @@
         unsigned waited = 0;
 
         publish(cell, version);
-        while (cell_behind(cell) > 0 && waited < 60) {
+        while (cell_count_outdated(cell) > 0 && waited < 60) {
             cell_run(cell, 1);
             waited++;
         }
@@ -139,12 +139,12 @@
     publish(cell, 1);
     cell_run(cell, 30);
     for (size_t i = 0; i < 19; i++)
-        cell->nodes[i].cut_off = true;
+        cell->nodes[i].platform_unreachable = true;
     /* Turns of 20 members, each a call in 5 s on average: at most 150 s. */
     cell_run(cell, 165);
     publish(cell, 2);
     cell_run(cell, 14);
-    g_assert_cmpuint(cell_behind(cell), ==, 0);
+    g_assert_cmpuint(cell_count_outdated(cell), ==, 0);
     g_assert_cmpuint(cell_peak(cell, 30, 179), <=, 5);
 }
 
@@ -154,33 +154,36 @@
     struct config_core core;
 
     config_core_init(&core, 1, USEC_PER_SEC);
-    g_assert_true(config_answered(&core, 0, 5, 2 * USEC_PER_SEC));
-    config_adopted(&core, 5, 2 * USEC_PER_SEC);
-    g_assert_false(config_answered(&core, 0, 4, 3 * USEC_PER_SEC));
+    g_assert_true(config_handle_platform_reply(&core, 0, 5, 2 * USEC_PER_SEC));
+    config_applied(&core, 5, 2 * USEC_PER_SEC);
+    g_assert_false(
+        config_handle_platform_reply(&core, 0, 4, 3 * USEC_PER_SEC));
     g_assert_cmpuint(core.stats.stale, ==, 1);
     /* Nor is its answer a word on the version in force. */
-    g_assert_cmpuint(core.word_us, ==, 2 * USEC_PER_SEC);
-    g_assert_false(config_answered(&core, -ENOENT, 0, 4 * USEC_PER_SEC));
-    g_assert_cmpuint(core.word_us, ==, 2 * USEC_PER_SEC);
-    config_heard(&core, peer_a, 4, 0, 5 * USEC_PER_SEC);
+    g_assert_cmpuint(core.confirmed_us, ==, 2 * USEC_PER_SEC);
+    g_assert_false(
+        config_handle_platform_reply(&core, -ENOENT, 0, 4 * USEC_PER_SEC));
+    g_assert_cmpuint(core.confirmed_us, ==, 2 * USEC_PER_SEC);
+    config_handle_peer_version(&core, peer_a, 4, 0, 5 * USEC_PER_SEC);
     g_assert_cmpuint(core.source_count, ==, 0);
-    g_assert_cmpuint(core.word_us, ==, 2 * USEC_PER_SEC);
-    g_assert_false(config_fetched(&core, 4, 5 * USEC_PER_SEC));
+    g_assert_cmpuint(core.confirmed_us, ==, 2 * USEC_PER_SEC);
+    g_assert_false(config_handle_fetch_reply(&core, 4, 5 * USEC_PER_SEC));
     g_assert_cmpuint(core.have, ==, 5);
 }
 
 /* A fetch that fails goes to another who said that it has the version. */
 TEST(fetch_elsewhere)
 {
-    struct config_place place = {.rank = 9, .alive = 10, .joined = true};
+    struct config_membership membership = {
+        .rank = 9, .alive = 10, .joined = true};
     struct config_actions actions;
     struct config_core core;
     uint64_t now = USEC_PER_SEC;
 
     config_core_init(&core, 1, now);
-    config_set_place(&core, &place);
-    config_heard(&core, peer_a, 8, UINT32_MAX, now);
-    config_heard(&core, peer_b, 8, UINT32_MAX, now);
+    config_set_membership(&core, &membership);
+    config_handle_peer_version(&core, peer_a, 8, UINT32_MAX, now);
+    config_handle_peer_version(&core, peer_b, 8, UINT32_MAX, now);
     config_tick(&core, now, &actions);
     g_assert_cmpuint(actions.count, ==, 1);
     g_assert_cmpint(actions.items[0].type, ==, CONFIG_FETCH);
@@ -189,8 +192,8 @@
     config_tick(&core, now, &actions);
     g_assert_cmpuint(actions.count, ==, 1);
     g_assert_true(addr_equal(actions.items[0].from, peer_b));
-    g_assert_true(config_fetched(&core, 8, now));
-    config_adopted(&core, 8, 0);
+    g_assert_true(config_handle_fetch_reply(&core, 8, now));
+    config_applied(&core, 8, 0);
     config_tick(&core, now, &actions);
     g_assert_cmpuint(actions.count, ==, 0);
     g_assert_cmpuint(core.stats.failed_fetches, ==, 1);
@@ -200,46 +203,48 @@
  * comes later; a word on another version says nothing of it. */
 TEST(word_with_fetch)
 {
-    struct config_place place = {.rank = 9, .alive = 10, .joined = true};
+    struct config_membership membership = {
+        .rank = 9, .alive = 10, .joined = true};
     struct config_actions actions;
     struct config_core core;
     uint64_t now = 10 * USEC_PER_SEC;
 
     config_core_init(&core, 1, now);
-    config_set_place(&core, &place);
-    config_heard(&core, peer_a, 7, 0, now);
-    config_heard(&core, peer_b, 8, 500, now);
-    config_heard(&core, peer_b, 8, UINT32_MAX, now);
+    config_set_membership(&core, &membership);
+    config_handle_peer_version(&core, peer_a, 7, 0, now);
+    config_handle_peer_version(&core, peer_b, 8, 500, now);
+    config_handle_peer_version(&core, peer_b, 8, UINT32_MAX, now);
     config_tick(&core, now, &actions);
     g_assert_cmpuint(actions.count, ==, 1);
-    g_assert_true(config_fetched(&core, 8, now + USEC_PER_SEC));
-    config_adopted(&core, 8, 0);
-    g_assert_cmpuint(core.word_us, ==, now - 500 * USEC_PER_MSEC);
-    g_assert_cmpuint(core.other_word_us, ==, now - 500 * USEC_PER_MSEC);
-
-    config_heard(&core, peer_a, 9, 0, now + USEC_PER_SEC);
-    config_adopted(&core, 10, 0);
-    g_assert_cmpuint(core.word_us, ==, now - 500 * USEC_PER_MSEC);
+    g_assert_true(config_handle_fetch_reply(&core, 8, now + USEC_PER_SEC));
+    config_applied(&core, 8, 0);
+    g_assert_cmpuint(core.confirmed_us, ==, now - 500 * USEC_PER_MSEC);
+    g_assert_cmpuint(core.peer_confirmed_us, ==, now - 500 * USEC_PER_MSEC);
+
+    config_handle_peer_version(&core, peer_a, 9, 0, now + USEC_PER_SEC);
+    config_applied(&core, 10, 0);
+    g_assert_cmpuint(core.confirmed_us, ==, now - 500 * USEC_PER_MSEC);
 }
 
 /* A body that is no valid text isn't asked for again and again. */
 TEST(refused_body)
 {
-    struct config_place place = {.rank = 0, .alive = 1, .joined = true};
+    struct config_membership membership = {
+        .rank = 0, .alive = 1, .joined = true};
     struct config_actions actions;
     struct config_core core;
 
     config_core_init(&core, 1, USEC_PER_SEC);
-    config_set_place(&core, &place);
-    g_assert_true(config_answered(&core, 0, 3, USEC_PER_SEC));
+    config_set_membership(&core, &membership);
+    g_assert_true(config_handle_platform_reply(&core, 0, 3, USEC_PER_SEC));
     config_refuse(&core, 3);
-    config_heard(&core, peer_a, 3, 0, USEC_PER_SEC);
+    config_handle_peer_version(&core, peer_a, 3, 0, USEC_PER_SEC);
     config_tick(&core, 2 * USEC_PER_SEC, &actions);
     g_assert_cmpuint(actions.count, ==, 1);
     g_assert_cmpint(actions.items[0].type, ==, CONFIG_WATCH);
     g_assert_cmpuint(actions.items[0].after, ==, 3);
     g_assert_cmpuint(core.have, ==, 0);
-    config_heard(&core, peer_a, 4, 0, USEC_PER_SEC);
+    config_handle_peer_version(&core, peer_a, 4, 0, USEC_PER_SEC);
     g_assert_cmpuint(core.source_count, ==, 1);
 }
 
@@ -249,23 +254,24 @@
 {
     publish(cell, 1);
     for (size_t i = 0; i < 40; i++) {
-        struct config_place place = {.alive = 1, .has_contacts = true};
+        struct config_membership membership = {.alive = 1,
+                                               .has_contacts = true};
 
-        config_set_place(&cell->nodes[i].config, &place);
+        config_set_membership(&cell->nodes[i].config, &membership);
     }
     cell_run(cell, 2);
     for (size_t i = 0; i < 40; i++) {
-        struct config_place place = {
+        struct config_membership membership = {
             .alive = 2, .joined = true, .has_contacts = true};
 
-        config_set_place(&cell->nodes[i].config, &place);
+        config_set_membership(&cell->nodes[i].config, &membership);
     }
     cell_run(cell, 5);
     for (size_t i = 0; i < 40; i++) {
-        struct config_place place = {
+        struct config_membership membership = {
             .rank = i, .alive = 40, .joined = true, .has_contacts = true};
 
-        config_set_place(&cell->nodes[i].config, &place);
+        config_set_membership(&cell->nodes[i].config, &membership);
     }
     cell_run(cell, 100);
     g_assert_cmpfloat(cell_calls(cell, 27, 80) / 80.0, <, 0.7);
@@ -280,9 +286,10 @@
 
     cell_init(cell, PROCESSES, 3);
     for (size_t i = 0; i < PROCESSES; i++) {
-        struct config_place place = {.alive = 1, .has_contacts = true};
+        struct config_membership membership = {.alive = 1,
+                                               .has_contacts = true};
 
-        config_set_place(&cell->nodes[i].config, &place);
+        config_set_membership(&cell->nodes[i].config, &membership);
     }
     cell->down = true;
     cell_run(cell, 120);
--- a/tests/control/test_control.c
+++ b/tests/control/test_control.c
@@ -18,7 +18,7 @@
 
 struct node {
     struct settings settings;
-    struct board board;
+    struct blackboard blackboard;
     struct counter_table counters;
     struct control *control;
 };
@@ -76,14 +76,14 @@
 start_node(struct fixture *f, size_t i)
 {
     struct node *node = &f->nodes[i];
-    struct board_local local = {.state = MEMBER_READY, .service = 7};
+    struct blackboard_local local = {.state = MEMBER_READY, .service = 7};
     struct error err = {0};
 
-    board_init(&node->board);
+    blackboard_init(&node->blackboard);
     g_assert_cmpint(counter_table_init(&node->counters), ==, 0);
-    board_set_local(&node->board, &local);
-    node->control = control_start(&node->settings, &node->board, &f->clock,
-                                  &node->counters, &err);
+    blackboard_set_local(&node->blackboard, &local);
+    node->control = control_start(&node->settings, &node->blackboard,
+                                  &f->clock, &node->counters, &err);
     if (node->control == NULL)
         g_error("%s: %s", err.step, err.detail);
 }
@@ -92,7 +92,7 @@
 stop_node(struct fixture *f, size_t i)
 {
     control_stop(f->nodes[i].control);
-    board_finish(&f->nodes[i].board);
+    blackboard_finish(&f->nodes[i].blackboard);
     counter_table_finish(&f->nodes[i].counters);
     f->nodes[i].control = NULL;
 }
@@ -123,7 +123,7 @@
     bool ok;
 
     rcu_read_lock();
-    text = board_text(&f->nodes[i].board);
+    text = blackboard_config(&f->nodes[i].blackboard);
     ok = text != NULL && text->version == version;
     rcu_read_unlock();
     return ok;
@@ -138,7 +138,7 @@
     bool ok = false;
 
     rcu_read_lock();
-    view = board_view(&f->nodes[i].board);
+    view = blackboard_view(&f->nodes[i].blackboard);
     member = view == NULL ? NULL : view_find(view, hash_name(name));
     if (member != NULL)
         ok = member->state == state && member->health == health;
@@ -153,7 +153,8 @@
     uint64_t incarnation = 0;
 
     rcu_read_lock();
-    member = view_find(board_view(&f->nodes[i].board), hash_name(name));
+    member =
+        view_find(blackboard_view(&f->nodes[i].blackboard), hash_name(name));
     if (member != NULL)
         incarnation = member->incarnation;
     rcu_read_unlock();
--- a/tests/control/test_member.c
+++ b/tests/control/test_member.c
@@ -187,9 +187,9 @@
 
     start(&core, "self", 1);
     member_merge(&core, &other, NOW);
-    member_judge(&core, member_lookup(&core, id), MEMBER_SUSPECT, NOW);
+    member_worsen_health(&core, member_lookup(&core, id), MEMBER_SUSPECT, NOW);
     member_tick(&core, NOW + 100, &out);
-    member_tick(&core, NOW + 2 * MEMBER_DEATH_US, &out);
+    member_tick(&core, NOW + 2 * MEMBER_SUSPECT_TIMEOUT_US, &out);
     g_assert_cmpint(member_find(&core, id)->member.health, ==, MEMBER_SUSPECT);
     g_assert_cmpuint(core.stats.stalls, ==, 1);
     g_assert_cmpuint(core.stats.deaths, ==, 0);
@@ -213,7 +213,7 @@
         member_receive(&core, &msg, from, NOW + i * 2000, &out);
     }
     for (size_t i = 0; i < out.count; i++)
-        welcomes += out.items[i].msg.kind == MEMBER_WELCOME;
+        welcomes += out.items[i].msg.kind == MEMBER_JOIN_REPLY;
     g_assert_cmpuint(welcomes, <=, MEMBER_JOIN_BURST + 10 * MEMBER_JOIN_RATE);
     g_assert_cmpuint(welcomes, >=, MEMBER_JOIN_BURST);
     g_assert_cmpuint(core.stats.refused_joins, ==, 5000 - welcomes);
@@ -259,7 +259,7 @@
     struct member_summary summary[2] = {{1, 2}, {UINT64_MAX, UINT32_MAX}};
     uint64_t want[1] = {77};
     struct member_msg msg = {
-        .kind = MEMBER_SYNC_ANSWER,
+        .kind = MEMBER_SYNC_REPLY,
         .seq = 5,
         .target = 6,
         .digest = 7,
@@ -408,7 +408,7 @@
                hash_pair(cell, member_self(&members)->member.id))
         cell++;
     seeds_core_init(&seeds, 1, now);
-    now += SEEDS_START_US + SEEDS_START_SPREAD_US;
+    now += SEEDS_START_DELAY_US + SEEDS_START_JITTER_US;
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==, SEEDS_READ);
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==,
                     SEEDS_NOTHING);
@@ -422,13 +422,13 @@
     member_merge(&members, &other, now);
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==,
                     SEEDS_NOTHING);
-    now += SEEDS_WRITE_US;
+    now += SEEDS_WRITE_INTERVAL_US;
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==, SEEDS_WRITE);
     g_assert_cmpuint(seeds.version, ==, 1);
     g_assert_cmpuint(seeds.pending.count, ==, 2);
     /* The race is lost to a half of the cell that we don't know. */
     seeds_write_done(&seeds, -ESTALE, 2, now);
-    now += SEEDS_WRITE_US;
+    now += SEEDS_WRITE_INTERVAL_US;
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==, SEEDS_READ);
     list.count = 1;
     g_strlcpy(list.items[0].name, "foreign", VIEW_NAME_MAX);
@@ -462,10 +462,10 @@
     start(&members, "self", 1);
     member_add_contact(&members, (struct addr){0x0a000009, 7000});
     seeds_core_init(&seeds, 1, now);
-    now += SEEDS_START_US + SEEDS_START_SPREAD_US;
+    now += SEEDS_START_DELAY_US + SEEDS_START_JITTER_US;
     g_assert_cmpint(seeds_tick(&seeds, &members, 1, now), ==, SEEDS_READ);
     seeds_read_done(&seeds, -ENOENT, 0, NULL, now);
-    now += SEEDS_ALONE_SOON_US;
+    now += SEEDS_ISOLATED_RETRY_US;
     g_assert_cmpint(seeds_tick(&seeds, &members, 1, now), ==, SEEDS_WRITE);
     g_assert_cmpuint(seeds.pending.count, ==, 1);
     /* Another was first: its entry is a contact, so only reads follow. */
--- a/tests/control/test_member_net.c
+++ b/tests/control/test_member_net.c
@@ -362,8 +362,8 @@
     uint64_t suspicions = 0;
 
     start_all(net);
-    net->nodes[3].deaf_to = 4;
-    net->nodes[4].deaf_to = 3;
+    net->nodes[3].blocked_from = 4;
+    net->nodes[4].blocked_from = 3;
     for (unsigned s = 0; s < 120; s++) {
         net_run(net, USEC_PER_SEC);
         g_assert_true(net_agrees(net));
@@ -427,7 +427,7 @@
 
 /* Bytes a node sends in rest, at 10 members and at 50. */
 static uint64_t
-rest_bytes(size_t nodes)
+idle_bytes(size_t nodes)
 {
     uint64_t before = 0;
     uint64_t after = 0;
@@ -448,8 +448,8 @@
 
 TEST(flat_bytes)
 {
-    uint64_t small = rest_bytes(10);
-    uint64_t large = rest_bytes(50);
+    uint64_t small = idle_bytes(10);
+    uint64_t large = idle_bytes(50);
 
     g_test_message("bytes a second in rest: %" PRIu64 " at 10, %" PRIu64
                    " at 50",
--- a/tests/directory/test_site.c
+++ b/tests/directory/test_site.c
@@ -23,7 +23,7 @@
 /** struct node - balancer without packet workers */
 struct node {
     struct settings settings;
-    struct board board;
+    struct blackboard blackboard;
     struct counter_table counters;
     struct directory_service service;
     struct control *control;
@@ -62,7 +62,7 @@
     struct addr addr = {0};
 
     rcu_read_lock();
-    view = board_view(&f->nodes[cell][i].board);
+    view = blackboard_view(&f->nodes[cell][i].blackboard);
     if (view != NULL)
         addr = view->members[view->self].control;
     rcu_read_unlock();
@@ -87,19 +87,19 @@
 start_node(struct fixture *f, size_t cell, size_t i)
 {
     struct node *node = &f->nodes[cell][i];
-    struct board_local local = {.state = MEMBER_READY};
+    struct blackboard_local local = {.state = MEMBER_READY};
     struct error err = {0};
 
     fill_seeds(f, cell, i);
-    board_init(&node->board);
+    blackboard_init(&node->blackboard);
     g_assert_cmpint(counter_table_init(&node->counters), ==, 0);
-    board_set_local(&node->board, &local);
+    blackboard_set_local(&node->blackboard, &local);
     g_assert_cmpint(directory_service_init(&node->service, &node->settings,
-                                           &node->board, &node->counters,
+                                           &node->blackboard, &node->counters,
                                            &err),
                     ==, 0);
-    node->control = control_start(&node->settings, &node->board, &f->clock,
-                                  &node->counters, &err);
+    node->control = control_start(&node->settings, &node->blackboard,
+                                  &f->clock, &node->counters, &err);
     if (node->control == NULL)
         g_error("%s: %s", err.step, err.detail);
     LOOPBACK_WAIT(control_of(f, cell, i).port != 0);
@@ -112,7 +112,7 @@
 
     control_stop(node->control);
     directory_service_finish(&node->service);
-    board_finish(&node->board);
+    blackboard_finish(&node->blackboard);
     counter_table_finish(&node->counters);
 }
 
--- a/tests/fuzz/fuzz_control.c
+++ b/tests/fuzz/fuzz_control.c
@@ -83,7 +83,7 @@
 
     samples[0] =
         (struct mutate_sample){ping, encode(&msg, ping, sizeof(ping))};
-    msg.kind = MEMBER_SYNC_ANSWER;
+    msg.kind = MEMBER_SYNC_REPLY;
     msg.summary = summary;
     msg.summary_count = G_N_ELEMENTS(summary);
     msg.want = want;
--- a/tests/golden/scene_control.c
+++ b/tests/golden/scene_control.c
@@ -13,13 +13,13 @@
 static const char *const member_kinds[] = {
     [MEMBER_PING] = "ping",
     [MEMBER_ACK] = "ack",
-    [MEMBER_NOT_ME] = "not-me",
-    [MEMBER_PING_FOR] = "ping-for",
+    [MEMBER_WRONG_TARGET] = "not-me",
+    [MEMBER_PING_REQ] = "ping-for",
     [MEMBER_PUSH] = "push",
     [MEMBER_JOIN] = "join",
-    [MEMBER_WELCOME] = "welcome",
-    [MEMBER_SYNC_LIST] = "list",
-    [MEMBER_SYNC_ANSWER] = "list-answer",
+    [MEMBER_JOIN_REPLY] = "welcome",
+    [MEMBER_SYNC_SUMMARY] = "list",
+    [MEMBER_SYNC_REPLY] = "list-answer",
     [MEMBER_SYNC_PUSH] = "list-push",
 };
 static const char *const states[] = {"warming", "ready", "draining",
@@ -109,7 +109,7 @@
 
 static void
 adopt(struct scene *scene, int i, uint64_t version, GBytes *value,
-      uint64_t word_us)
+      uint64_t confirmed_us)
 {
     struct scene_host *host = &scene->hosts[i];
     struct text *text = NULL;
@@ -128,7 +128,7 @@
               (unsigned)version, (unsigned)host->config.have);
     text_free(host->text);
     host->text = text;
-    config_adopted(&host->config, version, word_us);
+    config_applied(&host->config, version, confirmed_us);
     if (host->agent) {
         engine_set_text(host->engine, text, scene_now(scene), &host->actions);
         scene_act(scene, i);
@@ -196,13 +196,13 @@
         .host = i,
         .life = scene->hosts[i].life,
         .after = action->after,
-        .until_us = scene_now(scene) + CONFIG_WAIT_S * USEC_PER_SEC,
+        .until_us = scene_now(scene) + CONFIG_WATCH_TIMEOUT_S * USEC_PER_SEC,
     };
     g_queue_push_tail(&scene->watches, watch);
 }
 
 static void
-ask_peer(struct scene *scene, int i, const struct config_action *action)
+fetch_from_peer(struct scene *scene, int i, const struct config_action *action)
 {
     Swiftarch__ConfigRequest request = SWIFTARCH__CONFIG_REQUEST__INIT;
     uint8_t body[32];
@@ -223,16 +223,16 @@
     struct scene_host *host = &scene->hosts[i];
     uint64_t cell = hash_bytes(CELL, strlen(CELL), 0);
     struct config_actions actions;
-    struct config_place place;
+    struct config_membership membership;
 
-    place.rank = member_rank(&host->members, cell, &place.alive);
-    place.joined = host->members.joined;
-    place.has_contacts = host->members.contact_count > 0;
-    config_set_place(&host->config, &place);
+    membership.rank = member_rank(&host->members, cell, &membership.alive);
+    membership.joined = host->members.joined;
+    membership.has_contacts = host->members.contact_count > 0;
+    config_set_membership(&host->config, &membership);
     config_tick(&host->config, scene_now(scene), &actions);
     for (size_t n = 0; n < actions.count; n++) {
         if (actions.items[n].type == CONFIG_FETCH) {
-            ask_peer(scene, i, &actions.items[n]);
+            fetch_from_peer(scene, i, &actions.items[n]);
         }
         else {
             call_platform(scene, i, &actions.items[n]);
@@ -291,8 +291,8 @@
 
     announce(scene, i);
     step_config(scene, i);
-    member_set_config(&host->members, host->config.have, host->config.word_us,
-                      now_us);
+    member_set_config(&host->members, host->config.have,
+                      host->config.confirmed_us, now_us);
     if (now_us >= member_next_us(&host->members)) {
         member_tick(&host->members, now_us, &host->out);
     }
@@ -352,8 +352,9 @@
     const struct member_entry *entry =
         member_find(&host->members, hash_name(from->name));
     if (entry != NULL) {
-        config_heard(&host->config, entry->member.control, read.config_version,
-                     read.word_age_ms, scene_now(scene));
+        config_handle_peer_version(&host->config, entry->member.control,
+                                   read.config_version, read.word_age_ms,
+                                   scene_now(scene));
     }
     member_msg_finish(&read);
 }
@@ -393,7 +394,8 @@
         swiftarch__config_reply__unpack(NULL, len, body);
 
     g_assert_nonnull(reply);
-    if (config_fetched(&host->config, reply->version, scene_now(scene))) {
+    if (config_handle_fetch_reply(&host->config, reply->version,
+                                  scene_now(scene))) {
         g_autoptr(GBytes) value =
             g_bytes_new(reply->body.data, reply->body.len);
 
@@ -424,7 +426,8 @@
         receive_config(scene, msg);
         break;
     default:
-        if (config_answered(&host->config, msg->status, msg->a, now_us)) {
+        if (config_handle_platform_reply(&host->config, msg->status, msg->a,
+                                         now_us)) {
             adopt(scene, msg->to, msg->a, msg->bytes, now_us);
         }
         else if (msg->status == 0) {
@@ -475,7 +478,7 @@
     default:
         member_refused(&host->members, dead->control, now_us);
         if (host->config.fetching && host->asked == (int)msg->a) {
-            config_fetched(&host->config, 0, now_us);
+            config_handle_fetch_reply(&host->config, 0, now_us);
         }
         break;
     }
