--- a/bench/agent/flows.c
+++ b/bench/agent/flows.c
@@ -1,9 +1,9 @@
 /**
- * DOC: bench_agent_flows - what an agent's idle flows cost in memory
+ * DOC: bench_agent_flows - what an agent's run_for flows cost in memory
  *
  * Plays callers, fabric and balancer towards one running agent: opens
- * flows over the library's TCP, asks once on each, leaves them idle, and
- * compares the resident memory that the agent reports before and after.
+ * flows over the library's TCP, asks once on each, leaves them run_for, and
+ * compares the resident_bytes memory that the agent reports before and after.
  */
 #include <argtable2.h>
 #include <errno.h>
@@ -23,7 +23,7 @@
 #define CALLER_NET 0x0a630001u /* 10.99.0.1 */
 #define FLOWS_PER_CALLER 100
 #define FLOWS_MAX 20000
-#define AT_ONCE 32
+#define CONCURRENCY_MAX 32
 #define PORT_FIRST 20000
 #define PACKET_BUF 2048
 #define SETTLE_US (3 * G_USEC_PER_SEC)
@@ -179,7 +179,7 @@
 
 /* Resident bytes that the agent reports on /metrics, 0 when it doesn't. */
 static uint64_t
-resident(const struct bench *bench)
+resident_bytes(const struct bench *bench)
 {
     static const char request[] = "GET /metrics HTTP/1.1\r\nHost: bench\r\n"
                                   "Connection: close\r\n\r\n";
@@ -205,7 +205,7 @@
 }
 
 static void
-idle(struct bench *bench, gint64 us)
+run_for(struct bench *bench, gint64 us)
 {
     gint64 until = g_get_monotonic_time() + us;
 
@@ -218,20 +218,20 @@
 measure(struct bench *bench)
 {
     gint64 until = g_get_monotonic_time() + LIMIT_US;
-    uint64_t before = resident(bench);
+    uint64_t before = resident_bytes(bench);
 
     while (bench->answered < bench->count && g_get_monotonic_time() < until &&
            bench->lost == 0) {
         while (bench->opened < bench->count &&
-               bench->opened - bench->answered < AT_ONCE) {
+               bench->opened - bench->answered < CONCURRENCY_MAX) {
             open_next(bench);
         }
         run_once(bench);
     }
-    idle(bench, SETTLE_US);
-    uint64_t after = resident(bench);
-    bool whole = bench->answered == bench->count && bench->lost == 0 &&
-                 before > 0 && after > 0;
+    run_for(bench, SETTLE_US);
+    uint64_t after = resident_bytes(bench);
+    bool complete = bench->answered == bench->count && bench->lost == 0 &&
+                    before > 0 && after > 0;
     double each = ((double)after - (double)before) / (double)bench->count;
     printf("{\"flows\":%zu,\"answered\":%zu,\"lost\":%zu,"
            "\"resident_before\":%" G_GUINT64_FORMAT
@@ -239,7 +239,7 @@
            ",\"bytes_per_idle_flow\":%.0f}\n",
            bench->count, bench->answered, bench->lost, (guint64)before,
            (guint64)after, each);
-    return whole ? EXIT_OK : EXIT_FAILED;
+    return complete ? EXIT_OK : EXIT_FAILED;
 }
 
 static int
--- a/src/agent/actions.c
+++ b/src/agent/actions.c
@@ -9,8 +9,8 @@
 
 /* Ends that arise while actions are carried out are told with the tick. */
 void
-actions_end_later(struct requests *requests, uint64_t origin, uint64_t id,
-                  enum engine_upstream how)
+actions_defer_run_end(struct requests *requests, uint64_t origin, uint64_t id,
+                      enum engine_upstream how)
 {
     struct ended_run *item = g_new(struct ended_run, 1);
 
@@ -31,19 +31,19 @@
     if (request == NULL || request->http == NULL || request->run != NULL ||
         request->service != agent->upstream.service) {
         g_message("A request to run is not held or not served here.");
-        actions_end_later(requests, action->origin, action->id,
-                          ENGINE_UP_UNREACHED);
+        actions_defer_run_end(requests, action->origin, action->id,
+                              ENGINE_UP_UNREACHED);
         return;
     }
     request_run_lines(agent, request, lines, sizeof(lines));
     request->run_us = agent_now(agent);
     counter_add(&agent->counters, 0, requests->runs, 1);
     request->run =
-        back_start(&agent->back, agent->upstream.addr, request->http, lines,
-                   agent->service.limits.body_bytes, request);
+        backend_start(&agent->backend, agent->upstream.addr, request->http,
+                      lines, agent->service.limits.body_bytes, request);
     if (request->run == NULL) {
-        actions_end_later(requests, action->origin, action->id,
-                          ENGINE_UP_UNREACHED);
+        actions_defer_run_end(requests, action->origin, action->id,
+                              ENGINE_UP_UNREACHED);
     }
 }
 
@@ -56,12 +56,13 @@
     if (request == NULL || request->run == NULL) {
         return;
     }
-    back_abort(request->run);
+    backend_abort(request->run);
     request->run = NULL;
     request_span(requests->agent, &request->run_trace, &request->trace,
                  "upstream", request->run_us, "aborted");
-    actions_end_later(requests, request->origin, request->id, ENGINE_UP_LOST);
-    request_drop_if_over(requests, request);
+    actions_defer_run_end(requests, request->origin, request->id,
+                          ENGINE_UP_LOST);
+    request_free_if_finished(requests, request);
 }
 
 static void
@@ -103,7 +104,7 @@
         peer_links_send(requests->agent, action->to, &cut, NULL, "");
     }
     if (request != NULL) {
-        request_over(requests, request, msg->outcome);
+        request_finished(requests, request, msg->outcome);
     }
 }
 
@@ -156,12 +157,12 @@
         return;
     }
     if (request->slot != NULL) {
-        struct front_slot *slot = request->slot;
+        struct frontend_slot *slot = request->slot;
         request->slot = NULL;
-        front_answer(&agent->front, slot, final_answer(request, action),
-                     agent_now(agent));
+        frontend_answer(&agent->frontend, slot, final_answer(request, action),
+                        agent_now(agent));
     }
-    request_over(requests, request, action->outcome);
+    request_finished(requests, request, action->outcome);
 }
 
 static void
@@ -184,7 +185,7 @@
 }
 
 void
-actions_carry_out(struct requests *requests)
+actions_execute(struct requests *requests)
 {
     requests->acting = true;
     for (size_t i = 0; i < requests->out.count; i++) {
--- a/src/agent/actions.h
+++ b/src/agent/actions.h
@@ -22,14 +22,14 @@
     enum engine_upstream how;
 };
 
-/** actions_carry_out() - do all that is in requests->out and empty it */
+/** actions_execute() - do all that is in requests->out and empty it */
 void
-actions_carry_out(struct requests *requests);
+actions_execute(struct requests *requests);
 
-/** actions_end_later() - have the engine told with the next tick that a run
- * ended; for ends that arise while actions are carried out */
+/** actions_defer_run_end() - have the engine told with the next tick that a
+ * run ended; for ends that arise while actions are carried out */
 void
-actions_end_later(struct requests *requests, uint64_t origin, uint64_t id,
-                  enum engine_upstream how);
+actions_defer_run_end(struct requests *requests, uint64_t origin, uint64_t id,
+                      enum engine_upstream how);
 
 #endif
--- a/src/agent/addresses.h
+++ b/src/agent/addresses.h
@@ -12,8 +12,9 @@
 #include "text/text.h"
 #include "text/text_retire.h"
 
-/** struct address - an address, and until when it stays the service's */
-struct address {
+/** struct retired_address - an retired_address, and until when it stays the
+ * service's */
+struct retired_address {
     uint32_t ip;
     uint16_t port;
     uint8_t proto;
@@ -29,7 +30,7 @@
 struct addresses {
     bool removed;
     size_t count;
-    struct address items[TEXT_RETIRED_MAX];
+    struct retired_address items[TEXT_RETIRED_MAX];
 };
 
 /** addresses_set() - take over what @text retires of a service */
@@ -43,15 +44,15 @@
         const struct text_service *retired = &text->retired[i].service;
 
         if (retired->id == service) {
-            addresses->items[addresses->count++] = (struct address){
+            addresses->items[addresses->count++] = (struct retired_address){
                 retired->ip, retired->port, (uint8_t)retired->proto,
                 text->retired[i].until_ms};
         }
     }
 }
 
-/** addresses_find() - what an address is to @service as it is now; @now_ms
- * since 1970, which may differ from the publisher's clock by
+/** addresses_find() - what an retired_address is to @service as it is now;
+ * @now_ms since 1970, which may differ from the publisher's clock by
  * TEXT_RETIRE_SKEW_MS */
 static inline enum flow_address
 addresses_find(const struct addresses *addresses,
@@ -63,7 +64,7 @@
         return FLOW_ADDRESS_CURRENT;
     }
     for (size_t i = 0; i < addresses->count; i++) {
-        const struct address *item = &addresses->items[i];
+        const struct retired_address *item = &addresses->items[i];
 
         if (item->ip == ip && item->port == port && item->proto == proto) {
             return now_ms + TEXT_RETIRE_SKEW_MS < item->until_ms
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <urcu.h>
 
-#include "agent/gauges.h"
+#include "agent/metrics.h"
 #include "agent/program.h"
 #include "base/hash.h"
 #include "base/log.h"
@@ -38,8 +38,8 @@
 {
     struct agent *agent = of_stack_owner(owner);
 
-    notices_flow(agent, conn, true);
-    front_open(&agent->front, conn, agent_now(agent));
+    orphan_notifier_flow(agent, conn, true);
+    frontend_open(&agent->frontend, conn, agent_now(agent));
 }
 
 static void
@@ -48,7 +48,7 @@
 {
     struct agent *agent = of_stack_owner(owner);
 
-    front_data(&agent->front, conn, data, len, agent_now(agent));
+    frontend_data(&agent->frontend, conn, data, len, agent_now(agent));
 }
 
 static void
@@ -56,13 +56,13 @@
 {
     struct agent *agent = of_stack_owner(owner);
 
-    front_writable(&agent->front, conn, agent_now(agent));
+    frontend_writable(&agent->frontend, conn, agent_now(agent));
 }
 
 static void
 on_eof(struct stack_owner *owner, struct stack_conn *conn)
 {
-    front_eof(&of_stack_owner(owner)->front, conn);
+    frontend_eof(&of_stack_owner(owner)->frontend, conn);
 }
 
 static void
@@ -71,10 +71,10 @@
     struct agent *agent = of_stack_owner(owner);
 
     if (reason != 0) {
-        agent->front.stats.reset++;
+        agent->frontend.stats.reset++;
     }
-    notices_flow(agent, conn, false);
-    front_closed(&agent->front, conn);
+    orphan_notifier_flow(agent, conn, false);
+    frontend_closed(&agent->frontend, conn);
 }
 
 static const struct stack_ops stack_ops = {
@@ -110,14 +110,14 @@
     }
     upstream_tick(agent);
     requests_tick(agent);
-    notices_tick(agent);
+    orphan_notifier_tick(agent);
     agent_stop_tick(agent);
 }
 
 static void
 on_load(evutil_socket_t fd, short what, void *arg)
 {
-    agent_tell_load(arg);
+    agent_publish_load(arg);
 }
 
 static void
@@ -130,11 +130,11 @@
     flow_tick(agent->flows, now_us);
     pthread_mutex_unlock(&agent->flow_lock);
     peer_links_send_pins(agent);
-    front_tick(&agent->front, now_us);
+    frontend_tick(&agent->frontend, now_us);
     datagrams_tick(agent);
     ingress_tick(agent);
     requests_sweep(agent);
-    gauges_set(agent);
+    metrics_update(agent);
 }
 
 static void
@@ -202,25 +202,25 @@
     agent->clock = &agent->runtime;
     blackboard_init(&agent->blackboard);
     pthread_mutex_init(&agent->flow_lock, NULL);
-    front_init(&agent->front, &agent->requests.front_owner,
-               agent->settings.name);
+    frontend_init(&agent->frontend, &agent->requests.frontend_owner,
+                  agent->settings.name);
     datagrams_init(&agent->datagrams);
-    notices_init(agent);
+    orphan_notifier_init(agent);
     agent->ingress.fd = -1;
     if (counter_table_init(&agent->counters) < 0) {
         return error_set(err, -ENOMEM, "counters", NULL, "out of memory");
     }
     ingress_register(agent);
     requests_register(agent);
-    notices_register(agent);
-    gauges_register(agent);
+    orphan_notifier_register(agent);
+    metrics_register(agent);
     agent->base = event_base_new();
     agent->flows = flow_table_new(agent->self, FLOWS_MAX);
     if (agent->base == NULL || agent->flows == NULL ||
         requests_init(agent, g_random_int()) < 0) {
         return error_set(err, -ENOMEM, "init", NULL, "out of memory");
     }
-    back_init(&agent->back, agent->base, &agent->requests.back_owner);
+    backend_init(&agent->backend, agent->base, &agent->requests.backend_owner);
     return 0;
 }
 
@@ -268,13 +268,13 @@
         stack_free(agent->stack);
     }
     if (agent->base != NULL) {
-        back_finish(&agent->back);
+        backend_finish(&agent->backend);
     }
     upstream_finish(agent);
     requests_finish(agent);
-    front_finish(&agent->front);
+    frontend_finish(&agent->frontend);
     datagrams_finish(&agent->datagrams);
-    notices_finish(agent);
+    orphan_notifier_finish(agent);
     peer_links_finish(agent);
     ingress_finish(agent);
     if (agent->control != NULL) {
--- a/src/agent/answer_reader.c
+++ b/src/agent/answer_reader.c
@@ -115,7 +115,7 @@
     if (parser->status_code < STATUS_FINAL_MIN) {
         return 0; /* interim answer; the final one follows */
     }
-    reader->whole = true;
+    reader->complete = true;
     http_parser_pause(parser, 1);
     return 0;
 }
@@ -151,12 +151,12 @@
 void
 answer_reader_feed(struct answer_reader *reader, const char *data, size_t len)
 {
-    if (reader->whole || reader->failed || len == 0) {
+    if (reader->complete || reader->failed || len == 0) {
         return;
     }
-    reader->begun = true;
+    reader->started = true;
     http_parser_execute(&reader->parser, &parser_settings, data, len);
-    if (HTTP_PARSER_ERRNO(&reader->parser) != HPE_OK && !reader->whole) {
+    if (HTTP_PARSER_ERRNO(&reader->parser) != HPE_OK && !reader->complete) {
         reader->failed = true;
     }
 }
@@ -164,7 +164,8 @@
 bool
 answer_reader_refused(const struct answer_reader *reader)
 {
-    return reader->whole && reader->parser.status_code == STATUS_UNAVAILABLE &&
+    return reader->complete &&
+           reader->parser.status_code == STATUS_UNAVAILABLE &&
            fields_get(&reader->fields, "Retry-After") != NULL;
 }
 
--- a/src/agent/answer_reader.h
+++ b/src/agent/answer_reader.h
@@ -1,10 +1,10 @@
 /**
  * DOC: answer_reader - one upstream's answer to one request
  *
- * Reads a single HTTP/1.1 answer. It is whole only when its own framing
+ * Reads a single HTTP/1.1 answer. It is complete only when its own framing
  * says so (Content-Length, chunks, or no body by definition); an answer
  * that ends with its connection cannot be told from a cut one and counts
- * as cut. Bytes after the whole answer are never read.
+ * as cut. Bytes after the complete answer are never read.
  */
 #ifndef SWIFTARCH_AGENT_ANSWER_READER_H
 #define SWIFTARCH_AGENT_ANSWER_READER_H
@@ -26,8 +26,8 @@
  * @body: its body
  * @body_max: largest body taken, bytes
  * @head: it answers HEAD: no body follows
- * @begun: at least one byte came
- * @whole: the whole answer was read
+ * @started: at least one byte came
+ * @complete: the complete answer was read
  * @failed: it is malformed or over a limit
  */
 struct answer_reader {
@@ -37,8 +37,8 @@
     GByteArray *body;
     size_t body_max;
     bool head;
-    bool begun;
-    bool whole;
+    bool started;
+    bool complete;
     bool failed;
 };
 
@@ -50,16 +50,16 @@
 void
 answer_reader_finish(struct answer_reader *reader);
 
-/** answer_reader_feed() - read more bytes; sets whole or failed */
+/** answer_reader_feed() - read more bytes; sets complete or failed */
 void
 answer_reader_feed(struct answer_reader *reader, const char *data, size_t len);
 
-/** answer_reader_refused() - whole, and it says "not begun": 503 with
+/** answer_reader_refused() - complete, and it says "not begun": 503 with
  * Retry-After */
 bool
 answer_reader_refused(const struct answer_reader *reader);
 
-/** answer_reader_take() - the whole answer in the form of answer.h */
+/** answer_reader_take() - the complete answer in the form of answer.h */
 GByteArray *
 answer_reader_take(const struct answer_reader *reader);
 
--- a/src/agent/back.c
+++ b/src/agent/backend.c
@@ -1,4 +1,4 @@
-#include "agent/back.h"
+#include "agent/backend.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -7,23 +7,23 @@
 #include "agent/answer.h"
 #include "agent/answer_reader.h"
 
-/* Where a run is; nothing was sent before BACK_SENT. */
-enum back_state { BACK_CONNECTING, BACK_SENT };
+/* Where a run is; nothing was sent before BACKEND_SENT. */
+enum backend_state { BACKEND_CONNECTING, BACKEND_SENT };
 
-struct back_run {
-    struct back *back;
+struct backend_run {
+    struct backend *backend;
     struct bufferevent *bev;
     struct answer_reader reader;
-    enum back_state state;
+    enum backend_state state;
     GByteArray *request;
     void *data;
     GList link;
 };
 
 static void
-run_free(struct back_run *run)
+run_free(struct backend_run *run)
 {
-    g_queue_unlink(&run->back->runs, &run->link);
+    g_queue_unlink(&run->backend->runs, &run->link);
     if (run->bev != NULL) {
         bufferevent_free(run->bev);
     }
@@ -35,9 +35,9 @@
 }
 
 static void
-run_end(struct back_run *run, enum engine_upstream how)
+run_end(struct backend_run *run, enum engine_upstream how)
 {
-    struct back_owner *owner = run->back->owner;
+    struct backend_owner *owner = run->backend->owner;
     void *data = run->data;
     GByteArray *answer = NULL;
 
@@ -51,17 +51,17 @@
 static void
 on_readable(struct bufferevent *bev, void *arg)
 {
-    struct back_run *run = arg;
+    struct backend_run *run = arg;
     struct evbuffer *input = bufferevent_get_input(bev);
 
-    while (evbuffer_get_length(input) > 0 && !run->reader.whole &&
+    while (evbuffer_get_length(input) > 0 && !run->reader.complete &&
            !run->reader.failed) {
         size_t len = evbuffer_get_contiguous_space(input);
         const char *data = (const char *)evbuffer_pullup(input, (long)len);
         answer_reader_feed(&run->reader, data, len);
         evbuffer_drain(input, len);
     }
-    if (run->reader.whole) {
+    if (run->reader.complete) {
         run_end(run, answer_reader_refused(&run->reader) ? ENGINE_UP_REFUSED
                                                          : ENGINE_UP_ANSWERED);
     }
@@ -71,9 +71,9 @@
 }
 
 static void
-send_request(struct back_run *run)
+send_request(struct backend_run *run)
 {
-    run->state = BACK_SENT;
+    run->state = BACKEND_SENT;
     bufferevent_set_timeouts(run->bev, NULL, NULL);
     bufferevent_write(run->bev, run->request->data, run->request->len);
     g_byte_array_unref(run->request);
@@ -83,28 +83,29 @@
 static void
 on_event(struct bufferevent *bev, short what, void *arg)
 {
-    struct back_run *run = arg;
+    struct backend_run *run = arg;
 
     if ((what & BEV_EVENT_CONNECTED) != 0) {
         send_request(run);
         return;
     }
-    if (run->state == BACK_CONNECTING) {
+    if (run->state == BACKEND_CONNECTING) {
         run_end(run, ENGINE_UP_UNREACHED);
         return;
     }
-    run_end(run, run->reader.begun ? ENGINE_UP_TRUNCATED : ENGINE_UP_LOST);
+    run_end(run, run->reader.started ? ENGINE_UP_TRUNCATED : ENGINE_UP_LOST);
 }
 
 static bool
-run_connect(struct back_run *run, struct addr upstream)
+run_connect(struct backend_run *run, struct addr upstream)
 {
-    const struct timeval timeout = {0, BACK_CONNECT_TIMEOUT_MS * 1000L};
+    const struct timeval timeout = {0, BACKEND_CONNECT_TIMEOUT_MS * 1000L};
     struct sockaddr_in sin = addr_to_sockaddr(upstream);
 
-    /* Deferred callbacks: none may run before back_start() returned. */
-    run->bev = bufferevent_socket_new(
-        run->back->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
+    /* Deferred callbacks: none may run before backend_start() returned. */
+    run->bev = bufferevent_socket_new(run->backend->base, -1,
+                                      BEV_OPT_CLOSE_ON_FREE |
+                                          BEV_OPT_DEFER_CALLBACKS);
     if (run->bev == NULL) {
         return false;
     }
@@ -116,35 +117,37 @@
 }
 
 void
-back_init(struct back *back, struct event_base *base, struct back_owner *owner)
+backend_init(struct backend *backend, struct event_base *base,
+             struct backend_owner *owner)
 {
-    *back = (struct back){.base = base, .owner = owner};
-    g_queue_init(&back->runs);
+    *backend = (struct backend){.base = base, .owner = owner};
+    g_queue_init(&backend->runs);
 }
 
 void
-back_finish(struct back *back)
+backend_finish(struct backend *backend)
 {
-    struct back_run *run;
+    struct backend_run *run;
 
-    while ((run = g_queue_peek_head(&back->runs)) != NULL) {
+    while ((run = g_queue_peek_head(&backend->runs)) != NULL) {
         run_free(run);
     }
 }
 
-struct back_run *
-back_start(struct back *back, struct addr upstream, const GByteArray *http,
-           const char *lines, size_t body_max, void *data)
+struct backend_run *
+backend_start(struct backend *backend, struct addr upstream,
+              const GByteArray *http, const char *lines, size_t body_max,
+              void *data)
 {
-    struct back_run *run = g_new0(struct back_run, 1);
+    struct backend_run *run = g_new0(struct backend_run, 1);
     bool head = http->len >= 5 && memcmp(http->data, "HEAD ", 5) == 0;
 
-    run->back = back;
+    run->backend = backend;
     run->data = data;
     run->link.data = run;
     run->request = answer_with_field(http->data, http->len, lines);
     answer_reader_init(&run->reader, head, body_max);
-    g_queue_push_tail_link(&back->runs, &run->link);
+    g_queue_push_tail_link(&backend->runs, &run->link);
     if (!run_connect(run, upstream)) {
         run_free(run);
         return NULL;
@@ -153,7 +156,7 @@
 }
 
 void
-back_abort(struct back_run *run)
+backend_abort(struct backend_run *run)
 {
     run_free(run);
 }
--- a/src/agent/drain.c
+++ b/src/agent/drain.c
@@ -4,9 +4,9 @@
 #include "base/log.h"
 
 /* After drain_s, requests in progress still get this long. */
-#define CLOSING_US (10 * USEC_PER_SEC)
+#define CLOSE_GRACE_US (10 * USEC_PER_SEC)
 /* Lets last segments and messages go out before the end. */
-#define LAST_WORDS_US (200 * USEC_PER_MSEC)
+#define FINAL_FLUSH_US (200 * USEC_PER_MSEC)
 
 static void
 end_loop(struct agent *agent)
@@ -24,11 +24,11 @@
         return;
     }
     g_message("A planned stop has begun: %zu flows are open.",
-              front_count(&agent->front));
+              frontend_count(&agent->frontend));
     agent->stop = AGENT_DRAINING;
     agent->stop_until_us =
         agent_now(agent) + agent->settings.drain_s * USEC_PER_SEC;
-    agent->front.stopping = true;
+    agent->frontend.stopping = true;
     agent_upstream_changed(agent);
 }
 
@@ -37,7 +37,7 @@
 {
     const struct engine *engine = agent->requests.engine;
 
-    return front_count(&agent->front) == 0 &&
+    return frontend_count(&agent->frontend) == 0 &&
            engine_open_requests(engine) == 0 && engine_busy(engine) == 0;
 }
 
@@ -53,9 +53,9 @@
 begin_closing(struct agent *agent, uint64_t now_us)
 {
     agent->stop = AGENT_CLOSING;
-    agent->stop_until_us = now_us + CLOSING_US;
+    agent->stop_until_us = now_us + CLOSE_GRACE_US;
     engine_stop(agent->requests.engine, now_us, &agent->requests.out);
-    requests_act(agent);
+    requests_execute_actions(agent);
 }
 
 void
@@ -71,9 +71,9 @@
         begin_closing(agent, now_us);
     }
     if (agent->stop == AGENT_CLOSING) {
-        front_close_idle(&agent->front);
-        if (is_done(agent) && agent->stop_until_us > now_us + LAST_WORDS_US) {
-            agent->stop_until_us = now_us + LAST_WORDS_US;
+        frontend_close_idle(&agent->frontend);
+        if (is_done(agent) && agent->stop_until_us > now_us + FINAL_FLUSH_US) {
+            agent->stop_until_us = now_us + FINAL_FLUSH_US;
         }
         if (now_us >= agent->stop_until_us) {
             end_loop(agent);
--- a/src/agent/fields.c
+++ b/src/agent/fields.c
@@ -18,7 +18,7 @@
 };
 
 /* Fields that Connection may name without their being dropped. */
-static const char *const kept[] = {"Host", NULL};
+static const char *const always_forwarded[] = {"Host", NULL};
 
 static bool
 name_in(const char *const *names, const char *name)
@@ -149,7 +149,8 @@
         const struct field *field = field_at(fields, i);
         const char *name = field->name->str;
         if (name_in(hop_by_hop, name) || name_in(skip, name) ||
-            (!name_in(kept, name) && named_by_connection(fields, name))) {
+            (!name_in(always_forwarded, name) &&
+             named_by_connection(fields, name))) {
             continue;
         }
         g_byte_array_append(out, (const guint8 *)name,
--- a/src/agent/ingress.c
+++ b/src/agent/ingress.c
@@ -58,7 +58,7 @@
 
 /* The receiver of a packet on the list @to has gone: its port is closed. */
 static void
-report_refused(struct agent *agent, struct addr to)
+report_closed_port(struct agent *agent, struct addr to)
 {
     rcu_read_lock();
     const struct view *view = blackboard_view(&agent->blackboard);
@@ -75,7 +75,7 @@
 
 /* Reads which sends were refused; also clears the socket's error. */
 static void
-read_refusals(struct agent *agent)
+read_error_queue(struct agent *agent)
 {
     for (;;) {
         char control[512];
@@ -103,7 +103,7 @@
         struct sock_extended_err ee;
         memcpy(&ee, CMSG_DATA(cmsg), sizeof(ee));
         if (ee.ee_errno == ECONNREFUSED) {
-            report_refused(agent, addr_from_sockaddr(&to));
+            report_closed_port(agent, addr_from_sockaddr(&to));
         }
     }
 }
@@ -148,7 +148,7 @@
 }
 
 void
-egress_foreign(struct agent *agent, const uint8_t *buf, size_t len)
+egress_output_untracked(struct agent *agent, const uint8_t *buf, size_t len)
 {
     counter_add(&agent->counters, counter_worker, agent->ingress.sent, 1);
     send_packet(agent, &agent->ingress.fabric, NULL, buf, len);
@@ -177,8 +177,8 @@
 /* What the packet's address is to the service served here, by the text in
  * force and not by what a balancer took it for. */
 static enum flow_address
-address_of(const struct agent *agent, const struct gue *gue,
-           const struct packet *packet)
+classify_address(const struct agent *agent, const struct gue *gue,
+                 const struct packet *packet)
 {
     if (gue->service != agent->service.id) {
         return FLOW_ADDRESS_NONE;
@@ -187,10 +187,10 @@
 }
 
 static void
-take_packet(struct agent *agent, const struct packet *packet,
-            const uint8_t *buf, size_t len)
+deliver_to_stack(struct agent *agent, const struct packet *packet,
+                 const uint8_t *buf, size_t len)
 {
-    counter_add(&agent->counters, 0, agent->ingress.taken, 1);
+    counter_add(&agent->counters, 0, agent->ingress.delivered, 1);
     if (packet->proto == PROTO_UDP) {
         datagrams_input(agent, packet, buf);
         return;
@@ -205,24 +205,24 @@
 {
     bool may = packet->proto == PROTO_UDP
                    ? datagrams_may_open(agent)
-                   : front_may_open(&agent->front, packet->src);
+                   : frontend_can_open(&agent->frontend, packet->src);
 
     if (!may) {
-        agent->front.stats.refused++;
+        agent->frontend.stats.refused++;
         ingress_forget(agent, packet);
         send_reset(agent, packet);
         return;
     }
-    take_packet(agent, packet, buf, len);
+    deliver_to_stack(agent, packet, buf, len);
 }
 
 static void
-pass_packet(struct agent *agent, const struct gue *gue, const uint8_t *buf,
-            size_t len)
+forward_to_agent(struct agent *agent, const struct gue *gue,
+                 const uint8_t *buf, size_t len)
 {
     struct sockaddr_in to = addr_to_sockaddr(gue->hops[gue->index].data);
 
-    counter_add(&agent->counters, 0, agent->ingress.passed, 1);
+    counter_add(&agent->counters, 0, agent->ingress.forwarded, 1);
     send_packet(agent, &to, gue, buf, len);
 }
 
@@ -245,20 +245,20 @@
         count_drop(agent, drop);
         return;
     }
-    enum flow_address address = address_of(agent, &gue, &packet);
+    enum flow_address address = classify_address(agent, &gue, &packet);
     pthread_mutex_lock(&agent->flow_lock);
     struct flow_decision decision =
         flow_address_decide(agent->flows, address, &packet, &gue, now_us);
     pthread_mutex_unlock(&agent->flow_lock);
     switch (decision.verdict) {
     case FLOW_DELIVER:
-        take_packet(agent, &packet, buf, len);
+        deliver_to_stack(agent, &packet, buf, len);
         break;
     case FLOW_OPEN:
         open_flow(agent, &packet, buf, len);
         break;
     case FLOW_FORWARD:
-        pass_packet(agent, &decision.gue, buf, len);
+        forward_to_agent(agent, &decision.gue, buf, len);
         break;
     case FLOW_RESET:
         send_reset(agent, &packet);
@@ -301,8 +301,8 @@
 {
     struct agent *agent = arg;
 
-    read_refusals(agent);
-    for (int i = 0; i < INGRESS_ROUNDS; i++) {
+    read_error_queue(agent);
+    for (int i = 0; i < INGRESS_BATCHES_MAX; i++) {
         if (read_batch(agent) < INGRESS_BATCH) {
             break;
         }
@@ -323,8 +323,9 @@
         ingress->drops[i] =
             counter_register(counters, "packets_dropped_total", label);
     }
-    ingress->taken = counter_register(counters, "packets_taken_total", "");
-    ingress->passed = counter_register(counters, "packets_passed_total", "");
+    ingress->delivered = counter_register(counters, "packets_taken_total", "");
+    ingress->forwarded =
+        counter_register(counters, "packets_passed_total", "");
     ingress->resets = counter_register(counters, "resets_sent_total", "");
     ingress->sent = counter_register(counters, "packets_sent_total", "");
 }
--- a/src/agent/ingress.h
+++ b/src/agent/ingress.h
@@ -3,7 +3,7 @@
  *
  * Reads the packet socket in bounded batches, checks each packet again
  * (form, checksums, that it is for the service served here) and carries
- * out what the flow core decides. Also sends: passed packets, resets, and
+ * out what the flow core decides. Also sends: forwarded packets, resets, and
  * the stack's answers, which go to the fabric in bare GUE.
  */
 #ifndef SWIFTARCH_AGENT_INGRESS_H
@@ -22,7 +22,7 @@
 struct agent;
 
 #define INGRESS_BATCH 64
-#define INGRESS_ROUNDS 8
+#define INGRESS_BATCHES_MAX 8
 #define INGRESS_LINGER_US (10 * UINT64_C(1000000))
 
 /**
@@ -33,8 +33,8 @@
  * @live: flows open in the stack, a set of struct flow_key
  * @lingering: flows closed but kept known for late segments
  * @drops: counter handles by reason
- * @taken: counter handle
- * @passed: counter handle
+ * @delivered: counter handle
+ * @forwarded: counter handle
  * @resets: counter handle
  * @sent: counter handle
  */
@@ -45,8 +45,8 @@
     GHashTable *live;
     GQueue lingering;
     int drops[PACKET_DROP_COUNT];
-    int taken;
-    int passed;
+    int delivered;
+    int forwarded;
     int resets;
     int sent;
 };
@@ -80,10 +80,10 @@
 void
 egress_output(struct agent *agent, const uint8_t *buf, size_t len);
 
-/** egress_foreign() - the same for a packet that belongs to no flow of ours:
- * a handshake with the same caller must not take its sequence number for its
- * own */
+/** egress_output_untracked() - the same for a packet that belongs to no flow
+ * of ours: a handshake with the same caller must not take its sequence number
+ * for its own */
 void
-egress_foreign(struct agent *agent, const uint8_t *buf, size_t len);
+egress_output_untracked(struct agent *agent, const uint8_t *buf, size_t len);
 
 #endif
--- a/src/agent/notice_wire.c
+++ b/src/agent/orphan_wire.c
@@ -1,4 +1,4 @@
-#include "agent/notice_wire.h"
+#include "agent/orphan_wire.h"
 
 #include <errno.h>
 
@@ -28,7 +28,7 @@
 }
 
 GByteArray *
-notice_wire_pack(const struct orphan_message *message)
+orphan_wire_pack(const struct orphan_message *message)
 {
     Swiftarch__PeerMessage raw = SWIFTARCH__PEER_MESSAGE__INIT;
     Swiftarch__PeerNotice notice = SWIFTARCH__PEER_NOTICE__INIT;
@@ -50,7 +50,7 @@
     notice.opened.len = message->opened * CALLER_LEN;
     notice.closed.data = callers + notice.opened.len;
     notice.closed.len = message->closed * CALLER_LEN;
-    raw.type = PEER_WIRE_NOTICE;
+    raw.type = PEER_WIRE_ORPHANS;
     raw.notice = &notice;
     return peer_wire_pack_raw(&raw);
 }
@@ -72,7 +72,7 @@
 }
 
 int
-notice_wire_read(const struct peer_wire *wire, struct orphan_message *message)
+orphan_wire_read(const struct peer_wire *wire, struct orphan_message *message)
 {
     const Swiftarch__PeerNotice *raw = wire->raw->notice;
 
--- a/src/agent/pause.c
+++ b/src/agent/pause.c
@@ -1,7 +1,7 @@
 #include "agent/program.h"
 
 /* Ticks come every 10 ms; a gap this long is a process that stood still. */
-#define PAUSE_US (100 * USEC_PER_MSEC)
+#define PAUSE_MIN_US (100 * USEC_PER_MSEC)
 
 bool
 agent_was_paused(struct agent *agent)
@@ -10,7 +10,7 @@
     uint64_t before_us = agent->ticked_us;
 
     agent->ticked_us = now_us;
-    agent->paused_from_us = now_us - before_us > PAUSE_US ? before_us : 0;
+    agent->paused_from_us = now_us - before_us > PAUSE_MIN_US ? before_us : 0;
     return agent->paused_from_us != 0;
 }
 
@@ -22,5 +22,6 @@
     if (agent->paused_from_us != 0) {
         return agent->paused_from_us;
     }
-    return now_us - agent->ticked_us > PAUSE_US ? agent->ticked_us : now_us;
+    return now_us - agent->ticked_us > PAUSE_MIN_US ? agent->ticked_us
+                                                    : now_us;
 }
--- a/src/agent/peer_links.c
+++ b/src/agent/peer_links.c
@@ -5,7 +5,7 @@
 #include <errno.h>
 #include <sys/time.h>
 
-#include "agent/notice_wire.h"
+#include "agent/orphan_wire.h"
 #include "agent/peer_wire.h"
 #include "agent/program.h"
 #include "base/log.h"
@@ -76,7 +76,7 @@
 
 /* Notes a RUN that went out, and forgets one that is over. */
 static void
-note_run(struct agent *agent, uint64_t member, uint64_t id, bool out)
+track_run(struct agent *agent, uint64_t member, uint64_t id, bool out)
 {
     struct addr to;
     struct target *target = find_target(agent, member, &to);
@@ -107,7 +107,7 @@
 }
 
 static void
-take_pins(struct agent *agent, const struct peer_wire *wire)
+handle_pins(struct agent *agent, const struct peer_wire *wire)
 {
     uint64_t now_us = agent_now(agent);
     struct flow_pin pin;
@@ -147,18 +147,19 @@
 }
 
 static void
-take_message(struct agent *agent, uint64_t sender, struct peer_wire *wire)
+handle_peer_message(struct agent *agent, uint64_t sender,
+                    struct peer_wire *wire)
 {
     if (wire->pins) {
-        take_pins(agent, wire);
+        handle_pins(agent, wire);
         return;
     }
     if (wire->notice) {
-        notices_receive(agent, sender, wire);
+        orphan_notifier_receive(agent, sender, wire);
         return;
     }
     if (wire->msg.type == ENGINE_PEER_DONE) {
-        note_run(agent, sender, wire->msg.request.id, false);
+        track_run(agent, sender, wire->msg.request.id, false);
     }
     requests_peer(agent, sender, &wire->msg, wire->bytes, wire->len,
                   wire->traceparent);
@@ -182,7 +183,7 @@
     }
     if (is_peer(agent, sender)) {
         g_hash_table_insert(links->senders, conn, copy_id(sender));
-        take_message(agent, sender, &wire);
+        handle_peer_message(agent, sender, &wire);
     }
     else {
         decline_unknown(agent, conn, sender, &wire);
@@ -206,7 +207,7 @@
 
 /* The connection never came up: nothing queued on it was sent. */
 static void
-all_unsent(struct agent *agent, const struct target *target)
+report_unsent_runs(struct agent *agent, const struct target *target)
 {
     for (guint i = 0; i < target->runs->len; i++) {
         requests_unsent(agent, target->member,
@@ -243,7 +244,7 @@
     struct target *target = value;
     if (reason == -ECONNREFUSED) {
         report_dead(links->agent, target->member);
-        all_unsent(links->agent, target);
+        report_unsent_runs(links->agent, target);
     }
     requests_peer_lost(links->agent, target->member);
     target_free(target);
@@ -320,16 +321,17 @@
     g_byte_array_unref(body);
     if (ret == 0 &&
         (msg->type == ENGINE_PEER_RUN || msg->type == ENGINE_PEER_CANCEL)) {
-        note_run(agent, member, msg->request.id, msg->type == ENGINE_PEER_RUN);
+        track_run(agent, member, msg->request.id,
+                  msg->type == ENGINE_PEER_RUN);
     }
     return ret;
 }
 
 int
-peer_links_send_notice(struct agent *agent, uint64_t member,
-                       const struct orphan_message *message)
+peer_links_send_orphans(struct agent *agent, uint64_t member,
+                        const struct orphan_message *message)
 {
-    GByteArray *body = notice_wire_pack(message);
+    GByteArray *body = orphan_wire_pack(message);
     int ret = send_bytes(agent, member, body);
 
     g_byte_array_unref(body);
@@ -339,8 +341,8 @@
 /* Sends the pins of one batch that are for pins' first receiver; the rest
  * are left for the next call. */
 static size_t
-send_for_first(struct agent *agent, struct flow_pin *pins, uint64_t *to,
-               size_t count)
+send_pins_to_first(struct agent *agent, struct flow_pin *pins, uint64_t *to,
+                   size_t count)
 {
     struct flow_pin mine[PEER_WIRE_PINS_MAX];
     uint64_t target = to[0];
@@ -374,7 +376,7 @@
                               PEER_WIRE_PINS_MAX);
         pthread_mutex_unlock(&agent->flow_lock);
         for (size_t left = count; left > 0;) {
-            left = send_for_first(agent, pins, to, left);
+            left = send_pins_to_first(agent, pins, to, left);
         }
     } while (count == PEER_WIRE_PINS_MAX);
 }
--- a/src/agent/peer_links.h
+++ b/src/agent/peer_links.h
@@ -60,11 +60,11 @@
                 const struct engine_peer_msg *msg, const GByteArray *bytes,
                 const char *traceparent);
 
-/** peer_links_send_notice() - send a message of src/notice; as
+/** peer_links_send_orphans() - send a message of src/notice; as
  * peer_links_send() */
 int
-peer_links_send_notice(struct agent *agent, uint64_t member,
-                       const struct orphan_message *message);
+peer_links_send_orphans(struct agent *agent, uint64_t member,
+                        const struct orphan_message *message);
 
 /** peer_links_send_pins() - send the pins that are due; about once a second */
 void
--- a/src/agent/peer_wire.c
+++ b/src/agent/peer_wire.c
@@ -206,7 +206,7 @@
         wire->pins = true;
         return 0;
     }
-    if (wire->raw->type == PEER_WIRE_NOTICE) {
+    if (wire->raw->type == PEER_WIRE_ORPHANS) {
         wire->notice = true;
         return 0;
     }
--- a/src/agent/peer_wire.h
+++ b/src/agent/peer_wire.h
@@ -11,8 +11,8 @@
 #include "flow/flow.h"
 #include "request/engine.h"
 
-#define PEER_WIRE_PINS 100   /* PeerMessage.type of pins */
-#define PEER_WIRE_NOTICE 101 /* and of agent/notice_wire.h */
+#define PEER_WIRE_PINS 100    /* PeerMessage.type of pins */
+#define PEER_WIRE_ORPHANS 101 /* and of agent/orphan_wire.h */
 #define PEER_WIRE_PINS_MAX 64
 
 struct Swiftarch__PeerMessage;
@@ -36,7 +36,7 @@
  * struct peer_wire - a message read
  * @raw: what the other members point into
  * @pins: it carries pins, not a message of the engine
- * @notice: it carries a message for agent/notice_wire.h
+ * @notice: it carries a message for agent/orphan_wire.h
  * @msg: the message
  * @bytes: request or answer, or NULL
  * @len: its length
--- a/src/agent/program.h
+++ b/src/agent/program.h
@@ -16,12 +16,12 @@
 #include <stdint.h>
 
 #include "agent/addresses.h"
-#include "agent/back.h"
+#include "agent/backend.h"
 #include "agent/datagram.h"
-#include "agent/front.h"
-#include "agent/gauges.h"
+#include "agent/frontend.h"
+#include "agent/metrics.h"
 #include "agent/ingress.h"
-#include "agent/notices.h"
+#include "agent/orphan_notifier.h"
 #include "agent/peer_links.h"
 #include "agent/requests.h"
 #include "agent/upstream.h"
@@ -64,7 +64,7 @@
  * @paused_from_us: the tick before the process stood still, until the next
  *                  tick; 0 otherwise
  * @events: timers, signals and the stack's descriptor
- * @gauges: figures on /metrics
+ * @metrics: figures on /metrics
  */
 struct agent {
     struct stack_owner stack_owner;
@@ -79,14 +79,14 @@
     struct stack *stack;
     pthread_mutex_t flow_lock;
     struct flow_table *flows;
-    struct front front;
-    struct back back;
+    struct frontend frontend;
+    struct backend backend;
     struct requests requests;
     struct peer_links links;
     struct upstream upstream;
     struct ingress ingress;
     struct datagrams datagrams;
-    struct notices notices;
+    struct orphan_notifier orphan_notifier;
     uint64_t self;
     struct text_service service;
     bool service_known;
@@ -100,7 +100,7 @@
     uint64_t ticked_us;
     uint64_t paused_from_us;
     struct event *events[AGENT_EVENTS];
-    struct gauges gauges;
+    struct metrics metrics;
 };
 
 /** agent_now() - monotonic time, microseconds */
@@ -153,10 +153,11 @@
 void
 agent_upstream_changed(struct agent *agent);
 
-/** agent_tell_load() - put slots busy and requests waiting on the blackboard
+/** agent_publish_load() - put slots busy and requests waiting on the
+ * blackboard
  */
 void
-agent_tell_load(struct agent *agent);
+agent_publish_load(struct agent *agent);
 
 /** agent_stop_begin() - a planned stop, or the end at once if one runs */
 void
--- a/src/agent/refresh.c
+++ b/src/agent/refresh.c
@@ -59,7 +59,7 @@
 
 /* Flows of the service served before find nobody here any more. */
 static void
-leave_service(struct agent *agent)
+reset_former_service(struct agent *agent)
 {
     if (agent->service.id == 0 || !agent->upstream.announced ||
         agent->upstream.service == agent->service.id) {
@@ -67,14 +67,14 @@
     }
     g_warning("The host now serves %s: flows of %s are reset.",
               agent->upstream.name, agent->service.name);
-    front_abort_all(&agent->front);
+    frontend_abort_all(&agent->frontend);
     datagrams_finish(&agent->datagrams);
     datagrams_init(&agent->datagrams);
     agent->service = (struct text_service){0};
 }
 
 static bool
-is_ours(const void *arg, struct addr local)
+is_service_address(const void *arg, struct addr local)
 {
     return agent_address(arg, local.ip, local.port, TEXT_TCP) !=
            FLOW_ADDRESS_NONE;
@@ -88,7 +88,7 @@
     bool removed = agent->addresses.removed;
 
     addresses_set(&agent->addresses, text, agent->service.id);
-    front_abort_unless(&agent->front, is_ours, agent);
+    frontend_abort_unless(&agent->frontend, is_service_address, agent);
     if (agent->service_known && agent->addresses.removed && !removed) {
         g_message("%s was removed: its open flows go on.",
                   agent->service.name);
@@ -102,14 +102,14 @@
     struct upstream *upstream = &agent->upstream;
     const struct text_service *service = NULL;
 
-    leave_service(agent);
+    reset_former_service(agent);
     if (text != NULL && upstream->announced) {
         service = text_find_served(text, upstream->service);
     }
     agent->service_known = service != NULL;
     if (service != NULL) {
         agent->service = *service;
-        agent->front.limits = (struct front_limits){
+        agent->frontend.limits = (struct frontend_limits){
             .connections = service->limits.connections,
             .per_caller = service->limits.connections_per_caller,
             .body_max = service->limits.body_bytes,
@@ -141,7 +141,7 @@
 }
 
 static struct blackboard_local
-local_now(const struct agent *agent)
+current_local(const struct agent *agent)
 {
     const struct upstream *upstream = &agent->upstream;
     bool known = agent->service_known;
@@ -157,9 +157,9 @@
 }
 
 static void
-tell(struct agent *agent)
+update_blackboard(struct agent *agent)
 {
-    struct blackboard_local local = local_now(agent);
+    struct blackboard_local local = current_local(agent);
     struct blackboard_local before =
         blackboard_local(&agent->blackboard, NULL);
 
@@ -171,9 +171,9 @@
 }
 
 void
-agent_tell_load(struct agent *agent)
+agent_publish_load(struct agent *agent)
 {
-    tell(agent);
+    update_blackboard(agent);
 }
 
 static void
@@ -183,42 +183,43 @@
         agent->requests.engine, agent->service_known ? agent->service.id : 0,
         agent->upstream.lost ? 0 : agent->upstream.slots, agent_accepts(agent),
         agent_now(agent), &agent->requests.out);
-    requests_act(agent);
+    requests_execute_actions(agent);
 }
 
 /* Hands everything to the cores again; inside an RCU read section. */
 static void
-apply(struct agent *agent, const struct view *view, const struct text *text)
+refresh_components(struct agent *agent, const struct view *view,
+                   const struct text *text)
 {
     set_service(agent, text);
     if (view != NULL) {
         set_flow_view(agent, view);
     }
     set_upstream(agent);
-    tell(agent);
+    update_blackboard(agent);
 }
 
 void
 agent_upstream_changed(struct agent *agent)
 {
     rcu_read_lock();
-    apply(agent, blackboard_view(&agent->blackboard),
-          blackboard_config(&agent->blackboard));
+    refresh_components(agent, blackboard_view(&agent->blackboard),
+                       blackboard_config(&agent->blackboard));
     rcu_read_unlock();
 }
 
 static void
-text_changed(struct agent *agent, const struct view *view,
-             const struct text *text)
+service_config_changed(struct agent *agent, const struct view *view,
+                       const struct text *text)
 {
     g_message("Configuration %" G_GUINT64_FORMAT " is in force.",
               (guint64)text->version);
     engine_set_text(agent->requests.engine, text, agent_now(agent),
                     &agent->requests.out);
-    requests_act(agent);
+    requests_execute_actions(agent);
     agent->text_version = text->version;
     agent->upstream.warned = false;
-    apply(agent, view, text);
+    refresh_components(agent, view, text);
 }
 
 void
@@ -230,13 +231,13 @@
     if (view != NULL && view->seq != agent->view_seq) {
         agent->view_seq = view->seq;
         set_flow_view(agent, view);
-        notices_set_view(agent, view);
+        orphan_notifier_set_view(agent, view);
         engine_set_view(agent->requests.engine, view, agent_now(agent),
                         &agent->requests.out);
-        requests_act(agent);
+        requests_execute_actions(agent);
     }
     if (text != NULL && text->version != agent->text_version) {
-        text_changed(agent, view, text);
+        service_config_changed(agent, view, text);
     }
     rcu_read_unlock();
 }
--- a/src/agent/request.c
+++ b/src/agent/request.c
@@ -35,7 +35,7 @@
     struct request *request = arg;
 
     if (request->run != NULL) {
-        back_abort(request->run);
+        backend_abort(request->run);
     }
     if (request->http != NULL) {
         g_byte_array_unref(request->http);
@@ -47,7 +47,7 @@
 }
 
 void
-request_drop_if_over(struct requests *requests, struct request *request)
+request_free_if_finished(struct requests *requests, struct request *request)
 {
     if (request->finished && request->run == NULL) {
         g_hash_table_remove(requests->table, request);
@@ -100,8 +100,8 @@
 
 /* The engine is done with the request; a run may still have to end. */
 void
-request_over(struct requests *requests, struct request *request,
-             enum engine_outcome outcome)
+request_finished(struct requests *requests, struct request *request,
+                 enum engine_outcome outcome)
 {
     struct agent *agent = requests->agent;
 
@@ -109,7 +109,7 @@
                  request->origin == agent->self ? "agent" : "peer agent",
                  request->start_us, answer_outcome_name(outcome));
     request->finished = true;
-    request_drop_if_over(requests, request);
+    request_free_if_finished(requests, request);
 }
 
 const char *
--- a/src/agent/request.h
+++ b/src/agent/request.h
@@ -9,8 +9,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "agent/back.h"
-#include "agent/front.h"
+#include "agent/backend.h"
+#include "agent/frontend.h"
 #include "base/trace.h"
 #include "request/engine.h"
 
@@ -38,10 +38,10 @@
     uint64_t origin;
     uint64_t id;
     uint32_t service;
-    struct front_slot *slot;
+    struct frontend_slot *slot;
     GByteArray *http;
     GByteArray *answer;
-    struct back_run *run;
+    struct backend_run *run;
     bool finished;
     uint64_t deadline_us;
     uint64_t start_us;
@@ -64,15 +64,15 @@
 struct request *
 request_find(const struct requests *requests, uint64_t origin, uint64_t id);
 
-/** request_over() - the engine gave its final answer: forget it as soon as
+/** request_finished() - the engine gave its final answer: forget it as soon as
  * no run of it is left */
 void
-request_over(struct requests *requests, struct request *request,
-             enum engine_outcome outcome);
+request_finished(struct requests *requests, struct request *request,
+                 enum engine_outcome outcome);
 
-/** request_drop_if_over() - forget it if it is over and no run is left */
+/** request_free_if_finished() - forget it if it is over and no run is left */
 void
-request_drop_if_over(struct requests *requests, struct request *request);
+request_free_if_finished(struct requests *requests, struct request *request);
 
 /** request_traceparent() - field value for the next hop into @buf
  * (TRACE_PARENT_MAX), empty without a trace; returns @buf */
--- a/src/agent/requests.c
+++ b/src/agent/requests.c
@@ -16,68 +16,69 @@
 #define UNSERVED_RETRY_MS 1000
 #define KEEP_AFTER_DEADLINE_US (60 * USEC_PER_SEC)
 
-/** enum late_type - events that may arise while actions are carried out */
-enum late_type {
-    LATE_ARRIVAL, /* a flow read on once its answer had gone */
-    LATE_LOST,    /* the connection to @member broke */
-    LATE_UNSENT   /* RUN of @id never left for @member */
+/** enum deferred_type - events that may arise while actions are carried out */
+enum deferred_type {
+    DEFERRED_ARRIVAL, /* a flow read on once its answer had gone */
+    DEFERRED_LOST,    /* the connection to @member broke */
+    DEFERRED_UNSENT   /* RUN of @id never left for @member */
 };
 
 /**
- * struct late - an event that waits until the actions are carried out
+ * struct deferred - an event that waits until the actions are carried out
  *
  * An engine call in between would move the list of actions and free what
  * they point to.
  */
-struct late {
-    enum late_type type;
+struct deferred {
+    enum deferred_type type;
     uint64_t member;
     uint64_t id;
     struct engine_request arrival;
 };
 
 static void
-late_push(struct requests *requests, const struct late *late)
+defer_event(struct requests *requests, const struct deferred *deferred)
 {
-    g_queue_push_tail(&requests->late, g_memdup2(late, sizeof(*late)));
+    g_queue_push_tail(&requests->deferred,
+                      g_memdup2(deferred, sizeof(*deferred)));
 }
 
 static void
-handle_late(struct requests *requests, const struct late *late)
+handle_deferred(struct requests *requests, const struct deferred *deferred)
 {
     uint64_t now_us = agent_now(requests->agent);
 
     g_assert(!requests->acting);
-    switch (late->type) {
-    case LATE_ARRIVAL:
-        engine_arrive(requests->engine, &late->arrival, now_us,
+    switch (deferred->type) {
+    case DEFERRED_ARRIVAL:
+        engine_arrive(requests->engine, &deferred->arrival, now_us,
                       &requests->out);
         break;
-    case LATE_LOST:
-        engine_peer_lost(requests->engine, late->member, now_us,
+    case DEFERRED_LOST:
+        engine_peer_lost(requests->engine, deferred->member, now_us,
                          &requests->out);
         break;
-    case LATE_UNSENT:
-        engine_send_failed(requests->engine, late->member, late->id, now_us,
-                           &requests->out);
+    case DEFERRED_UNSENT:
+        engine_send_failed(requests->engine, deferred->member, deferred->id,
+                           now_us, &requests->out);
         break;
     }
 }
 
 void
-requests_act(struct agent *agent)
+requests_execute_actions(struct agent *agent)
 {
     struct requests *requests = &agent->requests;
-    struct late *late;
+    struct deferred *deferred;
 
     if (requests->acting) {
         return;
     }
-    actions_carry_out(requests);
-    while ((late = g_queue_pop_head(&requests->late)) != NULL) {
-        handle_late(requests, late);
-        g_free(late);
-        actions_carry_out(requests);
+    actions_execute(requests);
+    while ((deferred = g_queue_pop_head(&requests->deferred)) != NULL) {
+        handle_deferred(requests, deferred);
+        g_free(deferred);
+        actions_execute(requests);
     }
 }
 
@@ -90,13 +91,13 @@
 }
 
 static void
-refuse_unserved(struct agent *agent, struct front_slot *slot,
+refuse_unserved(struct agent *agent, struct frontend_slot *slot,
                 struct reader_request *read)
 {
     g_byte_array_unref(read->http);
     slot->last = true;
-    front_answer(
-        &agent->front, slot,
+    frontend_answer(
+        &agent->frontend, slot,
         answer_refusal(ENGINE_NOT_RUN, ENGINE_NO_UPSTREAM, UNSERVED_RETRY_MS),
         agent_now(agent));
 }
@@ -104,14 +105,14 @@
 /* The engine grants a raise only to calls of a service that an urgent one
  * depends on. */
 static enum text_class
-asked_class(enum text_class service, unsigned urgency)
+requested_class(enum text_class service, unsigned urgency)
 {
     return urgency < READER_URGENCY_DEFAULT ? TEXT_URGENT
                                             : reader_class(service, urgency);
 }
 
 static void
-on_request(struct front_owner *owner, struct front_slot *slot,
+on_request(struct frontend_owner *owner, struct frontend_slot *slot,
            struct reader_request *read, struct addr caller, struct addr local)
 {
     struct requests *requests = (struct requests *)owner;
@@ -127,13 +128,13 @@
         read->timeout_ms != 0 ? read->timeout_ms : service->limits.deadline_ms;
     struct request *request =
         request_new(requests, agent->self, id, read->traceparent);
-    struct late late = {.type = LATE_ARRIVAL};
+    struct deferred deferred = {.type = DEFERRED_ARRIVAL};
 
-    late.arrival = (struct engine_request){
+    deferred.arrival = (struct engine_request){
         .id = id,
         .service = service->id,
         .caller = caller.ip,
-        .class = asked_class(service->class, read->urgency),
+        .class = requested_class(service->class, read->urgency),
         .idempotent = read->idempotent,
         .keyed = read->keyed,
         .key = {.service = service->id,
@@ -146,13 +147,13 @@
     request->service = service->id;
     request->slot = slot;
     request->http = read->http;
-    request->deadline_us = late.arrival.deadline_us;
-    late_push(requests, &late);
-    requests_act(agent);
+    request->deadline_us = deferred.arrival.deadline_us;
+    defer_event(requests, &deferred);
+    requests_execute_actions(agent);
 }
 
 static void
-on_gone(struct front_owner *owner, struct front_slot *slot)
+on_gone(struct frontend_owner *owner, struct frontend_slot *slot)
 {
     struct requests *requests = (struct requests *)owner;
     struct agent *agent = requests->agent;
@@ -165,11 +166,11 @@
     g_assert(!requests->acting);
     engine_cancel(requests->engine, slot->id, agent_now(agent),
                   &requests->out);
-    requests_act(agent);
+    requests_execute_actions(agent);
 }
 
 static void
-on_flow(struct front_owner *owner, struct addr caller, struct addr local,
+on_flow(struct frontend_owner *owner, struct addr caller, struct addr local,
         bool open)
 {
     struct requests *requests = (struct requests *)owner;
@@ -178,15 +179,16 @@
 }
 
 static struct requests *
-of_back_owner(struct back_owner *owner)
+of_back_owner(struct backend_owner *owner)
 {
     char *base = (char *)owner;
 
-    return (struct requests *)(base - offsetof(struct requests, back_owner));
+    return (struct requests *)(base -
+                               offsetof(struct requests, backend_owner));
 }
 
 static const char *
-end_name(enum engine_upstream how)
+run_end_name(enum engine_upstream how)
 {
     static const char *const names[] = {
         [ENGINE_UP_ANSWERED] = "answered",   [ENGINE_UP_REFUSED] = "refused",
@@ -198,7 +200,7 @@
 }
 
 static void
-on_run_end(struct back_owner *owner, void *data, enum engine_upstream how,
+on_run_end(struct backend_owner *owner, void *data, enum engine_upstream how,
            GByteArray *answer)
 {
     struct requests *requests = of_back_owner(owner);
@@ -210,29 +212,29 @@
     request->run = NULL;
     request->answer = answer;
     request_span(agent, &request->run_trace, &request->trace, "upstream",
-                 request->run_us, end_name(how));
+                 request->run_us, run_end_name(how));
     if (how == ENGINE_UP_UNREACHED) {
-        upstream_unreached(agent);
+        upstream_connect_failed(agent);
     }
     g_assert(!requests->acting);
     engine_upstream_end(requests->engine, origin, id, how,
                         answer == NULL ? NULL : answer->data,
                         answer == NULL ? 0 : answer->len, agent_now(agent),
                         &requests->out);
-    requests_act(agent);
+    requests_execute_actions(agent);
     request = request_find(requests, origin, id);
     if (request != NULL) {
-        request_drop_if_over(requests, request);
+        request_free_if_finished(requests, request);
     }
 }
 
-static const struct front_ops front_ops = {
+static const struct frontend_ops frontend_ops = {
     .on_request = on_request,
     .on_gone = on_gone,
     .on_flow = on_flow,
 };
 
-static const struct back_ops back_ops = {.on_end = on_run_end};
+static const struct backend_ops backend_ops = {.on_end = on_run_end};
 
 void
 requests_register(struct agent *agent)
@@ -261,11 +263,11 @@
 {
     struct requests *requests = &agent->requests;
 
-    requests->front_owner.ops = &front_ops;
-    requests->back_owner.ops = &back_ops;
+    requests->frontend_owner.ops = &frontend_ops;
+    requests->backend_owner.ops = &backend_ops;
     requests->agent = agent;
     requests->next_id = (uint64_t)salt << ID_SALT_SHIFT;
-    g_queue_init(&requests->late);
+    g_queue_init(&requests->deferred);
     g_queue_init(&requests->ended);
     requests->table = request_table_new();
     requests->engine = engine_new(agent->self, ENGINE_POLICY_DEFAULT, salt);
@@ -281,7 +283,7 @@
         return;
     }
     g_hash_table_unref(requests->table);
-    g_queue_clear_full(&requests->late, g_free);
+    g_queue_clear_full(&requests->deferred, g_free);
     g_queue_clear_full(&requests->ended, g_free);
     engine_actions_finish(&requests->out);
     if (requests->engine != NULL) {
@@ -291,8 +293,9 @@
 
 /* Keeps the bytes of a request that a peer wants run here. */
 static void
-hold_remote(struct requests *requests, const struct engine_peer_msg *msg,
-            const uint8_t *bytes, size_t len, const char *traceparent)
+store_peer_request(struct requests *requests,
+                   const struct engine_peer_msg *msg, const uint8_t *bytes,
+                   size_t len, const char *traceparent)
 {
     uint64_t id = msg->request.id;
 
@@ -308,8 +311,8 @@
 }
 
 static void
-hold_answer(struct requests *requests, const struct engine_peer_msg *msg,
-            const uint8_t *bytes, size_t len)
+store_peer_answer(struct requests *requests, const struct engine_peer_msg *msg,
+                  const uint8_t *bytes, size_t len)
 {
     struct request *request =
         request_find(requests, requests->agent->self, msg->request.id);
@@ -332,39 +335,40 @@
     struct requests *requests = &agent->requests;
 
     if (msg->type == ENGINE_PEER_RUN) {
-        hold_remote(requests, msg, bytes, len, traceparent);
+        store_peer_request(requests, msg, bytes, len, traceparent);
     }
     else if (msg->type == ENGINE_PEER_DONE) {
-        hold_answer(requests, msg, bytes, len);
+        store_peer_answer(requests, msg, bytes, len);
     }
     g_assert(!requests->acting);
     engine_peer(requests->engine, from, msg, bytes, len, agent_now(agent),
                 &requests->out);
-    requests_act(agent);
+    requests_execute_actions(agent);
 }
 
 void
 requests_peer_lost(struct agent *agent, uint64_t member)
 {
     struct requests *requests = &agent->requests;
-    struct late late = {.type = LATE_LOST, .member = member};
+    struct deferred deferred = {.type = DEFERRED_LOST, .member = member};
 
-    late_push(requests, &late);
-    requests_act(agent);
+    defer_event(requests, &deferred);
+    requests_execute_actions(agent);
 }
 
 void
 requests_unsent(struct agent *agent, uint64_t member, uint64_t id)
 {
     struct requests *requests = &agent->requests;
-    struct late late = {.type = LATE_UNSENT, .member = member, .id = id};
+    struct deferred deferred = {
+        .type = DEFERRED_UNSENT, .member = member, .id = id};
 
-    late_push(requests, &late);
-    requests_act(agent);
+    defer_event(requests, &deferred);
+    requests_execute_actions(agent);
 }
 
 static void
-report_ended(struct requests *requests)
+report_ended_runs(struct requests *requests)
 {
     struct ended_run *item;
 
@@ -374,7 +378,7 @@
                             item->how, NULL, 0, agent_now(requests->agent),
                             &requests->out);
         g_free(item);
-        requests_act(requests->agent);
+        requests_execute_actions(requests->agent);
     }
 }
 
@@ -383,10 +387,10 @@
 {
     struct requests *requests = &agent->requests;
 
-    report_ended(requests);
+    report_ended_runs(requests);
     g_assert(!requests->acting);
     engine_tick(requests->engine, agent_now(agent), &requests->out);
-    requests_act(agent);
+    requests_execute_actions(agent);
 }
 
 void
--- a/src/agent/requests.h
+++ b/src/agent/requests.h
@@ -12,8 +12,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "agent/back.h"
-#include "agent/front.h"
+#include "agent/backend.h"
+#include "agent/frontend.h"
 #include "request/engine.h"
 
 struct agent;
@@ -23,13 +23,13 @@
 
 /**
  * struct requests - all requests here, of own callers and of peers
- * @front_owner: what the front calls; first member
- * @back_owner: what the back calls
+ * @frontend_owner: what the frontend calls; first member
+ * @backend_owner: what the back calls
  * @agent: the program
  * @engine: decides
  * @out: its actions
  * @table: struct request by origin and id
- * @late: events that arose while actions were carried out
+ * @deferred: events that arose while actions were carried out
  * @ended: struct ended_run to report with the next tick
  * @acting: actions are being carried out
  * @next_id: id of the next local request
@@ -38,13 +38,13 @@
  * @runs: counter handle
  */
 struct requests {
-    struct front_owner front_owner;
-    struct back_owner back_owner;
+    struct frontend_owner frontend_owner;
+    struct backend_owner backend_owner;
     struct agent *agent;
     struct engine *engine;
     struct engine_actions out;
     GHashTable *table;
-    GQueue late;
+    GQueue deferred;
     GQueue ended;
     bool acting;
     uint64_t next_id;
@@ -71,10 +71,10 @@
 void
 requests_finish(struct agent *agent);
 
-/** requests_act() - carry out the actions that the last engine call left;
- * call after each engine call made elsewhere */
+/** requests_execute_actions() - carry out the actions that the last engine
+ * call left; call after each engine call made elsewhere */
 void
-requests_act(struct agent *agent);
+requests_execute_actions(struct agent *agent);
 
 /** requests_peer() - a message of a peer; @http goes with RUN, @answer with
  * DONE, both may be NULL */
--- a/src/agent/upstream.c
+++ b/src/agent/upstream.c
@@ -29,7 +29,8 @@
 }
 
 static bool
-same(const struct upstream *upstream, const struct announcement *announcement)
+is_unchanged(const struct upstream *upstream,
+             const struct announcement *announcement)
 {
     return upstream->announced && !upstream->lost &&
            strcmp(upstream->name, announcement->service) == 0 &&
@@ -39,13 +40,14 @@
 }
 
 static void
-take(struct agent *agent, const struct announcement *announcement)
+accept_announcement(struct agent *agent,
+                    const struct announcement *announcement)
 {
     struct upstream *upstream = &agent->upstream;
-    bool changed = !same(upstream, announcement);
+    bool changed = !is_unchanged(upstream, announcement);
     char text[ADDR_TEXT_MAX];
 
-    upstream->heard_us = agent_now(agent);
+    upstream->announced_us = agent_now(agent);
     if (!changed) {
         return;
     }
@@ -67,7 +69,7 @@
 }
 
 static void
-lose(struct agent *agent, const char *why)
+mark_lost(struct agent *agent, const char *why)
 {
     if (agent->upstream.announced && !agent->upstream.lost) {
         agent->upstream.lost = true;
@@ -76,7 +78,7 @@
     }
 }
 
-/* Announcements come from the same host only: the listener's address
+/* Announcements come from the is_unchanged host only: the listener's address
  * decides who can reach it. */
 static bool
 on_loopback(const struct agent *agent)
@@ -98,7 +100,7 @@
                 error_format(&err, line, sizeof(line)));
         return;
     }
-    take(agent, &announcement);
+    accept_announcement(agent, &announcement);
     httpd_respond(request, STATUS_NO_CONTENT, TEXT_PLAIN, "", 0);
 }
 
@@ -115,7 +117,7 @@
         put_announce(agent, request);
     }
     else if (strcmp(method, "DELETE") == 0) {
-        lose(agent, "it said goodbye");
+        mark_lost(agent, "it said goodbye");
         httpd_respond(request, STATUS_NO_CONTENT, TEXT_PLAIN, "", 0);
     }
     else {
@@ -146,7 +148,7 @@
 {
     size_t len;
 
-    gauges_set(agent);
+    metrics_update(agent);
     char *text = counter_render(&agent->counters, &len);
 
     httpd_respond(request, STATUS_OK, "text/plain; version=0.0.4", text, len);
@@ -198,15 +200,16 @@
 void
 upstream_tick(struct agent *agent)
 {
-    if (agent_now(agent) - agent->upstream.heard_us > UPSTREAM_SILENCE_US) {
-        lose(agent, "it is silent");
+    if (agent_now(agent) - agent->upstream.announced_us >
+        UPSTREAM_TIMEOUT_US) {
+        mark_lost(agent, "it is silent");
     }
 }
 
 void
-upstream_unreached(struct agent *agent)
+upstream_connect_failed(struct agent *agent)
 {
-    lose(agent, "it refuses connections");
+    mark_lost(agent, "it refuses connections");
 }
 
 bool
--- a/src/agent/upstream.h
+++ b/src/agent/upstream.h
@@ -18,7 +18,7 @@
 
 struct agent;
 
-#define UPSTREAM_SILENCE_US (1500 * UINT64_C(1000))
+#define UPSTREAM_TIMEOUT_US (1500 * UINT64_C(1000))
 #define UPSTREAM_SLOTS_MAX 1024
 #define UPSTREAM_NAME_MAX 64
 
@@ -34,7 +34,7 @@
  * @name: name of that service
  * @slots: requests it runs at once
  * @state: what it says of itself
- * @heard_us: when it was last heard
+ * @announced_us: when it was last heard
  * @warned: that the text doesn't know its service was logged
  */
 struct upstream {
@@ -48,7 +48,7 @@
     char name[UPSTREAM_NAME_MAX];
     uint16_t slots;
     enum member_state state;
-    uint64_t heard_us;
+    uint64_t announced_us;
     bool warned;
 };
 
@@ -83,9 +83,9 @@
 void
 upstream_tick(struct agent *agent);
 
-/** upstream_unreached() - it refused a connection */
+/** upstream_connect_failed() - it refused a connection */
 void
-upstream_unreached(struct agent *agent);
+upstream_connect_failed(struct agent *agent);
 
 /** upstream_takes_work() - heard lately, and warming or ready */
 bool
--- a/src/relay/admission/admission_endpoint.c
+++ b/src/relay/admission/admission_endpoint.c
@@ -107,14 +107,15 @@
 {
     struct admission_flow *flow = &admission->flows[handle];
 
-    if (flow->request_us != 0) {
+    if (flow->request_start_us != 0) {
         record_outcome(admission, reset, now_us);
     }
-    if (flow->request_us != 0 && !reset) {
-        latency_add_service(&admission->latency, now_us - flow->request_us,
-                            flow->depth, admission->endpoint.slots);
+    if (flow->request_start_us != 0 && !reset) {
+        latency_add_service(&admission->latency,
+                            now_us - flow->request_start_us, flow->depth,
+                            admission->endpoint.slots);
     }
-    flow->request_us = 0;
+    flow->request_start_us = 0;
     admission_flow_set_idle(admission, handle);
 }
 
--- a/src/relay/admission/admission_established.c
+++ b/src/relay/admission/admission_established.c
@@ -131,7 +131,7 @@
     struct admission_flow *flow = &admission->flows[handle];
 
     admission_flow_set_busy(admission, handle, now_us);
-    flow->request_us = now_us;
+    flow->request_start_us = now_us;
     flow->depth = admission->busy_count;
 }
 
--- a/src/relay/admission/admission_private.h
+++ b/src/relay/admission/admission_private.h
@@ -55,7 +55,7 @@
  * @established_us: when the endpoint answered the SYN, 0 for not yet
  * @target_us: response target of a queued SYN or request
  * @abandon_us: when the caller of a queued SYN or request abandons it
- * @request_us: when its request was given to the endpoint, 0 for none
+ * @request_start_us: when its request was given to the endpoint, 0 for none
  * @depth: requests in progress at that time, this one included
  * @frame: the frame it came with, to forward it later (its bytes are @syn)
  * @syn: the SYN
@@ -82,7 +82,7 @@
     uint64_t established_us;
     uint64_t target_us;
     uint64_t abandon_us;
-    uint64_t request_us;
+    uint64_t request_start_us;
     unsigned depth;
     struct frame_forward frame;
     uint8_t syn[ADMISSION_SYN_MAX];
--- a/tests/agent/fake_agent.c
+++ b/tests/agent/fake_agent.c
@@ -19,14 +19,14 @@
     struct text *text = sample_parse(source);
 
     engine_set_view(engine, view, now_us, &agent->requests.out);
-    requests_act(agent);
+    requests_execute_actions(agent);
     agent->service = *text_find_name(text, "lots");
     agent->service_known = true;
     engine_set_text(engine, text, now_us, &agent->requests.out);
-    requests_act(agent);
+    requests_execute_actions(agent);
     engine_set_upstream(engine, hash_service("lots"), 2, true, now_us,
                         &agent->requests.out);
-    requests_act(agent);
+    requests_execute_actions(agent);
     free(view);
     text_free(text);
 }
@@ -44,10 +44,10 @@
     counter_table_init(&agent->counters);
     requests_register(agent);
     g_assert_cmpint(requests_init(agent, seed), ==, 0);
-    back_init(&agent->back, NULL, &agent->requests.back_owner);
-    front_init(&agent->front, &agent->requests.front_owner, "self");
-    agent->front.limits =
-        (struct front_limits){10, 10, 1024, 3600 * USEC_PER_SEC};
+    backend_init(&agent->backend, NULL, &agent->requests.backend_owner);
+    frontend_init(&agent->frontend, &agent->requests.frontend_owner, "self");
+    agent->frontend.limits =
+        (struct frontend_limits){10, 10, 1024, 3600 * USEC_PER_SEC};
     set_service(agent, FAKE_AGENT_START_US, deadline_ms);
 }
 
@@ -55,7 +55,7 @@
 fake_agent_finish(struct agent *agent)
 {
     requests_finish(agent);
-    front_finish(&agent->front);
+    frontend_finish(&agent->frontend);
     counter_table_finish(&agent->counters);
 }
 
--- a/tests/agent/test_ingress.c
+++ b/tests/agent/test_ingress.c
@@ -21,8 +21,8 @@
 #define PACKET_BUF 2200
 #define TCP_LEN 40
 
-/** struct world - an agent's ingress, a fabric and a closed port */
-struct world {
+/** struct fixture - an agent's ingress, a fabric and a closed port */
+struct fixture {
     struct agent agent;
     struct clock_manual clock;
     int fabric;
@@ -31,12 +31,12 @@
     uint64_t dead;
 };
 
-static struct world *now_running;
+static struct fixture *current_fixture;
 
 int
 stack_input(struct stack *stack, const uint8_t *buf, size_t len)
 {
-    now_running->taken++;
+    current_fixture->taken++;
     return 0;
 }
 
@@ -46,9 +46,9 @@
 }
 
 bool
-front_may_open(const struct front *front, uint32_t ip)
+frontend_can_open(const struct frontend *frontend, uint32_t ip)
 {
-    return front->limits.connections > 0;
+    return frontend->limits.connections > 0;
 }
 
 bool
@@ -61,14 +61,14 @@
 datagrams_input(struct agent *agent, const struct packet *packet,
                 const uint8_t *buf)
 {
-    now_running->taken++;
+    current_fixture->taken++;
 }
 
 void
 control_report_dead(struct control *control, uint64_t member,
                     uint64_t incarnation)
 {
-    now_running->dead = member;
+    current_fixture->dead = member;
 }
 
 /* A TCP segment without payload, checksums right. */
@@ -86,74 +86,74 @@
 }
 
 static void
-set_view(struct world *world)
+set_view(struct fixture *fixture)
 {
-    struct agent *agent = &world->agent;
+    struct agent *agent = &fixture->agent;
     struct view *view = sample_pair("self", "gone", "lots");
 
     view->members[view->self].data = agent->settings.data;
-    view->members[1 - view->self].data = world->closed;
+    view->members[1 - view->self].data = fixture->closed;
     g_assert_cmpint(flow_set_view(agent->flows, view, hash_service("lots"),
-                                  true, world->clock.now_us),
+                                  true, fixture->clock.now_us),
                     ==, 0);
     blackboard_publish_view(&agent->blackboard, view);
 }
 
 static void
-serve(struct world *world, const char *name, uint32_t ip)
+serve(struct fixture *fixture, const char *name, uint32_t ip)
 {
-    struct text_service *service = &world->agent.service;
+    struct text_service *service = &fixture->agent.service;
 
     *service = (struct text_service){
         .id = hash_service(name), .ip = ip, .port = PORT, .proto = TEXT_TCP};
-    world->agent.service_known = true;
+    fixture->agent.service_known = true;
 }
 
 static void
-world_init(struct world *world)
+fixture_init(struct fixture *fixture)
 {
-    struct agent *agent = &world->agent;
+    struct agent *agent = &fixture->agent;
     struct sockaddr_in sin;
     socklen_t len = sizeof(sin);
     struct error err;
 
-    now_running = world;
-    clock_manual_init(&world->clock, 100 * USEC_PER_SEC);
-    agent->clock = &world->clock.base;
+    current_fixture = fixture;
+    clock_manual_init(&fixture->clock, 100 * USEC_PER_SEC);
+    agent->clock = &fixture->clock.base;
     agent->self = hash_name("self");
     agent->settings.data = (struct addr){INADDR_LOOPBACK, 0};
-    agent->front.limits.connections = 1;
+    agent->frontend.limits.connections = 1;
     pthread_mutex_init(&agent->flow_lock, NULL);
     blackboard_init(&agent->blackboard);
     counter_table_init(&agent->counters);
     ingress_register(agent);
     agent->base = event_base_new();
     agent->flows = flow_table_new(agent->self, 1000);
-    world->fabric = loopback_open(SOCK_DGRAM, &agent->settings.fabric);
-    world->closed = loopback_closed(SOCK_DGRAM);
+    fixture->fabric = loopback_open(SOCK_DGRAM, &agent->settings.fabric);
+    fixture->closed = loopback_closed(SOCK_DGRAM);
     g_assert_cmpint(ingress_init(agent, &err), ==, 0);
     getsockname(agent->ingress.fd, (struct sockaddr *)&sin, &len);
     agent->settings.data = addr_from_sockaddr(&sin);
-    serve(world, "lots", SERVICE_IP);
-    set_view(world);
+    serve(fixture, "lots", SERVICE_IP);
+    set_view(fixture);
 }
 
 static void
-world_finish(struct world *world)
+fixture_finish(struct fixture *fixture)
 {
-    struct agent *agent = &world->agent;
+    struct agent *agent = &fixture->agent;
 
     ingress_finish(agent);
     flow_table_free(agent->flows);
     event_base_free(agent->base);
     counter_table_finish(&agent->counters);
     blackboard_finish(&agent->blackboard);
-    close(world->fabric);
+    close(fixture->fabric);
 }
 
 /* Sends @len bytes with a hop list, or a bare header when @service is 0. */
 static void
-send_to_agent(struct world *world, const char *service, uint8_t flags,
+send_to_agent(struct fixture *fixture, const char *service, uint8_t flags,
               const uint8_t *inner, size_t len)
 {
     uint8_t buf[GUE_HEADER_MAX + PACKET_BUF];
@@ -161,67 +161,69 @@
 
     if (service != NULL) {
         gue.service = hash_service(service);
-        gue.hops[0].member = world->agent.self;
-        gue.hops[0].data = world->agent.settings.data;
+        gue.hops[0].member = fixture->agent.self;
+        gue.hops[0].data = fixture->agent.settings.data;
     }
     size_t header = gue_encode(service == NULL ? NULL : &gue, buf);
     memcpy(buf + header, inner, len);
-    loopback_send(world->fabric, world->agent.settings.data, buf,
+    loopback_send(fixture->fabric, fixture->agent.settings.data, buf,
                   header + len);
-    event_base_loop(world->agent.base, EVLOOP_NONBLOCK);
+    event_base_loop(fixture->agent.base, EVLOOP_NONBLOCK);
 }
 
 static uint64_t
-drops(const struct world *world, enum packet_drop drop)
+drops(const struct fixture *fixture, enum packet_drop drop)
 {
-    return counter_read(&world->agent.counters,
-                        world->agent.ingress.drops[drop]);
+    return counter_read(&fixture->agent.counters,
+                        fixture->agent.ingress.drops[drop]);
 }
 
-/* What stands on the balancer's list is not believed: the address, the
+/* What stands on the balancer's list is not believed: the retired_address, the
  * port and the text in force decide. */
-TEST_F(world, other_service)
+TEST_F(fixture, other_service)
 {
     uint8_t ours[TCP_LEN];
     uint8_t theirs[TCP_LEN];
 
     build_tcp(ours, SERVICE_IP, 5000, PACKET_TCP_SYN);
     build_tcp(theirs, OTHER_IP, 5000, PACKET_TCP_SYN);
-    send_to_agent(world, "albums", GUE_OPEN, ours, TCP_LEN);
-    send_to_agent(world, "lots", GUE_OPEN, theirs, TCP_LEN);
-    send_to_agent(world, "albums", GUE_OPEN, theirs, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 0);
-    g_assert_cmpuint(drops(world, PACKET_NO_SERVICE), ==, 3);
-    send_to_agent(world, "lots", GUE_OPEN, ours, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 1);
-    /* The host now serves another service at the same address and port. */
-    serve(world, "albums", SERVICE_IP);
-    send_to_agent(world, "lots", GUE_OPEN, ours, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 1);
-    world->agent.service_known = false;
-    send_to_agent(world, "albums", GUE_OPEN, ours, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 1);
-    g_assert_cmpuint(drops(world, PACKET_NO_SERVICE), ==, 5);
+    send_to_agent(fixture, "albums", GUE_OPEN, ours, TCP_LEN);
+    send_to_agent(fixture, "lots", GUE_OPEN, theirs, TCP_LEN);
+    send_to_agent(fixture, "albums", GUE_OPEN, theirs, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 0);
+    g_assert_cmpuint(drops(fixture, PACKET_NO_SERVICE), ==, 3);
+    send_to_agent(fixture, "lots", GUE_OPEN, ours, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 1);
+    /* The host now serves another service at the same retired_address and
+     * port. */
+    serve(fixture, "albums", SERVICE_IP);
+    send_to_agent(fixture, "lots", GUE_OPEN, ours, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 1);
+    fixture->agent.service_known = false;
+    send_to_agent(fixture, "albums", GUE_OPEN, ours, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 1);
+    g_assert_cmpuint(drops(fixture, PACKET_NO_SERVICE), ==, 5);
 }
 
-/* Sends a packet whose list goes on behind us; whether it was passed on. */
+/* Sends a packet whose list goes on behind us; whether it was forwarded on. */
 static bool
-goes_on(struct world *world, const char *service, const uint8_t *inner)
+is_forwarded(struct fixture *fixture, const char *service,
+             const uint8_t *inner)
 {
     uint8_t buf[GUE_HEADER_MAX + PACKET_BUF];
     struct gue gue = {.service = hash_service(service), .count = 2};
     struct addr next;
     int fd = loopback_open(SOCK_DGRAM, &next);
 
-    gue.hops[0].member = world->agent.self;
-    gue.hops[0].data = world->agent.settings.data;
+    gue.hops[0].member = fixture->agent.self;
+    gue.hops[0].data = fixture->agent.settings.data;
     gue.hops[1].member = hash_name("next");
     gue.hops[1].data = next;
     size_t header = gue_encode(&gue, buf);
     memcpy(buf + header, inner, TCP_LEN);
-    loopback_send(world->fabric, world->agent.settings.data, buf,
+    loopback_send(fixture->fabric, fixture->agent.settings.data, buf,
                   header + TCP_LEN);
-    event_base_loop(world->agent.base, EVLOOP_NONBLOCK);
+    event_base_loop(fixture->agent.base, EVLOOP_NONBLOCK);
     ssize_t len = recv(fd, buf, sizeof(buf), MSG_DONTWAIT);
     close(fd);
     if (len <= 0) {
@@ -235,110 +237,110 @@
 }
 
 /* An owner further down the list is not cut off by a host that has come to
- * serve another service, or whose text has another address. */
-TEST_F(world, passed_along)
+ * serve another service, or whose text has another retired_address. */
+TEST_F(fixture, passed_along)
 {
     uint8_t ours[TCP_LEN];
     uint8_t theirs[TCP_LEN];
 
     build_tcp(ours, SERVICE_IP, 5000, PACKET_TCP_ACK);
     build_tcp(theirs, OTHER_IP, 5000, PACKET_TCP_ACK);
-    g_assert_true(goes_on(world, "albums", theirs));
-    g_assert_true(goes_on(world, "albums", ours));
-    g_assert_true(goes_on(world, "lots", theirs));
-    world->agent.service_known = false;
-    g_assert_true(goes_on(world, "lots", ours));
-    g_assert_cmpuint(world->taken, ==, 0);
+    g_assert_true(is_forwarded(fixture, "albums", theirs));
+    g_assert_true(is_forwarded(fixture, "albums", ours));
+    g_assert_true(is_forwarded(fixture, "lots", theirs));
+    fixture->agent.service_known = false;
+    g_assert_true(is_forwarded(fixture, "lots", ours));
+    g_assert_cmpuint(fixture->taken, ==, 0);
     g_assert_cmpuint(
-        counter_read(&world->agent.counters, world->agent.ingress.resets), ==,
-        0);
+        counter_read(&fixture->agent.counters, fixture->agent.ingress.resets),
+        ==, 0);
 }
 
 /* The service moves: its flow goes on, a new one is refused at once, and one
- * to an address whose time is over is told nothing. */
-TEST_F(world, retired)
+ * to an retired_address whose time is over is told nothing. */
+TEST_F(fixture, retired)
 {
-    struct addresses *addresses = &world->agent.addresses;
+    struct addresses *addresses = &fixture->agent.addresses;
     uint8_t known[TCP_LEN];
     uint8_t fresh[TCP_LEN];
 
     struct view *alone = view_new(1);
     alone->count = 1;
     sample_agent(&alone->members[0], "self", "lots");
-    alone->members[0].data = world->agent.settings.data;
-    flow_set_view(world->agent.flows, alone, hash_service("lots"), true,
-                  world->clock.now_us);
+    alone->members[0].data = fixture->agent.settings.data;
+    flow_set_view(fixture->agent.flows, alone, hash_service("lots"), true,
+                  fixture->clock.now_us);
     free(alone);
     build_tcp(known, SERVICE_IP, 5000, PACKET_TCP_SYN);
     build_tcp(fresh, SERVICE_IP, 5001, PACKET_TCP_SYN);
-    send_to_agent(world, "lots", GUE_OPEN, known, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 1);
-    serve(world, "lots", OTHER_IP);
+    send_to_agent(fixture, "lots", GUE_OPEN, known, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 1);
+    serve(fixture, "lots", OTHER_IP);
     addresses->items[0] =
-        (struct address){SERVICE_IP, PORT, 6, UINT64_MAX / 2};
+        (struct retired_address){SERVICE_IP, PORT, 6, UINT64_MAX / 2};
     addresses->count = 1;
-    send_to_agent(world, "lots", 0, known, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 2);
-    send_to_agent(world, "lots", GUE_OPEN, fresh, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 2);
-    int resets = world->agent.ingress.resets;
-    g_assert_cmpuint(counter_read(&world->agent.counters, resets), ==, 1);
+    send_to_agent(fixture, "lots", 0, known, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 2);
+    send_to_agent(fixture, "lots", GUE_OPEN, fresh, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 2);
+    int resets = fixture->agent.ingress.resets;
+    g_assert_cmpuint(counter_read(&fixture->agent.counters, resets), ==, 1);
     addresses->items[0].until_ms = 1;
-    send_to_agent(world, "lots", GUE_OPEN, fresh, TCP_LEN);
-    g_assert_cmpuint(counter_read(&world->agent.counters, resets), ==, 1);
-    send_to_agent(world, "lots", 0, known, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 3);
-    g_assert_cmpuint(flow_count(world->agent.flows, NULL), ==, 1);
+    send_to_agent(fixture, "lots", GUE_OPEN, fresh, TCP_LEN);
+    g_assert_cmpuint(counter_read(&fixture->agent.counters, resets), ==, 1);
+    send_to_agent(fixture, "lots", 0, known, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 3);
+    g_assert_cmpuint(flow_count(fixture->agent.flows, NULL), ==, 1);
 }
 
-TEST_F(world, malformed)
+TEST_F(fixture, malformed)
 {
     uint8_t good[PACKET_BUF] = {0};
     uint8_t bad[TCP_LEN];
 
     build_tcp(good, SERVICE_IP, 5000, PACKET_TCP_SYN);
-    send_to_agent(world, NULL, 0, good, TCP_LEN);
-    g_assert_cmpuint(drops(world, PACKET_BAD_ENCAP), ==, 1);
-    send_to_agent(world, "lots", GUE_OPEN, good, TCP_LEN - 1);
-    g_assert_cmpuint(drops(world, PACKET_TRUNCATED), ==, 1);
-    send_to_agent(world, "lots", GUE_OPEN, good, PACKET_BUF);
-    g_assert_cmpuint(drops(world, PACKET_TOO_LONG), ==, 1);
+    send_to_agent(fixture, NULL, 0, good, TCP_LEN);
+    g_assert_cmpuint(drops(fixture, PACKET_BAD_ENCAP), ==, 1);
+    send_to_agent(fixture, "lots", GUE_OPEN, good, TCP_LEN - 1);
+    g_assert_cmpuint(drops(fixture, PACKET_TRUNCATED), ==, 1);
+    send_to_agent(fixture, "lots", GUE_OPEN, good, PACKET_BUF);
+    g_assert_cmpuint(drops(fixture, PACKET_TOO_LONG), ==, 1);
     memcpy(bad, good, TCP_LEN);
     bad[25] ^= 1;
-    send_to_agent(world, "lots", GUE_OPEN, bad, TCP_LEN);
-    g_assert_cmpuint(drops(world, PACKET_BAD_L4_CHECKSUM), ==, 1);
-    g_assert_cmpuint(world->taken, ==, 0);
+    send_to_agent(fixture, "lots", GUE_OPEN, bad, TCP_LEN);
+    g_assert_cmpuint(drops(fixture, PACKET_BAD_L4_CHECKSUM), ==, 1);
+    g_assert_cmpuint(fixture->taken, ==, 0);
 }
 
 /* A hop that refuses proves that its process is gone. */
-TEST_F(world, refused_hop)
+TEST_F(fixture, refused_hop)
 {
     uint8_t segment[TCP_LEN];
 
     build_tcp(segment, SERVICE_IP, 5000, PACKET_TCP_ACK);
-    send_to_agent(world, "lots", 0, segment, TCP_LEN);
-    event_base_loop(world->agent.base, EVLOOP_NONBLOCK);
-    g_assert_cmpuint(
-        counter_read(&world->agent.counters, world->agent.ingress.passed), ==,
-        1);
-    g_assert_cmpuint(world->dead, ==, hash_name("gone"));
-    g_assert_cmpuint(world->taken, ==, 0);
+    send_to_agent(fixture, "lots", 0, segment, TCP_LEN);
+    event_base_loop(fixture->agent.base, EVLOOP_NONBLOCK);
+    g_assert_cmpuint(counter_read(&fixture->agent.counters,
+                                  fixture->agent.ingress.forwarded),
+                     ==, 1);
+    g_assert_cmpuint(fixture->dead, ==, hash_name("gone"));
+    g_assert_cmpuint(fixture->taken, ==, 0);
 }
 
 /* Over the limits a caller is told at once, and nothing is kept. */
-TEST_F(world, over_limit)
+TEST_F(fixture, over_limit)
 {
     uint8_t syn[TCP_LEN];
     uint8_t buf[PACKET_BUF];
     struct packet reset;
     struct gue gue;
 
-    world->agent.front.limits.connections = 0;
+    fixture->agent.frontend.limits.connections = 0;
     build_tcp(syn, SERVICE_IP, 5000, PACKET_TCP_SYN);
-    send_to_agent(world, "lots", GUE_OPEN, syn, TCP_LEN);
-    g_assert_cmpuint(world->taken, ==, 0);
-    g_assert_cmpuint(flow_count(world->agent.flows, NULL), ==, 0);
-    ssize_t len = recv(world->fabric, buf, sizeof(buf), MSG_DONTWAIT);
+    send_to_agent(fixture, "lots", GUE_OPEN, syn, TCP_LEN);
+    g_assert_cmpuint(fixture->taken, ==, 0);
+    g_assert_cmpuint(flow_count(fixture->agent.flows, NULL), ==, 0);
+    ssize_t len = recv(fixture->fabric, buf, sizeof(buf), MSG_DONTWAIT);
     g_assert_cmpint(len, >, 0);
     int header = gue_decode(buf, (size_t)len, &gue);
     g_assert_cmpuint(gue.count, ==, 0);
@@ -351,7 +353,7 @@
 
 /* Mutated packets never reach the stack unless they are for the service,
  * and leave no more flows than were opened. */
-TEST_F(world, mutations)
+TEST_F(fixture, mutations)
 {
     g_autoptr(GRand) random = g_rand_new_with_seed(3);
     uint8_t good[TCP_LEN];
@@ -362,11 +364,11 @@
         memcpy(copy, good, TCP_LEN);
         copy[g_rand_int_range(random, 0, TCP_LEN)] ^=
             (uint8_t)(1 << g_rand_int_range(random, 0, 8));
-        send_to_agent(world, "lots", GUE_OPEN, copy,
+        send_to_agent(fixture, "lots", GUE_OPEN, copy,
                       (size_t)g_rand_int_range(random, 1, TCP_LEN + 1));
     }
-    g_assert_cmpuint(world->taken, ==, 0);
-    g_assert_cmpuint(flow_count(world->agent.flows, NULL), ==, 0);
+    g_assert_cmpuint(fixture->taken, ==, 0);
+    g_assert_cmpuint(flow_count(fixture->agent.flows, NULL), ==, 0);
 }
 
 int
--- a/tests/agent/test_links.c
+++ b/tests/agent/test_links.c
@@ -9,15 +9,15 @@
 #include "lib/loopback.h"
 
 #define SUITE "/agent/links"
-#define NOTES_MAX 8
+#define CALLS_MAX 8
 #define ROUNDS 200
 
 /* What a call told, for the agent it was told to. */
-enum note_type { NOTE_PEER, NOTE_LOST, NOTE_UNSENT, NOTE_DEAD };
+enum call_type { CALL_PEER, CALL_LOST, CALL_UNSENT, CALL_DEAD };
 
-/** struct note - one call of the links into the rest of the agent */
-struct note {
-    enum note_type type;
+/** struct recorded_call - one call of the links into the rest of the agent */
+struct recorded_call {
+    enum call_type type;
     const struct agent *agent;
     uint64_t member;
     uint64_t id;
@@ -25,14 +25,14 @@
     char bytes[32];
 };
 
-static struct note notes[NOTES_MAX];
-static size_t note_count;
+static struct recorded_call recorded_calls[CALLS_MAX];
+static size_t recorded_count;
 
 static void
-add_note(const struct note *note)
+record_call(const struct recorded_call *recorded_call)
 {
-    g_assert_cmpuint(note_count, <, NOTES_MAX);
-    notes[note_count++] = *note;
+    g_assert_cmpuint(recorded_count, <, CALLS_MAX);
+    recorded_calls[recorded_count++] = *recorded_call;
 }
 
 void
@@ -40,46 +40,46 @@
               const struct engine_peer_msg *msg, const uint8_t *bytes,
               size_t len, const char *traceparent)
 {
-    struct note note = {
-        .type = NOTE_PEER, .agent = agent, .member = from, .msg = *msg};
+    struct recorded_call recorded_call = {
+        .type = CALL_PEER, .agent = agent, .member = from, .msg = *msg};
 
-    g_assert_cmpuint(len, <, sizeof(note.bytes));
+    g_assert_cmpuint(len, <, sizeof(recorded_call.bytes));
     if (bytes != NULL) {
-        memcpy(note.bytes, bytes, len);
+        memcpy(recorded_call.bytes, bytes, len);
     }
-    add_note(&note);
+    record_call(&recorded_call);
 }
 
 void
 requests_peer_lost(struct agent *agent, uint64_t member)
 {
-    add_note(
-        &(struct note){.type = NOTE_LOST, .agent = agent, .member = member});
+    record_call(&(struct recorded_call){
+        .type = CALL_LOST, .agent = agent, .member = member});
 }
 
 void
 requests_unsent(struct agent *agent, uint64_t member, uint64_t id)
 {
-    add_note(&(struct note){
-        .type = NOTE_UNSENT, .agent = agent, .member = member, .id = id});
+    record_call(&(struct recorded_call){
+        .type = CALL_UNSENT, .agent = agent, .member = member, .id = id});
 }
 
 void
 control_report_dead(struct control *control, uint64_t member,
                     uint64_t incarnation)
 {
-    add_note(&(struct note){.type = NOTE_DEAD, .member = member});
+    record_call(&(struct recorded_call){.type = CALL_DEAD, .member = member});
 }
 
 void
-notices_receive(struct agent *agent, uint64_t from,
-                const struct peer_wire *wire)
+orphan_notifier_receive(struct agent *agent, uint64_t from,
+                        const struct peer_wire *wire)
 {
     g_assert_not_reached();
 }
 
 static void
-agent_begin(struct agent *agent, struct event_base *base, const char *name)
+agent_start(struct agent *agent, struct event_base *base, const char *name)
 {
     struct error err;
 
@@ -99,16 +99,16 @@
 }
 
 static void
-agent_end(struct agent *agent)
+agent_stop_links(struct agent *agent)
 {
     peer_links_finish(agent);
     flow_table_free(agent->flows);
     blackboard_finish(&agent->blackboard);
 }
 
-/* Makes @agent know one other agent, at @data. */
+/* Makes @agent add_member_to_view one other agent, at @data. */
 static void
-know(struct agent *agent, const char *name, struct addr data)
+add_member_to_view(struct agent *agent, const char *name, struct addr data)
 {
     struct view *view = view_new(1);
 
@@ -131,18 +131,18 @@
 static void
 links_init(struct links *links)
 {
-    note_count = 0;
+    recorded_count = 0;
     links->base = event_base_new();
-    agent_begin(&links->a, links->base, "a");
-    agent_begin(&links->b, links->base, "b");
-    know(&links->a, "b", links->b.settings.data);
+    agent_start(&links->a, links->base, "a");
+    agent_start(&links->b, links->base, "b");
+    add_member_to_view(&links->a, "b", links->b.settings.data);
 }
 
 static void
 links_finish(struct links *links)
 {
-    agent_end(&links->a);
-    agent_end(&links->b);
+    agent_stop_links(&links->a);
+    agent_stop_links(&links->b);
     event_base_free(links->base);
 }
 
@@ -151,11 +151,11 @@
 {
     const struct timeval step = {0, 10000};
 
-    for (int i = 0; i < ROUNDS && note_count < count; i++) {
+    for (int i = 0; i < ROUNDS && recorded_count < count; i++) {
         event_base_loopexit(links->base, &step);
         event_base_dispatch(links->base);
     }
-    g_assert_cmpuint(note_count, ==, count);
+    g_assert_cmpuint(recorded_count, ==, count);
 }
 
 static int
@@ -174,26 +174,26 @@
 }
 
 static void
-assert_note(size_t i, enum note_type type, uint64_t member, uint64_t id)
+assert_call(size_t i, enum call_type type, uint64_t member, uint64_t id)
 {
-    g_assert_cmpint(notes[i].type, ==, type);
-    g_assert_cmpuint(notes[i].member, ==, member);
-    g_assert_cmpuint(notes[i].id, ==, id);
+    g_assert_cmpint(recorded_calls[i].type, ==, type);
+    g_assert_cmpuint(recorded_calls[i].member, ==, member);
+    g_assert_cmpuint(recorded_calls[i].id, ==, id);
 }
 
 TEST_F(links, whole_message)
 {
-    know(&links->b, "a", links->a.settings.data);
+    add_member_to_view(&links->b, "a", links->a.settings.data);
     g_assert_cmpint(send_run(&links->a, "b", 7), ==, 0);
     run_until(links, 1);
-    assert_note(0, NOTE_PEER, links->a.self, 0);
-    g_assert_true(notes[0].agent == &links->b);
-    g_assert_cmpuint(notes[0].msg.request.id, ==, 7);
-    g_assert_cmpstr(notes[0].bytes, ==, "GET /");
-    agent_end(&links->b);
+    assert_call(0, CALL_PEER, links->a.self, 0);
+    g_assert_true(recorded_calls[0].agent == &links->b);
+    g_assert_cmpuint(recorded_calls[0].msg.request.id, ==, 7);
+    g_assert_cmpstr(recorded_calls[0].bytes, ==, "GET /");
+    agent_stop_links(&links->b);
     run_until(links, 2);
-    assert_note(1, NOTE_LOST, hash_name("b"), 0);
-    agent_begin(&links->b, links->base, "b");
+    assert_call(1, CALL_LOST, hash_name("b"), 0);
+    agent_start(&links->b, links->base, "b");
 }
 
 /* A connection that never came up carried nothing: its runs are unsent, not
@@ -202,14 +202,14 @@
 {
     uint64_t b = hash_name("b");
 
-    know(&links->a, "b", loopback_closed(SOCK_STREAM));
+    add_member_to_view(&links->a, "b", loopback_closed(SOCK_STREAM));
     g_assert_cmpint(send_run(&links->a, "b", 7), ==, 0);
     g_assert_cmpint(send_run(&links->a, "b", 8), ==, 0);
     run_until(links, 4);
-    assert_note(0, NOTE_DEAD, b, 0);
-    assert_note(1, NOTE_UNSENT, b, 7);
-    assert_note(2, NOTE_UNSENT, b, 8);
-    assert_note(3, NOTE_LOST, b, 0);
+    assert_call(0, CALL_DEAD, b, 0);
+    assert_call(1, CALL_UNSENT, b, 7);
+    assert_call(2, CALL_UNSENT, b, 8);
+    assert_call(3, CALL_LOST, b, 0);
     g_assert_cmpint(send_run(&links->a, "stranger", 9), ==, -ENOENT);
 }
 
@@ -218,12 +218,12 @@
 {
     g_assert_cmpint(send_run(&links->a, "b", 7), ==, 0);
     run_until(links, 1);
-    g_assert_cmpint(notes[0].type, ==, NOTE_PEER);
-    g_assert_true(notes[0].agent == &links->a);
-    g_assert_cmpint(notes[0].msg.type, ==, ENGINE_PEER_DONE);
-    g_assert_cmpint(notes[0].msg.outcome, ==, ENGINE_NOT_RUN);
-    g_assert_cmpuint(notes[0].msg.request.id, ==, 7);
-    g_assert_cmpuint(notes[0].msg.origin, ==, links->a.self);
+    g_assert_cmpint(recorded_calls[0].type, ==, CALL_PEER);
+    g_assert_true(recorded_calls[0].agent == &links->a);
+    g_assert_cmpint(recorded_calls[0].msg.type, ==, ENGINE_PEER_DONE);
+    g_assert_cmpint(recorded_calls[0].msg.outcome, ==, ENGINE_NOT_RUN);
+    g_assert_cmpuint(recorded_calls[0].msg.request.id, ==, 7);
+    g_assert_cmpuint(recorded_calls[0].msg.origin, ==, links->a.self);
 }
 
 int
--- a/tests/agent/test_property.c
+++ b/tests/agent/test_property.c
@@ -20,18 +20,19 @@
 #define STEPS 3000
 #define SEEDS 20
 
-/** struct asked - one request, and how often it may have begun to run */
-struct asked {
-    unsigned begun;
+/** struct sent_request - one request, and how often it may have started to run
+ */
+struct sent_request {
+    unsigned started;
     bool idempotent;
     int key;
 };
 
-/** struct back_run - a run at the upstream; peers' runs are kept alike */
-struct back_run {
+/** struct backend_run - a run at the upstream; peers' runs are kept alike */
+struct backend_run {
     void *data;
     uint64_t id;
-    size_t asked;
+    size_t sent_request;
 };
 
 /** struct client - a caller's flow and the requests that it waits for, in
@@ -48,19 +49,19 @@
     struct clock_manual clock;
     GRand *random;
     struct client callers[FLOWS];
-    struct asked asked[REQUESTS_MAX];
-    size_t asked_count;
-    unsigned key_begun[KEYS];
+    struct sent_request sent_request[REQUESTS_MAX];
+    size_t sent_count;
+    unsigned key_started[KEYS];
     GPtrArray *runs;
     GPtrArray *at_peer;
     GArray *reserves;
     size_t answers[3]; /* whole, not run, other */
 };
 
-static struct world *now_running;
+static struct world *current_world;
 
 static size_t
-number_of(const uint8_t *http)
+request_number(const uint8_t *http)
 {
     const char *at = strstr((const char *)http, "/r/");
 
@@ -68,54 +69,57 @@
     return (size_t)atoi(at + 3);
 }
 
-static struct back_run *
-begin(struct world *world, const GByteArray *http)
+static struct backend_run *
+start_run(struct world *world, const GByteArray *http)
 {
-    struct back_run *run = g_new0(struct back_run, 1);
+    struct backend_run *run = g_new0(struct backend_run, 1);
     g_autofree char *text = g_strndup((const char *)http->data, http->len);
 
-    run->asked = number_of((const uint8_t *)text);
+    run->sent_request = request_number((const uint8_t *)text);
     return run;
 }
 
 /* What an upstream has seen may have run, whatever is heard of it later. */
 static void
-count_begun(struct world *world, const struct back_run *run)
+count_started(struct world *world, const struct backend_run *run)
 {
-    struct asked *asked = &world->asked[run->asked];
+    struct sent_request *sent_request =
+        &world->sent_request[run->sent_request];
 
-    asked->begun++;
-    if (asked->key >= 0) {
-        g_assert_cmpuint(++world->key_begun[asked->key], <=, 1);
+    sent_request->started++;
+    if (sent_request->key >= 0) {
+        g_assert_cmpuint(++world->key_started[sent_request->key], <=, 1);
     }
-    else if (!asked->idempotent) {
-        g_assert_cmpuint(asked->begun, <=, 1);
+    else if (!sent_request->idempotent) {
+        g_assert_cmpuint(sent_request->started, <=, 1);
     }
 }
 
 void
-back_init(struct back *back, struct event_base *base, struct back_owner *owner)
+backend_init(struct backend *backend, struct event_base *base,
+             struct backend_owner *owner)
 {
-    back->owner = owner;
+    backend->owner = owner;
 }
 
-struct back_run *
-back_start(struct back *back, struct addr upstream, const GByteArray *http,
-           const char *lines, size_t body_max, void *data)
+struct backend_run *
+backend_start(struct backend *backend, struct addr upstream,
+              const GByteArray *http, const char *lines, size_t body_max,
+              void *data)
 {
-    struct back_run *run = begin(now_running, http);
+    struct backend_run *run = start_run(current_world, http);
 
     run->data = data;
-    g_ptr_array_add(now_running->runs, run);
-    g_assert_cmpuint(now_running->runs->len, <=, 2);
+    g_ptr_array_add(current_world->runs, run);
+    g_assert_cmpuint(current_world->runs->len, <=, 2);
     return run;
 }
 
 void
-back_abort(struct back_run *run)
+backend_abort(struct backend_run *run)
 {
-    count_begun(now_running, run);
-    g_assert_true(g_ptr_array_remove(now_running->runs, run));
+    count_started(current_world, run);
+    g_assert_true(g_ptr_array_remove(current_world->runs, run));
     g_free(run);
 }
 
@@ -124,13 +128,13 @@
                 const struct engine_peer_msg *msg, const GByteArray *bytes,
                 const char *traceparent)
 {
-    struct world *world = now_running;
+    struct world *world = current_world;
 
     if (msg->type == ENGINE_PEER_RUN) {
         if (g_rand_int_range(world->random, 0, 10) == 0) {
             return -1; /* no room in the queue of the link */
         }
-        struct back_run *run = begin(world, bytes);
+        struct backend_run *run = start_run(world, bytes);
         run->id = msg->request.id;
         g_ptr_array_add(world->at_peer, run);
     }
@@ -142,7 +146,7 @@
 }
 
 void
-upstream_unreached(struct agent *agent)
+upstream_connect_failed(struct agent *agent)
 {
 }
 
@@ -167,13 +171,14 @@
     if (g_str_has_prefix(text, "HTTP/1.1 200 ")) {
         /* Replays carry the answer to the first request with the key. */
         size_t first = (size_t)atoi(body);
-        const struct asked *asked = &world->asked[n];
-        g_assert_true(first == n || (asked->key >= 0 &&
-                                     world->asked[first].key == asked->key));
+        const struct sent_request *sent_request = &world->sent_request[n];
+        g_assert_true(first == n ||
+                      (sent_request->key >= 0 &&
+                       world->sent_request[first].key == sent_request->key));
         world->answers[0]++;
     }
     else if (g_str_has_prefix(text, "HTTP/1.1 503 ")) {
-        g_assert_cmpuint(world->asked[n].begun, ==, 0);
+        g_assert_cmpuint(world->sent_request[n].started, ==, 0);
         world->answers[1]++;
     }
     else {
@@ -204,7 +209,7 @@
     struct client *caller = &world->callers[i];
 
     fake_conn_init(&caller->conn, 0x0a010001 + (uint32_t)i);
-    front_open(&world->agent.front, &caller->conn, world->clock.now_us);
+    frontend_open(&world->agent.frontend, &caller->conn, world->clock.now_us);
     caller->open = true;
 }
 
@@ -213,34 +218,35 @@
 {
     struct client *caller = &world->callers[i];
 
-    front_closed(&world->agent.front, &caller->conn);
+    frontend_closed(&world->agent.frontend, &caller->conn);
     fake_conn_finish(&caller->conn);
     caller->open = false;
     g_array_set_size(caller->waiting, 0);
 }
 
 static void
-ask(struct world *world, size_t i)
+send_request(struct world *world, size_t i)
 {
     struct client *caller = &world->callers[i];
-    size_t n = world->asked_count++;
-    struct asked *asked = &world->asked[n];
+    size_t n = world->sent_count++;
+    struct sent_request *sent_request = &world->sent_request[n];
     int kind = g_rand_int_range(world->random, 0, 3);
     char text[256];
     char key[64] = "";
 
     g_assert_cmpuint(n, <, REQUESTS_MAX);
-    asked->idempotent = kind == 0;
-    asked->key = -1;
+    sent_request->idempotent = kind == 0;
+    sent_request->key = -1;
     if (kind == 2) {
-        asked->key = g_rand_int_range(world->random, 0, KEYS);
-        g_snprintf(key, sizeof(key), "Idempotency-Key: k%d\r\n", asked->key);
+        sent_request->key = g_rand_int_range(world->random, 0, KEYS);
+        g_snprintf(key, sizeof(key), "Idempotency-Key: k%d\r\n",
+                   sent_request->key);
     }
     /* A key's requests differ in their target, which is in the fingerprint;
      * so retries send the first one's. */
     size_t target = n;
-    for (size_t k = 0; asked->key >= 0 && k < n; k++) {
-        if (world->asked[k].key == asked->key) {
+    for (size_t k = 0; sent_request->key >= 0 && k < n; k++) {
+        if (world->sent_request[k].key == sent_request->key) {
             target = k;
             break;
         }
@@ -251,16 +257,16 @@
                kind == 0 ? "GET" : "POST", target, key,
                g_rand_int_range(world->random, 20, 3000));
     g_array_append_val(caller->waiting, n);
-    front_data(&world->agent.front, &caller->conn, (const uint8_t *)text,
-               strlen(text), world->clock.now_us);
+    frontend_data(&world->agent.frontend, &caller->conn, (const uint8_t *)text,
+                  strlen(text), world->clock.now_us);
 }
 
 static GByteArray *
-answer_to(const struct back_run *run)
+answer_to(const struct backend_run *run)
 {
     char body[32];
 
-    g_snprintf(body, sizeof(body), "%zu whole", run->asked);
+    g_snprintf(body, sizeof(body), "%zu whole", run->sent_request);
     return fake_agent_answer(body);
 }
 
@@ -271,27 +277,27 @@
         ENGINE_UP_ANSWERED, ENGINE_UP_ANSWERED,  ENGINE_UP_ANSWERED,
         ENGINE_UP_REFUSED,  ENGINE_UP_UNREACHED, ENGINE_UP_LOST,
         ENGINE_UP_TRUNCATED};
-    struct back_owner *owner = world->agent.back.owner;
+    struct backend_owner *owner = world->agent.backend.owner;
 
     if (world->runs->len == 0) {
         return;
     }
     guint i =
         (guint)g_rand_int_range(world->random, 0, (gint)world->runs->len);
-    g_autofree struct back_run *run =
+    g_autofree struct backend_run *run =
         g_ptr_array_steal_index_fast(world->runs, i);
     enum engine_upstream how =
         ends[g_rand_int_range(world->random, 0, (gint)G_N_ELEMENTS(ends))];
     if (how != ENGINE_UP_REFUSED && how != ENGINE_UP_UNREACHED) {
-        count_begun(world, run);
+        count_started(world, run);
     }
     owner->ops->on_end(owner, run->data, how,
                        how == ENGINE_UP_ANSWERED ? answer_to(run) : NULL);
 }
 
 static void
-tell(struct world *world, const struct engine_peer_msg *msg,
-     const GByteArray *bytes)
+deliver_message(struct world *world, const struct engine_peer_msg *msg,
+                const GByteArray *bytes)
 {
     requests_peer(&world->agent, hash_name(FAKE_AGENT_PEER), msg,
                   bytes == NULL ? NULL : bytes->data,
@@ -308,7 +314,7 @@
     if (world->at_peer->len == 0) {
         return;
     }
-    g_autofree struct back_run *run =
+    g_autofree struct backend_run *run =
         g_ptr_array_steal_index(world->at_peer, 0);
     int how = g_rand_int_range(world->random, 0, 4);
     msg.request.id = run->id;
@@ -317,11 +323,11 @@
         msg.reason = ENGINE_QUEUE_FULL;
     }
     else {
-        count_begun(world, run);
+        count_started(world, run);
         msg.outcome = how == 1 ? ENGINE_UNKNOWN : ENGINE_ANSWERED;
         answer = how == 1 ? NULL : answer_to(run);
     }
-    tell(world, &msg, answer);
+    deliver_message(world, &msg, answer);
     if (answer != NULL) {
         g_byte_array_unref(answer);
     }
@@ -332,9 +338,9 @@
 peer_is_lost(struct world *world)
 {
     while (world->at_peer->len > 0) {
-        g_autofree struct back_run *run =
+        g_autofree struct backend_run *run =
             g_ptr_array_steal_index(world->at_peer, 0);
-        count_begun(world, run);
+        count_started(world, run);
     }
     requests_peer_lost(&world->agent, hash_name(FAKE_AGENT_PEER));
 }
@@ -354,7 +360,7 @@
     }
     msg.idem.type = IDEM_MSG_GRANT;
     msg.idem.state = IDEM_STARTED;
-    tell(world, &msg, NULL);
+    deliver_message(world, &msg, NULL);
 }
 
 static void
@@ -364,7 +370,7 @@
 
     msg.type =
         g_rand_boolean(world->random) ? ENGINE_PEER_PULL : ENGINE_PEER_STATUS;
-    tell(world, &msg, NULL);
+    deliver_message(world, &msg, NULL);
 }
 
 static void
@@ -390,7 +396,7 @@
     }
     else if (what < 70) {
         if (caller->open) {
-            ask(world, i);
+            send_request(world, i);
         }
         else {
             open_caller(world, i);
@@ -417,7 +423,7 @@
 static void
 world_init(struct world *world, guint32 seed)
 {
-    now_running = world;
+    current_world = world;
     world->random = g_rand_new_with_seed(seed);
     world->runs = g_ptr_array_new();
     world->at_peer = g_ptr_array_new();
@@ -449,7 +455,7 @@
 
 /* Everyone who still waits gets a final answer, and nothing is left over. */
 static void
-settle(struct world *world)
+run_until_idle(struct world *world)
 {
     for (int i = 0; i < 600; i++) {
         end_run(world);
@@ -478,7 +484,7 @@
         for (int i = 0; i < STEPS; i++) {
             step(world);
         }
-        settle(world);
+        run_until_idle(world);
         for (size_t k = 0; k < G_N_ELEMENTS(answers); k++) {
             answers[k] += world->answers[k];
         }
--- a/tests/agent/test_reader.c
+++ b/tests/agent/test_reader.c
@@ -127,13 +127,13 @@
     g_assert_cmpuint(sink->reader.status, ==, 0);
 }
 
-/** struct bad - a request and the status that refuses it */
-struct bad {
+/** struct bad_request - a request and the status that refuses it */
+struct bad_request {
     const char *text;
     unsigned status;
 };
 
-static const struct bad bad_requests[] = {
+static const struct bad_request bad_requests[] = {
     {"nonsense\r\n\r\n", 400},
     {"GET / HTTP/1.1\r\n\r\n", 400},
     {"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400},
--- a/tests/agent/test_session.c
+++ b/tests/agent/test_session.c
@@ -19,8 +19,8 @@
 #define RUNS_MAX 64
 #define TICK_STEP_MS 10
 
-/* A run that the fake back holds until the session ends it. */
-struct back_run {
+/* A run that the fake backend holds until the session ends it. */
+struct backend_run {
     void *data;
     char *line;
     bool ended;
@@ -31,22 +31,22 @@
     struct agent agent;
     struct clock_manual clock;
     struct stack_conn caller;
-    size_t told;
-    struct back_run runs[RUNS_MAX];
+    size_t logged;
+    struct backend_run runs[RUNS_MAX];
     size_t run_count;
     struct idem_msg reserve;
     GString *log;
 };
 
-static struct session *now_running;
+static struct session *current_session;
 
 static void
-say(const char *fmt, ...) G_GNUC_PRINTF(1, 2);
+log_line(const char *fmt, ...) G_GNUC_PRINTF(1, 2);
 
 static void
-say(const char *fmt, ...)
+log_line(const char *fmt, ...)
 {
-    struct session *session = now_running;
+    struct session *session = current_session;
     uint64_t ms =
         (session->clock.now_us - FAKE_AGENT_START_US) / USEC_PER_MSEC;
     va_list args;
@@ -66,7 +66,7 @@
     g_auto(GStrv) lines = g_strsplit(text, "\r\n", -1);
 
     for (char **line = lines; *line != NULL; line++) {
-        /* Spread by chance, so that callers don't come back together; the
+        /* Spread by chance, so that callers don't come backend together; the
          * engine's own tests hold its bounds. */
         if (g_str_has_prefix(*line, "Retry-After-Ms: ")) {
             (*line)[strlen("Retry-After-Ms: ")] = '\0';
@@ -77,32 +77,34 @@
 }
 
 void
-back_init(struct back *back, struct event_base *base, struct back_owner *owner)
+backend_init(struct backend *backend, struct event_base *base,
+             struct backend_owner *owner)
 {
-    back->owner = owner;
+    backend->owner = owner;
 }
 
-struct back_run *
-back_start(struct back *back, struct addr upstream, const GByteArray *http,
-           const char *lines, size_t body_max, void *data)
+struct backend_run *
+backend_start(struct backend *backend, struct addr upstream,
+              const GByteArray *http, const char *lines, size_t body_max,
+              void *data)
 {
-    struct session *session = now_running;
-    struct back_run *run = &session->runs[session->run_count++];
+    struct session *session = current_session;
+    struct backend_run *run = &session->runs[session->run_count++];
     g_autofree char *text = one_line(http->data, http->len);
     g_autofree char *added = one_line((const uint8_t *)lines, strlen(lines));
 
     g_assert_cmpuint(session->run_count, <, RUNS_MAX);
     run->data = data;
     run->line = g_strndup(text, strcspn(text, "|"));
-    say("run %zu at the upstream: %s + %s", session->run_count - 1, text,
-        added);
+    log_line("run %zu at the upstream: %s + %s", session->run_count - 1, text,
+             added);
     return run;
 }
 
 void
-back_abort(struct back_run *run)
+backend_abort(struct backend_run *run)
 {
-    say("abort %s", run->line);
+    log_line("abort %s", run->line);
     run->ended = true;
 }
 
@@ -120,72 +122,72 @@
                 const struct engine_peer_msg *msg, const GByteArray *bytes,
                 const char *traceparent)
 {
-    struct session *session = now_running;
+    struct session *session = current_session;
 
     if (msg->type == ENGINE_PEER_DONE) {
         char *text =
             bytes == NULL ? g_strdup("") : one_line(bytes->data, bytes->len);
-        say("to peer: DONE %s %s %s", answer_outcome_name(msg->outcome),
-            answer_reason_name(msg->reason), text);
+        log_line("to peer: DONE %s %s %s", answer_outcome_name(msg->outcome),
+                 answer_reason_name(msg->reason), text);
         g_free(text);
     }
     else if (msg->type == ENGINE_PEER_IDEM) {
-        say("to peer: %s", idem_type_name(msg->idem.type));
+        log_line("to peer: %s", idem_type_name(msg->idem.type));
         if (msg->idem.type == IDEM_MSG_RESERVE) {
             session->reserve = msg->idem;
         }
     }
     else if (msg->type == ENGINE_PEER_RUN) {
-        say("to peer: RUN");
+        log_line("to peer: RUN");
     }
     else if (msg->type == ENGINE_PEER_CANCEL) {
-        say("to peer: CANCEL");
+        log_line("to peer: CANCEL");
     }
     return 0;
 }
 
 void
-upstream_unreached(struct agent *agent)
+upstream_connect_failed(struct agent *agent)
 {
-    say("the upstream is lost");
+    log_line("the upstream is lost");
 }
 
 void
 ingress_flow(struct agent *agent, struct addr caller, struct addr local,
              bool open)
 {
-    say("flow %s", open ? "open" : "ended");
+    log_line("flow %s", open ? "open" : "ended");
 }
 
-/* Says what the caller received since the last look. */
+/* Says what the caller received since the last log_received. */
 static void
-look(struct session *session)
+log_received(struct session *session)
 {
     struct stack_conn *caller = &session->caller;
 
-    if (caller->written->len > session->told) {
+    if (caller->written->len > session->logged) {
         char *text =
-            one_line((const uint8_t *)caller->written->str + session->told,
-                     caller->written->len - session->told);
-        say("caller receives: %s", text);
+            one_line((const uint8_t *)caller->written->str + session->logged,
+                     caller->written->len - session->logged);
+        log_line("caller receives: %s", text);
         g_free(text);
-        session->told = caller->written->len;
+        session->logged = caller->written->len;
     }
     if (caller->closed) {
-        say("caller's flow is closed");
+        log_line("caller's flow is closed");
         caller->closed = false;
     }
 }
 
 static void
-ask(struct session *session, const char *text)
+send_request(struct session *session, const char *text)
 {
     g_autofree char *line = one_line((const uint8_t *)text, strlen(text));
 
-    say("caller sends: %s", line);
-    front_data(&session->agent.front, &session->caller, (const uint8_t *)text,
-               strlen(text), session->clock.now_us);
-    look(session);
+    log_line("caller sends: %s", line);
+    frontend_data(&session->agent.frontend, &session->caller,
+                  (const uint8_t *)text, strlen(text), session->clock.now_us);
+    log_received(session);
 }
 
 static void
@@ -195,7 +197,7 @@
         clock_manual_advance(&session->clock, TICK_STEP_MS * USEC_PER_MSEC);
         g_assert_false(agent_was_paused(&session->agent));
         requests_tick(&session->agent);
-        look(session);
+        log_received(session);
     }
 }
 
@@ -203,22 +205,22 @@
 end_run(struct session *session, size_t i, enum engine_upstream how,
         const char *body)
 {
-    struct back_owner *owner = session->agent.back.owner;
-    struct back_run *run = &session->runs[i];
+    struct backend_owner *owner = session->agent.backend.owner;
+    struct backend_run *run = &session->runs[i];
     GByteArray *answer = NULL;
 
     g_assert_cmpuint(i, <, session->run_count);
     if (run->ended) {
-        say("(run %zu was aborted: a late answer finds nobody)", i);
+        log_line("(run %zu was aborted: a late answer finds nobody)", i);
         return;
     }
     run->ended = true;
     if (body != NULL) {
         answer = fake_agent_answer(body);
     }
-    say("run %zu ends: %s", i, body == NULL ? "no answer" : body);
+    log_line("run %zu ends: %s", i, body == NULL ? "no answer" : body);
     owner->ops->on_end(owner, run->data, how, answer);
-    look(session);
+    log_received(session);
 }
 
 static void
@@ -229,10 +231,10 @@
 
     msg.idem.type = IDEM_MSG_GRANT;
     msg.idem.state = IDEM_STARTED;
-    say("peer grants");
+    log_line("peer grants");
     requests_peer(&session->agent, hash_name(FAKE_AGENT_PEER), &msg, NULL, 0,
                   "");
-    look(session);
+    log_received(session);
 }
 
 static void
@@ -248,7 +250,7 @@
                     .deadline_us = session->clock.now_us + USEC_PER_SEC},
     };
 
-    say("peer asks to run %" G_GUINT64_FORMAT, (guint64)id);
+    log_line("peer asks to run %" G_GUINT64_FORMAT, (guint64)id);
     requests_peer(&session->agent, msg.origin, &msg, (const uint8_t *)http,
                   strlen(http), "");
 }
@@ -256,12 +258,13 @@
 static void
 session_init(struct session *session)
 {
-    now_running = session;
+    current_session = session;
     session->log = g_string_new(NULL);
     fake_agent_init(&session->agent, &session->clock, 1, 1000);
     fake_conn_init(&session->caller, CALLER);
     advance(session, 20000); /* the cold start is over, replicas settled */
-    front_open(&session->agent.front, &session->caller, session->clock.now_us);
+    frontend_open(&session->agent.frontend, &session->caller,
+                  session->clock.now_us);
 }
 
 static void
@@ -276,20 +279,20 @@
 }
 
 static void
-plain_and_pipelined(struct session *session)
+plain_and_pipelined_requests(struct session *session)
 {
-    ask(session, "GET /lot/1 HTTP/1.1\r\nHost: h\r\n\r\n");
+    send_request(session, "GET /lot/1 HTTP/1.1\r\nHost: h\r\n\r\n");
     advance(session, 20);
     end_run(session, 0, ENGINE_UP_ANSWERED, "free");
-    ask(session, "GET /lot/2 HTTP/1.1\r\nHost: h\r\n\r\n"
-                 "GET /lot/3 HTTP/1.1\r\nHost: h\r\n\r\n");
+    send_request(session, "GET /lot/2 HTTP/1.1\r\nHost: h\r\n\r\n"
+                          "GET /lot/3 HTTP/1.1\r\nHost: h\r\n\r\n");
     advance(session, 10);
     end_run(session, 2, ENGINE_UP_ANSWERED, "three");
     end_run(session, 1, ENGINE_UP_ANSWERED, "two");
 }
 
 static void
-reservation(struct session *session)
+idempotency_reservation(struct session *session)
 {
     static const char first[] = "POST /lot/1 HTTP/1.1\r\nHost: h\r\n"
                                 "Idempotency-Key: k1\r\n"
@@ -298,28 +301,29 @@
                                 "Idempotency-Key: k1\r\n"
                                 "Content-Length: 4\r\n\r\nyour";
 
-    ask(session, first);
+    send_request(session, first);
     grant(session);
     advance(session, 10);
-    ask(session, first);
+    send_request(session, first);
     end_run(session, 3, ENGINE_UP_ANSWERED, "reserved");
-    ask(session, first);
-    ask(session, other);
+    send_request(session, first);
+    send_request(session, other);
     advance(session, 50);
 }
 
 static void
-failures(struct session *session)
+upstream_failures(struct session *session)
 {
-    ask(session, "POST /lot/2 HTTP/1.1\r\nHost: h\r\n"
-                 "Content-Length: 0\r\n\r\n");
+    send_request(session, "POST /lot/2 HTTP/1.1\r\nHost: h\r\n"
+                          "Content-Length: 0\r\n\r\n");
     advance(session, 10);
     end_run(session, 4, ENGINE_UP_TRUNCATED, NULL);
-    ask(session, "POST /lot/3 HTTP/1.1\r\nHost: h\r\n"
-                 "Content-Length: 0\r\n\r\n");
+    send_request(session, "POST /lot/3 HTTP/1.1\r\nHost: h\r\n"
+                          "Content-Length: 0\r\n\r\n");
     advance(session, 10);
     end_run(session, 5, ENGINE_UP_LOST, NULL);
-    ask(session, "POST /lot/4 HTTP/1.1\r\nHost: h\r\n"
+    send_request(session,
+                 "POST /lot/4 HTTP/1.1\r\nHost: h\r\n"
                  "Content-Length: 0\r\nRequest-Timeout-Ms: 200\r\n\r\n");
     advance(session, 250);
     end_run(session, 6, ENGINE_UP_ANSWERED, "too late");
@@ -327,7 +331,7 @@
 }
 
 static void
-for_the_peer(struct session *session)
+peer_request(struct session *session)
 {
     peer_runs(session, 77,
               "POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
@@ -339,16 +343,16 @@
 static void
 planned_stop(struct session *session)
 {
-    ask(session, "GET /last HTTP/1.1\r\nHost: h\r\n\r\n");
-    say("a planned stop begins");
-    session->agent.front.stopping = true;
+    send_request(session, "GET /last HTTP/1.1\r\nHost: h\r\n\r\n");
+    log_line("a planned stop begins");
+    session->agent.frontend.stopping = true;
     engine_set_upstream(session->agent.requests.engine, hash_service(SERVICE),
                         2, false, session->clock.now_us,
                         &session->agent.requests.out);
-    requests_act(&session->agent);
+    requests_execute_actions(&session->agent);
     advance(session, 10);
     end_run(session, 8, ENGINE_UP_ANSWERED, "whole");
-    front_closed(&session->agent.front, &session->caller);
+    frontend_closed(&session->agent.frontend, &session->caller);
     g_assert_cmpuint(engine_open_requests(session->agent.requests.engine), ==,
                      0);
     g_assert_cmpuint(engine_busy(session->agent.requests.engine), ==, 0);
@@ -371,10 +375,10 @@
 
 TEST_F(session, session)
 {
-    plain_and_pipelined(session);
-    reservation(session);
-    failures(session);
-    for_the_peer(session);
+    plain_and_pipelined_requests(session);
+    idempotency_reservation(session);
+    upstream_failures(session);
+    peer_request(session);
     planned_stop(session);
     compare(GOLDEN_DIR "/session.txt", session->log->str);
 }
@@ -385,10 +389,10 @@
 {
     char request[64];
 
-    for (int i = 0; i <= FRONT_PIPELINE_MAX; i++) {
+    for (int i = 0; i <= FRONTEND_PIPELINE_MAX; i++) {
         g_snprintf(request, sizeof(request),
                    "GET /%d HTTP/1.1\r\nHost: h\r\n\r\n", i);
-        ask(session, request);
+        send_request(session, request);
     }
     session->agent.service.ip++;
     session->agent.service.id = hash_service("albums");
@@ -398,5 +402,5 @@
     g_assert_null(strstr(session->log->str, "upstream: GET /8"));
     g_assert_null(strstr(session->log->str, "upstream: GET /2"));
     g_assert_nonnull(strstr(session->log->str, "no-upstream"));
-    front_closed(&session->agent.front, &session->caller);
+    frontend_closed(&session->agent.frontend, &session->caller);
 }
--- a/tests/fuzz/fuzz_agent.c
+++ b/tests/fuzz/fuzz_agent.c
@@ -146,12 +146,12 @@
 
         answer_reader_init(&reader, head, BODY_MAX);
         answer_reader_feed(&reader, (const char *)data, len / 2);
-        if (!reader.whole && !reader.failed) {
+        if (!reader.complete && !reader.failed) {
             answer_reader_feed(&reader, (const char *)data + len / 2,
                                len - len / 2);
         }
-        g_assert_false(reader.whole && reader.failed);
-        if (reader.whole) {
+        g_assert_false(reader.complete && reader.failed);
+        if (reader.complete) {
             GByteArray *answer = answer_reader_take(&reader);
             GByteArray *more = answer_with_field(answer->data, answer->len,
                                                  "Connection: close\r\n");
--- a/tests/orphans/test_wire.c
+++ b/tests/orphans/test_wire.c
@@ -3,7 +3,7 @@
 #include <errno.h>
 #include <string.h>
 
-#include "agent/notice_wire.h"
+#include "agent/orphan_wire.h"
 #include "agent/peer.pb-c.h"
 #include "base/link_wire.h"
 #include "lib/harness.h"
@@ -32,7 +32,7 @@
 static size_t
 encode_decode(const struct orphan_message *message)
 {
-    g_autoptr(GByteArray) packed = notice_wire_pack(message);
+    g_autoptr(GByteArray) packed = orphan_wire_pack(message);
     struct orphan_message read;
     struct peer_wire wire;
     size_t len = packed->len;
@@ -40,7 +40,7 @@
     g_assert_cmpint(peer_wire_unpack(packed->data, len, 1, &wire), ==, 0);
     g_assert_true(wire.notice);
     g_assert_false(wire.pins);
-    g_assert_cmpint(notice_wire_read(&wire, &read), ==, 0);
+    g_assert_cmpint(orphan_wire_read(&wire, &read), ==, 0);
     g_assert_cmpint(read.type, ==, message->type);
     g_assert_cmpint(read.known, ==, message->known);
     g_assert_cmpuint(read.boot, ==, message->boot);
@@ -102,7 +102,7 @@
 
     g_assert_cmpint(peer_wire_unpack(packed->data, packed->len, 1, &wire), ==,
                     0);
-    g_assert_cmpint(notice_wire_read(&wire, &read), ==, -EBADMSG);
+    g_assert_cmpint(orphan_wire_read(&wire, &read), ==, -EBADMSG);
     peer_wire_finish(&wire);
 }
 
@@ -112,7 +112,7 @@
     Swiftarch__PeerMessage raw = SWIFTARCH__PEER_MESSAGE__INIT;
     Swiftarch__PeerNotice notice = SWIFTARCH__PEER_NOTICE__INIT;
 
-    raw.type = PEER_WIRE_NOTICE;
+    raw.type = PEER_WIRE_ORPHANS;
     expect_bad_message(&raw); /* without a notice */
     raw.notice = &notice;
     notice.type = 2;
@@ -135,7 +135,7 @@
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(11);
     struct orphan_message message = example(9, 5);
-    g_autoptr(GByteArray) packed = notice_wire_pack(&message);
+    g_autoptr(GByteArray) packed = orphan_wire_pack(&message);
     unsigned accepted = 0;
 
     for (unsigned i = 0; i < 20000; i++) {
@@ -151,7 +151,7 @@
         if (peer_wire_unpack(bytes, packed->len, 1, &wire) < 0) {
             continue;
         }
-        if (wire.notice && notice_wire_read(&wire, &read) == 0) {
+        if (wire.notice && orphan_wire_read(&wire, &read) == 0) {
             accepted++;
             g_assert_cmpuint(read.opened + read.closed, <=, ORPHAN_BATCH_MAX);
         }
--- a/tests/request/priority_test.c
+++ b/tests/request/priority_test.c
@@ -21,7 +21,7 @@
     "{\"name\":\"reports\",\"address\":\"10.0.0.3\",\"port\":80,"
     "\"protocol\":\"tcp\",\"class\":\"ordinary\"}]}";
 
-struct back_run {
+struct backend_run {
     void *data;
     char *target;
 };
@@ -31,24 +31,26 @@
     struct agent agent;
     struct clock_manual clock;
     struct stack_conn callers[CALLERS];
-    struct back_run runs[RUNS_MAX];
+    struct backend_run runs[RUNS_MAX];
     size_t run_count;
 };
 
 static struct fixture *current_fixture;
 
 void
-back_init(struct back *back, struct event_base *base, struct back_owner *owner)
+backend_init(struct backend *backend, struct event_base *base,
+             struct backend_owner *owner)
 {
-    back->owner = owner;
+    backend->owner = owner;
 }
 
-struct back_run *
-back_start(struct back *back, struct addr upstream, const GByteArray *http,
-           const char *lines, size_t body_max, void *data)
+struct backend_run *
+backend_start(struct backend *backend, struct addr upstream,
+              const GByteArray *http, const char *lines, size_t body_max,
+              void *data)
 {
     struct fixture *fixture = current_fixture;
-    struct back_run *run = &fixture->runs[fixture->run_count++];
+    struct backend_run *run = &fixture->runs[fixture->run_count++];
     char **words = g_strsplit((const char *)http->data, " ", 3);
 
     g_assert_cmpuint(fixture->run_count, <=, RUNS_MAX);
@@ -59,7 +61,7 @@
 }
 
 void
-back_abort(struct back_run *run)
+backend_abort(struct backend_run *run)
 {
 }
 
@@ -72,7 +74,7 @@
 }
 
 void
-upstream_unreached(struct agent *agent)
+upstream_connect_failed(struct agent *agent)
 {
 }
 
@@ -97,7 +99,7 @@
     agent->service_known = true;
     engine_set_text(agent->requests.engine, text, fixture->clock.now_us,
                     &agent->requests.out);
-    requests_act(agent);
+    requests_execute_actions(agent);
     text_free(text);
 }
 
@@ -117,17 +119,18 @@
     counter_table_init(&agent->counters);
     requests_register(agent);
     g_assert_cmpint(requests_init(agent, 1), ==, 0);
-    back_init(&agent->back, NULL, &agent->requests.back_owner);
-    front_init(&agent->front, &agent->requests.front_owner, "self");
-    agent->front.limits =
-        (struct front_limits){10, 10, 1024, 3600 * USEC_PER_SEC};
+    backend_init(&agent->backend, NULL, &agent->requests.backend_owner);
+    frontend_init(&agent->frontend, &agent->requests.frontend_owner, "self");
+    agent->frontend.limits =
+        (struct frontend_limits){10, 10, 1024, 3600 * USEC_PER_SEC};
     set_text(fixture, service);
     engine_set_upstream(agent->requests.engine, hash_service(service), 2, true,
                         fixture->clock.now_us, &agent->requests.out);
-    requests_act(agent);
+    requests_execute_actions(agent);
     for (unsigned i = 0; i < CALLERS; i++) {
         fake_conn_init(&fixture->callers[i], CALLER + i);
-        front_open(&agent->front, &fixture->callers[i], fixture->clock.now_us);
+        frontend_open(&agent->frontend, &fixture->callers[i],
+                      fixture->clock.now_us);
     }
 }
 
@@ -135,7 +138,7 @@
 fixture_finish(struct fixture *fixture)
 {
     requests_finish(&fixture->agent);
-    front_finish(&fixture->agent.front);
+    frontend_finish(&fixture->agent.frontend);
     counter_table_finish(&fixture->agent.counters);
     for (unsigned i = 0; i < CALLERS; i++) {
         fake_conn_finish(&fixture->callers[i]);
@@ -153,8 +156,8 @@
                                  target, fields);
 
     clock_manual_advance(&fixture->clock, USEC_PER_MSEC);
-    front_data(&fixture->agent.front, &fixture->callers[caller],
-               (const uint8_t *)text, strlen(text), fixture->clock.now_us);
+    frontend_data(&fixture->agent.frontend, &fixture->callers[caller],
+                  (const uint8_t *)text, strlen(text), fixture->clock.now_us);
     g_free(text);
 }
 
@@ -163,7 +166,7 @@
 static const char *
 run_after_busy(struct fixture *fixture, const char *first, const char *second)
 {
-    struct back_owner *owner = fixture->agent.back.owner;
+    struct backend_owner *owner = fixture->agent.backend.owner;
     static const char text[] = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     GByteArray *answer = g_byte_array_new();
 
