--- a/bench/control/config_edit_cost.c
+++ b/bench/control/config_edit_cost.c
@@ -5,7 +5,7 @@
 
 #include "control/history.h"
 #include "measure.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #define ROUNDS 10
 
@@ -64,15 +64,16 @@
     out->edit_bytes = step->edit.middle_len;
     for (unsigned i = 0; i < ROUNDS && ret == 0; i++) {
         size_t len = old->len;
-        struct text *text = NULL;
+        struct service_config *text = NULL;
         char *report = NULL;
         uint8_t *body;
 
         begin = cpu_us();
         body = history_apply(&step->edit, (uint8_t *)old->str, &len);
-        ret = text_parse_envelope((char *)body, len, 1, &text, &report);
+        ret = service_config_parse_envelope((char *)body, len, 1, &text,
+                                            &report);
         out->apply_us += (cpu_us() - begin) / ROUNDS;
-        text_free(text);
+        service_config_free(text);
         g_free(report);
         g_free(body);
     }
--- a/bench/control/threads.c
+++ b/bench/control/threads.c
@@ -132,7 +132,8 @@
 
     rcu_read_lock();
     for (size_t i = 0; i < size; i++) {
-        const struct text *text = blackboard_config(&processes[i].blackboard);
+        const struct service_config *text =
+            blackboard_config(&processes[i].blackboard);
 
         count += text != NULL && text->version >= version;
     }
--- a/bench/directory/measure.c
+++ b/bench/directory/measure.c
@@ -5,7 +5,7 @@
 
 #include "fit.h"
 #include "net.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #define SEED 20260
 #define NODES 4 /* per cell other than the complete one */
@@ -368,8 +368,8 @@
     *hits = 0;
     before_us = cpu_us();
     for (uint32_t i = 0; i < LOOKUPS; i++)
-        *hits +=
-            directory_table_find(table, ips[i % 4096], port, TEXT_TCP) != NULL;
+        *hits += directory_table_find(table, ips[i % 4096], port,
+                                      SERVICE_CONFIG_TCP) != NULL;
     return (cpu_us() - before_us) * 1000 / LOOKUPS;
 }
 
--- a/bench/dispatch/sim.c
+++ b/bench/dispatch/sim.c
@@ -77,7 +77,7 @@
     else {
         sim->result.missed[call->class]++;
     }
-    if (call->class == TEXT_URGENT &&
+    if (call->class == SERVICE_CONFIG_URGENT &&
         ordinary_waits(sim, sim->nodes[call->node].service)) {
         sim->result.urgent_behind++;
     }
--- a/bench/dispatch/sim.h
+++ b/bench/dispatch/sim.h
@@ -28,7 +28,7 @@
 
 /** struct call - request */
 struct call {
-    enum text_class class;
+    enum service_config_class class;
     uint64_t arrived_us;
     uint64_t deadline_us;
     uint64_t started_us;
--- a/bench/dispatch/site.c
+++ b/bench/dispatch/site.c
@@ -15,14 +15,14 @@
 
 const struct site site_dar = {
     .name = "dar",
-    .services = {{"lots", 7, TEXT_URGENT, 0.2, 40000, 500000},
-                 {"albums", 3, TEXT_ORDINARY, 0, 120000, 0}},
+    .services = {{"lots", 7, SERVICE_CONFIG_URGENT, 0.2, 40000, 500000},
+                 {"albums", 3, SERVICE_CONFIG_ORDINARY, 0, 120000, 0}},
 };
 
 const struct site site_perth = {
     .name = "perth",
-    .services = {{"desk-app", 7, TEXT_URGENT, 0.2, 25000, 300000},
-                 {"report-svc", 3, TEXT_ORDINARY, 0, 400000, 0}},
+    .services = {{"desk-app", 7, SERVICE_CONFIG_URGENT, 0.2, 25000, 300000},
+                 {"report-svc", 3, SERVICE_CONFIG_ORDINARY, 0, 400000, 0}},
 };
 
 enum event_type { EVENT_ARRIVE, EVENT_MESSAGE, EVENT_END, EVENT_TICK };
@@ -141,7 +141,7 @@
     }
     engine_actions_finish(out);
     sim->nodes[node].ordinary_waiting =
-        engine_waiting_of(sim->nodes[node].engine, TEXT_ORDINARY);
+        engine_waiting_of(sim->nodes[node].engine, SERVICE_CONFIG_ORDINARY);
 }
 
 static void
@@ -265,12 +265,12 @@
     struct engine_actions out = {0};
     bool lowered = g_rand_double(sim->random) < service->lowered;
 
-    call.class = lowered ? TEXT_ORDINARY : service->class;
+    call.class = lowered ? SERVICE_CONFIG_ORDINARY : service->class;
     call.run_us = (uint64_t)(service->run_us / 2) +
                   exponential(sim, service->run_us / 2);
     call.deadline_us =
-        sim->now_us +
-        (call.class == TEXT_URGENT ? service->left_us : ORDINARY_LEFT_US);
+        sim->now_us + (call.class == SERVICE_CONFIG_URGENT ? service->left_us
+                                                           : ORDINARY_LEFT_US);
     g_array_append_val(sim->call, call);
     request.id = sim->call->len;
     request.service = at->service + 1;
--- a/bench/dispatch/site.h
+++ b/bench/dispatch/site.h
@@ -34,7 +34,7 @@
 struct site_service {
     const char *name;
     unsigned endpoints;
-    enum text_class class;
+    enum service_config_class class;
     double lowered;
     double run_us;
     uint64_t left_us;
--- a/bench/packet/bench_forward.c
+++ b/bench/packet/bench_forward.c
@@ -39,7 +39,7 @@
     int sinks[ENDPOINTS];
     struct addr to[ENDPOINTS];
     struct view *view;
-    struct text *text;
+    struct service_config *config;
     struct worker_batch *batch;
     uint32_t next_caller;
 };
@@ -137,7 +137,7 @@
 {
     memset(bench, 0, sizeof(*bench));
     bench->batch = aligned_alloc(64, sizeof(*bench->batch));
-    bench->text = route_fixture_text();
+    bench->config = route_fixture_text();
     bench->view = route_fixture_view(ENDPOINTS, "lots");
     for (size_t i = 0; i < ENDPOINTS; i++) {
         bench->sinks[i] = open_sink(&bench->to[i]);
@@ -150,7 +150,7 @@
 {
     for (size_t i = 0; i < ENDPOINTS; i++)
         close(bench->sinks[i]);
-    text_free(bench->text);
+    service_config_free(bench->config);
     free(bench->view);
     free(bench->batch);
 }
@@ -300,7 +300,7 @@
     counter_table_init(&counters);
     if (worker_pool_init(&pool, (struct addr){LOOPBACK, 0}, workers, &owner,
                          &clock, &counters, &trace, &err) < 0 ||
-        route_table_new(bench->view, bench->text, NULL, &table) < 0)
+        route_table_new(bench->view, bench->config, NULL, &table) < 0)
         g_error("Can't start the balancer.");
     worker_pool_publish(&pool, table);
     send_packets(bench, pool.addr, count);
@@ -381,7 +381,7 @@
     counter_table_init(&counters);
     worker_pool_init(&pool, (struct addr){LOOPBACK, 0}, 1, &owner, &clock,
                      &counters, &trace, &err);
-    route_table_new(bench->view, bench->text, NULL, &table);
+    route_table_new(bench->view, bench->config, NULL, &table);
     worker_pool_publish(&pool, table);
     worker_pool_start(&pool, &err);
 
--- a/bench/packet/bench_lookup.c
+++ b/bench/packet/bench_lookup.c
@@ -142,26 +142,26 @@
 }
 
 static struct route_table *
-build(const struct view *view, const struct text *text,
+build(const struct view *view, const struct service_config *config,
       const struct route_table *previous)
 {
     struct route_table *table;
 
-    if (route_table_new(view, text, previous, &table) < 0)
+    if (route_table_new(view, config, previous, &table) < 0)
         g_error("Can't build a route table.");
     return table;
 }
 
 /* Median time of a build with @previous, microseconds */
 static double
-build_us(const struct view *view, const struct text *text,
+build_us(const struct view *view, const struct service_config *config,
          const struct route_table *previous)
 {
     double times[REPEATS];
 
     for (int i = 0; i < REPEATS; i++) {
         double start = now_ns();
-        struct route_table *table = build(view, text, previous);
+        struct route_table *table = build(view, config, previous);
         times[i] = (now_ns() - start) / 1000;
         route_table_free(table);
     }
@@ -204,27 +204,27 @@
 }
 
 static void
-measure(struct measurements *measurements, const struct text *text,
+measure(struct measurements *measurements, const struct service_config *config,
         struct packets *packets)
 {
     struct view *view = route_fixture_view(measurements->endpoints, "lots");
     struct view *reduced = view_without(view, measurements->endpoints / 2);
-    struct route_table *table = build(view, text, NULL);
-    struct route_table *smaller = build(reduced, text, NULL);
+    struct route_table *table = build(view, config, NULL);
+    struct route_table *smaller = build(reduced, config, NULL);
 
     measurements->established_ns = decide_ns(table, packets, PACKET_TCP_ACK);
     measurements->open_ns = decide_ns(table, packets, PACKET_TCP_SYN);
     measurements->batch_ns = batch_ns(table, packets);
-    measurements->build_us = build_us(view, text, NULL);
-    measurements->join_us = build_us(view, text, smaller);
-    measurements->leave_us = build_us(reduced, text, table);
-    measurements->unchanged_us = build_us(view, text, table);
+    measurements->build_us = build_us(view, config, NULL);
+    measurements->join_us = build_us(view, config, smaller);
+    measurements->leave_us = build_us(reduced, config, table);
+    measurements->unchanged_us = build_us(view, config, table);
     measurements->bytes = route_table_bytes(table);
     measurements->max_load_ratio =
         max_load_ratio(table, packets, measurements->endpoints);
 
     view->members[0].state = MEMBER_DRAINING;
-    struct route_table *draining = build(view, text, table);
+    struct route_table *draining = build(view, config, table);
     measurements->drain_ns = decide_ns(draining, packets, PACKET_TCP_SYN);
     route_table_free(draining);
     route_table_free(smaller);
@@ -251,10 +251,10 @@
 }
 
 static long
-measure_flows(const struct text *text)
+measure_flows(const struct service_config *config)
 {
     struct view *view = route_fixture_view(10, "lots");
-    struct route_table *table = build(view, text, NULL);
+    struct route_table *table = build(view, config, NULL);
     struct route_decision decision;
     uint8_t buf[PACKET_SIZE_MAX];
     long before = 0;
@@ -278,7 +278,7 @@
 {
     const size_t sizes[] = {10, 100, 1000, 10000};
     struct packets *packets = g_new0(struct packets, 1);
-    struct text *text = route_fixture_text();
+    struct service_config *config = route_fixture_text();
     GString *json = g_string_new(NULL);
 
     printf(
@@ -287,7 +287,7 @@
         "unchanged     bytes  busiest\n");
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         struct measurements f = {.endpoints = sizes[i]};
-        measure(&f, text, packets);
+        measure(&f, config, packets);
         printf("%9zu %6.1f %6.1f %6.1f %6.1f %10.0f %8.0f %8.0f %9.0f "
                "%9zu %8.2f\n",
                f.endpoints, f.established_ns, f.open_ns, f.drain_ns,
@@ -296,13 +296,13 @@
         g_string_append_printf(json, "\"lookup_ns_%zu\": %.1f, ", sizes[i],
                                f.established_ns);
     }
-    long growth = measure_flows(text);
+    long growth = measure_flows(config);
     printf("resident memory grew by %ld bytes over %d distinct flows\n",
            growth, FLOW_COUNT);
     printf("{%s\"flow_bytes\": %.3f}\n", json->str,
            (double)growth / FLOW_COUNT);
     g_string_free(json, TRUE);
-    text_free(text);
+    service_config_free(config);
     g_free(packets);
     return 0;
 }
--- a/src/agent/peer_wire.c
+++ b/src/agent/peer_wire.c
@@ -64,8 +64,8 @@
     raw.reason = (uint32_t)msg->reason;
     raw.free_slots = msg->free_slots;
     raw.load = msg->load;
-    raw.waiting_urgent = msg->waiting[TEXT_URGENT];
-    raw.waiting_ordinary = msg->waiting[TEXT_ORDINARY];
+    raw.waiting_urgent = msg->waiting[SERVICE_CONFIG_URGENT];
+    raw.waiting_ordinary = msg->waiting[SERVICE_CONFIG_ORDINARY];
     fill_request(&request, &msg->request, now_us);
     fill_key(&request_key, &msg->request.key);
     request.key = &request_key;
@@ -135,7 +135,9 @@
         .id = raw->id,
         .service = raw->service,
         .caller = raw->caller,
-        .class = raw->class_ == TEXT_URGENT ? TEXT_URGENT : TEXT_ORDINARY,
+        .class = raw->class_ == SERVICE_CONFIG_URGENT
+                     ? SERVICE_CONFIG_URGENT
+                     : SERVICE_CONFIG_ORDINARY,
         .idempotent = raw->idempotent,
         .keyed = raw->keyed,
         .key = read_key(raw->key),
@@ -178,8 +180,9 @@
     msg->reason = (enum engine_reason)raw->reason;
     msg->free_slots = (uint16_t)MIN(raw->free_slots, UINT16_MAX);
     msg->load = (uint16_t)MIN(raw->load, UINT16_MAX);
-    msg->waiting[TEXT_URGENT] = (uint16_t)MIN(raw->waiting_urgent, UINT16_MAX);
-    msg->waiting[TEXT_ORDINARY] =
+    msg->waiting[SERVICE_CONFIG_URGENT] =
+        (uint16_t)MIN(raw->waiting_urgent, UINT16_MAX);
+    msg->waiting[SERVICE_CONFIG_ORDINARY] =
         (uint16_t)MIN(raw->waiting_ordinary, UINT16_MAX);
     read_request(raw->request, now_us, &msg->request);
     wire->traceparent = raw->request->traceparent;
--- a/src/agent/program.h
+++ b/src/agent/program.h
@@ -34,7 +34,7 @@
 #include "control/control.h"
 #include "flow/flow.h"
 #include "stack/stack.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 /** enum agent_stop - how far a planned stop has come */
 enum agent_stop {
@@ -88,7 +88,7 @@
     struct datagrams datagrams;
     struct orphan_notifier orphan_notifier;
     uint64_t self;
-    struct text_service service;
+    struct service_config_entry service;
     bool service_known;
     struct addresses addresses;
     uint64_t view_seq;
--- a/src/agent/reader.h
+++ b/src/agent/reader.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 #include "agent/fields.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #define READER_HEADER_MAX 16384
 #define READER_KEY_MAX 255
@@ -90,10 +90,11 @@
 
 /** reader_class() - class of a request of a service: urgent work may call
  * itself less urgent, ordinary work stays ordinary */
-static inline enum text_class
-reader_class(enum text_class service, unsigned urgency)
+static inline enum service_config_class
+reader_class(enum service_config_class service, unsigned urgency)
 {
-    return urgency <= READER_URGENCY_DEFAULT ? service : TEXT_ORDINARY;
+    return urgency <= READER_URGENCY_DEFAULT ? service
+                                             : SERVICE_CONFIG_ORDINARY;
 }
 
 /** reader_init() - begin to read a flow */
--- a/src/agent/refresh.c
+++ b/src/agent/refresh.c
@@ -30,7 +30,7 @@
     char text[ADDR_TEXT_MAX];
 
     if (agent->service_known && !agent->addresses.removed &&
-        agent->service.proto == TEXT_TCP) {
+        agent->service.proto == SERVICE_CONFIG_TCP) {
         want = (struct addr){agent->service.ip, agent->service.port};
     }
     if (addr_equal(want, agent->listening)) {
@@ -70,20 +70,20 @@
     frontend_abort_all(&agent->frontend);
     datagrams_finish(&agent->datagrams);
     datagrams_init(&agent->datagrams);
-    agent->service = (struct text_service){0};
+    agent->service = (struct service_config_entry){0};
 }
 
 static bool
 is_service_address(const void *arg, struct addr local)
 {
-    return agent_address(arg, local.ip, local.port, TEXT_TCP) !=
+    return agent_address(arg, local.ip, local.port, SERVICE_CONFIG_TCP) !=
            FLOW_ADDRESS_NONE;
 }
 
 /* Flows to an address that the text leaves to nobody or to others get no
  * packet any more: their callers are told. */
 static void
-set_addresses(struct agent *agent, const struct text *text)
+set_addresses(struct agent *agent, const struct service_config *text)
 {
     bool removed = agent->addresses.removed;
 
@@ -97,14 +97,14 @@
 
 /* Takes over what the text in force says of the announced service. */
 static void
-set_service(struct agent *agent, const struct text *text)
+set_service(struct agent *agent, const struct service_config *text)
 {
     struct upstream *upstream = &agent->upstream;
-    const struct text_service *service = NULL;
+    const struct service_config_entry *service = NULL;
 
     reset_former_service(agent);
     if (text != NULL && upstream->announced) {
-        service = text_find_served(text, upstream->service);
+        service = service_config_find_with_retired(text, upstream->service);
     }
     agent->service_known = service != NULL;
     if (service != NULL) {
@@ -189,7 +189,7 @@
 /* Hands everything to the cores again; inside an RCU read section. */
 static void
 refresh_components(struct agent *agent, const struct view *view,
-                   const struct text *text)
+                   const struct service_config *text)
 {
     set_service(agent, text);
     if (view != NULL) {
@@ -210,7 +210,7 @@
 
 static void
 service_config_changed(struct agent *agent, const struct view *view,
-                       const struct text *text)
+                       const struct service_config *text)
 {
     g_message("Configuration %" G_GUINT64_FORMAT " is in force.",
               (guint64)text->version);
@@ -227,7 +227,7 @@
 {
     rcu_read_lock();
     const struct view *view = blackboard_view(&agent->blackboard);
-    const struct text *text = blackboard_config(&agent->blackboard);
+    const struct service_config *text = blackboard_config(&agent->blackboard);
     if (view != NULL && view->seq != agent->view_seq) {
         agent->view_seq = view->seq;
         set_flow_view(agent, view);
--- a/src/agent/requests.c
+++ b/src/agent/requests.c
@@ -86,7 +86,7 @@
 static bool
 is_served(const struct agent *agent, struct addr local)
 {
-    return agent_address(agent, local.ip, local.port, TEXT_TCP) !=
+    return agent_address(agent, local.ip, local.port, SERVICE_CONFIG_TCP) !=
            FLOW_ADDRESS_NONE;
 }
 
@@ -104,10 +104,10 @@
 
 /* The engine grants a raise only to calls of a service that an urgent one
  * depends on. */
-static enum text_class
-requested_class(enum text_class service, unsigned urgency)
+static enum service_config_class
+requested_class(enum service_config_class service, unsigned urgency)
 {
-    return urgency < READER_URGENCY_DEFAULT ? TEXT_URGENT
+    return urgency < READER_URGENCY_DEFAULT ? SERVICE_CONFIG_URGENT
                                             : reader_class(service, urgency);
 }
 
@@ -117,7 +117,7 @@
 {
     struct requests *requests = (struct requests *)owner;
     struct agent *agent = requests->agent;
-    const struct text_service *service = &agent->service;
+    const struct service_config_entry *service = &agent->service;
 
     if (!is_served(agent, local)) {
         refuse_unserved(agent, slot, read);
--- a/src/balancer/builder.c
+++ b/src/balancer/builder.c
@@ -13,10 +13,10 @@
 
 static bool
 is_current(const struct builder *builder, const struct view *view,
-           const struct text *text)
+           const struct service_config *config)
 {
     return builder->built && builder->view_seq == view->seq &&
-           builder->config_version == text->version;
+           builder->config_version == config->version;
 }
 
 static void
@@ -59,9 +59,10 @@
 
     rcu_read_lock();
     const struct view *view = blackboard_view(builder->blackboard);
-    const struct text *text = blackboard_config(builder->blackboard);
-    if (view != NULL && text != NULL && !is_current(builder, view, text))
-        result = route_table_new(view, text, builder->pool->table, &table);
+    const struct service_config *config =
+        blackboard_config(builder->blackboard);
+    if (view != NULL && config != NULL && !is_current(builder, view, config))
+        result = route_table_new(view, config, builder->pool->table, &table);
     rcu_read_unlock();
 
     if (result < 0) {
--- a/src/balancer/route.h
+++ b/src/balancer/route.h
@@ -34,7 +34,7 @@
 #include "packet/gue.h"
 #include "packet/packet.h"
 #include "packet/rank.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #define ROUTE_SLOW_START_US (10 * USEC_PER_SEC)
 #define ROUTE_SLOW_START_MIN_SHARE                                            \
@@ -138,7 +138,7 @@
 /**
  * route_table_new() - build a table
  * @view: members of the cell; not referenced afterwards
- * @text: current configuration; not referenced afterwards
+ * @config: current configuration; not referenced afterwards
  * @previous: current table, whose ranks are reused, or NULL
  * @table: set to the new table
  *
@@ -146,7 +146,7 @@
  * holds.
  */
 int
-route_table_new(const struct view *view, const struct text *text,
+route_table_new(const struct view *view, const struct service_config *config,
                 const struct route_table *previous,
                 struct route_table **table);
 
--- a/src/balancer/route_build.c
+++ b/src/balancer/route_build.c
@@ -47,22 +47,24 @@
 
 /* Index of a configured or removed service, or -1 */
 static int
-service_index(const struct route_table *table, const struct text *text,
-              uint32_t id)
+service_index(const struct route_table *table,
+              const struct service_config *config, uint32_t id)
 {
-    const struct text_service *service = text_find(text, id);
+    const struct service_config_entry *service =
+        service_config_find_id(config, id);
     if (service != NULL)
-        return (int)(service - text->services);
+        return (int)(service - config->services);
 
-    for (size_t i = text->count; i < table->count; i++)
+    for (size_t i = config->count; i < table->count; i++)
         if (table->services[i].id == id)
             return (int)i;
     return -1;
 }
 
 static void
-add_address(struct route_table *table, const struct text_service *service,
-            bool retired, size_t index)
+add_address(struct route_table *table,
+            const struct service_config_entry *service, bool retired,
+            size_t index)
 {
     table->addresses[table->address_count++] = (struct route_address){
         .ip = service->ip,
@@ -74,24 +76,25 @@
 }
 
 static int
-alloc_services(struct route_table *table, const struct text *text)
+alloc_services(struct route_table *table, const struct service_config *config)
 {
-    size_t max = text->count + text->retired_count;
-    assert(text->count <= TEXT_SERVICES_MAX);
-    assert(text->retired_count <= TEXT_RETIRED_MAX);
+    size_t max = config->count + config->retired_count;
+    assert(config->count <= SERVICE_CONFIG_SERVICES_MAX);
+    assert(config->retired_count <= SERVICE_CONFIG_RETIRED_MAX);
 
     table->services = calloc(max + 1, sizeof(*table->services));
     table->addresses = calloc(max + 1, sizeof(*table->addresses));
     if (table->services == NULL || table->addresses == NULL)
         return -ENOMEM;
-    table->count = text->count;
-    for (size_t i = 0; i < text->count; i++) {
-        table->services[i].id = text->services[i].id;
-        add_address(table, &text->services[i], false, i);
+    table->count = config->count;
+    for (size_t i = 0; i < config->count; i++) {
+        table->services[i].id = config->services[i].id;
+        add_address(table, &config->services[i], false, i);
     }
-    for (size_t i = 0; i < text->retired_count; i++) {
-        const struct text_service *service = &text->retired[i].service;
-        int index = service_index(table, text, service->id);
+    for (size_t i = 0; i < config->retired_count; i++) {
+        const struct service_config_entry *service =
+            &config->retired[i].service;
+        int index = service_index(table, config, service->id);
         if (index < 0) {
             index = (int)table->count++;
             table->services[index].id = service->id;
@@ -115,14 +118,15 @@
 
 /* Index of the service of a live agent, or -1 */
 static int
-member_service_index(const struct route_table *table, const struct text *text,
+member_service_index(const struct route_table *table,
+                     const struct service_config *config,
                      const struct view_member *member)
 {
     if (member->role != MEMBER_AGENT || member->service == 0 ||
         member->health == MEMBER_DEAD || member->data.ip == 0 ||
         member->data.port == 0)
         return -1;
-    return service_index(table, text, member->service);
+    return service_index(table, config, member->service);
 }
 
 static void
@@ -141,7 +145,7 @@
 /* Keeps the order of the view, so endpoints are sorted by member id. */
 static int
 add_endpoints(struct route_table *table, const struct view *view,
-              const struct text *text)
+              const struct service_config *config)
 {
     size_t *counts = calloc(table->count + 1, sizeof(*counts));
     int result = -ENOMEM;
@@ -149,7 +153,7 @@
         return result;
 
     for (size_t i = 0; i < view->count; i++) {
-        int index = member_service_index(table, text, &view->members[i]);
+        int index = member_service_index(table, config, &view->members[i]);
         if (index >= 0)
             counts[index]++;
     }
@@ -166,7 +170,7 @@
             goto out;
     }
     for (size_t i = 0; i < view->count; i++) {
-        int index = member_service_index(table, text, &view->members[i]);
+        int index = member_service_index(table, config, &view->members[i]);
         if (index >= 0)
             add_endpoint(&table->services[index], &view->members[i]);
     }
@@ -251,7 +255,7 @@
 }
 
 int
-route_table_new(const struct view *view, const struct text *text,
+route_table_new(const struct view *view, const struct service_config *config,
                 const struct route_table *previous, struct route_table **table)
 {
     struct route_table *new = calloc(1, sizeof(*new));
@@ -260,14 +264,14 @@
         return result;
 
     new->view_seq = view->seq;
-    new->config_version = text->version;
-    result = alloc_services(new, text);
+    new->config_version = config->version;
+    result = alloc_services(new, config);
     if (result < 0)
         goto err;
     result = alloc_slots(new);
     if (result < 0)
         goto err;
-    result = add_endpoints(new, view, text);
+    result = add_endpoints(new, view, config);
     if (result < 0)
         goto err;
     for (size_t i = 0; i < new->count; i++) {
--- a/src/cli/apply.c
+++ b/src/cli/apply.c
@@ -9,8 +9,8 @@
 #include "base/clock.h"
 #include "cli/apply_run.h"
 #include "cli/cli.h"
-#include "cli/load_text.h"
-#include "cli/text_diff.h"
+#include "cli/load_config.h"
+#include "cli/config_diff.h"
 
 #define MSEC_PER_HOUR (3600 * UINT64_C(1000))
 #define FORGET_MAX 16
@@ -36,12 +36,12 @@
 {
     char *words;
 
-    if (!run->has_seen) {
+    if (!run->has_current) {
         fprintf(out, "someone who left no name");
         return;
     }
-    words = text_time_words(run->seen.written_ms);
-    fprintf(out, "%s at %s", run->seen.author, words);
+    words = service_config_format_time(run->current.written_ms);
+    fprintf(out, "%s at %s", run->current.author, words);
     g_free(words);
 }
 
@@ -49,26 +49,26 @@
 static void
 print_diff(const struct apply_run *run, FILE *out)
 {
-    struct text *published = NULL;
+    struct service_config *published = NULL;
     GString *lines = g_string_new(NULL);
     char *report = NULL;
     const char *value;
     gsize len;
 
-    if (run->seen_value != NULL) {
-        value = g_bytes_get_data(run->seen_value, &len);
-        if (text_parse_envelope(value, len, run->seen_version, &published,
-                                &report) < 0) {
+    if (run->current_value != NULL) {
+        value = g_bytes_get_data(run->current_value, &len);
+        if (service_config_parse_envelope(value, len, run->current_version,
+                                          &published, &report) < 0) {
             fprintf(out, "  what is published can't be read as a text\n");
         }
     }
-    if (text_diff(published, run->text, lines) == 0) {
+    if (config_diff(published, run->config, lines) == 0) {
         fprintf(out, "  no service differs\n");
     }
     fputs(lines->str, out);
     g_string_free(lines, TRUE);
     g_free(report);
-    text_free(published);
+    service_config_free(published);
 }
 
 /* The version that --expect names isn't the one that is published. */
@@ -92,7 +92,7 @@
 }
 
 static void
-print_winner(const struct apply_run *run, const char *what)
+print_conflict(const struct apply_run *run, const char *what)
 {
     fprintf(stderr, "%s", what);
     if (run->end.version == 0) {
@@ -121,11 +121,11 @@
     char addr[ADDR_TEXT_MAX];
 
     for (size_t i = 0; i < run->retired_count; i++) {
-        const struct text_service *service = &run->retired[i].service;
-        char *until = text_time_words(run->retired[i].until_ms);
+        const struct service_config_entry *service = &run->retired[i].service;
+        char *until = service_config_format_time(run->retired[i].until_ms);
 
         fprintf(out, "  retired: %s %s of %s, for its open flows until %s\n",
-                text_proto_name(service->proto),
+                service_config_proto_name(service->proto),
                 addr_format((struct addr){service->ip, service->port}, addr),
                 service->name, until);
         g_free(until);
@@ -136,7 +136,7 @@
 report_dry_run(const struct apply_run *run)
 {
     printf("dry run: would replace version %" PRIu64 ". Changes:\n",
-           run->seen_version);
+           run->current_version);
     print_diff(run, stdout);
     print_retired(run, stdout);
     return CLI_OK;
@@ -152,19 +152,19 @@
         printf("applied: version %" PRIu64 "\n", version);
         print_retired(run, stdout);
         return CLI_OK;
-    case APPLY_SAME:
+    case APPLY_UNCHANGED:
         printf("unchanged: version %" PRIu64 " already holds this text\n",
                version);
         return CLI_OK;
     case APPLY_REPLACED:
-        print_winner(run, "Applied, and replaced since");
+        print_conflict(run, "Applied, and replaced since");
         return CLI_OK;
     case APPLY_RACE_LOST:
         if (run->core.writes == 0) {
             print_mismatch(run);
             return CLI_RACE_LOST;
         }
-        print_winner(run, "Not applied: another text came first");
+        print_conflict(run, "Not applied: another text came first");
         return CLI_RACE_LOST;
     case APPLY_NOT_WRITTEN:
         fprintf(stderr, "Not applied: the platform did not take it.\n");
@@ -179,8 +179,8 @@
                 "ADDRESS:PORT\".\n",
                 version);
         return CLI_USAGE;
-    case APPLY_UNKNOWN_BEHIND:
-        print_winner(run, "Unknown: yours was replaced, or never written");
+    case APPLY_UNKNOWN_REPLACED:
+        print_conflict(run, "Unknown: yours was replaced, or never written");
         return CLI_UNKNOWN;
     default:
         fprintf(stderr, "Unknown: the write's answer was lost and the text "
@@ -192,13 +192,13 @@
 }
 
 static int
-parse_forget(const char *words, struct text_forget *forget)
+parse_forget(const char *words, struct service_config_forget *forget)
 {
     if (g_str_has_prefix(words, "tcp ")) {
-        forget->proto = TEXT_TCP;
+        forget->proto = SERVICE_CONFIG_TCP;
     }
     else if (g_str_has_prefix(words, "udp ")) {
-        forget->proto = TEXT_UDP;
+        forget->proto = SERVICE_CONFIG_UDP;
     }
     else {
         return -EINVAL;
@@ -208,12 +208,13 @@
 
 /* Of addresses that services leave or have left. */
 static int
-parse_change(const struct apply_options *options, struct text_forget *forget,
-             struct text_change *change)
+parse_change(const struct apply_options *options,
+             struct service_config_forget *forget,
+             struct service_config_change *change)
 {
-    *change = (struct text_change){
+    *change = (struct service_config_change){
         .name = options->file->filename[0],
-        .hold_ms = TEXT_RETIRE_HOLD_MS,
+        .hold_ms = SERVICE_CONFIG_RETIRE_HOLD_MS,
         .forget = forget,
     };
     if (options->hold->count > 0) {
@@ -248,8 +249,8 @@
 
 static int
 publish(const struct apply_options *options, const struct settings *settings,
-        const struct text *text, const struct text_change *change,
-        const uint64_t *expect)
+        const struct service_config *config,
+        const struct service_config_change *change, const uint64_t *expect)
 {
     struct apply_run run;
     struct error err = {0};
@@ -258,7 +259,7 @@
         options->as->count > 0 ? options->as->sval[0] : g_get_user_name();
     int code;
 
-    if (apply_run_init(&run, settings->platform, text, author, &err) < 0) {
+    if (apply_run_init(&run, settings->platform, config, author, &err) < 0) {
         fprintf(stderr, "%s\n", error_format(&err, line, sizeof(line)));
         return CLI_FAILED;
     }
@@ -296,10 +297,10 @@
                 options->expect->sval[0]);
         return CLI_USAGE;
     }
-    if (as[0] == '\0' || strlen(as) >= TEXT_AUTHOR_MAX ||
+    if (as[0] == '\0' || strlen(as) >= SERVICE_CONFIG_AUTHOR_MAX ||
         !g_utf8_validate(as, -1, NULL)) {
         fprintf(stderr, "--as: expected a name of 1 to %d bytes of UTF-8\n",
-                TEXT_AUTHOR_MAX - 1);
+                SERVICE_CONFIG_AUTHOR_MAX - 1);
         return CLI_USAGE;
     }
     return CLI_OK;
@@ -310,9 +311,9 @@
 {
     const char *path = options->file->filename[0];
     struct settings settings;
-    struct text *text;
-    struct text_forget forget[FORGET_MAX];
-    struct text_change change;
+    struct service_config *config;
+    struct service_config_forget forget[FORGET_MAX];
+    struct service_config_change change;
     uint64_t expect;
     int code = check_options(options, &expect);
 
@@ -325,11 +326,11 @@
     if (code != CLI_OK) {
         return code;
     }
-    code = load_text(path, &text);
+    code = load_config(path, &config);
     if (code == CLI_OK) {
-        code = publish(options, &settings, text, &change,
+        code = publish(options, &settings, config, &change,
                        options->expect->count > 0 ? &expect : NULL);
-        text_free(text);
+        service_config_free(config);
     }
     return code;
 }
--- a/src/cli/apply_core.c
+++ b/src/cli/apply_core.c
@@ -5,8 +5,13 @@
 
 #include <glib.h>
 
-/** enum landing - what a read back proves of our write */
-enum landing { LANDED, LANDED_THEN_REPLACED, NOT_LANDED, NOT_KNOWN };
+/** enum write_result - what a read back proves of our write */
+enum write_result {
+    WRITE_APPLIED,
+    WRITE_APPLIED_THEN_REPLACED,
+    WRITE_NOT_APPLIED,
+    WRITE_UNKNOWN
+};
 
 static struct apply_action
 finish(enum apply_outcome outcome, uint64_t version)
@@ -47,31 +52,31 @@
 }
 
 /* Our write can only have become the version after the expected one. */
-static enum landing
-landing_of(const struct apply_core *core, const struct apply_event *event)
+static enum write_result
+write_result_of(const struct apply_core *core, const struct apply_event *event)
 {
-    const struct text_envelope *envelope = event->envelope;
-    uint64_t behind = event->version - (core->expect + 1);
+    const struct service_config_envelope *envelope = event->envelope;
+    uint64_t versions_after = event->version - (core->expect + 1);
 
     assert(event->version > core->expect);
-    if (behind == 0) {
+    if (versions_after == 0) {
         return envelope != NULL &&
                        strcmp(envelope->write_id, core->write_id) == 0
-                   ? LANDED
-                   : NOT_LANDED;
+                   ? WRITE_APPLIED
+                   : WRITE_NOT_APPLIED;
     }
-    if (envelope == NULL || behind > envelope->history_count) {
-        return NOT_KNOWN;
+    if (envelope == NULL || versions_after > envelope->history_count) {
+        return WRITE_UNKNOWN;
     }
-    return strcmp(envelope->history[behind - 1], core->write_id) == 0
-               ? LANDED_THEN_REPLACED
-               : NOT_LANDED;
+    return strcmp(envelope->history[versions_after - 1], core->write_id) == 0
+               ? WRITE_APPLIED_THEN_REPLACED
+               : WRITE_NOT_APPLIED;
 }
 
 /* The write isn't there. Another one under the same condition is safe; after
  * the last one, a delayed one may still land, so look again. */
 static struct apply_action
-settle_unchanged(struct apply_core *core)
+retry_unchanged(struct apply_core *core)
 {
     if (core->writes < APPLY_WRITES_MAX) {
         return write_object(core);
@@ -83,40 +88,40 @@
 }
 
 static struct apply_action
-settle(struct apply_core *core, const struct apply_event *event)
+confirm_write(struct apply_core *core, const struct apply_event *event)
 {
     if (event->version < core->expect) {
         return finish(APPLY_UNKNOWN, event->version);
     }
     if (event->version == core->expect) {
-        return settle_unchanged(core);
+        return retry_unchanged(core);
     }
-    switch (landing_of(core, event)) {
-    case LANDED:
+    switch (write_result_of(core, event)) {
+    case WRITE_APPLIED:
         return finish(APPLY_APPLIED, event->version);
-    case LANDED_THEN_REPLACED:
+    case WRITE_APPLIED_THEN_REPLACED:
         return finish(APPLY_REPLACED, event->version);
-    case NOT_LANDED:
+    case WRITE_NOT_APPLIED:
         return finish(APPLY_RACE_LOST, event->version);
     default:
-        return finish(APPLY_UNKNOWN_BEHIND, event->version);
+        return finish(APPLY_UNKNOWN_REPLACED, event->version);
     }
 }
 
 /* After a plain refusal ours can't be there, unless something between us
  * and the platform sent the write twice. */
 static struct apply_action
-name_winner(const struct apply_core *core, const struct apply_event *event)
+finish_conflict(const struct apply_core *core, const struct apply_event *event)
 {
-    enum landing landing = NOT_KNOWN;
+    enum write_result write_result = WRITE_UNKNOWN;
 
     if (event->version > core->expect) {
-        landing = landing_of(core, event);
+        write_result = write_result_of(core, event);
     }
-    if (landing == LANDED) {
+    if (write_result == WRITE_APPLIED) {
         return finish(APPLY_APPLIED, event->version);
     }
-    if (landing == LANDED_THEN_REPLACED) {
+    if (write_result == WRITE_APPLIED_THEN_REPLACED) {
         return finish(APPLY_REPLACED, event->version);
     }
     return finish(APPLY_RACE_LOST, event->version);
@@ -127,30 +132,30 @@
 {
     core->reads = 0;
     switch (core->phase) {
-    case APPLY_PHASE_FIRST:
-        if (core->demanded && event->version != core->expect) {
+    case APPLY_PHASE_READ_VERSION:
+        if (core->version_given && event->version != core->expect) {
             return finish(APPLY_RACE_LOST, event->version);
         }
         if (event->same) {
-            return finish(APPLY_SAME, event->version);
+            return finish(APPLY_UNCHANGED, event->version);
         }
         core->expect = event->version;
         return write_object(core);
-    case APPLY_PHASE_WINNER:
-        return name_winner(core, event);
+    case APPLY_PHASE_READ_CONFLICT:
+        return finish_conflict(core, event);
     default:
-        return settle(core, event);
+        return confirm_write(core, event);
     }
 }
 
 /* The platform is silent: what is certain without another read. */
 static struct apply_action
-give_up(const struct apply_core *core)
+finish_unread(const struct apply_core *core)
 {
     switch (core->phase) {
-    case APPLY_PHASE_FIRST:
+    case APPLY_PHASE_READ_VERSION:
         return finish(APPLY_NOT_WRITTEN, 0);
-    case APPLY_PHASE_WINNER:
+    case APPLY_PHASE_READ_CONFLICT:
         return finish(APPLY_RACE_LOST, 0);
     default:
         return finish(APPLY_UNKNOWN, 0);
@@ -161,7 +166,7 @@
 on_read_failed(struct apply_core *core)
 {
     if (++core->reads >= APPLY_READS_MAX) {
-        return give_up(core);
+        return finish_unread(core);
     }
     return wait_after(core->reads);
 }
@@ -172,7 +177,7 @@
 {
     memset(core, 0, sizeof(*core));
     g_strlcpy(core->write_id, write_id, sizeof(core->write_id));
-    core->demanded = expect != NULL;
+    core->version_given = expect != NULL;
     core->expect = expect != NULL ? *expect : 0;
     return read_object();
 }
@@ -188,17 +193,18 @@
     case APPLY_WRITTEN:
         return finish(APPLY_APPLIED, event->version);
     case APPLY_STALE:
-        core->phase = core->lost ? APPLY_PHASE_SETTLE : APPLY_PHASE_WINNER;
+        core->phase =
+            core->lost ? APPLY_PHASE_CONFIRM : APPLY_PHASE_READ_CONFLICT;
         return read_object();
     case APPLY_REFUSED:
         if (!core->lost) {
             return finish(APPLY_NOT_WRITTEN, core->expect);
         }
-        core->phase = APPLY_PHASE_SETTLE;
+        core->phase = APPLY_PHASE_CONFIRM;
         return read_object();
     case APPLY_LOST:
         core->lost = true;
-        core->phase = APPLY_PHASE_SETTLE;
+        core->phase = APPLY_PHASE_CONFIRM;
         return read_object();
     default:
         return read_object();
--- a/src/cli/apply_core.h
+++ b/src/cli/apply_core.h
@@ -13,7 +13,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #define APPLY_WRITES_MAX 2
 #define APPLY_READS_MAX 6
@@ -23,13 +23,13 @@
 
 /** enum apply_event_type - what the platform answered, or time that passed */
 enum apply_event_type {
-    APPLY_READ,        /* the object, version 0 if there is none */
-    APPLY_READ_FAILED, /* no answer to a read */
-    APPLY_WRITTEN,     /* the write took effect */
-    APPLY_STALE,       /* the version was not the expected one */
-    APPLY_REFUSED,     /* the write certainly had no effect */
-    APPLY_LOST,        /* the write had an effect or not */
-    APPLY_WAITED       /* the wait is over */
+    APPLY_READ,         /* the object, version 0 if there is none */
+    APPLY_READ_FAILED,  /* no answer to a read */
+    APPLY_WRITTEN,      /* the write took effect */
+    APPLY_STALE,        /* the version was not the expected one */
+    APPLY_REFUSED,      /* the write certainly had no effect */
+    APPLY_LOST,         /* the write had an effect or not */
+    APPLY_TIMER_EXPIRED /* the wait is over */
 };
 
 /**
@@ -42,28 +42,29 @@
 struct apply_event {
     enum apply_event_type type;
     uint64_t version;
-    const struct text_envelope *envelope;
+    const struct service_config_envelope *envelope;
     bool same;
 };
 
 /** enum apply_outcome - how it ended */
 enum apply_outcome {
-    APPLY_APPLIED,        /* ours is published as @version */
-    APPLY_SAME,           /* it was already published; nothing written */
-    APPLY_REPLACED,       /* ours was published, @version replaced it */
-    APPLY_RACE_LOST,      /* ours was not published, @version came first */
-    APPLY_NOT_WRITTEN,    /* ours was not published: no answer, or refused */
-    APPLY_UNKNOWN_BEHIND, /* @version is another's; ours came between or not */
-    APPLY_UNKNOWN,        /* ours isn't there now as far as is known, but its
-                             write may still be under way */
-    APPLY_FORBIDDEN       /* not written: what is published forbids it */
+    APPLY_APPLIED,          /* ours is published as @version */
+    APPLY_UNCHANGED,        /* it was already published; nothing written */
+    APPLY_REPLACED,         /* ours was published, @version replaced it */
+    APPLY_RACE_LOST,        /* ours was not published, @version came first */
+    APPLY_NOT_WRITTEN,      /* ours was not published: no answer, or refused */
+    APPLY_UNKNOWN_REPLACED, /* @version is another's; ours came between or not
+                             */
+    APPLY_UNKNOWN,          /* ours isn't there now as far as is known, but its
+                               write may still be under way */
+    APPLY_FORBIDDEN         /* not written: what is published forbids it */
 };
 
 /** enum apply_action_type - what the program must do */
 enum apply_action_type {
     APPLY_DO_READ,
     APPLY_DO_WRITE, /* if the version is @expect */
-    APPLY_DO_WAIT,  /* @wait_ms, then APPLY_WAITED */
+    APPLY_DO_WAIT,  /* @wait_ms, then APPLY_TIMER_EXPIRED */
     APPLY_DO_FINISH
 };
 
@@ -78,15 +79,15 @@
 
 /** enum apply_phase - what the next read is for */
 enum apply_phase {
-    APPLY_PHASE_FIRST,  /* learn the version to replace */
-    APPLY_PHASE_WINNER, /* the write was refused: who came first */
-    APPLY_PHASE_SETTLE  /* the answer was lost: did the write land */
+    APPLY_PHASE_READ_VERSION,  /* learn the version to replace */
+    APPLY_PHASE_READ_CONFLICT, /* the write was refused: who came first */
+    APPLY_PHASE_CONFIRM        /* the answer was lost: did the write land */
 };
 
 /**
  * struct apply_core - state of one run
  * @write_id: ours
- * @demanded: the operator named the version to replace, in @expect
+ * @version_given: the operator named the version to replace, in @expect
  * @expect: version to replace
  * @phase: what the next read is for
  * @writes: writes sent
@@ -95,8 +96,8 @@
  * @checks: reads that found the version unchanged after the last write
  */
 struct apply_core {
-    char write_id[TEXT_WRITE_ID_MAX];
-    bool demanded;
+    char write_id[SERVICE_CONFIG_WRITE_ID_MAX];
+    bool version_given;
     uint64_t expect;
     enum apply_phase phase;
     unsigned writes;
--- a/src/cli/apply_run.c
+++ b/src/cli/apply_run.c
@@ -9,7 +9,7 @@
 #define WRITE_ID_BYTES 16
 
 static void
-act(struct apply_run *run, struct apply_action action);
+perform_action(struct apply_run *run, struct apply_action action);
 
 static int
 make_write_id(char *id)
@@ -26,29 +26,30 @@
 }
 
 static void
-drop_read(struct apply_run *run)
+clear_read(struct apply_run *run)
 {
-    if (run->seen_value != NULL) {
-        g_bytes_unref(run->seen_value);
+    if (run->current_value != NULL) {
+        g_bytes_unref(run->current_value);
     }
-    run->seen_value = NULL;
-    run->has_seen = false;
+    run->current_value = NULL;
+    run->has_current = false;
 }
 
 static void
-keep_read(struct apply_run *run, const struct platform_reply *reply)
+store_read(struct apply_run *run, const struct platform_reply *reply)
 {
     const char *value;
     gsize len;
 
-    drop_read(run);
-    run->seen_version = reply->version;
+    clear_read(run);
+    run->current_version = reply->version;
     if (reply->status != 0) {
         return;
     }
-    run->seen_value = g_bytes_new(reply->value, reply->len);
-    value = g_bytes_get_data(run->seen_value, &len);
-    run->has_seen = text_envelope_read(value, len, &run->seen) == 0;
+    run->current_value = g_bytes_new(reply->value, reply->len);
+    value = g_bytes_get_data(run->current_value, &len);
+    run->has_current =
+        service_config_envelope_read(value, len, &run->current) == 0;
 }
 
 static struct apply_event
@@ -59,13 +60,14 @@
     if (reply->status != 0 && reply->status != -ENOENT) {
         return event;
     }
-    keep_read(run, reply);
+    store_read(run, reply);
     event.type = APPLY_READ;
     event.version = reply->version;
-    event.envelope = run->has_seen ? &run->seen : NULL;
-    event.same =
-        run->has_seen && run->seen.text_len == run->text->source_len &&
-        memcmp(run->seen.text, run->text->source, run->text->source_len) == 0;
+    event.envelope = run->has_current ? &run->current : NULL;
+    event.same = run->has_current &&
+                 run->current.source_len == run->config->source_len &&
+                 memcmp(run->current.source, run->config->source,
+                        run->config->source_len) == 0;
     return event;
 }
 
@@ -96,7 +98,7 @@
 static void
 step(struct apply_run *run, const struct apply_event *event)
 {
-    act(run, apply_core_step(&run->core, event));
+    perform_action(run, apply_core_step(&run->core, event));
 }
 
 static void
@@ -108,51 +110,55 @@
     if (reply->status != 0) {
         run->error = reply->error;
     }
-    event = run->doing.type == APPLY_DO_READ ? event_of_read(run, reply)
-                                             : event_of_write(reply);
+    event = run->action.type == APPLY_DO_READ ? event_of_read(run, reply)
+                                              : event_of_write(reply);
     step(run, &event);
 }
 
 static void
-on_waited(evutil_socket_t fd, short events, void *arg)
+on_wait_timer(evutil_socket_t fd, short events, void *arg)
 {
-    const struct apply_event event = {.type = APPLY_WAITED};
+    const struct apply_event event = {.type = APPLY_TIMER_EXPIRED};
 
     step(arg, &event);
 }
 
 static void
-fill_history(const struct apply_run *run, struct text_envelope *envelope)
+fill_history(const struct apply_run *run,
+             struct service_config_envelope *envelope)
 {
-    size_t kept = 0;
+    size_t copied = 0;
 
-    if (!run->has_seen) {
+    if (!run->has_current) {
         return;
     }
-    g_strlcpy(envelope->history[0], run->seen.write_id, TEXT_WRITE_ID_MAX);
-    while (kept < run->seen.history_count && kept + 1 < TEXT_HISTORY_MAX) {
-        g_strlcpy(envelope->history[kept + 1], run->seen.history[kept],
-                  TEXT_WRITE_ID_MAX);
-        kept++;
+    g_strlcpy(envelope->history[0], run->current.write_id,
+              SERVICE_CONFIG_WRITE_ID_MAX);
+    while (copied < run->current.history_count &&
+           copied + 1 < SERVICE_CONFIG_HISTORY_MAX) {
+        g_strlcpy(envelope->history[copied + 1], run->current.history[copied],
+                  SERVICE_CONFIG_WRITE_ID_MAX);
+        copied++;
     }
-    envelope->history_count = kept + 1;
+    envelope->history_count = copied + 1;
 }
 
 /* What is published, or NULL when there is nothing that can be read. */
-static struct text *
-published_text(const struct apply_run *run)
+static struct service_config *
+parse_published(const struct apply_run *run)
 {
-    struct text *text = NULL;
+    struct service_config *config = NULL;
     char *report = NULL;
     const char *value;
     gsize len;
 
-    if (run->seen_value != NULL) {
-        value = g_bytes_get_data(run->seen_value, &len);
-        text_parse_envelope(value, len, run->seen_version, &text, &report);
+    if (run->current_value != NULL) {
+        value = g_bytes_get_data(run->current_value, &len);
+        service_config_parse_envelope(value, len, run->current_version,
+                                      &config, &report);
         g_free(report);
     }
-    return text;
+    return config;
 }
 
 /* Not before the version to replace, however late our clock is: addresses
@@ -162,46 +168,48 @@
 {
     uint64_t ms = (uint64_t)g_get_real_time() / USEC_PER_MSEC;
 
-    return run->has_seen ? MAX(ms, run->seen.written_ms) : ms;
+    return run->has_current ? MAX(ms, run->current.written_ms) : ms;
 }
 
-/* Works out what the text retires; what was read is what it replaces. */
+/* Works out what the config retires; what was read is what it replaces. */
 static int
 retire(struct apply_run *run)
 {
-    struct text *from = published_text(run);
+    struct service_config *from = parse_published(run);
     int rc;
 
     run->change.from = from;
-    run->change.to = run->text;
+    run->change.to = run->config;
     run->change.now_ms = now_ms(run);
-    rc = text_retire(&run->change, run->retired, &run->retired_count,
-                     &run->report);
+    rc = service_config_retire(&run->change, run->retired, &run->retired_count,
+                               &run->report);
     run->change.from = NULL;
-    text_free(from);
+    service_config_free(from);
     return rc;
 }
 
 static int
 start_write(struct apply_run *run)
 {
-    char *retired = text_retired_write(run->retired, run->retired_count);
-    struct text_envelope envelope = {
+    char *retired =
+        service_config_retired_write(run->retired, run->retired_count);
+    struct service_config_envelope envelope = {
         .written_ms = run->change.now_ms,
         .retired = run->retired_count > 0 ? retired : NULL,
         .retired_len = strlen(retired),
-        .text = run->text->source,
-        .text_len = run->text->source_len,
+        .source = run->config->source,
+        .source_len = run->config->source_len,
     };
     char *value;
     size_t len;
     int rc;
 
-    g_strlcpy(envelope.write_id, run->core.write_id, TEXT_WRITE_ID_MAX);
-    g_strlcpy(envelope.author, run->author, TEXT_AUTHOR_MAX);
+    g_strlcpy(envelope.write_id, run->core.write_id,
+              SERVICE_CONFIG_WRITE_ID_MAX);
+    g_strlcpy(envelope.author, run->author, SERVICE_CONFIG_AUTHOR_MAX);
     fill_history(run, &envelope);
-    value = text_envelope_write(&envelope, &len);
-    rc = platform_put(run->platform, run->object, run->doing.expect, value,
+    value = service_config_envelope_write(&envelope, &len);
+    rc = platform_put(run->platform, run->object, run->action.expect, value,
                       len, &run->call);
     g_free(value);
     g_free(retired);
@@ -212,8 +220,8 @@
 start_wait(struct apply_run *run)
 {
     struct timeval wait = {
-        .tv_sec = run->doing.wait_ms / 1000,
-        .tv_usec = run->doing.wait_ms % 1000 * (long)USEC_PER_MSEC,
+        .tv_sec = run->action.wait_ms / 1000,
+        .tv_usec = run->action.wait_ms % 1000 * (long)USEC_PER_MSEC,
     };
 
     evtimer_add(run->timer, &wait);
@@ -231,16 +239,16 @@
 {
     end(run, (struct apply_action){.type = APPLY_DO_FINISH,
                                    .outcome = APPLY_FORBIDDEN,
-                                   .version = run->seen_version});
+                                   .version = run->current_version});
 }
 
 static void
-act(struct apply_run *run, struct apply_action action)
+perform_action(struct apply_run *run, struct apply_action action)
 {
     struct apply_event failed = {.type = APPLY_READ_FAILED};
     int rc = 0;
 
-    run->doing = action;
+    run->action = action;
     switch (action.type) {
     case APPLY_DO_READ:
         rc = platform_get(run->platform, run->object, &run->call);
@@ -271,21 +279,23 @@
 }
 
 int
-apply_run_init(struct apply_run *run, const char *url, const struct text *text,
-               const char *author, struct error *err)
+apply_run_init(struct apply_run *run, const char *url,
+               const struct service_config *config, const char *author,
+               struct error *err)
 {
     *run = (struct apply_run){
         .call.done = on_reply,
         .object = APPLY_OBJECT,
-        .text = text,
+        .config = config,
         .author = author,
-        .change = {.name = APPLY_OBJECT, .hold_ms = TEXT_RETIRE_HOLD_MS},
+        .change = {.name = APPLY_OBJECT,
+                   .hold_ms = SERVICE_CONFIG_RETIRE_HOLD_MS},
         .base = event_base_new(),
     };
     if (run->base == NULL) {
         return error_set(err, -ENOMEM, "apply", NULL, "no event base");
     }
-    run->timer = evtimer_new(run->base, on_waited, run);
+    run->timer = evtimer_new(run->base, on_wait_timer, run);
     run->platform = platform_new(run->base, url, err);
     if (run->timer == NULL || run->platform == NULL) {
         apply_run_finish(run);
@@ -303,13 +313,13 @@
     }
     event_base_free(run->base);
     g_free(run->report);
-    drop_read(run);
+    clear_read(run);
 }
 
 void
 apply_run_publish(struct apply_run *run, const uint64_t *expect)
 {
-    char id[TEXT_WRITE_ID_MAX];
+    char id[SERVICE_CONFIG_WRITE_ID_MAX];
 
     if (make_write_id(id) < 0) {
         error_set(&run->error, -EIO, "write id", NULL, "no random numbers");
@@ -317,6 +327,6 @@
                                          .outcome = APPLY_NOT_WRITTEN};
         return;
     }
-    act(run, apply_core_start(&run->core, id, expect));
+    perform_action(run, apply_core_start(&run->core, id, expect));
     event_base_dispatch(run->base);
 }
--- a/src/cli/apply_run.h
+++ b/src/cli/apply_run.h
@@ -10,8 +10,8 @@
 #include "base/settings.h"
 #include "cli/apply_core.h"
 #include "platform/platform.h"
-#include "text/text.h"
-#include "text/text_retire.h"
+#include "service_config/service_config.h"
+#include "service_config/service_config_retire.h"
 
 #define APPLY_OBJECT SETTINGS_OBJECT /* unless the settings say otherwise */
 
@@ -22,21 +22,21 @@
  * @platform: client
  * @timer: waits
  * @core: decisions
- * @doing: action under way
+ * @action: action under way
  * @object: platform object to write
- * @text: text to publish
+ * @config: config to publish
  * @author: who publishes it
  * @dry_run: read only
  * @change: what the operator decided about retired addresses; @from, @to and
  *          @now_ms are filled in
- * @retired: addresses that are retired with the text, once it is to be
+ * @retired: addresses that are retired with the config, once it is to be
  *           written
  * @retired_count: how many
  * @report: why the outcome is APPLY_FORBIDDEN, or NULL
- * @seen_value: value last read, or NULL
- * @seen: what it holds; valid when @has_seen
- * @has_seen: the value was an envelope
- * @seen_version: version last read
+ * @current_value: value last read, or NULL
+ * @current: what it holds; valid when @has_current
+ * @has_current: the value was an envelope
+ * @current_version: version last read
  * @end: the final action
  * @error: of the last failed call
  */
@@ -46,19 +46,19 @@
     struct platform *platform;
     struct event *timer;
     struct apply_core core;
-    struct apply_action doing;
+    struct apply_action action;
     const char *object;
-    const struct text *text;
+    const struct service_config *config;
     const char *author;
     bool dry_run;
-    struct text_change change;
-    struct text_retired retired[TEXT_RETIRED_MAX];
+    struct service_config_change change;
+    struct service_config_retired retired[SERVICE_CONFIG_RETIRED_MAX];
     size_t retired_count;
     char *report;
-    GBytes *seen_value;
-    struct text_envelope seen;
-    bool has_seen;
-    uint64_t seen_version;
+    GBytes *current_value;
+    struct service_config_envelope current;
+    bool has_current;
+    uint64_t current_version;
     struct apply_action end;
     struct error error;
 };
@@ -70,8 +70,9 @@
  * Return: 0 or a negative errno with @err filled.
  */
 int
-apply_run_init(struct apply_run *run, const char *url, const struct text *text,
-               const char *author, struct error *err);
+apply_run_init(struct apply_run *run, const char *url,
+               const struct service_config *config, const char *author,
+               struct error *err);
 
 /** apply_run_finish() - free */
 void
--- a/src/cli/check.c
+++ b/src/cli/check.c
@@ -4,19 +4,19 @@
 #include <glib.h>
 
 #include "cli/cli.h"
-#include "cli/load_text.h"
+#include "cli/load_config.h"
 
 #define SUMMARY "Check an operators' text and print every fault found."
 
 static int
 check_file(const char *path)
 {
-    struct text *text;
-    int code = load_text(path, &text);
+    struct service_config *config;
+    int code = load_config(path, &config);
 
     if (code == CLI_OK) {
-        printf("%s: good: %zu services\n", path, text->count);
-        text_free(text);
+        printf("%s: good: %zu services\n", path, config->count);
+        service_config_free(config);
     }
     return code;
 }
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -7,7 +7,7 @@
 #include <argtable2.h>
 #include <glib.h>
 
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #define READ_STEP 65536
 
@@ -98,7 +98,7 @@
 
     while ((got = fread(step, 1, sizeof(step), in)) > 0) {
         g_byte_array_append(bytes, step, (guint)got);
-        if (bytes->len > TEXT_SIZE_MAX) {
+        if (bytes->len > SERVICE_CONFIG_SIZE_MAX) {
             return -EFBIG;
         }
     }
@@ -120,7 +120,8 @@
         fprintf(stderr,
                 "%s:1: found more than %u bytes, expected at most "
                 "%u\n",
-                path, TEXT_SIZE_MAX, TEXT_SIZE_MAX - TEXT_ENVELOPE_MAX);
+                path, SERVICE_CONFIG_SIZE_MAX,
+                SERVICE_CONFIG_SIZE_MAX - SERVICE_CONFIG_ENVELOPE_MAX);
     }
     else if (rc < 0) {
         fprintf(stderr, "%s: %s\n", path, g_strerror(-rc));
--- a/src/cli/explain.c
+++ b/src/cli/explain.c
@@ -6,11 +6,11 @@
 #include <argtable2.h>
 #include <glib.h>
 
-#include "cli/ask.h"
+#include "cli/control_query.h"
 #include "cli/cli.h"
 #include "cli/explain_packet.h"
 #include "cli/explain_request.h"
-#include "cli/load_text.h"
+#include "cli/load_config.h"
 #include "cli/snapshot.h"
 
 #define SUMMARY                                                               \
@@ -21,7 +21,7 @@
 struct explain_options {
     struct arg_lit *help;
     struct arg_file *settings;
-    struct arg_file *text;
+    struct arg_file *config;
     struct arg_str *packet;
     struct arg_str *request;
     struct arg_str *key;
@@ -37,38 +37,40 @@
 }
 
 static int
-take_text(const char *path, struct snapshot *snapshot)
+load_file_snapshot(const char *path, struct snapshot *snapshot)
 {
-    struct text *text;
-    int code = load_text(path, &text);
+    struct service_config *config;
+    int code = load_config(path, &config);
 
     if (code != CLI_OK) {
         return code;
     }
-    return snapshot_of_text(snapshot, text) < 0 ? CLI_FAILED : CLI_OK;
+    return snapshot_of_config(snapshot, config) < 0 ? CLI_FAILED : CLI_OK;
 }
 
 static int
-take_answer(const struct ask *ask, struct snapshot *snapshot)
+load_reply_snapshot(const struct control_query *query,
+                    struct snapshot *snapshot)
 {
     int rc;
 
-    if (ask->config == NULL) {
+    if (query->config == NULL) {
         fprintf(stderr, "no process of the site answered\n");
         return CLI_NO_ANSWER;
     }
-    rc = snapshot_of_reply(snapshot, ask->config);
+    rc = snapshot_of_reply(snapshot, query->config);
     if (rc == -ENODATA) {
         fprintf(stderr, "%s has no configuration in force yet\n",
-                ask->config->name);
+                query->config->name);
         return CLI_FAILED;
     }
     if (rc < 0) {
-        fprintf(stderr, "the answer of %s can't be read\n", ask->config->name);
+        fprintf(stderr, "the answer of %s can't be read\n",
+                query->config->name);
         return CLI_FAILED;
     }
-    printf("as %s sees it, version %" PRIu64 "\n", ask->config->name,
-           ask->config->config_version);
+    printf("as %s sees it, version %" PRIu64 "\n", query->config->name,
+           query->config->config_version);
     return CLI_OK;
 }
 
@@ -78,20 +80,20 @@
     struct settings settings;
     struct error err = {0};
     char line[512];
-    struct ask ask;
+    struct control_query query;
     int code = cli_settings(&settings, path);
 
     if (code != CLI_OK) {
         return code;
     }
-    if (ask_init(&ask, &settings, &err) < 0) {
+    if (control_query_init(&query, &settings, &err) < 0) {
         fprintf(stderr, "%s\n", error_format(&err, line, sizeof(line)));
         return CLI_FAILED;
     }
-    ask.only_seeds = true;
-    ask_run(&ask, ASK_TIMEOUT_MS);
-    code = take_answer(&ask, snapshot);
-    ask_finish(&ask);
+    query.seeds_only = true;
+    control_query_run(&query, CONTROL_QUERY_TIMEOUT_MS);
+    code = load_reply_snapshot(&query, snapshot);
+    control_query_finish(&query);
     return code;
 }
 
@@ -155,14 +157,14 @@
     struct snapshot snapshot = {0};
     int code;
 
-    if (options->settings->count + options->text->count != 1 ||
+    if (options->settings->count + options->config->count != 1 ||
         options->packet->count + options->request->count != 1) {
         fprintf(stderr, "expected one of --operator and --text, and one of "
                         "--packet and --request\n");
         return CLI_USAGE;
     }
-    code = options->text->count > 0
-               ? take_text(options->text->filename[0], &snapshot)
+    code = options->config->count > 0
+               ? load_file_snapshot(options->config->filename[0], &snapshot)
                : load_live(options->settings->filename[0], &snapshot);
     if (code == CLI_OK) {
         code = options->packet->count > 0
@@ -180,7 +182,7 @@
         .help = arg_lit0("h", "help", "print this"),
         .settings = arg_file0(NULL, "operator", "SETTINGS",
                               "operator settings file: ask the site"),
-        .text = arg_file0(NULL, "text", "FILE", "a text alone"),
+        .config = arg_file0(NULL, "text", "FILE", "a text alone"),
         .packet = arg_str0(NULL, "packet", "WORDS",
                            "\"tcp 10.9.0.1:4000 10.0.0.1:80 [syn|ack]\""),
         .request = arg_str0(NULL, "request", "WORDS", "\"SERVICE METHOD\""),
@@ -190,7 +192,7 @@
         .timeout = arg_str0(NULL, "timeout-ms", "N", "its deadline"),
         .end = arg_end(10),
     };
-    void *table[] = {options.help,     options.settings, options.text,
+    void *table[] = {options.help,     options.settings, options.config,
                      options.packet,   options.request,  options.key,
                      options.priority, options.timeout,  options.end};
     int code = CLI_FAILED;
--- a/src/cli/explain_packet.c
+++ b/src/cli/explain_packet.c
@@ -7,13 +7,14 @@
 #include <string.h>
 
 #include "balancer/route.h"
-#include "cli/words.h"
+#include "cli/format.h"
 #include "packet/packet.h"
 #include "packet/rank.h"
-#include "text/text_retire.h"
+#include "service_config/service_config_retire.h"
 
 #define TTL 64
-#define LATER_US UINT64_C(3600000000) /* beyond every cold start */
+#define RETRY_SLOW_START_US UINT64_C(3600000000) /* beyond every cold start   \
+                                                  */
 
 int
 packet_spec_parse(const char *words, struct packet_spec *spec)
@@ -22,21 +23,21 @@
     guint count = g_strv_length(parts);
     int rc = -EINVAL;
 
-    *spec = (struct packet_spec){.proto = TEXT_TCP, .opens = true};
+    *spec = (struct packet_spec){.proto = SERVICE_CONFIG_TCP, .is_syn = true};
     if (count < 3 || count > 4 || addr_parse(parts[1], &spec->src) < 0 ||
         addr_parse(parts[2], &spec->dst) < 0) {
         goto out;
     }
     if (strcmp(parts[0], "udp") == 0) {
-        spec->proto = TEXT_UDP;
+        spec->proto = SERVICE_CONFIG_UDP;
     }
     else if (strcmp(parts[0], "tcp") != 0) {
         goto out;
     }
     if (count == 4) {
-        spec->opens = strcmp(parts[3], "syn") == 0;
-        if (spec->proto != TEXT_TCP ||
-            (!spec->opens && strcmp(parts[3], "ack") != 0)) {
+        spec->is_syn = strcmp(parts[3], "syn") == 0;
+        if (spec->proto != SERVICE_CONFIG_TCP ||
+            (!spec->is_syn && strcmp(parts[3], "ack") != 0)) {
             goto out;
         }
     }
@@ -55,7 +56,7 @@
         .ihl = sizeof(ip) / 4,
         .tot_len = htons(sizeof(struct iphdr) + sizeof(struct tcphdr)),
         .ttl = TTL,
-        .protocol = TEXT_TCP,
+        .protocol = SERVICE_CONFIG_TCP,
         .saddr = htonl(spec->src.ip),
         .daddr = htonl(spec->dst.ip),
     };
@@ -63,8 +64,8 @@
         .source = htons(spec->src.port),
         .dest = htons(spec->dst.port),
         .doff = sizeof(tcp) / 4,
-        .syn = spec->opens,
-        .ack = !spec->opens,
+        .syn = spec->is_syn,
+        .ack = !spec->is_syn,
     };
 
     memcpy(buf, &ip, sizeof(ip));
@@ -77,7 +78,7 @@
 static size_t
 build(const struct packet_spec *spec, uint8_t *buf)
 {
-    if (spec->proto == TEXT_TCP) {
+    if (spec->proto == SERVICE_CONFIG_TCP) {
         return build_tcp(spec, buf);
     }
     return packet_build_udp(spec->src.ip, spec->src.port, spec->dst.ip,
@@ -91,15 +92,16 @@
     char dst[ADDR_TEXT_MAX];
 
     g_string_append_printf(
-        out, "packet   %s %s -> %s, %s\n", text_proto_name(spec->proto),
-        addr_format(spec->src, src), addr_format(spec->dst, dst),
-        spec->proto == TEXT_UDP ? "any datagram may open a flow"
-        : spec->opens           ? "SYN, may open a flow"
-                                : "ACK, of a flow that is open");
+        out, "packet   %s %s -> %s, %s\n",
+        service_config_proto_name(spec->proto), addr_format(spec->src, src),
+        addr_format(spec->dst, dst),
+        spec->proto == SERVICE_CONFIG_UDP ? "any datagram may open a flow"
+        : spec->is_syn                    ? "SYN, may open a flow"
+                                          : "ACK, of a flow that is open");
 }
 
 static const char *
-why(const struct view_member *member)
+describe_eligibility(const struct view_member *member)
 {
     if (member->health == MEMBER_DEAD) {
         return "dead: gets nothing";
@@ -128,7 +130,8 @@
     g_string_append_printf(
         out, "%s %-24s %-12s %-21s %s, %s: %s\n", place, member->name,
         member->data_centre, addr_format(member->data, data),
-        words_state(member->state), words_health(member->health), why(member));
+        format_state(member->state), format_health(member->health),
+        describe_eligibility(member));
 }
 
 static void
@@ -190,19 +193,19 @@
 }
 
 static void
-print_service(const struct text_service *service,
-              const struct text_retired *retired, const struct packet *packet,
-              GString *out)
+print_service(const struct service_config_entry *service,
+              const struct service_config_retired *retired,
+              const struct packet *packet, GString *out)
 {
     g_string_append_printf(out, "service  %s, %s\n", service->name,
-                           text_class_name(service->class));
+                           service_config_class_name(service->class));
     g_string_append_printf(out,
                            "bucket   %u of %d, from the hash of the five "
                            "numbers of the flow\n",
                            rank_bucket(packet_flow_hash(packet)),
                            RANK_BUCKETS);
     if (retired != NULL) {
-        char *until = text_time_words(retired->until_ms);
+        char *until = service_config_format_time(retired->until_ms);
 
         g_string_append_printf(out,
                                "retired  the service has left this address; "
@@ -223,7 +226,7 @@
                                "port and protocol"
                              : "no live endpoint is announced for it";
 
-    if (drop == PACKET_NO_ENDPOINT && snapshot->teller[0] == '\0') {
+    if (drop == PACKET_NO_ENDPOINT && snapshot->source_process[0] == '\0') {
         g_string_append(out, "goes to  endpoints announce themselves and "
                              "stand in no text; ask with --operator\n");
         return;
@@ -236,23 +239,24 @@
 explain_packet(const struct snapshot *snapshot, const struct packet_spec *spec,
                GString *out)
 {
-    const struct text_retired *retired = text_find_retired(
-        snapshot->text, spec->dst.ip, spec->dst.port, spec->proto);
-    const struct text_service *service =
-        retired != NULL ? &retired->service
-                        : text_find_addr(snapshot->text, spec->dst.ip,
-                                         spec->dst.port, spec->proto);
+    const struct service_config_retired *retired = service_config_find_retired(
+        snapshot->config, spec->dst.ip, spec->dst.port, spec->proto);
+    const struct service_config_entry *service =
+        retired != NULL
+            ? &retired->service
+            : service_config_find_addr(snapshot->config, spec->dst.ip,
+                                       spec->dst.port, spec->proto);
     struct route_decision decision = {0};
     struct route_table *table;
     uint8_t buf[PACKET_MAX];
     size_t len = build(spec, buf);
     enum packet_drop drop;
-    int rc = route_table_new(snapshot->view, snapshot->text, NULL, &table);
+    int rc = route_table_new(snapshot->view, snapshot->config, NULL, &table);
 
     if (rc < 0) {
         return rc;
     }
-    drop = route_decide(table, buf, len, LATER_US, &decision);
+    drop = route_decide(table, buf, len, RETRY_SLOW_START_US, &decision);
     route_table_free(table);
     print_packet(spec, out);
     if (service == NULL) {
--- a/src/cli/explain_packet.h
+++ b/src/cli/explain_packet.h
@@ -15,13 +15,13 @@
  * @proto: transport
  * @src: caller
  * @dst: service
- * @opens: TCP: the packet that opens a flow (SYN), else one of a flow
+ * @is_syn: TCP: the packet that is_syn a flow (SYN), else one of a flow
  */
 struct packet_spec {
-    enum text_proto proto;
+    enum service_config_proto proto;
     struct addr src;
     struct addr dst;
-    bool opens;
+    bool is_syn;
 };
 
 /**
--- a/src/cli/explain_request.c
+++ b/src/cli/explain_request.c
@@ -4,7 +4,7 @@
 #include <inttypes.h>
 
 #include "agent/reader.h"
-#include "cli/words.h"
+#include "cli/format.h"
 #include "idem/replicas.h"
 #include "request/queue.h"
 #include "request/retry.h"
@@ -77,15 +77,16 @@
 }
 
 static void
-print_class(const struct text_service *service, unsigned urgency, GString *out)
+print_class(const struct service_config_entry *service, unsigned urgency,
+            GString *out)
 {
-    enum text_class class = reader_class(service->class, urgency);
-    const char *order = class == TEXT_URGENT
+    enum service_config_class class = reader_class(service->class, urgency);
+    const char *order = class == SERVICE_CONFIG_URGENT
                             ? "it goes before ordinary requests"
                             : "it waits behind urgent requests";
 
-    g_string_append_printf(out, "class    %s: %s", text_class_name(class),
-                           order);
+    g_string_append_printf(out, "class    %s: %s",
+                           service_config_class_name(class), order);
     if (class != service->class) {
         g_string_append_printf(out, " (its Priority u=%u asks for less)",
                                urgency);
@@ -97,10 +98,10 @@
 }
 
 static void
-print_limits(const struct text_service *service, uint32_t timeout_ms,
+print_limits(const struct service_config_entry *service, uint32_t timeout_ms,
              GString *out)
 {
-    const struct text_limits *limits = &service->limits;
+    const struct service_config_limits *limits = &service->limits;
 
     g_string_append_printf(
         out, "deadline %u ms, %s: refused at once when it can't be met\n",
@@ -148,28 +149,28 @@
 }
 
 static bool
-takes_work(const struct view_member *member)
+accepts_requests(const struct view_member *member)
 {
     return member->health == MEMBER_ALIVE &&
            (member->state == MEMBER_READY || member->state == MEMBER_WARMING);
 }
 
 static size_t
-count_working(const struct view *view, uint32_t service)
+count_available(const struct view *view, uint32_t service)
 {
     size_t count = 0;
 
     for (size_t i = 0; i < view->count; i++) {
         count += serves(&view->members[i], service) &&
-                 takes_work(&view->members[i]);
+                 accepts_requests(&view->members[i]);
     }
     return count;
 }
 
 static void
-print_needs(const struct snapshot *snapshot, uint32_t id, GString *out)
+print_dependencies(const struct snapshot *snapshot, uint32_t id, GString *out)
 {
-    GHashTable *services = services_new(snapshot->text);
+    GHashTable *services = services_new(snapshot->config);
     const struct service *service = services_find(services, id);
 
     if (service->dependencies->len == 0) {
@@ -178,10 +179,11 @@
     for (guint i = 0; i < service->dependencies->len; i++) {
         uint32_t need = g_array_index(service->dependencies, uint32_t, i);
 
-        g_string_append_printf(out, "needs    %s",
-                               text_find(snapshot->text, need)->name);
-        if (snapshot->teller[0] != '\0') {
-            size_t working = count_working(snapshot->view, need);
+        g_string_append_printf(
+            out, "needs    %s",
+            service_config_find_id(snapshot->config, need)->name);
+        if (snapshot->source_process[0] != '\0') {
+            size_t working = count_available(snapshot->view, need);
 
             g_string_append_printf(out, ": %zu endpoints take work%s", working,
                                    working == 0 ? ", so it is refused (503)"
@@ -208,12 +210,12 @@
                 out,
                 "         %-24s %-12s %s, %s, %u of %u slots busy, %u "
                 "waiting\n",
-                member->name, member->data_centre, words_state(member->state),
-                words_health(member->health), member->busy, member->slots,
+                member->name, member->data_centre, format_state(member->state),
+                format_health(member->health), member->busy, member->slots,
                 member->waiting);
         }
     }
-    if (count_working(view, service) == 0) {
+    if (count_available(view, service) == 0) {
         g_string_append(out, "         no endpoint takes work: refused, not "
                              "run (503)\n");
     }
@@ -244,8 +246,8 @@
 
         g_string_append_printf(
             out, "         %-24s %-12s %s, %s%s\n", member->name,
-            member->data_centre, words_state(member->state),
-            words_health(member->health),
+            member->data_centre, format_state(member->state),
+            format_health(member->health),
             replicas_eligible(set.sessions[i], NOW_US) ? ""
                                                        : ", not settled yet");
     }
@@ -254,7 +256,8 @@
 }
 
 static int
-print_live(const struct snapshot *snapshot, const struct text_service *service,
+print_live(const struct snapshot *snapshot,
+           const struct service_config_entry *service,
            const struct reader_request *request, GString *out)
 {
     const struct idem_key key = {
@@ -262,7 +265,7 @@
         .hash = {request->key_hash[0], request->key_hash[1]},
     };
 
-    if (snapshot->teller[0] == '\0') {
+    if (snapshot->source_process[0] == '\0') {
         g_string_append(out, "runs at  endpoints announce themselves and "
                              "stand in no text; ask with --operator\n");
         return 0;
@@ -275,8 +278,8 @@
 explain_request(const struct snapshot *snapshot,
                 const struct request_spec *spec, GString *out)
 {
-    const struct text_service *service =
-        text_find_name(snapshot->text, spec->service);
+    const struct service_config_entry *service =
+        service_config_find_name(snapshot->config, spec->service);
     struct read_request read;
     unsigned status;
 
@@ -285,7 +288,7 @@
                                spec->service);
         return -ENOENT;
     }
-    if (service->proto == TEXT_UDP) {
+    if (service->proto == SERVICE_CONFIG_UDP) {
         g_string_append_printf(out,
                                "%s is a UDP service: its datagrams are passed "
                                "on, no request is read\n",
@@ -305,6 +308,6 @@
     print_class(service, read.request.urgency, out);
     print_limits(service, read.request.timeout_ms, out);
     print_retry(&read.request, out);
-    print_needs(snapshot, service->id, out);
+    print_dependencies(snapshot, service->id, out);
     return print_live(snapshot, service, &read.request, out);
 }
--- a/src/cli/words.c
+++ b/src/cli/format.c
@@ -1,4 +1,4 @@
-#include "cli/words.h"
+#include "cli/format.h"
 
 #include <inttypes.h>
 
@@ -11,7 +11,7 @@
 #define MS_PER_H (60 * MS_PER_MIN)
 
 const char *
-words_role(uint32_t role)
+format_role(uint32_t role)
 {
     switch (role) {
     case MEMBER_BALANCER:
@@ -24,7 +24,7 @@
 }
 
 const char *
-words_state(uint32_t state)
+format_state(uint32_t state)
 {
     switch (state) {
     case MEMBER_WARMING:
@@ -41,7 +41,7 @@
 }
 
 const char *
-words_health(uint32_t health)
+format_health(uint32_t health)
 {
     switch (health) {
     case MEMBER_ALIVE:
@@ -56,20 +56,20 @@
 }
 
 const char *
-words_age(uint64_t ms, char *buf)
+format_age(uint64_t ms, char *buf)
 {
     if (ms == UINT64_MAX) {
         return "never";
     }
     if (ms < MS_PER_MIN) {
-        g_snprintf(buf, WORDS_AGE_MAX, "%" PRIu64 ".%" PRIu64 " s",
+        g_snprintf(buf, FORMAT_AGE_MAX, "%" PRIu64 ".%" PRIu64 " s",
                    ms / MS_PER_S, ms % MS_PER_S / 100);
     }
     else if (ms < 2 * MS_PER_H) {
-        g_snprintf(buf, WORDS_AGE_MAX, "%" PRIu64 " min", ms / MS_PER_MIN);
+        g_snprintf(buf, FORMAT_AGE_MAX, "%" PRIu64 " min", ms / MS_PER_MIN);
     }
     else {
-        g_snprintf(buf, WORDS_AGE_MAX, "%" PRIu64 " h", ms / MS_PER_H);
+        g_snprintf(buf, FORMAT_AGE_MAX, "%" PRIu64 " h", ms / MS_PER_H);
     }
     return buf;
 }
--- a/src/cli/load_text.c
+++ b/src/cli/load_config.c
@@ -1,4 +1,4 @@
-#include "cli/load_text.h"
+#include "cli/load_config.h"
 
 #include <stdio.h>
 
@@ -7,7 +7,7 @@
 #include "cli/cli.h"
 
 int
-load_text(const char *path, struct text **text)
+load_config(const char *path, struct service_config **config)
 {
     char *report;
     char *data;
@@ -17,7 +17,7 @@
     if (cli_read_file(path, &data, &len) < 0) {
         return CLI_USAGE;
     }
-    rc = text_parse(data, len, path, text, &report);
+    rc = service_config_parse(data, len, path, config, &report);
     if (rc < 0) {
         fputs(report != NULL ? report : "no memory\n", stderr);
     }
--- a/src/cli/show.c
+++ b/src/cli/show.c
@@ -3,7 +3,7 @@
 #include <argtable2.h>
 #include <glib.h>
 
-#include "cli/ask.h"
+#include "cli/control_query.h"
 #include "cli/cli.h"
 #include "cli/show_print.h"
 
@@ -23,17 +23,17 @@
 };
 
 static void
-print(const struct ask *ask, bool json)
+print(const struct control_query *query, bool json)
 {
     GString *out = g_string_new(NULL);
 
     if (json) {
-        show_print_json(ask, out);
+        show_print_json(query, out);
     }
     else {
-        show_print_table(ask, out);
-        if (ask->counters) {
-            show_print_counters(ask, out);
+        show_print_table(query, out);
+        if (query->counters) {
+            show_print_counters(query, out);
         }
     }
     fputs(out->str, stdout);
@@ -48,7 +48,7 @@
     struct show_totals totals;
     struct error err = {0};
     char line[512];
-    struct ask ask;
+    struct control_query query;
     int code;
 
     if (timeout_ms < TIMEOUT_MIN_MS || timeout_ms > TIMEOUT_MAX_MS) {
@@ -60,16 +60,16 @@
     if (code != CLI_OK) {
         return code;
     }
-    if (ask_init(&ask, &settings, &err) < 0) {
+    if (control_query_init(&query, &settings, &err) < 0) {
         fprintf(stderr, "%s\n", error_format(&err, line, sizeof(line)));
         return CLI_FAILED;
     }
-    ask.counters = options->counters->count > 0;
-    ask_run(&ask, (unsigned)timeout_ms);
-    show_sort(&ask);
-    print(&ask, options->json->count > 0);
-    totals = show_totals(&ask);
-    ask_finish(&ask);
+    query.counters = options->counters->count > 0;
+    control_query_run(&query, (unsigned)timeout_ms);
+    show_sort(&query);
+    print(&query, options->json->count > 0);
+    totals = show_totals(&query);
+    control_query_finish(&query);
     return totals.answered > 0 && totals.answered == totals.processes
                ? CLI_OK
                : CLI_NO_ANSWER;
@@ -96,7 +96,7 @@
         fprintf(stderr, "%s: no memory\n", argv[0]);
         goto out;
     }
-    options.timeout->ival[0] = ASK_TIMEOUT_MS;
+    options.timeout->ival[0] = CONTROL_QUERY_TIMEOUT_MS;
     if (cli_parse(table, options.help, options.end, SUMMARY, argc, argv,
                   &code)) {
         code = show(&options);
--- a/src/cli/show_print.c
+++ b/src/cli/show_print.c
@@ -6,23 +6,24 @@
 #include <json-c/json.h>
 
 #include "base/clock.h"
-#include "cli/words.h"
-#include "text/text_retire.h"
+#include "cli/format.h"
+#include "service_config/service_config_retire.h"
 
 static bool
-is_process(const struct ask_process *process)
+is_process(const struct control_query_process *process)
 {
     return process->name[0] != '\0';
 }
 
 static size_t
-count_versions(const struct ask *ask)
+count_versions(const struct control_query *query)
 {
     GHashTable *versions = g_hash_table_new(g_int64_hash, g_int64_equal);
     size_t count;
 
-    for (size_t i = 0; i < ask->processes->len; i++) {
-        const struct ask_process *process = ask_at(ask, i);
+    for (size_t i = 0; i < query->processes->len; i++) {
+        const struct control_query_process *process =
+            control_query_process_at(query, i);
 
         if (process->reply != NULL) {
             g_hash_table_add(versions, &process->reply->config_version);
@@ -36,59 +37,63 @@
 static gint
 by_name(gconstpointer a, gconstpointer b)
 {
-    const struct ask_process *const *left = a;
-    const struct ask_process *const *right = b;
+    const struct control_query_process *const *left = a;
+    const struct control_query_process *const *right = b;
 
     return g_strcmp0((*left)->name, (*right)->name);
 }
 
 void
-show_sort(struct ask *ask)
+show_sort(struct control_query *query)
 {
-    g_ptr_array_sort(ask->processes, by_name);
+    g_ptr_array_sort(query->processes, by_name);
 }
 
 struct show_totals
-show_totals(const struct ask *ask)
+show_totals(const struct control_query *query)
 {
-    struct show_totals totals = {.versions = count_versions(ask)};
+    struct show_totals totals = {.versions = count_versions(query)};
 
-    for (size_t i = 0; i < ask->processes->len; i++) {
-        const struct ask_process *process = ask_at(ask, i);
+    for (size_t i = 0; i < query->processes->len; i++) {
+        const struct control_query_process *process =
+            control_query_process_at(query, i);
 
         totals.processes += is_process(process);
-        totals.answered += process->state == ASK_ANSWERED;
+        totals.answered += process->state == CONTROL_QUERY_ANSWERED;
     }
     return totals;
 }
 
 static const char *
-service_name(const struct text *text, const struct ask_process *process)
+service_name(const struct service_config *config,
+             const struct control_query_process *process)
 {
-    const struct text_service *service = NULL;
+    const struct service_config_entry *service = NULL;
 
     if (process->member == NULL || process->member->service == 0) {
         return "-";
     }
-    if (text != NULL) {
-        service = text_find_served(text, process->member->service);
+    if (config != NULL) {
+        service =
+            service_config_find_with_retired(config, process->member->service);
     }
     return service != NULL ? service->name : "not in the text";
 }
 
-static struct text *
-text_of(const struct ask *ask)
+static struct service_config *
+parse_reply_config(const struct control_query *query)
 {
-    struct text *text = NULL;
+    struct service_config *config = NULL;
     char *report = NULL;
 
-    if (ask->config != NULL && ask->config->config.len > 0) {
-        text_parse_envelope((const char *)ask->config->config.data,
-                            ask->config->config.len,
-                            ask->config->config_version, &text, &report);
+    if (query->config != NULL && query->config->config.len > 0) {
+        service_config_parse_envelope((const char *)query->config->config.data,
+                                      query->config->config.len,
+                                      query->config->config_version, &config,
+                                      &report);
         g_free(report);
     }
-    return text;
+    return config;
 }
 
 static char *
@@ -108,7 +113,7 @@
 print_version(const Swiftarch__ShowReply *reply, GString *out)
 {
     char *since;
-    char age[WORDS_AGE_MAX];
+    char age[FORMAT_AGE_MAX];
 
     if (reply->config_version == 0) {
         g_string_append(out, "no configuration in force yet");
@@ -117,16 +122,16 @@
     since = format_time(reply->in_force_ms);
     g_string_append_printf(out, "version %" PRIu64 " in force since %s (%s)",
                            reply->config_version, since,
-                           words_age(reply->in_force_ms, age));
+                           format_age(reply->in_force_ms, age));
     g_string_append_printf(out, ", word %s old",
-                           words_age(reply->heard_ms, age));
+                           format_age(reply->heard_ms, age));
     g_free(since);
 }
 
 static void
 print_reader(const Swiftarch__ShowReply *reply, GString *out)
 {
-    char age[WORDS_AGE_MAX];
+    char age[FORMAT_AGE_MAX];
 
     if (!reply->from_platform) {
         return;
@@ -136,25 +141,25 @@
         return;
     }
     g_string_append_printf(out, ", reads the platform: last answer %s ago",
-                           words_age(reply->platform_ok_ms, age));
+                           format_age(reply->platform_ok_ms, age));
 }
 
 static void
-print_failure(const struct ask_process *process, GString *out)
+print_failure(const struct control_query_process *process, GString *out)
 {
     g_string_append_printf(out, "DID NOT ANSWER (%s)",
                            g_strerror(-process->reason));
     if (process->member != NULL) {
         g_string_append_printf(
             out, ", the others take it for %s, last told version %" PRIu64,
-            words_health(process->member->health),
+            format_health(process->member->health),
             process->member->config_version);
     }
 }
 
 static void
-print_process(const struct ask_process *process, const struct text *text,
-              GString *out)
+print_process(const struct control_query_process *process,
+              const struct service_config *config, GString *out)
 {
     const Swiftarch__ShowMember *member = process->member;
     const Swiftarch__ShowReply *reply = process->reply;
@@ -162,9 +167,9 @@
     uint32_t state = reply != NULL ? reply->state : member->state;
 
     g_string_append_printf(
-        out, "%-24s %-9s %-12s %-9s %-12s ", process->name, words_role(role),
+        out, "%-24s %-9s %-12s %-9s %-12s ", process->name, format_role(role),
         reply != NULL ? reply->data_centre : member->data_centre,
-        words_state(state), service_name(text, process));
+        format_state(state), service_name(config, process));
     if (reply != NULL) {
         print_version(reply, out);
         print_reader(reply, out);
@@ -176,12 +181,13 @@
 }
 
 static void
-print_silent_seeds(const struct ask *ask, GString *out)
+print_silent_seeds(const struct control_query *query, GString *out)
 {
     char addr[ADDR_TEXT_MAX];
 
-    for (size_t i = 0; i < ask->processes->len; i++) {
-        const struct ask_process *process = ask_at(ask, i);
+    for (size_t i = 0; i < query->processes->len; i++) {
+        const struct control_query_process *process =
+            control_query_process_at(query, i);
 
         if (!is_process(process)) {
             g_string_append_printf(out, "seed %s did not answer (%s)\n",
@@ -192,7 +198,7 @@
 }
 
 static void
-print_platform(const struct ask_platform *platform, GString *out)
+print_platform(const struct control_query_platform *platform, GString *out)
 {
     if (!platform->done) {
         g_string_append(out, "platform: did not answer in time\n");
@@ -219,17 +225,18 @@
 
 /* Of the version that is in force where it was asked. */
 static void
-print_retired(const struct text *text, GString *out)
+print_retired(const struct service_config *config, GString *out)
 {
     char addr[ADDR_TEXT_MAX];
 
-    for (size_t i = 0; text != NULL && i < text->retired_count; i++) {
-        const struct text_service *service = &text->retired[i].service;
-        char *until = text_time_words(text->retired[i].until_ms);
+    for (size_t i = 0; config != NULL && i < config->retired_count; i++) {
+        const struct service_config_entry *service =
+            &config->retired[i].service;
+        char *until = service_config_format_time(config->retired[i].until_ms);
 
         g_string_append_printf(
             out, "retired: %s %s of %s, for its open flows until %s\n",
-            text_proto_name(service->proto),
+            service_config_proto_name(service->proto),
             addr_format((struct addr){service->ip, service->port}, addr),
             service->name, until);
         g_free(until);
@@ -237,9 +244,9 @@
 }
 
 static void
-print_summary(const struct ask *ask, GString *out)
+print_summary(const struct control_query *query, GString *out)
 {
-    struct show_totals totals = show_totals(ask);
+    struct show_totals totals = show_totals(query);
 
     g_string_append_printf(out, "%zu of %zu processes answered\n",
                            totals.answered, totals.processes);
@@ -249,38 +256,39 @@
                                "are in force\n",
                                totals.versions);
     }
-    if (ask->platform.done && ask->platform.status == 0 &&
-        ask->config != NULL &&
-        ask->config->config_version < ask->platform.version) {
+    if (query->platform.done && query->platform.status == 0 &&
+        query->config != NULL &&
+        query->config->config_version < query->platform.version) {
         g_string_append_printf(out,
                                "the published version %" PRIu64
                                " is not in force yet where it was asked\n",
-                               ask->platform.version);
+                               query->platform.version);
     }
 }
 
 void
-show_print_table(const struct ask *ask, GString *out)
+show_print_table(const struct control_query *query, GString *out)
 {
-    struct text *text = text_of(ask);
+    struct service_config *config = parse_reply_config(query);
 
-    for (size_t i = 0; i < ask->processes->len; i++) {
-        if (is_process(ask_at(ask, i))) {
-            print_process(ask_at(ask, i), text, out);
+    for (size_t i = 0; i < query->processes->len; i++) {
+        if (is_process(control_query_process_at(query, i))) {
+            print_process(control_query_process_at(query, i), config, out);
         }
     }
-    print_silent_seeds(ask, out);
-    print_platform(&ask->platform, out);
-    print_retired(text, out);
-    print_summary(ask, out);
-    text_free(text);
+    print_silent_seeds(query, out);
+    print_platform(&query->platform, out);
+    print_retired(config, out);
+    print_summary(query, out);
+    service_config_free(config);
 }
 
 void
-show_print_counters(const struct ask *ask, GString *out)
+show_print_counters(const struct control_query *query, GString *out)
 {
-    for (size_t i = 0; i < ask->processes->len; i++) {
-        const struct ask_process *process = ask_at(ask, i);
+    for (size_t i = 0; i < query->processes->len; i++) {
+        const struct control_query_process *process =
+            control_query_process_at(query, i);
 
         if (process->reply != NULL) {
             g_string_append_printf(out, "\n# %s\n%s", process->name,
@@ -319,8 +327,8 @@
 }
 
 static struct json_object *
-process_json(const struct ask_process *process, const struct text *text,
-             bool counters)
+process_json(const struct control_query_process *process,
+             const struct service_config *config, bool counters)
 {
     const Swiftarch__ShowMember *member = process->member;
     const Swiftarch__ShowReply *reply = process->reply;
@@ -330,18 +338,18 @@
     add_string(object, "name", process->name);
     add_string(object, "control", addr_format(process->control, addr));
     add_string(object, "role",
-               words_role(reply != NULL ? reply->role : member->role));
+               format_role(reply != NULL ? reply->role : member->role));
     add_string(object, "data_centre",
                reply != NULL ? reply->data_centre : member->data_centre);
     add_string(object, "state",
-               words_state(reply != NULL ? reply->state : member->state));
+               format_state(reply != NULL ? reply->state : member->state));
     if (member != NULL) {
-        add_string(object, "health", words_health(member->health));
+        add_string(object, "health", format_health(member->health));
         add_number(object, "slots", member->slots);
         add_number(object, "busy", member->busy);
         add_number(object, "waiting", member->waiting);
         if (member->service != 0) {
-            add_string(object, "service", service_name(text, process));
+            add_string(object, "service", service_name(config, process));
         }
     }
     json_object_object_add(object, "answered",
@@ -356,7 +364,7 @@
 }
 
 static struct json_object *
-platform_json(const struct ask_platform *platform)
+platform_json(const struct control_query_platform *platform)
 {
     struct json_object *object = json_object_new_object();
     bool answered = platform->done &&
@@ -375,42 +383,45 @@
 }
 
 static struct json_object *
-retired_json(const struct text *text)
+retired_json(const struct service_config *config)
 {
     struct json_object *list = json_object_new_array();
     char addr[ADDR_TEXT_MAX];
 
-    for (size_t i = 0; text != NULL && i < text->retired_count; i++) {
-        const struct text_service *service = &text->retired[i].service;
+    for (size_t i = 0; config != NULL && i < config->retired_count; i++) {
+        const struct service_config_entry *service =
+            &config->retired[i].service;
         struct json_object *object = json_object_new_object();
 
         add_string(object, "service", service->name);
-        add_string(object, "protocol", text_proto_name(service->proto));
+        add_string(object, "protocol",
+                   service_config_proto_name(service->proto));
         add_string(
             object, "address",
             addr_format((struct addr){service->ip, service->port}, addr));
-        add_number(object, "until_ms", text->retired[i].until_ms);
+        add_number(object, "until_ms", config->retired[i].until_ms);
         json_object_array_add(list, object);
     }
     return list;
 }
 
 void
-show_print_json(const struct ask *ask, GString *out)
+show_print_json(const struct control_query *query, GString *out)
 {
     struct json_object *root = json_object_new_object();
     struct json_object *processes = json_object_new_array();
     struct json_object *seeds = json_object_new_array();
-    struct show_totals totals = show_totals(ask);
-    struct text *text = text_of(ask);
+    struct show_totals totals = show_totals(query);
+    struct service_config *config = parse_reply_config(query);
     char addr[ADDR_TEXT_MAX];
 
-    for (size_t i = 0; i < ask->processes->len; i++) {
-        const struct ask_process *process = ask_at(ask, i);
+    for (size_t i = 0; i < query->processes->len; i++) {
+        const struct control_query_process *process =
+            control_query_process_at(query, i);
 
         if (is_process(process)) {
-            json_object_array_add(processes,
-                                  process_json(process, text, ask->counters));
+            json_object_array_add(
+                processes, process_json(process, config, query->counters));
         }
         else {
             json_object_array_add(seeds, json_object_new_string(addr_format(
@@ -419,8 +430,8 @@
     }
     json_object_object_add(root, "processes", processes);
     json_object_object_add(root, "silent_seeds", seeds);
-    json_object_object_add(root, "platform", platform_json(&ask->platform));
-    json_object_object_add(root, "retired", retired_json(text));
+    json_object_object_add(root, "platform", platform_json(&query->platform));
+    json_object_object_add(root, "retired", retired_json(config));
     add_number(root, "asked", totals.processes);
     add_number(root, "answered", totals.answered);
     json_object_object_add(root, "versions_agree",
@@ -429,5 +440,5 @@
         out, "%s\n",
         json_object_to_json_string_ext(root, JSON_C_TO_STRING_PLAIN));
     json_object_put(root);
-    text_free(text);
+    service_config_free(config);
 }
--- a/src/cli/snapshot.c
+++ b/src/cli/snapshot.c
@@ -19,24 +19,25 @@
 }
 
 static void
-fill_member(struct view_member *member, const Swiftarch__ShowMember *told)
+fill_member(struct view_member *member, const Swiftarch__ShowMember *shown)
 {
-    member->id = told->id;
-    member->incarnation = told->incarnation;
-    g_strlcpy(member->name, told->name, sizeof(member->name));
-    g_strlcpy(member->data_centre, told->data_centre,
+    member->id = shown->id;
+    member->incarnation = shown->incarnation;
+    g_strlcpy(member->name, shown->name, sizeof(member->name));
+    g_strlcpy(member->data_centre, shown->data_centre,
               sizeof(member->data_centre));
-    member->role = told->role == MEMBER_AGENT ? MEMBER_AGENT : MEMBER_BALANCER;
-    member->state = (enum member_state)MIN(told->state, MEMBER_LEAVING);
-    member->health = (enum member_health)MIN(told->health, MEMBER_DEAD);
-    member->data = (struct addr){told->data_ip, (uint16_t)told->data_port};
+    member->role =
+        shown->role == MEMBER_AGENT ? MEMBER_AGENT : MEMBER_BALANCER;
+    member->state = (enum member_state)MIN(shown->state, MEMBER_LEAVING);
+    member->health = (enum member_health)MIN(shown->health, MEMBER_DEAD);
+    member->data = (struct addr){shown->data_ip, (uint16_t)shown->data_port};
     member->control =
-        (struct addr){told->control_ip, (uint16_t)told->control_port};
-    member->service = told->service;
-    member->slots = (uint16_t)told->slots;
-    member->busy = (uint16_t)told->busy;
-    member->waiting = (uint16_t)told->waiting;
-    member->config_version = told->config_version;
+        (struct addr){shown->control_ip, (uint16_t)shown->control_port};
+    member->service = shown->service;
+    member->slots = (uint16_t)shown->slots;
+    member->busy = (uint16_t)shown->busy;
+    member->waiting = (uint16_t)shown->waiting;
+    member->config_version = shown->config_version;
 }
 
 static int
@@ -81,29 +82,30 @@
     if (reply->config.len == 0) {
         return -ENODATA;
     }
-    rc = text_parse_envelope((const char *)reply->config.data,
-                             reply->config.len, reply->config_version,
-                             &snapshot->text, &report);
+    rc = service_config_parse_envelope(
+        (const char *)reply->config.data, reply->config.len,
+        reply->config_version, &snapshot->config, &report);
     g_free(report);
     if (rc < 0) {
         return rc;
     }
-    g_strlcpy(snapshot->teller, reply->name, sizeof(snapshot->teller));
+    g_strlcpy(snapshot->source_process, reply->name,
+              sizeof(snapshot->source_process));
     snapshot->view = view_of(reply->members, reply->n_members);
     return snapshot->view != NULL ? 0 : -ENOMEM;
 }
 
 int
-snapshot_of_text(struct snapshot *snapshot, struct text *text)
+snapshot_of_config(struct snapshot *snapshot, struct service_config *config)
 {
-    *snapshot = (struct snapshot){.text = text, .view = view_of(NULL, 0)};
+    *snapshot = (struct snapshot){.config = config, .view = view_of(NULL, 0)};
     return snapshot->view != NULL ? 0 : -ENOMEM;
 }
 
 void
 snapshot_finish(struct snapshot *snapshot)
 {
-    text_free(snapshot->text);
+    service_config_free(snapshot->config);
     free(snapshot->view);
     *snapshot = (struct snapshot){0};
 }
--- a/src/cli/snapshot.h
+++ b/src/cli/snapshot.h
@@ -1,5 +1,5 @@
 /**
- * DOC: snapshot - a view and a text to explain decisions from
+ * DOC: snapshot - a view and a config to explain decisions from
  */
 #ifndef SWIFTARCH_CLI_SNAPSHOT_H
 #define SWIFTARCH_CLI_SNAPSHOT_H
@@ -9,21 +9,21 @@
 #include "base/settings.h"
 #include "control/control.pb-c.h"
 #include "control/view.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #define SNAPSHOT_SELF "explain"
 
 /**
- * struct snapshot - what one process knows, or a text alone
- * @teller: process that told it; empty for a text alone
+ * struct snapshot - what one process knows, or a config alone
+ * @source_process: process that told it; empty for a config alone
  * @view: its members and one more, "explain", which is @view's self and
  *        serves nothing
- * @text: configuration
+ * @config: configuration
  */
 struct snapshot {
-    char teller[VIEW_NAME_MAX];
+    char source_process[VIEW_NAME_MAX];
     struct view *view;
-    struct text *text;
+    struct service_config *config;
 };
 
 /**
@@ -35,9 +35,9 @@
 snapshot_of_reply(struct snapshot *snapshot,
                   const Swiftarch__ShowReply *reply);
 
-/** snapshot_of_text() - no members; takes over @text. 0 or -ENOMEM */
+/** snapshot_of_config() - no members; takes over @config. 0 or -ENOMEM */
 int
-snapshot_of_text(struct snapshot *snapshot, struct text *text);
+snapshot_of_config(struct snapshot *snapshot, struct service_config *config);
 
 /** snapshot_finish() - free */
 void
--- a/src/control/blackboard.c
+++ b/src/control/blackboard.c
@@ -13,7 +13,7 @@
 static void
 free_config(struct rcu_head *head)
 {
-    text_free(caa_container_of(head, struct text, rcu));
+    service_config_free(caa_container_of(head, struct service_config, rcu));
 }
 
 static bool
@@ -38,7 +38,7 @@
     /* Deferred frees of older views and texts end first. */
     rcu_barrier();
     free(blackboard->view);
-    text_free(blackboard->text);
+    service_config_free(blackboard->text);
     blackboard->view = NULL;
     blackboard->text = NULL;
     pthread_mutex_destroy(&blackboard->lock);
@@ -50,7 +50,7 @@
     return rcu_dereference(blackboard->view);
 }
 
-const struct text *
+const struct service_config *
 blackboard_config(struct blackboard *blackboard)
 {
     return rcu_dereference(blackboard->text);
@@ -66,10 +66,10 @@
 }
 
 bool
-blackboard_publish_config(struct blackboard *blackboard, struct text *text,
-                          uint64_t now_us)
+blackboard_publish_config(struct blackboard *blackboard,
+                          struct service_config *text, uint64_t now_us)
 {
-    struct text *old;
+    struct service_config *old;
 
     pthread_mutex_lock(&blackboard->lock);
     old = blackboard->text;
--- a/src/control/blackboard.h
+++ b/src/control/blackboard.h
@@ -15,7 +15,7 @@
 
 #include "control/extension.h"
 #include "control/view.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 /**
  * struct blackboard_local - what this process says of itself
@@ -36,7 +36,7 @@
 /** struct blackboard - see DOC; @view and @text may be NULL at the start */
 struct blackboard {
     struct view *view;
-    struct text *text;
+    struct service_config *text;
     uint64_t config_since_us; /* clock when @text came in force */
     pthread_mutex_t lock;
     struct blackboard_local local;
@@ -58,7 +58,7 @@
 blackboard_view(struct blackboard *blackboard);
 
 /** blackboard_config() - text in force or NULL; inside an RCU read section */
-const struct text *
+const struct service_config *
 blackboard_config(struct blackboard *blackboard);
 
 /** blackboard_publish_view() - replace the view; frees the old one later */
@@ -71,8 +71,8 @@
  * Return: true if published; false leaves @text with the caller.
  */
 bool
-blackboard_publish_config(struct blackboard *blackboard, struct text *text,
-                          uint64_t now_us);
+blackboard_publish_config(struct blackboard *blackboard,
+                          struct service_config *text, uint64_t now_us);
 
 /** blackboard_set_local() - say something new of this process */
 void
--- a/src/control/control_config.c
+++ b/src/control/control_config.c
@@ -23,11 +23,12 @@
 apply_config_body(struct control *control, uint64_t version, const char *body,
                   size_t len, uint64_t confirmed_us)
 {
-    const struct text *old = control->blackboard->text;
-    struct text *text = NULL;
+    const struct service_config *old = control->blackboard->text;
+    struct service_config *text = NULL;
     char *report = NULL;
 
-    if (text_parse_envelope(body, len, version, &text, &report) < 0) {
+    if (service_config_parse_envelope(body, len, version, &text, &report) <
+        0) {
         g_warning("Version %" PRIu64 " is no valid text: %s", version,
                   report != NULL ? report : "unreadable");
         g_free(report);
@@ -41,7 +42,7 @@
                     (const uint8_t *)text->source, text->source_len);
     if (!blackboard_publish_config(control->blackboard, text,
                                    control_now(control))) {
-        text_free(text);
+        service_config_free(text);
         return;
     }
     config_applied(&control->config, version, confirmed_us);
@@ -239,7 +240,7 @@
     Swiftarch__ConfigEdit edits[HISTORY_STEPS_MAX];
     Swiftarch__ConfigEdit *pointers[HISTORY_STEPS_MAX];
     /* Only this thread replaces the text. */
-    const struct text *text = control->blackboard->text;
+    const struct service_config *text = control->blackboard->text;
 
     request = swiftarch__config_request__unpack(NULL, len, body);
     if (request == NULL) {
@@ -260,8 +261,8 @@
 }
 
 static uint8_t *
-apply_edits(const struct text *text, const Swiftarch__ConfigReply *reply,
-            size_t *len)
+apply_edits(const struct service_config *text,
+            const Swiftarch__ConfigReply *reply, size_t *len)
 {
     uint8_t *body;
 
@@ -276,7 +277,7 @@
         };
         uint8_t *next = NULL;
 
-        if (*len + edit.middle_len <= TEXT_SIZE_MAX)
+        if (*len + edit.middle_len <= SERVICE_CONFIG_SIZE_MAX)
             next = history_apply(&edit, body, len);
         g_free(body);
         body = next;
@@ -288,7 +289,7 @@
 handle_config_reply(struct control *control,
                     const Swiftarch__ConfigReply *reply)
 {
-    const struct text *text = control->blackboard->text;
+    const struct service_config *text = control->blackboard->text;
     uint8_t *body;
     size_t len;
 
--- a/src/control/control_show.c
+++ b/src/control/control_show.c
@@ -154,7 +154,7 @@
            uint64_t now_us)
 {
     const struct member_core *members = &control->members;
-    const struct text *text = control->blackboard->text;
+    const struct service_config *text = control->blackboard->text;
 
     reply->name = (char *)control->settings->name;
     reply->data_centre = (char *)control->settings->data_centre;
@@ -187,7 +187,7 @@
 {
     struct view *view =
         member_view(&control->members, control->view_seq, now_us);
-    const struct text *text = control->blackboard->text;
+    const struct service_config *text = control->blackboard->text;
     Swiftarch__ShowMember *members;
     Swiftarch__ShowMember **pointers;
 
--- a/src/directory/local_entry.c
+++ b/src/directory/local_entry.c
@@ -6,7 +6,8 @@
 
 #include "base/hash.h"
 
-_Static_assert(TEXT_SERVICES_MAX + TEXT_RETIRED_MAX <= DIRECTORY_ADDRESSES_MAX,
+_Static_assert(SERVICE_CONFIG_SERVICES_MAX + SERVICE_CONFIG_RETIRED_MAX <=
+                   DIRECTORY_ADDRESSES_MAX,
                "every configuration fits in an entry");
 
 /* Only balancers hold a directory. */
@@ -80,7 +81,7 @@
 }
 
 static uint64_t
-address_of(const struct text_service *service, bool retired)
+address_of(const struct service_config_entry *service, bool retired)
 {
     return directory_address(service->ip, service->port,
                              (uint8_t)service->proto, retired);
@@ -88,22 +89,22 @@
 
 int
 directory_local_entry_new(const char *cell, const struct view *view,
-                          const struct text *text,
+                          const struct service_config *config,
                           struct directory_entry **result)
 {
     struct directory_entry *entry;
 
-    if (text->version == 0)
+    if (config->version == 0)
         return -EAGAIN;
-    entry = directory_entry_new(cell, text->count + text->retired_count);
+    entry = directory_entry_new(cell, config->count + config->retired_count);
     if (entry == NULL)
         return -ENOMEM;
-    for (size_t i = 0; i < text->count; i++)
-        entry->addresses[i] = address_of(&text->services[i], false);
-    for (size_t i = 0; i < text->retired_count; i++)
-        entry->addresses[text->count + i] =
-            address_of(&text->retired[i].service, true);
-    entry->version.config_version = text->version;
+    for (size_t i = 0; i < config->count; i++)
+        entry->addresses[i] = address_of(&config->services[i], false);
+    for (size_t i = 0; i < config->retired_count; i++)
+        entry->addresses[config->count + i] =
+            address_of(&config->retired[i].service, true);
+    entry->version.config_version = config->version;
     add_members(cell, view, entry);
     directory_entry_finalize(entry);
     *result = entry;
--- a/src/directory/local_entry.h
+++ b/src/directory/local_entry.h
@@ -9,13 +9,13 @@
 
 #include "control/view.h"
 #include "directory/directory.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 /**
  * directory_local_entry_new() - create the finalized entry of the own cell
  * @cell: name of the cell
  * @view: members of the cell
- * @text: current configuration
+ * @config: current configuration
  * @entry: set to the entry, with one reference for the caller
  *
  * Authors are the highest-ranked balancers that are alive and not leaving;
@@ -25,7 +25,7 @@
  */
 int
 directory_local_entry_new(const char *cell, const struct view *view,
-                          const struct text *text,
+                          const struct service_config *config,
                           struct directory_entry **entry);
 
 /** directory_role_from_view() - compute the role of the view's own member in
--- a/src/directory/service.c
+++ b/src/directory/service.c
@@ -97,7 +97,7 @@
 {
     /* Only this thread replaces them, so no RCU read section is needed. */
     const struct view *view = service->blackboard->view;
-    const struct text *text = service->blackboard->text;
+    const struct service_config *text = service->blackboard->text;
     const char *cell = service->settings->cell;
     uint64_t version = text != NULL ? text->version : 0;
     struct directory_entry *own;
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -96,7 +96,7 @@
 }
 
 static const char *
-sentence_of(int status)
+status_message(int status)
 {
     switch (status) {
     case -ECONNREFUSED:
@@ -117,42 +117,43 @@
              struct platform_reply *reply)
 {
     const struct platform *platform = transfer->platform;
-    const char *why = platform->tls.why;
+    const char *verify_error = platform->tls.verify_error;
 
     reply->status = status;
     error_set(&reply->error, status, transfer->step, platform->url, "%s",
-              why != NULL ? why : sentence_of(status));
+              verify_error != NULL ? verify_error : status_message(status));
 }
 
 static void
-fill_reply(const struct transfer *transfer, const struct httpc_reply *answer,
-           struct platform_reply *reply)
+fill_reply(const struct transfer *transfer,
+           const struct httpc_reply *http_reply, struct platform_reply *reply)
 {
-    if (answer->status < 0) {
-        fill_failure(transfer, answer->status, reply);
+    if (http_reply->status < 0) {
+        fill_failure(transfer, http_reply->status, reply);
         return;
     }
-    reply->version = version_of(answer->etag);
-    reply->status = status_of(answer->status, reply->version);
+    reply->version = version_of(http_reply->etag);
+    reply->status = status_of(http_reply->status, reply->version);
     if (reply->status == 0 && !transfer->is_write) {
-        reply->value = answer->body;
-        reply->len = answer->len;
+        reply->value = http_reply->body;
+        reply->len = http_reply->len;
     }
     if (reply->status != 0) {
         error_set(&reply->error, reply->status, transfer->step,
                   transfer->platform->url,
-                  "the platform answered with HTTP status %d", answer->status);
+                  "the platform answered with HTTP status %d",
+                  http_reply->status);
     }
 }
 
 static void
-on_done(struct httpc_call *http, const struct httpc_reply *answer)
+on_done(struct httpc_call *http, const struct httpc_reply *http_reply)
 {
     struct transfer *transfer = container_of(http, struct transfer, http);
     struct platform_call *call = transfer->call;
     struct platform_reply reply = {0};
 
-    fill_reply(transfer, answer, &reply);
+    fill_reply(transfer, http_reply, &reply);
     transfer->call = NULL;
     call->done(call, &reply);
 }
@@ -239,7 +240,7 @@
 
 /* Takes scheme, host, port and path of a base URL. */
 static int
-take_url(struct platform *platform, const struct evhttp_uri *uri)
+set_url(struct platform *platform, const struct evhttp_uri *uri)
 {
     const char *scheme = evhttp_uri_get_scheme(uri);
     const char *host = evhttp_uri_get_host(uri);
@@ -272,7 +273,7 @@
 platform_init(struct platform *platform, const char *url)
 {
     struct evhttp_uri *uri = evhttp_uri_parse(url);
-    int ret = uri != NULL ? take_url(platform, uri) : -EINVAL;
+    int ret = uri != NULL ? set_url(platform, uri) : -EINVAL;
 
     if (uri != NULL) {
         evhttp_uri_free(uri);
--- a/src/platform/tls.c
+++ b/src/platform/tls.c
@@ -15,7 +15,7 @@
     struct tls *tls = SSL_CTX_get_app_data(SSL_get_SSL_CTX(ssl));
 
     if (!ok) {
-        tls->why =
+        tls->verify_error =
             X509_verify_cert_error_string(X509_STORE_CTX_get_error(store));
     }
     return ok;
@@ -41,7 +41,7 @@
     struct bufferevent *bev;
     SSL *ssl = SSL_new(tls->context);
 
-    tls->why = NULL;
+    tls->verify_error = NULL;
     if (ssl == NULL) {
         return NULL;
     }
--- a/src/platform/tls.h
+++ b/src/platform/tls.h
@@ -16,13 +16,14 @@
  * @base: for httpc
  * @context: OpenSSL's settings
  * @host: name or address that the certificate must hold
- * @why: why the last certificate was refused, NULL for not at all
+ * @verify_error: verify_error the last certificate was refused, NULL for not
+ * at all
  */
 struct tls {
     struct httpc_transport base;
     SSL_CTX *context;
     char *host;
-    const char *why;
+    const char *verify_error;
 };
 
 /** tls_init() - 0 or -ENOMEM */
--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -129,14 +129,14 @@
 static bool
 displace_ordinary(struct engine *engine, const struct engine_request *request)
 {
-    struct text_limits limits =
+    struct service_config_limits limits =
         services_limits(engine->services, request->service);
-    struct entry *last = engine->queue.tail[TEXT_ORDINARY];
+    struct entry *last = engine->queue.tail[SERVICE_CONFIG_ORDINARY];
 
     if (queue_total(&engine->queue) < limits.queue) {
         return true;
     }
-    if (request->class != TEXT_URGENT || last == NULL) {
+    if (request->class != SERVICE_CONFIG_URGENT || last == NULL) {
         return false;
     }
     engine->counters.displaced++;
@@ -147,7 +147,7 @@
 void
 admit_requeue(struct engine *engine, struct entry *entry)
 {
-    struct text_limits limits =
+    struct service_config_limits limits =
         services_limits(engine->services, entry->request.service);
     struct entry *last;
 
@@ -155,8 +155,8 @@
     if (queue_total(&engine->queue) <= limits.queue) {
         return;
     }
-    last = engine->queue.tail[TEXT_ORDINARY];
-    last = last != NULL ? last : engine->queue.tail[TEXT_URGENT];
+    last = engine->queue.tail[SERVICE_CONFIG_ORDINARY];
+    last = last != NULL ? last : engine->queue.tail[SERVICE_CONFIG_URGENT];
     engine->counters.displaced++;
     finish_unserved(engine, last, ENGINE_QUEUE_FULL);
 }
@@ -164,7 +164,7 @@
 enum engine_reason
 admit_check(struct engine *engine, const struct engine_request *request)
 {
-    struct text_limits limits =
+    struct service_config_limits limits =
         services_limits(engine->services, request->service);
 
     if (engine->stopping) {
@@ -206,7 +206,7 @@
 min_time_left_us(const struct engine *engine,
                  const struct engine_request *request)
 {
-    return request->class == TEXT_URGENT
+    return request->class == SERVICE_CONFIG_URGENT
                ? needed_run_us(engine, request->service)
                : needed_run_max_us(engine, request->service);
 }
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -113,10 +113,10 @@
     action = engine_send(engine, peer->id, ENGINE_PEER_STATUS, NULL);
     action->msg.free_slots = (uint16_t)upstream_free_slots(
         &engine->upstream, peer->service, engine->now_us);
-    action->msg.waiting[TEXT_URGENT] =
-        (uint16_t)engine->queue.count[TEXT_URGENT];
-    action->msg.waiting[TEXT_ORDINARY] =
-        (uint16_t)engine->queue.count[TEXT_ORDINARY];
+    action->msg.waiting[SERVICE_CONFIG_URGENT] =
+        (uint16_t)engine->queue.count[SERVICE_CONFIG_URGENT];
+    action->msg.waiting[SERVICE_CONFIG_ORDINARY] =
+        (uint16_t)engine->queue.count[SERVICE_CONFIG_ORDINARY];
     peer->status_sent_us = engine->now_us;
 }
 
@@ -166,7 +166,7 @@
 }
 
 static bool
-start_next_of_class(struct engine *engine, enum text_class class)
+start_next_of_class(struct engine *engine, enum service_config_class class)
 {
     struct entry *entry = engine->queue.head[class];
     unsigned unplaced = 0;
@@ -190,15 +190,17 @@
 static bool
 start_next(struct engine *engine)
 {
-    enum text_class first = queue_first_class(&engine->queue);
-    enum text_class other = first == TEXT_URGENT ? TEXT_ORDINARY : TEXT_URGENT;
+    enum service_config_class first = queue_first_class(&engine->queue);
+    enum service_config_class other = first == SERVICE_CONFIG_URGENT
+                                          ? SERVICE_CONFIG_ORDINARY
+                                          : SERVICE_CONFIG_URGENT;
 
     return start_next_of_class(engine, first) ||
            start_next_of_class(engine, other);
 }
 
 static struct entry *
-first_unservable(const struct engine *engine, enum text_class class,
+first_unservable(const struct engine *engine, enum service_config_class class,
                  enum engine_reason *reason)
 {
     struct entry *entry = engine->queue.head[class];
@@ -215,7 +217,7 @@
 
 /* Finishing a request may change others, so the scan starts again. */
 static void
-drop_unservable(struct engine *engine, enum text_class class)
+drop_unservable(struct engine *engine, enum service_config_class class)
 {
     enum engine_reason reason;
     struct entry *entry = first_unservable(engine, class, &reason);
@@ -229,8 +231,8 @@
 void
 dispatch_run(struct engine *engine)
 {
-    drop_unservable(engine, TEXT_URGENT);
-    drop_unservable(engine, TEXT_ORDINARY);
+    drop_unservable(engine, SERVICE_CONFIG_URGENT);
+    drop_unservable(engine, SERVICE_CONFIG_ORDINARY);
     while (start_next(engine)) {
     }
     if (engine->ops->after_dispatch != NULL) {
--- a/src/request/dispatch_pull.c
+++ b/src/request/dispatch_pull.c
@@ -72,7 +72,7 @@
 
 /* Returns a random peer that recently reported queued requests of @class. */
 static struct peer *
-find_waiting(struct engine *engine, enum text_class class)
+find_waiting(struct engine *engine, enum service_config_class class)
 {
     const GPtrArray *list =
         peers_of_service(&engine->peers, engine->upstream.service);
@@ -91,8 +91,8 @@
 }
 
 static void
-pull_waiting(struct engine *engine, struct peer *peer, enum text_class class,
-             unsigned free_slots)
+pull_waiting(struct engine *engine, struct peer *peer,
+             enum service_config_class class, unsigned free_slots)
 {
     unsigned wanted = MIN(free_slots, peer->waiting[class]);
 
@@ -115,8 +115,9 @@
             peer->state == MEMBER_DRAINING || peer->state == MEMBER_LEAVING;
 
         if (is_departing &&
-            (peer_has_waiting(peer, TEXT_URGENT, engine->now_us) ||
-             peer_has_waiting(peer, TEXT_ORDINARY, engine->now_us)) &&
+            (peer_has_waiting(peer, SERVICE_CONFIG_URGENT, engine->now_us) ||
+             peer_has_waiting(peer, SERVICE_CONFIG_ORDINARY,
+                              engine->now_us)) &&
             g_rand_int_range(engine->random, 0, ++seen) == 0) {
             chosen = peer;
         }
@@ -126,15 +127,15 @@
 
 static struct peer *
 find_hold_peer(struct engine *engine, const struct entry *entry,
-               enum text_class *class)
+               enum service_config_class *class)
 {
     const GPtrArray *list =
         peers_of_service(&engine->peers, engine->upstream.service);
     struct peer *peer;
 
-    *class = TEXT_URGENT;
-    if (entry->request.class == TEXT_ORDINARY) {
-        peer = find_waiting(engine, TEXT_URGENT);
+    *class = SERVICE_CONFIG_URGENT;
+    if (entry->request.class == SERVICE_CONFIG_ORDINARY) {
+        peer = find_waiting(engine, SERVICE_CONFIG_URGENT);
         if (peer != NULL) {
             return peer;
         }
@@ -143,8 +144,8 @@
         return NULL;
     }
     peer = find_without_upstream(engine);
-    if (peer != NULL && peer->waiting[TEXT_URGENT] == 0) {
-        *class = TEXT_ORDINARY;
+    if (peer != NULL && peer->waiting[SERVICE_CONFIG_URGENT] == 0) {
+        *class = SERVICE_CONFIG_ORDINARY;
     }
     return peer;
 }
@@ -155,7 +156,7 @@
 hold_slot(struct engine *engine, const struct entry *entry)
 {
     struct dispatch *dispatch = &engine->dispatch;
-    enum text_class class;
+    enum service_config_class class;
     struct peer *peer;
 
     if (queue_min_share_due(&engine->queue) ||
@@ -278,7 +279,8 @@
         return;
     }
     free_slots -= dispatch->slots_requested;
-    for (int class = TEXT_URGENT; class <= TEXT_ORDINARY; class ++) {
+    for (int class = SERVICE_CONFIG_URGENT; class <= SERVICE_CONFIG_ORDINARY;
+         class ++) {
         peer = find_waiting(engine, class);
         if (peer != NULL) {
             pull_waiting(engine, peer, class, free_slots);
@@ -314,21 +316,23 @@
     const unsigned *count = engine->queue.count;
     const unsigned *announced = engine->dispatch.announced;
 
-    return (count[TEXT_URGENT] > 0 && announced[TEXT_URGENT] == 0) ||
-           (count[TEXT_ORDINARY] > 0 && announced[TEXT_ORDINARY] == 0);
+    return (count[SERVICE_CONFIG_URGENT] > 0 &&
+            announced[SERVICE_CONFIG_URGENT] == 0) ||
+           (count[SERVICE_CONFIG_ORDINARY] > 0 &&
+            announced[SERVICE_CONFIG_ORDINARY] == 0);
 }
 
 static void
 announce(struct engine *engine)
 {
     struct dispatch *dispatch = &engine->dispatch;
-    const struct entry *first = engine->queue.head[TEXT_URGENT];
+    const struct entry *first = engine->queue.head[SERVICE_CONFIG_URGENT];
     bool has_new = has_new_waiting(engine);
     bool lacks_upstream;
 
     if (queue_total(&engine->queue) == 0) {
-        dispatch->announced[TEXT_URGENT] = 0;
-        dispatch->announced[TEXT_ORDINARY] = 0;
+        dispatch->announced[SERVICE_CONFIG_URGENT] = 0;
+        dispatch->announced[SERVICE_CONFIG_ORDINARY] = 0;
         dispatch->announce_gap_us = ANNOUNCE_GAP_US;
         return;
     }
@@ -336,14 +340,17 @@
         (!has_new && engine->now_us < dispatch->announce_at_us)) {
         return;
     }
-    first = first != NULL ? first : engine->queue.head[TEXT_ORDINARY];
+    first =
+        first != NULL ? first : engine->queue.head[SERVICE_CONFIG_ORDINARY];
     lacks_upstream =
         !upstream_serves(&engine->upstream, first->request.service);
     report_to_random_peers(engine, first->request.service,
                            lacks_upstream ? ANNOUNCE_PEERS_NO_UPSTREAM
                                           : ANNOUNCE_PEERS);
-    dispatch->announced[TEXT_URGENT] = engine->queue.count[TEXT_URGENT];
-    dispatch->announced[TEXT_ORDINARY] = engine->queue.count[TEXT_ORDINARY];
+    dispatch->announced[SERVICE_CONFIG_URGENT] =
+        engine->queue.count[SERVICE_CONFIG_URGENT];
+    dispatch->announced[SERVICE_CONFIG_ORDINARY] =
+        engine->queue.count[SERVICE_CONFIG_ORDINARY];
     dispatch->announce_gap_us =
         MIN(2 * dispatch->announce_gap_us, ANNOUNCE_GAP_MAX_US);
     dispatch->announced_at_us = engine->now_us;
@@ -386,7 +393,7 @@
         }
         return;
     }
-    if (msg->waiting[TEXT_URGENT] == 0) {
+    if (msg->waiting[SERVICE_CONFIG_URGENT] == 0) {
         dispatch->hold_until_us = 0;
     }
 }
--- a/src/request/engine.c
+++ b/src/request/engine.c
@@ -94,14 +94,14 @@
 }
 
 int
-engine_set_text(struct engine *engine, const struct text *text,
+engine_set_text(struct engine *engine, const struct service_config *config,
                 uint64_t now_us, struct engine_actions *out)
 {
     begin_call(engine, now_us, out);
     if (engine->services != NULL) {
         g_hash_table_destroy(engine->services);
     }
-    engine->services = services_new(text);
+    engine->services = services_new(config);
     dispatch_run(engine);
     return 0;
 }
@@ -130,8 +130,8 @@
 static bool
 is_valid(const struct engine_request *request)
 {
-    return (request->class == TEXT_URGENT ||
-            request->class == TEXT_ORDINARY) &&
+    return (request->class == SERVICE_CONFIG_URGENT ||
+            request->class == SERVICE_CONFIG_ORDINARY) &&
            request->service != 0;
 }
 
@@ -369,7 +369,7 @@
 }
 
 unsigned
-engine_waiting_of(const struct engine *engine, enum text_class class)
+engine_waiting_of(const struct engine *engine, enum service_config_class class)
 {
     return engine->queue.count[class];
 }
--- a/src/request/engine.h
+++ b/src/request/engine.h
@@ -19,7 +19,7 @@
 #include "base/clock.h"
 #include "control/view.h"
 #include "idem/idem.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 /**
  * struct engine_request - an incoming request
@@ -37,7 +37,7 @@
     uint64_t id;
     uint32_t service;
     uint32_t caller;
-    enum text_class class;
+    enum service_config_class class;
     bool idempotent;
     bool keyed;
     struct idem_key key;
@@ -217,7 +217,7 @@
 
 /** engine_set_text() - apply a service configuration (copied) */
 int
-engine_set_text(struct engine *engine, const struct text *text,
+engine_set_text(struct engine *engine, const struct service_config *config,
                 uint64_t now_us, struct engine_actions *out);
 
 /** engine_set_upstream() - set the local upstream: its service, its slots
@@ -302,7 +302,8 @@
 
 /** engine_waiting_of() - requests of @class queued here */
 unsigned
-engine_waiting_of(const struct engine *engine, enum text_class class);
+engine_waiting_of(const struct engine *engine,
+                  enum service_config_class class);
 
 /** engine_unacked_records() - key records here not yet acknowledged by
  * every replica; a planned stop waits, up to a limit, until this is 0 */
--- a/src/request/peers.c
+++ b/src/request/peers.c
@@ -176,7 +176,7 @@
 }
 
 bool
-peer_has_waiting(const struct peer *peer, enum text_class class,
+peer_has_waiting(const struct peer *peer, enum service_config_class class,
                  uint64_t now_us)
 {
     return peer->waiting[class] > 0 && peer->health == MEMBER_ALIVE &&
--- a/src/request/peers.h
+++ b/src/request/peers.h
@@ -117,7 +117,7 @@
 /** peer_has_waiting() - whether @peer recently reported queued requests of
  * @class */
 bool
-peer_has_waiting(const struct peer *peer, enum text_class class,
+peer_has_waiting(const struct peer *peer, enum service_config_class class,
                  uint64_t now_us);
 
 /** peer_answered() - record an answer of @peer after @took_us */
--- a/src/request/queue.c
+++ b/src/request/queue.c
@@ -9,7 +9,7 @@
 }
 
 static unsigned
-count_before(const struct queue *queue, enum text_class class,
+count_before(const struct queue *queue, enum service_config_class class,
              uint64_t deadline_us)
 {
     unsigned n = 0;
@@ -26,7 +26,7 @@
 void
 queue_push(struct queue *queue, struct entry *entry)
 {
-    enum text_class class = entry->request.class;
+    enum service_config_class class = entry->request.class;
     struct entry *after = queue->tail[class];
 
     g_assert(!entry->queued);
@@ -55,7 +55,7 @@
 void
 queue_remove(struct queue *queue, struct entry *entry)
 {
-    enum text_class class = entry->request.class;
+    enum service_config_class class = entry->request.class;
 
     g_assert(entry->queued && queue->count[class] > 0);
     if (entry->prev != NULL) {
@@ -76,26 +76,28 @@
     entry->next = NULL;
 }
 
-enum text_class
+enum service_config_class
 queue_first_class(const struct queue *queue)
 {
-    if (queue->count[TEXT_URGENT] == 0) {
-        return TEXT_ORDINARY;
+    if (queue->count[SERVICE_CONFIG_URGENT] == 0) {
+        return SERVICE_CONFIG_ORDINARY;
     }
-    return queue_min_share_due(queue) ? TEXT_ORDINARY : TEXT_URGENT;
+    return queue_min_share_due(queue) ? SERVICE_CONFIG_ORDINARY
+                                      : SERVICE_CONFIG_URGENT;
 }
 
 bool
 queue_min_share_due(const struct queue *queue)
 {
-    return queue->count[TEXT_ORDINARY] > 0 &&
+    return queue->count[SERVICE_CONFIG_ORDINARY] > 0 &&
            queue->urgent_streak + 1 >= QUEUE_ORDINARY_EVERY;
 }
 
 void
-queue_started(struct queue *queue, enum text_class class)
+queue_started(struct queue *queue, enum service_config_class class)
 {
-    if (class == TEXT_ORDINARY || queue->count[TEXT_ORDINARY] == 0) {
+    if (class == SERVICE_CONFIG_ORDINARY ||
+        queue->count[SERVICE_CONFIG_ORDINARY] == 0) {
         queue->urgent_streak = 0;
     }
     else if (queue->urgent_streak < QUEUE_ORDINARY_EVERY) {
@@ -104,22 +106,23 @@
 }
 
 unsigned
-queue_ahead(const struct queue *queue, enum text_class class,
+queue_ahead(const struct queue *queue, enum service_config_class class,
             uint64_t deadline_us)
 {
-    unsigned ordinary = queue->count[TEXT_ORDINARY];
+    unsigned ordinary = queue->count[SERVICE_CONFIG_ORDINARY];
     unsigned before = count_before(queue, class, deadline_us);
 
-    if (class == TEXT_URGENT) {
+    if (class == SERVICE_CONFIG_URGENT) {
         return add_min_share(before, ordinary);
     }
-    return before +
-           MIN(queue->count[TEXT_URGENT], before * (QUEUE_ORDINARY_EVERY - 1) +
-                                              (QUEUE_ORDINARY_EVERY - 1));
+    return before + MIN(queue->count[SERVICE_CONFIG_URGENT],
+                        before * (QUEUE_ORDINARY_EVERY - 1) +
+                            (QUEUE_ORDINARY_EVERY - 1));
 }
 
 unsigned
 queue_total(const struct queue *queue)
 {
-    return queue->count[TEXT_URGENT] + queue->count[TEXT_ORDINARY];
+    return queue->count[SERVICE_CONFIG_URGENT] +
+           queue->count[SERVICE_CONFIG_ORDINARY];
 }
--- a/src/request/queue.h
+++ b/src/request/queue.h
@@ -36,7 +36,7 @@
 queue_remove(struct queue *queue, struct entry *entry);
 
 /** queue_first_class() - class of the next start */
-enum text_class
+enum service_config_class
 queue_first_class(const struct queue *queue);
 
 /** queue_min_share_due() - whether the minimum share makes the next start
@@ -46,12 +46,12 @@
 
 /** queue_started() - record a start of @class */
 void
-queue_started(struct queue *queue, enum text_class class);
+queue_started(struct queue *queue, enum service_config_class class);
 
 /** queue_ahead() - queued requests that start before one with @class and
  * @deadline_us, the minimum share included */
 unsigned
-queue_ahead(const struct queue *queue, enum text_class class,
+queue_ahead(const struct queue *queue, enum service_config_class class,
             uint64_t deadline_us);
 
 /** queue_total() - queued requests of both classes */
--- a/src/request/remote.c
+++ b/src/request/remote.c
@@ -185,8 +185,10 @@
                const struct engine_peer_msg *msg)
 {
     if (msg->type == ENGINE_PEER_STATUS) {
-        peer->waiting[TEXT_URGENT] = msg->waiting[TEXT_URGENT];
-        peer->waiting[TEXT_ORDINARY] = msg->waiting[TEXT_ORDINARY];
+        peer->waiting[SERVICE_CONFIG_URGENT] =
+            msg->waiting[SERVICE_CONFIG_URGENT];
+        peer->waiting[SERVICE_CONFIG_ORDINARY] =
+            msg->waiting[SERVICE_CONFIG_ORDINARY];
         peer->waiting_at_us = engine->now_us;
     }
     if (msg->free_slots > 0) {
--- a/src/request/services.c
+++ b/src/request/services.c
@@ -1,6 +1,6 @@
 #include "request/services.h"
 
-static const struct text_limits default_limits = {
+static const struct service_config_limits default_limits = {
     .connections = 2000,
     .connections_per_caller = 200,
     .queue = 64,
@@ -21,23 +21,23 @@
 
 /* Collects every service reachable from @index once; cycles are allowed. */
 static void
-collect_dependencies(const struct text *text, size_t index, gboolean *visited,
-                     GArray *dependencies)
+collect_dependencies(const struct service_config *config, size_t index,
+                     gboolean *visited, GArray *dependencies)
 {
-    const struct text_service *from;
+    const struct service_config_entry *from;
     GArray *todo = g_array_new(FALSE, FALSE, sizeof(size_t));
 
     visited[index] = TRUE;
     g_array_append_val(todo, index);
     while (todo->len > 0) {
-        from = &text->services[g_array_index(todo, size_t, todo->len - 1)];
+        from = &config->services[g_array_index(todo, size_t, todo->len - 1)];
         g_array_set_size(todo, todo->len - 1);
         for (size_t i = 0; i < from->depends_count; i++) {
             size_t next = from->depends[i];
 
-            if (next < text->count && !visited[next]) {
+            if (next < config->count && !visited[next]) {
                 visited[next] = TRUE;
-                g_array_append_val(dependencies, text->services[next].id);
+                g_array_append_val(dependencies, config->services[next].id);
                 g_array_append_val(todo, next);
             }
         }
@@ -46,17 +46,17 @@
 }
 
 static struct service *
-service_new(const struct text *text, size_t index)
+service_new(const struct service_config *config, size_t index)
 {
-    const struct text_service *from = &text->services[index];
+    const struct service_config_entry *from = &config->services[index];
     struct service *service = g_new0(struct service, 1);
-    gboolean *visited = g_new0(gboolean, text->count);
+    gboolean *visited = g_new0(gboolean, config->count);
 
     service->id = from->id;
     service->class = from->class;
     service->limits = from->limits;
     service->dependencies = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    collect_dependencies(text, index, visited, service->dependencies);
+    collect_dependencies(config, index, visited, service->dependencies);
     g_free(visited);
     return service;
 }
@@ -71,7 +71,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct service *service = value;
 
-        if (service->class != TEXT_URGENT) {
+        if (service->class != SERVICE_CONFIG_URGENT) {
             continue;
         }
         for (guint i = 0; i < service->dependencies->len; i++) {
@@ -85,13 +85,13 @@
 }
 
 GHashTable *
-services_new(const struct text *text)
+services_new(const struct service_config *config)
 {
     GHashTable *services =
         g_hash_table_new_full(NULL, NULL, NULL, service_free);
 
-    for (size_t i = 0; i < text->count; i++) {
-        struct service *service = service_new(text, i);
+    for (size_t i = 0; i < config->count; i++) {
+        struct service *service = service_new(config, i);
 
         g_hash_table_insert(services, GUINT_TO_POINTER(service->id), service);
     }
@@ -108,21 +108,22 @@
     return g_hash_table_lookup(services, GUINT_TO_POINTER(id));
 }
 
-enum text_class
-services_class(GHashTable *services, uint32_t id, enum text_class requested)
+enum service_config_class
+services_class(GHashTable *services, uint32_t id,
+               enum service_config_class requested)
 {
     const struct service *service = services_find(services, id);
 
-    if (service == NULL || requested == TEXT_ORDINARY) {
+    if (service == NULL || requested == SERVICE_CONFIG_ORDINARY) {
         return requested;
     }
-    if (service->class == TEXT_URGENT || service->needed_by_urgent) {
-        return TEXT_URGENT;
+    if (service->class == SERVICE_CONFIG_URGENT || service->needed_by_urgent) {
+        return SERVICE_CONFIG_URGENT;
     }
-    return TEXT_ORDINARY;
+    return SERVICE_CONFIG_ORDINARY;
 }
 
-struct text_limits
+struct service_config_limits
 services_limits(GHashTable *services, uint32_t id)
 {
     const struct service *service = services_find(services, id);
--- a/src/request/services.h
+++ b/src/request/services.h
@@ -12,7 +12,7 @@
 
 #include <glib.h>
 
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 /**
  * struct service - configuration of one service
@@ -24,26 +24,27 @@
  */
 struct service {
     uint32_t id;
-    enum text_class class;
+    enum service_config_class class;
     bool needed_by_urgent;
-    struct text_limits limits;
+    struct service_config_limits limits;
     GArray *dependencies;
 };
 
-/** services_new() - table of the services in @text by id (copied) */
+/** services_new() - table of the services in @config by id (copied) */
 GHashTable *
-services_new(const struct text *text);
+services_new(const struct service_config *config);
 
 /** services_find() - look up a service, or NULL; @services may be NULL */
 const struct service *
 services_find(GHashTable *services, uint32_t id);
 
 /** services_class() - effective class of a request for service @id */
-enum text_class
-services_class(GHashTable *services, uint32_t id, enum text_class requested);
+enum service_config_class
+services_class(GHashTable *services, uint32_t id,
+               enum service_config_class requested);
 
 /** services_limits() - limits of service @id, defaults if unknown */
-struct text_limits
+struct service_config_limits
 services_limits(GHashTable *services, uint32_t id);
 
 #endif
--- a/src/text/text_envelope.c
+++ b/src/service_config/service_config_envelope.c
@@ -1,4 +1,4 @@
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #include <errno.h>
 #include <inttypes.h>
@@ -8,9 +8,9 @@
 #include <glib.h>
 #include <json-c/json.h>
 
-#include "text/text_check.h"
-#include "text/text_fault.h"
-#include "text/text_index.h"
+#include "service_config/service_config_check.h"
+#include "service_config/service_config_diag.h"
+#include "service_config/service_config_index.h"
 
 #define ENVELOPE_NAME "config"
 
@@ -33,7 +33,7 @@
 }
 
 static int
-read_fields(struct json_object *root, struct text_envelope *envelope)
+read_fields(struct json_object *root, struct service_config_envelope *envelope)
 {
     struct json_object *written;
 
@@ -51,7 +51,8 @@
 }
 
 static int
-read_history(struct json_object *root, struct text_envelope *envelope)
+read_history(struct json_object *root,
+             struct service_config_envelope *envelope)
 {
     struct json_object *list;
     size_t count;
@@ -63,7 +64,7 @@
         return -EINVAL;
     }
     count = json_object_array_length(list);
-    if (count > TEXT_HISTORY_MAX) {
+    if (count > SERVICE_CONFIG_HISTORY_MAX) {
         return -EINVAL;
     }
     for (size_t i = 0; i < count; i++) {
@@ -73,7 +74,7 @@
             return -EINVAL;
         }
         g_strlcpy(envelope->history[i], json_object_get_string(id),
-                  TEXT_WRITE_ID_MAX);
+                  SERVICE_CONFIG_WRITE_ID_MAX);
     }
     envelope->history_count = count;
     return 0;
@@ -81,20 +82,21 @@
 
 /* Returns how many keys the value has. */
 static size_t
-find_parts_at(const struct text_index *index, struct text_envelope *envelope)
+find_members_at(const struct service_config_index *index,
+                struct service_config_envelope *envelope)
 {
     size_t keys = 0;
     uint32_t node = index->nodes[0].first;
 
     for (; node != 0; node = index->nodes[node].next) {
-        const struct text_node *at = &index->nodes[node];
+        const struct service_config_node *at = &index->nodes[node];
 
         keys++;
-        if (text_index_is(index, node, "text")) {
-            envelope->text = index->source + at->start;
-            envelope->text_len = at->end - at->start;
+        if (service_config_index_key_is(index, node, "text")) {
+            envelope->source = index->source + at->start;
+            envelope->source_len = at->end - at->start;
         }
-        else if (text_index_is(index, node, "retired")) {
+        else if (service_config_index_key_is(index, node, "retired")) {
             envelope->retired = index->source + at->start;
             envelope->retired_len = at->end - at->start;
         }
@@ -102,34 +104,37 @@
     return keys;
 }
 
-/* The text inside the value, byte for byte as the operator wrote it, and
+/* The config inside the value, byte for byte as the operator wrote it, and
  * the retired addresses. Returns how many keys the value has. */
 static int
-find_parts(const char *value, size_t len, struct text_envelope *envelope)
+find_members(const char *value, size_t len,
+             struct service_config_envelope *envelope)
 {
-    struct text_index index;
+    struct service_config_index index;
     size_t keys;
     size_t bad;
 
-    if (text_index_init(&index, value, len, &bad) < 0) {
+    if (service_config_index_init(&index, value, len, &bad) < 0) {
         return -EINVAL;
     }
-    keys = find_parts_at(&index, envelope);
-    text_index_finish(&index);
-    return envelope->text != NULL ? (int)keys : -EINVAL;
+    keys = find_members_at(&index, envelope);
+    service_config_index_finish(&index);
+    return envelope->source != NULL ? (int)keys : -EINVAL;
 }
 
-/* What processes pass on: a text and retired addresses, and nothing else. */
+/* What processes pass on: a config and retired addresses, and nothing else. */
 static int
-read_source(const char *value, size_t len, struct text_envelope *envelope)
+read_source(const char *value, size_t len,
+            struct service_config_envelope *envelope)
 {
     int keys;
 
     memset(envelope, 0, sizeof(*envelope));
-    if (len > TEXT_SIZE_MAX || !g_utf8_validate_len(value, len, NULL)) {
+    if (len > SERVICE_CONFIG_SIZE_MAX ||
+        !g_utf8_validate_len(value, len, NULL)) {
         return -EINVAL;
     }
-    keys = find_parts(value, len, envelope);
+    keys = find_members(value, len, envelope);
     return keys == 2 && envelope->retired != NULL ? 0 : -EINVAL;
 }
 
@@ -139,10 +144,11 @@
     struct json_tokener *tok;
     struct json_object *root;
 
-    if (len > TEXT_SIZE_MAX || !g_utf8_validate_len(value, len, NULL)) {
+    if (len > SERVICE_CONFIG_SIZE_MAX ||
+        !g_utf8_validate_len(value, len, NULL)) {
         return NULL;
     }
-    tok = json_tokener_new_ex(TEXT_DEPTH_MAX + 1);
+    tok = json_tokener_new_ex(SERVICE_CONFIG_DEPTH_MAX + 1);
     if (tok == NULL) {
         return NULL;
     }
@@ -153,8 +159,8 @@
 }
 
 int
-text_envelope_read(const char *value, size_t len,
-                   struct text_envelope *envelope)
+service_config_envelope_read(const char *value, size_t len,
+                             struct service_config_envelope *envelope)
 {
     struct json_object *root = parse_value(value, len);
     int rc;
@@ -169,13 +175,13 @@
     }
     json_object_put(root);
     if (rc == 0) {
-        rc = find_parts(value, len, envelope);
+        rc = find_members(value, len, envelope);
     }
     return MIN(rc, 0);
 }
 
 static struct json_object *
-history_list(const struct text_envelope *envelope)
+history_list(const struct service_config_envelope *envelope)
 {
     struct json_object *list = json_object_new_array();
 
@@ -187,7 +193,8 @@
 }
 
 char *
-text_envelope_write(const struct text_envelope *envelope, size_t *len)
+service_config_envelope_write(const struct service_config_envelope *envelope,
+                              size_t *len)
 {
     struct json_object *head = json_object_new_object();
     GString *value;
@@ -209,29 +216,30 @@
                             (gssize)envelope->retired_len);
     }
     g_string_append(value, ",\"text\":");
-    g_string_append_len(value, envelope->text, (gssize)envelope->text_len);
+    g_string_append_len(value, envelope->source, (gssize)envelope->source_len);
     g_string_append_c(value, '}');
     *len = value->len;
     return g_string_free(value, FALSE);
 }
 
 static int
-check_retired(const struct text_envelope *envelope, struct text_faults *faults,
-              struct text *text)
+check_retired(const struct service_config_envelope *envelope,
+              struct service_config_diags *diags,
+              struct service_config *config)
 {
     struct json_object *list =
         parse_value(envelope->retired, envelope->retired_len);
-    struct text_index index;
+    struct service_config_index index;
     size_t bad;
-    int rc = text_index_init(&index, envelope->retired, envelope->retired_len,
-                             &bad);
+    int rc = service_config_index_init(&index, envelope->retired,
+                                       envelope->retired_len, &bad);
 
     if (rc == 0) {
-        rc = text_check_retired(list, &index, faults, text);
-        text_index_finish(&index);
+        rc = service_config_check_retired(list, &index, diags, config);
+        service_config_index_finish(&index);
     }
     json_object_put(list);
-    if (rc == 0 && faults->count > 0) {
+    if (rc == 0 && diags->count > 0) {
         rc = -EINVAL;
     }
     return rc;
@@ -239,77 +247,79 @@
 
 /* What read_source() reads. */
 static int
-make_source(const struct text_envelope *envelope, struct text *text)
+build_source(const struct service_config_envelope *envelope,
+             struct service_config *config)
 {
     static const char head[] = "{\"retired\":";
     static const char middle[] = ",\"text\":";
     size_t size = sizeof(head) + sizeof(middle) + envelope->retired_len +
-                  text->source_len + 1;
+                  config->source_len + 1;
     char *source = malloc(size);
 
     if (source == NULL) {
         return -ENOMEM;
     }
     g_snprintf(source, size, "%s%.*s%s%s}", head, (int)envelope->retired_len,
-               envelope->retired, middle, text->source);
-    free(text->source);
-    text->source = source;
-    text->source_len = strlen(source);
+               envelope->retired, middle, config->source);
+    free(config->source);
+    config->source = source;
+    config->source_len = strlen(source);
     return 0;
 }
 
 static int
-add_retired(const struct text_envelope *envelope, struct text *text,
-            char **report)
+add_retired(const struct service_config_envelope *envelope,
+            struct service_config *config, char **report)
 {
-    struct text_faults faults;
+    struct service_config_diags diags;
     int rc;
 
-    text_faults_init(&faults, ENVELOPE_NAME);
-    rc = check_retired(envelope, &faults, text);
-    if (rc == 0 && text->retired_count > 0) {
-        rc = make_source(envelope, text);
+    service_config_diags_init(&diags, ENVELOPE_NAME);
+    rc = check_retired(envelope, &diags, config);
+    if (rc == 0 && config->retired_count > 0) {
+        rc = build_source(envelope, config);
     }
-    *report = text_faults_finish(&faults);
+    *report = service_config_diags_finish(&diags);
     return rc;
 }
 
 /* Lines of a file say nothing here, and what the platform holds and what a
  * process passes on are to be equal. */
 static void
-forget_lines(struct text *text)
+clear_lines(struct service_config *config)
 {
-    for (size_t i = 0; i < text->count; i++) {
-        text->services[i].line = 0;
+    for (size_t i = 0; i < config->count; i++) {
+        config->services[i].line = 0;
     }
-    for (size_t i = 0; i < text->retired_count; i++) {
-        text->retired[i].service.line = 0;
+    for (size_t i = 0; i < config->retired_count; i++) {
+        config->retired[i].service.line = 0;
     }
 }
 
 int
-text_parse_envelope(const char *value, size_t len, uint64_t version,
-                    struct text **text, char **report)
+service_config_parse_envelope(const char *value, size_t len, uint64_t version,
+                              struct service_config **config, char **report)
 {
-    struct text_envelope envelope;
+    struct service_config_envelope envelope;
     int rc;
 
     if (read_source(value, len, &envelope) < 0 &&
-        text_envelope_read(value, len, &envelope) < 0) {
-        envelope = (struct text_envelope){.text = value, .text_len = len};
+        service_config_envelope_read(value, len, &envelope) < 0) {
+        envelope = (struct service_config_envelope){.source = value,
+                                                    .source_len = len};
     }
-    rc = text_parse(envelope.text, envelope.text_len, ENVELOPE_NAME, text,
-                    report);
+    rc = service_config_parse(envelope.source, envelope.source_len,
+                              ENVELOPE_NAME, config, report);
     if (rc == 0 && envelope.retired != NULL) {
-        rc = add_retired(&envelope, *text, report);
+        rc = add_retired(&envelope, *config, report);
         if (rc < 0) {
-            text_free(*text);
-            *text = NULL;
+            service_config_free(*config);
+            *config = NULL;
         }
     }
     if (rc == 0) {
-        forget_lines(*text);
-        (*text)->version = version;
+        clear_lines(*config);
+        (*config)->version = version;
     }
     return rc;
 }
--- a/src/text/text_index.c
+++ b/src/service_config/service_config_index.c
@@ -1,4 +1,4 @@
-#include "text/text_index.h"
+#include "service_config/service_config_index.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -6,7 +6,7 @@
 
 /** struct scan - a position in the source while the index is built */
 struct scan {
-    struct text_index *index;
+    struct service_config_index *index;
     size_t at;
     uint32_t line;
 };
@@ -17,7 +17,7 @@
 static int
 peek(const struct scan *scan)
 {
-    const struct text_index *index = scan->index;
+    const struct service_config_index *index = scan->index;
 
     if (scan->at >= index->len) {
         return -1;
@@ -49,11 +49,11 @@
 static int
 add_node(struct scan *scan, uint32_t *handle)
 {
-    struct text_index *index = scan->index;
+    struct service_config_index *index = scan->index;
 
     if (index->count == index->capacity) {
         size_t capacity = index->capacity ? index->capacity * 2 : 64;
-        struct text_node *nodes =
+        struct service_config_node *nodes =
             realloc(index->nodes, capacity * sizeof(*nodes));
 
         if (nodes == NULL) {
@@ -69,8 +69,8 @@
 }
 
 static void
-append_child(struct text_index *index, uint32_t parent, uint32_t *last,
-             uint32_t child)
+append_child(struct service_config_index *index, uint32_t parent,
+             uint32_t *last, uint32_t child)
 {
     if (*last == 0) {
         index->nodes[parent].first = child;
@@ -119,7 +119,7 @@
 
 /* Whether another element follows; eats the comma or the closing bracket. */
 static int
-scan_more(struct scan *scan, int closing)
+scan_separator(struct scan *scan, int closing)
 {
     skip_space(scan);
     if (peek(scan) == ',') {
@@ -133,7 +133,7 @@
 static int
 scan_key(struct scan *scan, uint32_t node)
 {
-    struct text_node *at;
+    struct service_config_node *at;
     size_t start = scan->at + 1;
 
     if (scan_string(scan) < 0) {
@@ -170,7 +170,7 @@
             return rc;
         }
         append_child(scan->index, node, &last, child);
-        rc = scan_more(scan, closing);
+        rc = scan_separator(scan, closing);
     } while (rc > 0);
     return rc;
 }
@@ -181,7 +181,7 @@
     int c = peek(scan);
     int rc;
 
-    if (depth > TEXT_DEPTH_MAX) {
+    if (depth > SERVICE_CONFIG_DEPTH_MAX) {
         return -EINVAL;
     }
     scan->index->nodes[node].start = (uint32_t)scan->at;
@@ -202,14 +202,14 @@
 }
 
 int
-text_index_init(struct text_index *index, const char *source, size_t len,
-                size_t *bad)
+service_config_index_init(struct service_config_index *index,
+                          const char *source, size_t len, size_t *bad)
 {
     struct scan scan = {.index = index, .line = 1};
     uint32_t root;
     int rc;
 
-    *index = (struct text_index){.source = source, .len = len};
+    *index = (struct service_config_index){.source = source, .len = len};
     skip_space(&scan);
     rc = add_node(&scan, &root);
     if (rc == 0) {
@@ -221,41 +221,42 @@
     }
     if (rc < 0) {
         *bad = scan.at;
-        text_index_finish(index);
+        service_config_index_finish(index);
     }
     return rc;
 }
 
 void
-text_index_finish(struct text_index *index)
+service_config_index_finish(struct service_config_index *index)
 {
     free(index->nodes);
-    *index = (struct text_index){0};
+    *index = (struct service_config_index){0};
 }
 
 bool
-text_index_is(const struct text_index *index, uint32_t node, const char *key)
+service_config_index_key_is(const struct service_config_index *index,
+                            uint32_t node, const char *key)
 {
-    const struct text_node *at = &index->nodes[node];
+    const struct service_config_node *at = &index->nodes[node];
 
     return strlen(key) == at->key_len &&
            memcmp(index->source + at->key, key, at->key_len) == 0;
 }
 
 uint32_t
-text_index_child(const struct text_index *index, uint32_t node,
-                 const char *key)
+service_config_index_child(const struct service_config_index *index,
+                           uint32_t node, const char *key)
 {
     uint32_t child = index->nodes[node].first;
 
-    while (child != 0 && !text_index_is(index, child, key)) {
+    while (child != 0 && !service_config_index_key_is(index, child, key)) {
         child = index->nodes[child].next;
     }
     return child;
 }
 
 uint32_t
-text_line_of(const char *source, size_t offset)
+service_config_line_at(const char *source, size_t offset)
 {
     uint32_t line = 1;
 
--- a/tests/agent/fake_agent.c
+++ b/tests/agent/fake_agent.c
@@ -16,11 +16,11 @@
         deadline_ms);
     struct engine *engine = agent->requests.engine;
     struct view *view = sample_pair("self", FAKE_AGENT_PEER, "lots");
-    struct text *text = sample_parse(source);
+    struct service_config *text = sample_parse(source);
 
     engine_set_view(engine, view, now_us, &agent->requests.out);
     requests_execute_actions(agent);
-    agent->service = *text_find_name(text, "lots");
+    agent->service = *service_config_find_name(text, "lots");
     agent->service_known = true;
     engine_set_text(engine, text, now_us, &agent->requests.out);
     requests_execute_actions(agent);
@@ -28,7 +28,7 @@
                         &agent->requests.out);
     requests_execute_actions(agent);
     free(view);
-    text_free(text);
+    service_config_free(text);
 }
 
 void
--- a/tests/agent/test_ingress.c
+++ b/tests/agent/test_ingress.c
@@ -102,10 +102,12 @@
 static void
 serve(struct fixture *fixture, const char *name, uint32_t ip)
 {
-    struct text_service *service = &fixture->agent.service;
+    struct service_config_entry *service = &fixture->agent.service;
 
-    *service = (struct text_service){
-        .id = hash_service(name), .ip = ip, .port = PORT, .proto = TEXT_TCP};
+    *service = (struct service_config_entry){.id = hash_service(name),
+                                             .ip = ip,
+                                             .port = PORT,
+                                             .proto = SERVICE_CONFIG_TCP};
     fixture->agent.service_known = true;
 }
 
--- a/tests/agent/test_session.c
+++ b/tests/agent/test_session.c
@@ -246,7 +246,7 @@
         .request = {.id = id,
                     .service = hash_service(SERVICE),
                     .caller = CALLER,
-                    .class = TEXT_URGENT,
+                    .class = SERVICE_CONFIG_URGENT,
                     .deadline_us = session->clock.now_us + USEC_PER_SEC},
     };
 
--- a/tests/agent/test_wire.c
+++ b/tests/agent/test_wire.c
@@ -20,7 +20,7 @@
         .request = {.id = 0xfedcba9876543210,
                     .service = 77,
                     .caller = 0x0a000001,
-                    .class = TEXT_ORDINARY,
+                    .class = SERVICE_CONFIG_ORDINARY,
                     .idempotent = true,
                     .keyed = true,
                     .key = {77, {1, 2}, 3},
@@ -49,7 +49,7 @@
     g_assert_cmpuint(wire.msg.origin, ==, msg.origin);
     g_assert_cmpuint(wire.msg.request.id, ==, msg.request.id);
     g_assert_cmpuint(wire.msg.request.service, ==, 77);
-    g_assert_cmpint(wire.msg.request.class, ==, TEXT_ORDINARY);
+    g_assert_cmpint(wire.msg.request.class, ==, SERVICE_CONFIG_ORDINARY);
     g_assert_true(wire.msg.request.idempotent);
     g_assert_true(wire.msg.request.keyed);
     g_assert_cmpmem(&wire.msg.request.key, sizeof(struct idem_key),
--- a/tests/balancer/batch_test.c
+++ b/tests/balancer/batch_test.c
@@ -121,7 +121,7 @@
     struct clock clock;
     struct trace trace = {.fd = -1};
     struct error err;
-    struct text *text = route_fixture_text();
+    struct service_config *config = route_fixture_text();
     struct view *view = route_fixture_view(9, "lots");
     struct route_table *table;
     struct addr addr;
@@ -141,7 +141,7 @@
     g_assert_cmpint(worker_pool_init(&pool, (struct addr){LOOPBACK, 0}, 2,
                                      &owner, &clock, &counters, &trace, &err),
                     ==, 0);
-    g_assert_cmpint(route_table_new(view, text, NULL, &table), ==, 0);
+    g_assert_cmpint(route_table_new(view, config, NULL, &table), ==, 0);
     worker_pool_publish(&pool, table);
     g_assert_cmpint(worker_pool_start(&pool, &err), ==, 0);
     g_assert_cmpuint(call_count(), >, 0); /* the wrappers are linked */
@@ -159,7 +159,7 @@
 
     worker_pool_finish(&pool);
     counter_table_finish(&counters);
-    text_free(text);
+    service_config_free(config);
     free(view);
     close(sink);
     close(sender);
--- a/tests/balancer/builder_test.c
+++ b/tests/balancer/builder_test.c
@@ -59,7 +59,7 @@
 /* A table is published only after the view or the configuration changes. */
 TEST_F(setup, rebuild_on_change)
 {
-    struct text *text;
+    struct service_config *config;
 
     g_assert_cmpint(builder_poll(&setup->builder), ==, 0);
     blackboard_publish_view(&setup->blackboard, view_of(1, 2));
@@ -76,9 +76,9 @@
     g_assert_cmpint(builder_poll(&setup->builder), ==, 1);
     g_assert_cmpuint(setup->pool.table->services[0].count, ==, 3);
 
-    text = route_fixture_text();
-    text->version = 7;
-    g_assert_true(blackboard_publish_config(&setup->blackboard, text, 0));
+    config = route_fixture_text();
+    config->version = 7;
+    g_assert_true(blackboard_publish_config(&setup->blackboard, config, 0));
     g_assert_cmpint(builder_poll(&setup->builder), ==, 1);
     g_assert_cmpuint(setup->pool.table->config_version, ==, 7);
     g_assert_cmpuint(counter_read(&setup->counters, setup->builder.rebuilds),
--- a/tests/balancer/retire_fixture.c
+++ b/tests/balancer/retire_fixture.c
@@ -48,34 +48,36 @@
 
 /* Parses the configuration of @plan; NULL if it is invalid or refused because
  * of retired addresses. */
-static struct text *
+static struct service_config *
 next_text(struct fixture *fixture, const struct fixture_plan *plan)
 {
-    struct text_retired retired[TEXT_RETIRED_MAX];
-    struct text_change change = {.name = "t",
-                                 .from = fixture->texts[fixture->latest],
-                                 .now_ms = fixture->now_ms,
-                                 .hold_ms = HOLD_MS};
-    struct text_envelope envelope = {.write_id = "1", .author = "a"};
+    struct service_config_retired retired[SERVICE_CONFIG_RETIRED_MAX];
+    struct service_config_change change = {.name = "t",
+                                           .from =
+                                               fixture->texts[fixture->latest],
+                                           .now_ms = fixture->now_ms,
+                                           .hold_ms = HOLD_MS};
+    struct service_config_envelope envelope = {.write_id = "1", .author = "a"};
     g_autofree char *source = write_text(plan);
-    struct text *text = NULL;
-    struct text *full = NULL;
+    struct service_config *config = NULL;
+    struct service_config *full = NULL;
     g_autofree char *report = NULL;
     size_t count;
 
-    if (text_parse(source, strlen(source), "t", &text, &report) == 0) {
-        change.to = text;
-        if (text_retire(&change, retired, &count, &report) == 0) {
+    if (service_config_parse(source, strlen(source), "t", &config, &report) ==
+        0) {
+        change.to = config;
+        if (service_config_retire(&change, retired, &count, &report) == 0) {
             size_t len;
-            char *list = text_retired_write(retired, count);
-            envelope.text = text->source;
-            envelope.text_len = text->source_len;
+            char *list = service_config_retired_write(retired, count);
+            envelope.source = config->source;
+            envelope.source_len = config->source_len;
             envelope.retired = count > 0 ? list : NULL;
             envelope.retired_len = strlen(list);
-            char *value = text_envelope_write(&envelope, &len);
-            g_assert_cmpint(text_parse_envelope(value, len,
-                                                fixture->latest + 2, &full,
-                                                &report),
+            char *value = service_config_envelope_write(&envelope, &len);
+            g_assert_cmpint(service_config_parse_envelope(value, len,
+                                                          fixture->latest + 2,
+                                                          &full, &report),
                             ==, 0);
             g_assert_cmpuint(full->retired_count, ==, count);
             g_free(value);
@@ -83,34 +85,36 @@
         }
     }
     fixture->refused += full == NULL;
-    text_free(text);
+    service_config_free(config);
     return full;
 }
 
 /* Stores a version and builds its route table. */
 static void
-add_version(struct fixture *fixture, size_t version, struct text *text)
+add_version(struct fixture *fixture, size_t version,
+            struct service_config *config)
 {
-    fixture->texts[version] = text;
+    fixture->texts[version] = config;
     fixture->published_ms[version] = fixture->now_ms;
     g_assert_cmpint(
-        route_table_new(fixture->view, text,
+        route_table_new(fixture->view, config,
                         version > 0 ? fixture->tables[version - 1] : NULL,
                         &fixture->tables[version]),
         ==, 0);
 }
 
 /* Parses a copy, as received from a peer. */
-static struct text *
-parse_from_peer(const struct text *text)
+static struct service_config *
+parse_from_peer(const struct service_config *config)
 {
-    struct text *copy = NULL;
+    struct service_config *copy = NULL;
     char *report = NULL;
 
-    g_assert_cmpint(text_parse_envelope(text->source, text->source_len,
-                                        text->version, &copy, &report),
-                    ==, 0);
-    g_assert_cmpuint(copy->retired_count, ==, text->retired_count);
+    g_assert_cmpint(
+        service_config_parse_envelope(config->source, config->source_len,
+                                      config->version, &copy, &report),
+        ==, 0);
+    g_assert_cmpuint(copy->retired_count, ==, config->retired_count);
     return copy;
 }
 
@@ -135,12 +139,12 @@
 static void
 agent_set(struct fixture *fixture, struct fixture_agent *agent, size_t version)
 {
-    struct text *text = fixture->texts[version];
+    struct service_config *config = fixture->texts[version];
     uint32_t id = hash_service(fixture_names[agent->name]);
 
     agent->version = version;
-    agent->service = text_find_served(text, id);
-    addresses_set(&agent->addresses, text, id);
+    agent->service = service_config_find_with_retired(config, id);
+    addresses_set(&agent->addresses, config, id);
     flow_set_view(agent->flows, fixture->view, agent->service != NULL ? id : 0,
                   !agent->addresses.removed, fixture->now_us);
 }
@@ -184,19 +188,19 @@
 fixture_publish(struct fixture *fixture)
 {
     struct fixture_plan plan = change_plan(fixture);
-    struct text *text = next_text(fixture, &plan);
+    struct service_config *config = next_text(fixture, &plan);
 
-    if (text == NULL)
+    if (config == NULL)
         return;
     fixture->plan = plan;
-    add_version(fixture, ++fixture->latest, parse_from_peer(text));
-    text_free(text);
+    add_version(fixture, ++fixture->latest, parse_from_peer(config));
+    service_config_free(config);
 }
 
 void
 fixture_init(struct fixture *fixture, uint32_t seed)
 {
-    struct text *text;
+    struct service_config *config;
     char *report;
 
     *fixture = (struct fixture){.random = g_rand_new_with_seed(seed),
@@ -204,15 +208,16 @@
                                 .now_us = 100 * USEC_PER_SEC,
                                 .plan = {{0, 1, 2, 0}}};
     g_autofree char *source = write_text(&fixture->plan);
-    g_assert_cmpint(text_parse(source, strlen(source), "t", &text, &report),
-                    ==, 0);
+    g_assert_cmpint(
+        service_config_parse(source, strlen(source), "t", &config, &report),
+        ==, 0);
     fixture->view = route_fixture_view(FIXTURE_AGENTS, fixture_names[0]);
     for (unsigned i = 0; i < FIXTURE_AGENTS; i++) {
         fixture->agents[i].name = i % FIXTURE_NAMES;
         fixture->view->members[i].service =
             hash_service(fixture_names[i % FIXTURE_NAMES]);
     }
-    add_version(fixture, 0, text);
+    add_version(fixture, 0, config);
     for (unsigned i = 0; i < FIXTURE_AGENTS; i++) {
         fixture->agents[i].flows = flow_table_new(fixture->view->members[i].id,
                                                   4 * FIXTURE_FLOWS_MAX);
@@ -228,7 +233,7 @@
         flow_table_free(fixture->agents[i].flows);
     for (size_t i = 0; i <= fixture->latest; i++) {
         route_table_free(fixture->tables[i]);
-        text_free(fixture->texts[i]);
+        service_config_free(fixture->texts[i]);
     }
     free(fixture->view);
     g_rand_free(fixture->random);
--- a/tests/balancer/retire_fixture.h
+++ b/tests/balancer/retire_fixture.h
@@ -15,7 +15,7 @@
 #include "agent/addresses.h"
 #include "balancer/route.h"
 #include "control/view.h"
-#include "text/text_retire.h"
+#include "service_config/service_config_retire.h"
 
 #define FIXTURE_NAMES 4
 #define FIXTURE_ADDRESSES 7
@@ -48,7 +48,7 @@
     size_t version;
     struct flow_table *flows;
     struct addresses addresses;
-    const struct text_service *service;
+    const struct service_config_entry *service;
 };
 
 /**
@@ -72,7 +72,7 @@
     uint64_t now_ms;
     uint64_t now_us;
     struct fixture_plan plan;
-    struct text *texts[FIXTURE_VERSIONS];
+    struct service_config *texts[FIXTURE_VERSIONS];
     struct route_table *tables[FIXTURE_VERSIONS];
     uint64_t published_ms[FIXTURE_VERSIONS];
     size_t latest;
--- a/tests/balancer/retire_test.c
+++ b/tests/balancer/retire_test.c
@@ -81,9 +81,9 @@
 
     if (route_decide(table, buf, len, UINT32_MAX, &route) != PACKET_OK)
         return false;
-    if (text_find_retired(fixture->texts[fixture->balancers[balancer]], ip,
-                          ROUTE_FIXTURE_PORT,
-                          (enum text_proto)route.packet.proto))
+    if (service_config_find_retired(
+            fixture->texts[fixture->balancers[balancer]], ip,
+            ROUTE_FIXTURE_PORT, (enum service_config_proto)route.packet.proto))
         g_assert_cmpuint(route.gue.flags & GUE_OPEN, ==, 0);
     route.packet.ack = ack;
     *decision = follow_hops(fixture, &route.packet, route.gue, agent);
@@ -94,11 +94,12 @@
 open_flow(struct fixture *fixture)
 {
     size_t balancer = fixture_random(fixture, FIXTURE_BALANCERS);
-    const struct text *text = fixture->texts[fixture->balancers[balancer]];
+    const struct service_config *config =
+        fixture->texts[fixture->balancers[balancer]];
     struct fixture_flow flow = {.name = fixture_random(fixture, FIXTURE_NAMES),
                                 .caller = fixture->callers++};
-    const struct text_service *service =
-        text_find(text, hash_service(fixture_names[flow.name]));
+    const struct service_config_entry *service =
+        service_config_find_id(config, hash_service(fixture_names[flow.name]));
     struct flow_decision decision;
     size_t agent;
 
@@ -135,14 +136,15 @@
 is_reserved(const struct fixture *fixture, const struct fixture_flow *flow,
             bool *retired)
 {
-    const struct text *text = fixture->texts[fixture->latest];
+    const struct service_config *config = fixture->texts[fixture->latest];
     uint32_t ip = FIXTURE_FIRST_IP + flow->address;
-    enum text_proto proto = fixture_is_udp(flow->name) ? TEXT_UDP : TEXT_TCP;
+    enum service_config_proto proto =
+        fixture_is_udp(flow->name) ? SERVICE_CONFIG_UDP : SERVICE_CONFIG_TCP;
     uint32_t id = hash_service(fixture_names[flow->name]);
-    const struct text_service *user =
-        text_find_addr(text, ip, ROUTE_FIXTURE_PORT, proto);
-    const struct text_retired *before =
-        text_find_retired(text, ip, ROUTE_FIXTURE_PORT, proto);
+    const struct service_config_entry *user =
+        service_config_find_addr(config, ip, ROUTE_FIXTURE_PORT, proto);
+    const struct service_config_retired *before =
+        service_config_find_retired(config, ip, ROUTE_FIXTURE_PORT, proto);
 
     *retired = before != NULL;
     g_assert_true(user == NULL || before == NULL);
@@ -227,10 +229,11 @@
             return;
     g_assert_true(
         send_one(fixture, 0, &flow, PACKET_TCP_SYN, 0, &decision, &agent));
-    const struct text_retired *before = text_find_retired(
+    const struct service_config_retired *before = service_config_find_retired(
         fixture->texts[fixture->latest], FIXTURE_FIRST_IP + flow.address,
-        ROUTE_FIXTURE_PORT, TEXT_TCP);
-    bool expired = fixture->now_ms + TEXT_RETIRE_SKEW_MS >= before->until_ms;
+        ROUTE_FIXTURE_PORT, SERVICE_CONFIG_TCP);
+    bool expired =
+        fixture->now_ms + SERVICE_CONFIG_RETIRE_SKEW_MS >= before->until_ms;
     g_assert_cmpint(decision.verdict, ==, expired ? FLOW_DROP : FLOW_RESET);
     fixture->resets += !expired;
 }
--- a/tests/balancer/route_fixture.c
+++ b/tests/balancer/route_fixture.c
@@ -14,13 +14,13 @@
     "{\"name\": \"names\", \"address\": \"10.100.0.1\", \"port\": 80,"
     " \"protocol\": \"udp\", \"class\": \"ordinary\"}]}";
 
-struct text *
+struct service_config *
 route_fixture_text(void)
 {
-    struct text *text = sample_parse(source);
+    struct service_config *config = sample_parse(source);
 
-    text->version = 1;
-    return text;
+    config->version = 1;
+    return config;
 }
 
 struct view *
--- a/tests/balancer/route_fixture.h
+++ b/tests/balancer/route_fixture.h
@@ -9,7 +9,7 @@
 
 #include "control/view.h"
 #include "packet/packet.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
 #define ROUTE_FIXTURE_LOTS_IP 0x0a640001u
 #define ROUTE_FIXTURE_ALBUMS_IP 0x0a640002u
@@ -19,7 +19,7 @@
 /** route_fixture_text() - configuration version 1 with the services lots
  * (TCP), albums (TCP) and names (UDP); names has the address and port of lots
  */
-struct text *
+struct service_config *
 route_fixture_text(void);
 
 /** route_fixture_view() - view of @count ready agents of @service, sorted by
--- a/tests/balancer/route_table_test.c
+++ b/tests/balancer/route_table_test.c
@@ -8,12 +8,12 @@
 #define SUITE "/route-table"
 
 static struct route_table *
-build(const struct view *view, const struct text *text,
+build(const struct view *view, const struct service_config *config,
       const struct route_table *previous)
 {
     struct route_table *table;
 
-    g_assert_cmpint(route_table_new(view, text, previous, &table), ==, 0);
+    g_assert_cmpint(route_table_new(view, config, previous, &table), ==, 0);
     return table;
 }
 
@@ -21,8 +21,8 @@
  * missing ones are not found. */
 TEST(find)
 {
-    struct text_service services[300] = {0};
-    struct text text = {.services = services};
+    struct service_config_entry services[300] = {0};
+    struct service_config config = {.services = services};
     struct view *view = view_new(0);
 
     for (size_t i = 0; i < G_N_ELEMENTS(services); i++) {
@@ -30,13 +30,14 @@
         services[i].id = (uint32_t)i + 1;
         services[i].ip = 10 + (uint32_t)i % 7;
         services[i].port = (uint16_t)(1 + i / 14);
-        services[i].proto = i / 7 % 2 ? TEXT_TCP : TEXT_UDP;
-        text.count = i + 1;
-        table = build(view, &text, NULL);
+        services[i].proto =
+            i / 7 % 2 ? SERVICE_CONFIG_TCP : SERVICE_CONFIG_UDP;
+        config.count = i + 1;
+        table = build(view, &config, NULL);
         for (size_t j = 0; j < G_N_ELEMENTS(services); j++) {
-            const struct route_service *found =
-                route_find(table, 10 + (uint32_t)j % 7, (uint16_t)(1 + j / 14),
-                           j / 7 % 2 ? TEXT_TCP : TEXT_UDP);
+            const struct route_service *found = route_find(
+                table, 10 + (uint32_t)j % 7, (uint16_t)(1 + j / 14),
+                j / 7 % 2 ? SERVICE_CONFIG_TCP : SERVICE_CONFIG_UDP);
             if (j > i)
                 g_assert_null(found);
             else
@@ -50,13 +51,13 @@
 /* Tables share the ranks of services whose members did not change. */
 TEST(sharing)
 {
-    struct text *text = route_fixture_text();
+    struct service_config *config = route_fixture_text();
     struct view *view = route_fixture_view(5, "lots");
-    struct route_table *first = build(view, text, NULL);
+    struct route_table *first = build(view, config, NULL);
 
     view->members[0].busy = 2;
     view->members[1].health = MEMBER_SUSPECT;
-    struct route_table *next = build(view, text, first);
+    struct route_table *next = build(view, config, first);
     g_assert_true(next->services[0].all == first->services[0].all);
     g_assert_true(next->services[0].open != next->services[0].all);
     g_assert_null(next->services[1].all);
@@ -66,11 +67,11 @@
     g_assert_true(route_endpoint_at(next, view->members[3].data) ==
                   &next->services[0].endpoints[3]);
     g_assert_null(route_endpoint_at(next, (struct addr){1, 1}));
-    struct route_table *last = build(view, text, next);
+    struct route_table *last = build(view, config, next);
     g_assert_true(last->services[0].open == next->services[0].open);
     route_table_free(next);
     g_assert_cmpuint(rank_row(&last->services[0].all->rank, 0)[4], <, 5);
     route_table_free(last);
-    text_free(text);
+    service_config_free(config);
     free(view);
 }
--- a/tests/balancer/route_test.c
+++ b/tests/balancer/route_test.c
@@ -11,7 +11,7 @@
 
 /** struct fixture - route table with its view and configuration */
 struct fixture {
-    struct text *text;
+    struct service_config *config;
     struct view *view;
     struct route_table *table;
 };
@@ -19,7 +19,7 @@
 static void
 fixture_init(struct fixture *fixture, size_t endpoints)
 {
-    fixture->text = route_fixture_text();
+    fixture->config = route_fixture_text();
     fixture->view = route_fixture_view(endpoints, "lots");
     fixture->table = NULL;
 }
@@ -30,9 +30,9 @@
     struct route_table *table;
 
     fixture->view->seq++;
-    g_assert_cmpint(
-        route_table_new(fixture->view, fixture->text, fixture->table, &table),
-        ==, 0);
+    g_assert_cmpint(route_table_new(fixture->view, fixture->config,
+                                    fixture->table, &table),
+                    ==, 0);
     route_table_free(fixture->table);
     fixture->table = table;
 }
@@ -41,7 +41,7 @@
 fixture_finish(struct fixture *fixture)
 {
     route_table_free(fixture->table);
-    text_free(fixture->text);
+    service_config_free(fixture->config);
     free(fixture->view);
 }
 
--- a/tests/balancer/session_test.c
+++ b/tests/balancer/session_test.c
@@ -18,7 +18,7 @@
 
 /** struct session - cell as seen by the balancer, and the transcript */
 struct session {
-    struct text *text;
+    struct service_config *config;
     struct view *all;
     bool present[AGENTS];
     struct route_table *table;
@@ -105,7 +105,7 @@
             view->members[view->count++] = session->all->members[i];
     session->now_us += after_s * USEC_PER_SEC;
     g_assert_cmpint(
-        route_table_new(view, session->text, session->table, &table), ==, 0);
+        route_table_new(view, session->config, session->table, &table), ==, 0);
     route_table_free(session->table);
     free(view);
     session->table = table;
@@ -162,7 +162,7 @@
     g_autofree char *path =
         g_test_build_filename(G_TEST_DIST, "session.golden", NULL);
     struct session session = {
-        .text = route_fixture_text(),
+        .config = route_fixture_text(),
         .all = route_fixture_view(AGENTS, "lots"),
         .now_us = 100 * USEC_PER_SEC,
         .out = g_string_new(NULL),
@@ -177,6 +177,6 @@
 
     g_string_free(session.out, TRUE);
     route_table_free(session.table);
-    text_free(session.text);
+    service_config_free(session.config);
     free(session.all);
 }
--- a/tests/balancer/worker_test.c
+++ b/tests/balancer/worker_test.c
@@ -30,7 +30,7 @@
     struct trace trace;
     struct worker_pool pool;
     struct view *view;
-    struct text *text;
+    struct service_config *config;
     int endpoint;
     int sender;
 };
@@ -66,7 +66,7 @@
     setup->trace.fd = -1;
     setup->sender = loopback_open(SOCK_DGRAM, &addr);
     setup->endpoint = loopback_open(SOCK_DGRAM, &addr);
-    setup->text = route_fixture_text();
+    setup->config = route_fixture_text();
     setup->view = route_fixture_view(1, "lots");
     setup->view->members[0].data = addr;
 
@@ -74,7 +74,7 @@
                                   workers, &setup->owner, &setup->clock.base,
                                   &setup->counters, &setup->trace, &err);
     g_assert_cmpint(result, ==, 0);
-    g_assert_cmpint(route_table_new(setup->view, setup->text, NULL, &table),
+    g_assert_cmpint(route_table_new(setup->view, setup->config, NULL, &table),
                     ==, 0);
     worker_pool_publish(&setup->pool, table);
     g_assert_cmpint(worker_pool_start(&setup->pool, &err), ==, 0);
@@ -85,7 +85,7 @@
 {
     worker_pool_finish(&setup->pool);
     counter_table_finish(&setup->counters);
-    text_free(setup->text);
+    service_config_free(setup->config);
     free(setup->view);
     if (setup->endpoint >= 0)
         close(setup->endpoint);
@@ -221,7 +221,7 @@
     close(setup->endpoint);
     setup->endpoint = -1;
     setup->view->members[0].since_us = setup->clock.now_us;
-    route_table_new(setup->view, setup->text, setup->pool.table, &table);
+    route_table_new(setup->view, setup->config, setup->pool.table, &table);
     worker_pool_publish(&setup->pool, table);
     size_t len = make_packet(bytes, 1, "");
     send_raw(setup, bytes, len);
@@ -230,7 +230,7 @@
     g_assert_cmpuint(refused(setup), ==, 0);
 
     setup->view->members[0].since_us = ROUTE_FIXTURE_FIRST_SEEN_US;
-    route_table_new(setup->view, setup->text, setup->pool.table, &table);
+    route_table_new(setup->view, setup->config, setup->pool.table, &table);
     worker_pool_publish(&setup->pool, table);
     send_raw(setup, bytes, len);
     LOOPBACK_WAIT(refused(setup) != 0);
@@ -251,8 +251,8 @@
         for (uint32_t j = 0; j < 20; j++, sent++)
             send_raw(setup, bytes, make_packet(bytes, j, "x"));
         g_assert_cmpint(
-            route_table_new(view, setup->text, setup->pool.table, &table), ==,
-            0);
+            route_table_new(view, setup->config, setup->pool.table, &table),
+            ==, 0);
         worker_pool_publish(&setup->pool, table);
         free(view);
     }
@@ -268,14 +268,14 @@
 
     good = setup->view->members[0].data;
     setup->view->members[0].data = (struct addr){UINT32_MAX, 9};
-    route_table_new(setup->view, setup->text, setup->pool.table, &table);
+    route_table_new(setup->view, setup->config, setup->pool.table, &table);
     worker_pool_publish(&setup->pool, table);
     for (uint32_t i = 0; i < 3; i++)
         send_raw(setup, bytes, make_packet(bytes, i, ""));
     wait_for_value(setup, setup->pool.dropped[PACKET_SEND_FAILED], 3);
 
     setup->view->members[0].data = good;
-    route_table_new(setup->view, setup->text, setup->pool.table, &table);
+    route_table_new(setup->view, setup->config, setup->pool.table, &table);
     worker_pool_publish(&setup->pool, table);
     send_raw(setup, bytes, make_packet(bytes, 9, ""));
     wait_for_value(setup, setup->pool.forwarded, 1);
@@ -322,7 +322,8 @@
     struct reader reader = {.setup = setup};
     pthread_t reading, publishing;
 
-    route_table_new(setup->view, setup->text, setup->pool.table, &reader.next);
+    route_table_new(setup->view, setup->config, setup->pool.table,
+                    &reader.next);
     pthread_create(&reading, NULL, read_main, &reader);
     while (!__atomic_load_n(&reader.reading, __ATOMIC_SEQ_CST))
         g_usleep(1000);
@@ -349,7 +350,7 @@
     setup_init(&setup, 3);
     view->members[0].data = setup.view->members[0].data;
     view->members[1].data = loopback_closed(SOCK_DGRAM);
-    route_table_new(view, setup.text, setup.pool.table, &table);
+    route_table_new(view, setup.config, setup.pool.table, &table);
     worker_pool_publish(&setup.pool, table);
     for (uint32_t i = 0; i < 4000; i++) {
         struct route_decision decision;
--- a/tests/cli/apply_core_test.c
+++ b/tests/cli/apply_core_test.c
@@ -21,11 +21,11 @@
 #define DO_END(how, v) .action = {APPLY_DO_FINISH, 0, 0, how, v}
 #define SEES(v, e) .event = {APPLY_READ, v, e, false}
 
-static const struct text_envelope ours = {.write_id = OURS};
-static const struct text_envelope others = {.write_id = OTHERS};
-static const struct text_envelope others_over_ours = {
+static const struct service_config_envelope ours = {.write_id = OURS};
+static const struct service_config_envelope others = {.write_id = OTHERS};
+static const struct service_config_envelope others_over_ours = {
     .write_id = OTHERS, .history = {OURS}, .history_count = 1};
-static const struct text_envelope others_over_others = {
+static const struct service_config_envelope others_over_others = {
     .write_id = OTHERS, .history = {OTHERS}, .history_count = 1};
 
 static void
@@ -49,7 +49,7 @@
 #define WRITTEN(v) .event = {APPLY_WRITTEN, v}, DO_END(APPLY_APPLIED, v)
 #define STALE .event = {APPLY_STALE}, DO_READ
 #define LOST .event = {APPLY_LOST}, DO_READ
-#define WAITED .event = {APPLY_WAITED}, DO_READ
+#define WAITED .event = {APPLY_TIMER_EXPIRED}, DO_READ
 #define STILL_OLD(ms) SEES(6, &others), DO_WAIT(ms)
 #define ENDS(v, e, how) SEES(v, e), DO_END(how, v)
 
@@ -59,7 +59,7 @@
     {"first of all", NULL, {{SEES(0, NULL), DO_WRITE(0)}, {WRITTEN(1)}}},
     {"same",
      NULL,
-     {{.event = {APPLY_READ, 6, &others, true}, DO_END(APPLY_SAME, 6)}}},
+     {{.event = {APPLY_READ, 6, &others, true}, DO_END(APPLY_UNCHANGED, 6)}}},
     {"version too new", &six, {{ENDS(7, &others, APPLY_RACE_LOST)}}},
     {"version too old", &six, {{ENDS(5, &others, APPLY_RACE_LOST)}}},
     {"expected version", &six, {{BEGIN}}},
@@ -88,13 +88,13 @@
      {{BEGIN}, {LOST}, {ENDS(8, &others_over_others, APPLY_RACE_LOST)}}},
     {"history too short",
      NULL,
-     {{BEGIN}, {LOST}, {ENDS(8, &others, APPLY_UNKNOWN_BEHIND)}}},
+     {{BEGIN}, {LOST}, {ENDS(8, &others, APPLY_UNKNOWN_REPLACED)}}},
     {"history too short by one",
      NULL,
-     {{BEGIN}, {LOST}, {ENDS(9, &others_over_ours, APPLY_UNKNOWN_BEHIND)}}},
+     {{BEGIN}, {LOST}, {ENDS(9, &others_over_ours, APPLY_UNKNOWN_REPLACED)}}},
     {"no history",
      NULL,
-     {{BEGIN}, {LOST}, {ENDS(8, NULL, APPLY_UNKNOWN_BEHIND)}}},
+     {{BEGIN}, {LOST}, {ENDS(8, NULL, APPLY_UNKNOWN_REPLACED)}}},
     /* The first write may yet land: the second one has the same condition. */
     {"lost, not landed", NULL, {{BEGIN}, {LOST}, {BEGIN}, {WRITTEN(7)}}},
     {"lost, landed late",
@@ -165,7 +165,7 @@
 {
     static const unsigned waits[] = {200, 400, 800, 1600, 2000};
     const struct apply_event failed = {.type = APPLY_READ_FAILED};
-    const struct apply_event waited = {.type = APPLY_WAITED};
+    const struct apply_event waited = {.type = APPLY_TIMER_EXPIRED};
     struct apply_action action;
 
     for (size_t i = 0; i < G_N_ELEMENTS(waits); i++) {
@@ -228,7 +228,7 @@
 
 /* Between two calls the other operator writes, a late write lands. */
 static void
-model_pass_time(struct model *model)
+model_advance_time(struct model *model)
 {
     if (model->version < 50 && g_rand_int_range(model->rand, 0, 4) == 0) {
         model->ids[++model->version] = OTHERS;
@@ -240,7 +240,7 @@
 }
 
 static struct apply_event
-model_read(struct model *model, struct text_envelope *envelope)
+model_read(struct model *model, struct service_config_envelope *envelope)
 {
     struct apply_event event = {
         .type = APPLY_READ, .version = model->version, .envelope = envelope};
@@ -250,13 +250,13 @@
     }
     memset(envelope, 0, sizeof(*envelope));
     g_strlcpy(envelope->write_id, model->ids[model->version],
-              TEXT_WRITE_ID_MAX);
-    while (envelope->history_count < TEXT_HISTORY_MAX &&
+              SERVICE_CONFIG_WRITE_ID_MAX);
+    while (envelope->history_count < SERVICE_CONFIG_HISTORY_MAX &&
            envelope->history_count + 1 < model->version) {
         size_t i = envelope->history_count++;
 
         g_strlcpy(envelope->history[i], model->ids[model->version - 1 - i],
-                  TEXT_WRITE_ID_MAX);
+                  SERVICE_CONFIG_WRITE_ID_MAX);
     }
     return event;
 }
@@ -287,25 +287,26 @@
                                 .version = model->version};
 }
 
-/* What was told at the end, against what is so once all has settled. */
+/* What was outcome_counts at the end, against what is so once all has settled.
+ */
 static void
-check_told(const struct model *model, const struct apply_action *end)
+check_outcome(const struct model *model, const struct apply_action *end)
 {
-    bool landed = model->ours > 0;
+    bool applied = model->ours > 0;
 
     g_assert_cmpuint(model->ours, <=, 1);
     switch (end->outcome) {
     case APPLY_APPLIED:
-        g_assert_true(landed);
+        g_assert_true(applied);
         g_assert_cmpstr(model->ids[end->version], ==, OURS);
         break;
     case APPLY_REPLACED:
-        g_assert_true(landed);
+        g_assert_true(applied);
         g_assert_cmpstr(model->ids[end->version], ==, OTHERS);
         break;
     case APPLY_RACE_LOST:
     case APPLY_NOT_WRITTEN:
-        g_assert_false(landed);
+        g_assert_false(applied);
         break;
     default:
         break;
@@ -313,18 +314,18 @@
 }
 
 static void
-run_model(GRand *rand, unsigned *told)
+run_model(GRand *rand, unsigned *outcome_counts)
 {
     struct model model = {.rand = rand, .ids = {NULL, OTHERS}, .version = 1};
-    struct text_envelope envelope;
+    struct service_config_envelope envelope;
     struct apply_core core;
     struct apply_action action = apply_core_start(&core, OURS, NULL);
 
     for (unsigned i = 0; action.type != APPLY_DO_FINISH; i++) {
-        struct apply_event event = {.type = APPLY_WAITED};
+        struct apply_event event = {.type = APPLY_TIMER_EXPIRED};
 
         g_assert_cmpuint(i, <, 100);
-        model_pass_time(&model);
+        model_advance_time(&model);
         if (action.type == APPLY_DO_READ) {
             event = model_read(&model, &envelope);
         }
@@ -336,22 +337,22 @@
     if (model.pending) {
         model_land(&model, model.pending_expect);
     }
-    check_told(&model, &action);
-    told[action.outcome]++;
+    check_outcome(&model, &action);
+    outcome_counts[action.outcome]++;
 }
 
 TEST(model)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(SEED);
-    unsigned told[APPLY_UNKNOWN + 1] = {0};
+    unsigned outcome_counts[APPLY_UNKNOWN + 1] = {0};
 
     g_test_message("seed %d", SEED);
     for (unsigned i = 0; i < ROUNDS; i++) {
-        run_model(rand, told);
+        run_model(rand, outcome_counts);
     }
-    for (size_t i = 0; i < G_N_ELEMENTS(told); i++) {
-        g_test_message("outcome %zu: %u", i, told[i]);
-        g_assert_true(told[i] > 0 || i == APPLY_SAME ||
-                      i == APPLY_UNKNOWN_BEHIND);
+    for (size_t i = 0; i < G_N_ELEMENTS(outcome_counts); i++) {
+        g_test_message("outcome %zu: %u", i, outcome_counts[i]);
+        g_assert_true(outcome_counts[i] > 0 || i == APPLY_UNCHANGED ||
+                      i == APPLY_UNKNOWN_REPLACED);
     }
 }
--- a/tests/cli/apply_run_test.c
+++ b/tests/cli/apply_run_test.c
@@ -16,8 +16,8 @@
 struct fixture {
     struct server server;
     char *url;
-    struct text *first;
-    struct text *second;
+    struct service_config *first;
+    struct service_config *second;
 };
 
 static void
@@ -37,21 +37,21 @@
 fixture_finish(struct fixture *fixture)
 {
     server_finish(&fixture->server);
-    text_free(fixture->first);
-    text_free(fixture->second);
+    service_config_free(fixture->first);
+    service_config_free(fixture->second);
     g_free(fixture->url);
 }
 
 static struct apply_action
-publish(struct fixture *fixture, const struct text *text, const char *author,
-        const uint64_t *expect)
+publish(struct fixture *fixture, const struct service_config *config,
+        const char *author, const uint64_t *expect)
 {
     struct apply_run run;
     struct apply_action end;
     struct error err;
 
-    g_assert_cmpint(apply_run_init(&run, fixture->url, text, author, &err), ==,
-                    0);
+    g_assert_cmpint(apply_run_init(&run, fixture->url, config, author, &err),
+                    ==, 0);
     apply_run_publish(&run, expect);
     end = run.end;
     apply_run_finish(&run);
@@ -61,10 +61,10 @@
 
 static void
 assert_published(struct fixture *fixture, uint64_t version,
-                 const struct text *text, const char *author,
+                 const struct service_config *config, const char *author,
                  size_t history_count)
 {
-    struct text_envelope envelope;
+    struct service_config_envelope envelope;
     g_autoptr(GBytes) value = NULL;
     const char *data;
     gsize len;
@@ -72,9 +72,9 @@
     g_assert_cmpuint(store_get(&fixture->server.store, APPLY_OBJECT, &value),
                      ==, version);
     data = g_bytes_get_data(value, &len);
-    g_assert_cmpint(text_envelope_read(data, len, &envelope), ==, 0);
-    g_assert_cmpmem(envelope.text, envelope.text_len, text->source,
-                    text->source_len);
+    g_assert_cmpint(service_config_envelope_read(data, len, &envelope), ==, 0);
+    g_assert_cmpmem(envelope.source, envelope.source_len, config->source,
+                    config->source_len);
     g_assert_cmpstr(envelope.author, ==, author);
     g_assert_cmpuint(envelope.history_count, ==, history_count);
 }
@@ -87,7 +87,7 @@
     g_assert_cmpint(end.outcome, ==, APPLY_APPLIED);
     assert_published(fixture, 1, fixture->first, "asha", 0);
     end = publish(fixture, fixture->first, "rehema", NULL);
-    g_assert_cmpint(end.outcome, ==, APPLY_SAME);
+    g_assert_cmpint(end.outcome, ==, APPLY_UNCHANGED);
     end = publish(fixture, fixture->second, "rehema", NULL);
     g_assert_cmpint(end.outcome, ==, APPLY_APPLIED);
     assert_published(fixture, 2, fixture->second, "rehema", 1);
@@ -147,10 +147,10 @@
                      0);
 }
 
-/** struct racer - one of the operators that publish at once */
-struct racer {
+/** struct concurrent_writer - one of the operators that publish at once */
+struct concurrent_writer {
     struct fixture *fixture;
-    const struct text *text;
+    const struct service_config *config;
     const char *author;
     struct apply_action end;
 };
@@ -159,19 +159,21 @@
 race(gpointer data)
 {
     const uint64_t one = 1;
-    struct racer *racer = data;
+    struct concurrent_writer *concurrent_writer = data;
 
-    racer->end = publish(racer->fixture, racer->text, racer->author, &one);
+    concurrent_writer->end =
+        publish(concurrent_writer->fixture, concurrent_writer->config,
+                concurrent_writer->author, &one);
     return NULL;
 }
 
 TEST_F(fixture, race)
 {
-    struct text *zero =
+    struct service_config *zero =
         sample_parse("{\"services\":[" SERVICE("zero", "1") "]}");
-    struct racer racers[2] = {
-        {.fixture = fixture, .text = fixture->first, .author = "asha"},
-        {.fixture = fixture, .text = fixture->second, .author = "rehema"},
+    struct concurrent_writer racers[2] = {
+        {.fixture = fixture, .config = fixture->first, .author = "asha"},
+        {.fixture = fixture, .config = fixture->second, .author = "rehema"},
     };
     GThread *threads[2];
     unsigned won = 0;
@@ -186,73 +188,76 @@
     for (size_t i = 0; i < 2; i++) {
         if (racers[i].end.outcome == APPLY_APPLIED) {
             won++;
-            assert_published(fixture, 2, racers[i].text, racers[i].author, 1);
+            assert_published(fixture, 2, racers[i].config, racers[i].author,
+                             1);
         }
         else {
             g_assert_cmpint(racers[i].end.outcome, ==, APPLY_RACE_LOST);
         }
     }
     g_assert_cmpuint(won, ==, 1);
-    text_free(zero);
+    service_config_free(zero);
 }
 
-static struct text *
+static struct service_config *
 published(struct fixture *fixture)
 {
-    struct text *text;
+    struct service_config *config;
     g_autoptr(GBytes) value = NULL;
     char *report;
     gsize len;
     uint64_t version = store_get(&fixture->server.store, APPLY_OBJECT, &value);
     const char *data = g_bytes_get_data(value, &len);
 
-    g_assert_cmpint(text_parse_envelope(data, len, version, &text, &report),
-                    ==, 0);
-    return text;
+    g_assert_cmpint(
+        service_config_parse_envelope(data, len, version, &config, &report),
+        ==, 0);
+    return config;
 }
 
 /* The list is worked out from the version that is replaced. */
 TEST_F(fixture, retired)
 {
-    struct text *text;
+    struct service_config *config;
 
     publish(fixture, fixture->first, "asha", NULL);
     publish(fixture, fixture->second, "asha", NULL);
-    text = published(fixture);
-    g_assert_cmpuint(text->retired_count, ==, 1);
-    g_assert_cmpuint(text->retired[0].service.port, ==, 80);
-    text_free(text);
+    config = published(fixture);
+    g_assert_cmpuint(config->retired_count, ==, 1);
+    g_assert_cmpuint(config->retired[0].service.port, ==, 80);
+    service_config_free(config);
     publish(fixture, fixture->first, "asha", NULL);
-    text = published(fixture);
-    g_assert_cmpuint(text->retired_count, ==, 1);
-    g_assert_cmpuint(text->retired[0].service.port, ==, 81);
-    text_free(text);
+    config = published(fixture);
+    g_assert_cmpuint(config->retired_count, ==, 1);
+    g_assert_cmpuint(config->retired[0].service.port, ==, 81);
+    service_config_free(config);
 }
 
 /* An operator whose clock is late doesn't hold an address for too short. */
 TEST_F(fixture, late_clock)
 {
     const uint64_t ahead_ms = UINT64_C(1) << 42;
-    struct text_envelope envelope = {
+    struct service_config_envelope envelope = {
         .write_id = "1",
         .author = "rehema",
         .written_ms = ahead_ms,
-        .text = fixture->first->source,
-        .text_len = fixture->first->source_len,
+        .source = fixture->first->source,
+        .source_len = fixture->first->source_len,
     };
-    struct text *text;
+    struct service_config *config;
     uint64_t version;
     size_t len;
-    char *value = text_envelope_write(&envelope, &len);
+    char *value = service_config_envelope_write(&envelope, &len);
     g_autoptr(GBytes) bytes = g_bytes_new_take(value, len);
 
     g_assert_cmpint(
         store_put(&fixture->server.store, APPLY_OBJECT, 0, bytes, &version),
         ==, 0);
     publish(fixture, fixture->second, "asha", NULL);
-    text = published(fixture);
-    g_assert_cmpuint(text->retired_count, ==, 1);
-    g_assert_cmpuint(text->retired[0].until_ms, ==,
-                     ahead_ms + TEXT_RETIRE_HOLD_MS + TEXT_RETIRE_SKEW_MS);
-    text_free(text);
+    config = published(fixture);
+    g_assert_cmpuint(config->retired_count, ==, 1);
+    g_assert_cmpuint(config->retired[0].until_ms, ==,
+                     ahead_ms + SERVICE_CONFIG_RETIRE_HOLD_MS +
+                         SERVICE_CONFIG_RETIRE_SKEW_MS);
+    service_config_free(config);
 }
