--- a/tests/cli/explain_test.c
+++ b/tests/cli/explain_test.c
@@ -5,7 +5,7 @@
 #include "cli/explain_packet.h"
 #include "cli/explain_request.h"
 #include "cli/snapshot.h"
-#include "cli/text_diff.h"
+#include "cli/config_diff.h"
 #include "packet/packet.h"
 #include "packet/rank.h"
 #include "lib/harness.h"
@@ -65,11 +65,11 @@
     reply.config.data = (uint8_t *)config;
     reply.config.len = strlen(config);
     g_assert_cmpint(snapshot_of_reply(snapshot, &reply), ==, 0);
-    g_assert_cmpuint(snapshot->text->version, ==, 5);
+    g_assert_cmpuint(snapshot->config->version, ==, 5);
 }
 
 static void
-assert_part(const char *words, const char *part)
+assert_contains(const char *words, const char *part)
 {
     if (strstr(words, part) == NULL) {
         g_error("expected \"%s\" in:\n%s", part, words);
@@ -87,7 +87,7 @@
     g_assert_cmpint(packet_spec_parse(packet, &spec), ==, 0);
     g_assert_cmpint(explain_packet(snapshot, &spec, out), ==, 0);
     for (; *parts != NULL; parts++) {
-        assert_part(out->str, *parts);
+        assert_contains(out->str, *parts);
     }
     return g_string_free(out, FALSE);
 }
@@ -162,7 +162,7 @@
     }
     g_assert_cmpint(packet_spec_parse("tcp 10.0.0.1:1 10.0.0.2:2 ack", &spec),
                     ==, 0);
-    g_assert_false(spec.opens);
+    g_assert_false(spec.is_syn);
 }
 
 static char *
@@ -176,12 +176,12 @@
 }
 
 static void
-assert_says(const struct snapshot *snapshot, struct request_spec spec, int rc,
-            const char *part)
+assert_explanation(const struct snapshot *snapshot, struct request_spec spec,
+                   int rc, const char *part)
 {
     g_autofree char *words = request_words(snapshot, spec, rc);
 
-    assert_part(words, part);
+    assert_contains(words, part);
 }
 
 TEST(request)
@@ -192,16 +192,17 @@
     struct request_spec report = {.service = "reports", .method = "GET"};
 
     snapshot_init(&snapshot, TEXT);
-    assert_says(&snapshot, get, 0, "class    urgent");
-    assert_says(&snapshot, get, 0, "its method is idempotent");
-    assert_says(&snapshot, get, 0, "deadline 5000 ms, the service's");
-    assert_says(&snapshot, post, 0, "its method is not idempotent");
+    assert_explanation(&snapshot, get, 0, "class    urgent");
+    assert_explanation(&snapshot, get, 0, "its method is idempotent");
+    assert_explanation(&snapshot, get, 0, "deadline 5000 ms, the service's");
+    assert_explanation(&snapshot, post, 0, "its method is not idempotent");
     post.priority = "u=7";
     post.timeout_ms = "250";
-    assert_says(&snapshot, post, 0, "class    ordinary");
-    assert_says(&snapshot, post, 0, "deadline 250 ms, its own");
-    assert_says(&snapshot, report, 0, "needs    desk: 2 endpoints take work");
-    assert_says(&snapshot, report, 0, "no endpoint takes work");
+    assert_explanation(&snapshot, post, 0, "class    ordinary");
+    assert_explanation(&snapshot, post, 0, "deadline 250 ms, its own");
+    assert_explanation(&snapshot, report, 0,
+                       "needs    desk: 2 endpoints take work");
+    assert_explanation(&snapshot, report, 0, "no endpoint takes work");
     snapshot_finish(&snapshot);
 }
 
@@ -230,22 +231,22 @@
     struct snapshot snapshot;
 
     snapshot_init(&snapshot, TEXT);
-    assert_says(&snapshot,
-                (struct request_spec){.service = "none", .method = "GET"},
-                -ENOENT, "no service \"none\"");
-    assert_says(&snapshot,
-                (struct request_spec){.service = "desk", .method = "G@T"},
-                -EINVAL, "answered with 400");
-    assert_says(&snapshot,
-                (struct request_spec){.service = "clock", .method = "GET"}, 0,
-                "UDP service");
+    assert_explanation(
+        &snapshot, (struct request_spec){.service = "none", .method = "GET"},
+        -ENOENT, "no service \"none\"");
+    assert_explanation(
+        &snapshot, (struct request_spec){.service = "desk", .method = "G@T"},
+        -EINVAL, "answered with 400");
+    assert_explanation(
+        &snapshot, (struct request_spec){.service = "clock", .method = "GET"},
+        0, "UDP service");
     snapshot_finish(&snapshot);
 }
 
 TEST(diff)
 {
-    struct text *from = sample_parse(TEXT);
-    struct text *to = sample_parse(
+    struct service_config *from = sample_parse(TEXT);
+    struct service_config *to = sample_parse(
         "{\"services\":["
         "{\"name\":\"desk\",\"address\":\"10.0.0.9\",\"port\":80,"
         "\"class\":\"ordinary\",\"limits\":{\"queue\":9}},"
@@ -255,7 +256,7 @@
         "\"class\":\"ordinary\"}]}");
     g_autoptr(GString) out = g_string_new(NULL);
 
-    g_assert_cmpuint(text_diff(from, to, out), ==, 6);
+    g_assert_cmpuint(config_diff(from, to, out), ==, 6);
     g_assert_cmpstr(out->str, ==,
                     "  ~ desk.address and port: 10.0.0.1:80 -> 10.0.0.9:80\n"
                     "  ~ desk.class: urgent -> ordinary\n"
@@ -264,8 +265,8 @@
                     "  - clock\n"
                     "  + new\n");
     g_string_truncate(out, 0);
-    g_assert_cmpuint(text_diff(from, from, out), ==, 0);
-    g_assert_cmpuint(text_diff(NULL, from, out), ==, 3);
-    text_free(from);
-    text_free(to);
+    g_assert_cmpuint(config_diff(from, from, out), ==, 0);
+    g_assert_cmpuint(config_diff(NULL, from, out), ==, 3);
+    service_config_free(from);
+    service_config_free(to);
 }
--- a/tests/cli/show_test.c
+++ b/tests/cli/show_test.c
@@ -7,7 +7,7 @@
 #include <json-c/json.h>
 
 #include "base/hash.h"
-#include "cli/ask.h"
+#include "cli/control_query.h"
 #include "cli/cli.h"
 #include "cli/show_print.h"
 #include "control/view.h"
@@ -173,21 +173,21 @@
 {
     GString *out = g_string_new(NULL);
     struct error err;
-    struct ask ask;
+    struct control_query query;
 
-    g_assert_cmpint(ask_init(&ask, &fake->settings, &err), ==, 0);
-    ask.counters = true;
-    ask_run(&ask, 1000);
-    show_sort(&ask);
-    fake->totals = show_totals(&ask);
+    g_assert_cmpint(control_query_init(&query, &fake->settings, &err), ==, 0);
+    query.counters = true;
+    control_query_run(&query, 1000);
+    show_sort(&query);
+    fake->totals = show_totals(&query);
     if (json) {
-        show_print_json(&ask, out);
+        show_print_json(&query, out);
     }
     else {
-        show_print_table(&ask, out);
-        show_print_counters(&ask, out);
+        show_print_table(&query, out);
+        show_print_counters(&query, out);
     }
-    ask_finish(&ask);
+    control_query_finish(&query);
     fake->words = g_string_free(out, FALSE);
 }
 
--- a/tests/control/test_control.c
+++ b/tests/control/test_control.c
@@ -119,7 +119,7 @@
 static bool
 has_version(struct fixture *f, size_t i, uint64_t version)
 {
-    const struct text *text;
+    const struct service_config *text;
     bool ok;
 
     rcu_read_lock();
--- a/tests/directory/net.c
+++ b/tests/directory/net.c
@@ -96,19 +96,19 @@
 {
     const struct net_text *from = &net->nodes[node].text;
     struct directory_entry *entry = NULL;
-    struct text text = {.version = from->version};
+    struct service_config text = {.version = from->version};
 
-    text.services = g_new0(struct text_service, from->count);
-    text.retired = g_new0(struct text_retired, from->count);
+    text.services = g_new0(struct service_config_entry, from->count);
+    text.retired = g_new0(struct service_config_retired, from->count);
     for (size_t i = 0; i < from->count; i++) {
-        struct text_service *service =
+        struct service_config_entry *service =
             from->addresses[i].retired
                 ? &text.retired[text.retired_count++].service
                 : &text.services[text.count++];
 
         service->ip = from->addresses[i].ip;
         service->port = 80;
-        service->proto = TEXT_TCP;
+        service->proto = SERVICE_CONFIG_TCP;
     }
     g_assert_cmpint(
         directory_local_entry_new(net->cells[net->nodes[node].cell].name, view,
--- a/tests/directory/test_property.c
+++ b/tests/directory/test_property.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "net.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 #include "lib/harness.h"
 
 #define SUITE "/directory/property"
@@ -70,7 +70,7 @@
 
     for (size_t i = 0; i < POOL; i++) {
         const struct directory_table_cell *cell = directory_table_find(
-            net->nodes[node].table, POOL_IP + i, 80, TEXT_TCP);
+            net->nodes[node].table, POOL_IP + i, 80, SERVICE_CONFIG_TCP);
         size_t index;
 
         if (cell == NULL)
@@ -221,7 +221,7 @@
                             .dst = POOL_IP + (uint32_t)address,
                             .sport = (uint16_t)random_next(&net->random),
                             .dport = 80,
-                            .proto = TEXT_TCP};
+                            .proto = SERVICE_CONFIG_TCP};
     uint8_t header[CELL_FORWARD_HEADER_LEN] = {0, 4, 0, 0};
 
     for (unsigned hops = 0;; hops++) {
--- a/tests/directory/test_site.c
+++ b/tests/directory/test_site.c
@@ -147,7 +147,7 @@
     rcu_read_lock();
     table = rcu_dereference(f->nodes[cell][i].service.table);
     if (table != NULL)
-        found = directory_table_find(table, ip, 80, TEXT_TCP);
+        found = directory_table_find(table, ip, 80, SERVICE_CONFIG_TCP);
     if (found != NULL)
         count = found->gateway_count;
     rcu_read_unlock();
@@ -209,7 +209,7 @@
     entry->version.config_version = 1;
     entry->version.counter = 1;
     entry->addresses[0] =
-        directory_address(ip, ROUTE_FIXTURE_PORT, TEXT_TCP, false);
+        directory_address(ip, ROUTE_FIXTURE_PORT, SERVICE_CONFIG_TCP, false);
     entry->gateway_count = 1;
     entry->gateways[0].data = (struct addr){LOOPBACK, GATEWAY_PORT};
     directory_entry_finalize(entry);
@@ -253,8 +253,8 @@
     struct route_table *lots;
     struct view *empty = view_new(0);
     struct view *view = route_fixture_view(3, "lots");
-    struct text *text = route_fixture_text();
-    struct text blank = {.version = 1};
+    struct service_config *text = route_fixture_text();
+    struct service_config blank = {.version = 1};
     uint8_t buf[GUE_HEADER_MAX + PACKET_MAX] = {0, 4, 0, 0};
     const struct iovec *sent;
     struct hop first;
@@ -304,7 +304,7 @@
     route_table_free(lots);
     directory_table_free(directory);
     directory_table_free(other);
-    text_free(text);
+    service_config_free(text);
     free(view);
     free(empty);
 }
--- a/tests/fuzz/fuzz_agent.c
+++ b/tests/fuzz/fuzz_agent.c
@@ -128,15 +128,15 @@
     }
 }
 
-FUZZ_TEXTS(requests, RUNS, decode_request,
-           "GET /lots/7 HTTP/1.1\r\nHost: lots\r\nPriority: u=1\r\n"
-           "Request-Timeout-Ms: 800\r\n\r\n",
-           "POST /lots HTTP/1.1\r\nHost: lots\r\n"
-           "Idempotency-Key: \"k1\"\r\nContent-Length: 5\r\n\r\n"
-           "hello",
-           "PUT /lots HTTP/1.1\r\nHost: lots\r\n"
-           "Transfer-Encoding: chunked\r\n\r\n"
-           "5\r\nhello\r\n0\r\n\r\n")
+FUZZ_STRINGS(requests, RUNS, decode_request,
+             "GET /lots/7 HTTP/1.1\r\nHost: lots\r\nPriority: u=1\r\n"
+             "Request-Timeout-Ms: 800\r\n\r\n",
+             "POST /lots HTTP/1.1\r\nHost: lots\r\n"
+             "Idempotency-Key: \"k1\"\r\nContent-Length: 5\r\n\r\n"
+             "hello",
+             "PUT /lots HTTP/1.1\r\nHost: lots\r\n"
+             "Transfer-Encoding: chunked\r\n\r\n"
+             "5\r\nhello\r\n0\r\n\r\n")
 
 static void
 decode_answer(const uint8_t *data, size_t len)
@@ -170,13 +170,13 @@
     g_byte_array_unref(copy);
 }
 
-FUZZ_TEXTS(answers, RUNS, decode_answer,
-           "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
-           "HTTP/1.1 503 Busy\r\nRetry-After: 1\r\n"
-           "Content-Length: 0\r\n\r\n",
-           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-           "5\r\nhello\r\n0\r\n\r\n",
-           "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 None\r\n\r\n")
+FUZZ_STRINGS(answers, RUNS, decode_answer,
+             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+             "HTTP/1.1 503 Busy\r\nRetry-After: 1\r\n"
+             "Content-Length: 0\r\n\r\n",
+             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+             "5\r\nhello\r\n0\r\n\r\n",
+             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 None\r\n\r\n")
 
 static void
 decode_announcement(const uint8_t *data, size_t len)
@@ -192,6 +192,6 @@
     }
 }
 
-FUZZ_TEXTS(announcement, RUNS, decode_announcement,
-           "{\"service\": \"lots\", \"address\": \"127.0.0.1:80\","
-           " \"slots\": 2, \"state\": \"ready\"}")
+FUZZ_STRINGS(announcement, RUNS, decode_announcement,
+             "{\"service\": \"lots\", \"address\": \"127.0.0.1:80\","
+             " \"slots\": 2, \"state\": \"ready\"}")
--- a/tests/fuzz/fuzz_base.c
+++ b/tests/fuzz/fuzz_base.c
@@ -45,7 +45,7 @@
 
 TEST(settings)
 {
-    struct mutate_sample samples[] = {mutate_text(settings_text)};
+    struct mutate_sample samples[] = {mutate_string(settings_text)};
     g_autofree char *path = NULL;
     g_autofree char *key_path = NULL;
 
--- a/tests/fuzz/fuzz_control.c
+++ b/tests/fuzz/fuzz_control.c
@@ -120,7 +120,7 @@
     size_t len;
     char *value = seeds_encode(&list, &len);
     struct mutate_sample samples[] = {{(const uint8_t *)value, len},
-                                      mutate_text("{}")};
+                                      mutate_string("{}")};
 
     MUTATE("seeds_decode", samples, RUNS, decode_seeds);
     g_free(value);
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -95,11 +95,11 @@
 TEST(platform)
 {
     struct mutate_sample samples[] = {
-        mutate_text("HTTP/1.1 200 OK\r\nETag: \"17\"\r\n"
-                    "Content-Length: 5\r\n\r\nhello"),
-        mutate_text("HTTP/1.1 304 Not Modified\r\nETag: \"17\"\r\n\r\n"),
-        mutate_text("HTTP/1.1 412 Precondition Failed\r\nETag: \"9\"\r\n"
-                    "Content-Length: 0\r\n\r\n"),
+        mutate_string("HTTP/1.1 200 OK\r\nETag: \"17\"\r\n"
+                      "Content-Length: 5\r\n\r\nhello"),
+        mutate_string("HTTP/1.1 304 Not Modified\r\nETag: \"17\"\r\n\r\n"),
+        mutate_string("HTTP/1.1 412 Precondition Failed\r\nETag: \"9\"\r\n"
+                      "Content-Length: 0\r\n\r\n"),
     };
     struct sockaddr_in at = {.sin_family = AF_INET};
     socklen_t at_len = sizeof(at);
--- a/tests/fuzz/mutate.c
+++ b/tests/fuzz/mutate.c
@@ -35,7 +35,7 @@
 }
 
 struct mutate_sample
-mutate_text(const char *text)
+mutate_string(const char *text)
 {
     return (struct mutate_sample){(const uint8_t *)text, strlen(text)};
 }
--- a/tests/fuzz/mutate.h
+++ b/tests/fuzz/mutate.h
@@ -21,9 +21,9 @@
     size_t len;
 };
 
-/** mutate_text() - sample of a C string */
+/** mutate_string() - sample of a C string */
 struct mutate_sample
-mutate_text(const char *text);
+mutate_string(const char *text);
 
 /**
  * mutate_run() - feed @runs mutations of @samples to @decode
@@ -42,14 +42,14 @@
 #define MUTATE(name, samples, runs, decode)                                   \
     mutate_run(name, samples, G_N_ELEMENTS(samples), runs, decode)
 
-/** FUZZ_TEXTS() - a test that feeds mutations of C strings to @decode */
-#define FUZZ_TEXTS(name, runs, decode, ...)                                   \
+/** FUZZ_STRINGS() - a test that feeds mutations of C strings to @decode */
+#define FUZZ_STRINGS(name, runs, decode, ...)                                 \
     TEST(name)                                                                \
     {                                                                         \
         static const char *const texts[] = {__VA_ARGS__};                     \
         struct mutate_sample samples[G_N_ELEMENTS(texts)];                    \
         for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {                    \
-            samples[i] = mutate_text(texts[i]);                               \
+            samples[i] = mutate_string(texts[i]);                             \
         }                                                                     \
         MUTATE(SUITE "/" #name, samples, runs, decode);                       \
     }
--- a/tests/golden/scene.c
+++ b/tests/golden/scene.c
@@ -328,7 +328,7 @@
 
     member_actions_finish(&host->out);
     member_core_finish(&host->members);
-    text_free(host->text);
+    service_config_free(host->text);
     free(host->view);
     route_table_free(host->table);
     while ((msg = g_queue_pop_head(&host->inbox)) != NULL) {
--- a/tests/golden/scene.h
+++ b/tests/golden/scene.h
@@ -20,7 +20,7 @@
 #include "control/member.h"
 #include "flow/flow.h"
 #include "request/engine.h"
-#include "text/text_retire.h"
+#include "service_config/service_config_retire.h"
 
 #define SCENE_HOSTS_MAX 16
 #define SCENE_DELAY_US (1 * USEC_PER_MSEC)
@@ -110,7 +110,7 @@
 /** struct scene_host - one process; @bytes: answers it holds, by request */
 struct scene_host {
     char name[VIEW_NAME_MAX];
-    char service[TEXT_NAME_MAX];
+    char service[SERVICE_CONFIG_NAME_MAX];
     bool agent;
     bool up;
     bool frozen;
@@ -123,7 +123,7 @@
     struct member_core members;
     struct member_actions out;
     struct config_core config;
-    struct text *text;
+    struct service_config *text;
     struct view *view;
     uint64_t load_us;
     int conn; /* whose stream message is being handled */
@@ -153,7 +153,7 @@
 struct scene_apply {
     struct apply_core core;
     char *text;
-    char author[TEXT_AUTHOR_MAX];
+    char author[SERVICE_CONFIG_AUTHOR_MAX];
     unsigned call; /* number of the platform call under way */
     GBytes *seen;  /* value read last */
     char *retired; /* list to publish beside the text, or NULL */
--- a/tests/golden/scene_apply.c
+++ b/tests/golden/scene_apply.c
@@ -8,11 +8,11 @@
 
 static const char *const outcomes[] = {
     [APPLY_APPLIED] = "applied",
-    [APPLY_SAME] = "the same is published already",
+    [APPLY_UNCHANGED] = "the same is published already",
     [APPLY_REPLACED] = "applied, then replaced",
     [APPLY_RACE_LOST] = "not applied: another came first",
     [APPLY_NOT_WRITTEN] = "not applied",
-    [APPLY_UNKNOWN_BEHIND] = "unknown: others are published since",
+    [APPLY_UNKNOWN_REPLACED] = "unknown: others are published since",
     [APPLY_UNKNOWN] = "unknown",
 };
 
@@ -52,60 +52,67 @@
 static bool
 retire(struct scene *scene, struct scene_apply *run)
 {
-    struct text_retired retired[TEXT_RETIRED_MAX];
-    struct text_change change = {.name = "config",
-                                 .now_ms = SCENE_WALL_MS,
-                                 .hold_ms = TEXT_RETIRE_HOLD_MS};
-    struct text *from = NULL;
-    struct text *to = sample_parse(run->text);
+    struct service_config_retired retired[SERVICE_CONFIG_RETIRED_MAX];
+    struct service_config_change change = {.name = "config",
+                                           .now_ms = SCENE_WALL_MS,
+                                           .hold_ms =
+                                               SERVICE_CONFIG_RETIRE_HOLD_MS};
+    struct service_config *from = NULL;
+    struct service_config *to = sample_parse(run->text);
     g_autofree char *report = NULL;
     size_t count = 0;
 
     if (run->seen != NULL) {
         const char *value = g_bytes_get_data(run->seen, &count);
 
-        g_assert_cmpint(text_parse_envelope(value, count, 1, &from, &report),
-                        ==, 0);
+        g_assert_cmpint(
+            service_config_parse_envelope(value, count, 1, &from, &report), ==,
+            0);
     }
     change.from = from;
     change.to = to;
-    int rc = text_retire(&change, retired, &count, &report);
+    int rc = service_config_retire(&change, retired, &count, &report);
     g_free(run->retired);
-    run->retired = count > 0 ? text_retired_write(retired, count) : NULL;
+    run->retired =
+        count > 0 ? service_config_retired_write(retired, count) : NULL;
     if (report != NULL) {
         scene_log(scene, "  %s is told: %s", run->author, g_strchomp(report));
     }
-    text_free(from);
-    text_free(to);
+    service_config_free(from);
+    service_config_free(to);
     return rc == 0;
 }
 
 static GBytes *
 make_value(const struct scene_apply *run)
 {
-    struct text_envelope seen = {0};
-    struct text_envelope envelope = {.text = run->text,
-                                     .text_len = strlen(run->text),
-                                     .retired = run->retired,
-                                     .written_ms = SCENE_WALL_MS};
+    struct service_config_envelope seen = {0};
+    struct service_config_envelope envelope = {.source = run->text,
+                                               .source_len = strlen(run->text),
+                                               .retired = run->retired,
+                                               .written_ms = SCENE_WALL_MS};
     size_t len = 0;
 
     if (run->retired != NULL) {
         envelope.retired_len = strlen(run->retired);
     }
 
-    g_strlcpy(envelope.write_id, run->core.write_id, TEXT_WRITE_ID_MAX);
-    g_strlcpy(envelope.author, run->author, TEXT_AUTHOR_MAX);
+    g_strlcpy(envelope.write_id, run->core.write_id,
+              SERVICE_CONFIG_WRITE_ID_MAX);
+    g_strlcpy(envelope.author, run->author, SERVICE_CONFIG_AUTHOR_MAX);
     if (run->seen != NULL) {
         const char *value = g_bytes_get_data(run->seen, &len);
 
-        g_assert_cmpint(text_envelope_read(value, len, &seen), ==, 0);
-        g_strlcpy(envelope.history[0], seen.write_id, TEXT_WRITE_ID_MAX);
-        envelope.history_count = MIN(seen.history_count + 1, TEXT_HISTORY_MAX);
+        g_assert_cmpint(service_config_envelope_read(value, len, &seen), ==,
+                        0);
+        g_strlcpy(envelope.history[0], seen.write_id,
+                  SERVICE_CONFIG_WRITE_ID_MAX);
+        envelope.history_count =
+            MIN(seen.history_count + 1, SERVICE_CONFIG_HISTORY_MAX);
         memcpy(envelope.history[1], seen.history[0],
-               (envelope.history_count - 1) * TEXT_WRITE_ID_MAX);
+               (envelope.history_count - 1) * SERVICE_CONFIG_WRITE_ID_MAX);
     }
-    char *value = text_envelope_write(&envelope, &len);
+    char *value = service_config_envelope_write(&envelope, &len);
     return g_bytes_new_take(value, len);
 }
 
@@ -137,7 +144,8 @@
     switch (action.type) {
     case APPLY_DO_WAIT:
         run->call++;
-        tell_later(scene, at, APPLY_WAITED, action.wait_ms * USEC_PER_MSEC);
+        tell_later(scene, at, APPLY_TIMER_EXPIRED,
+                   action.wait_ms * USEC_PER_MSEC);
         break;
     case APPLY_DO_FINISH:
         run->call++;
@@ -199,7 +207,7 @@
 take_reply(struct scene *scene, const struct scene_message *msg, int at)
 {
     struct scene_apply *run = &scene->operators[at];
-    struct text_envelope envelope = {0};
+    struct service_config_envelope envelope = {0};
     struct apply_event event = {.type = (enum apply_event_type)msg->status,
                                 .version = msg->a};
     size_t len = 0;
@@ -207,10 +215,12 @@
     if (msg->bytes != NULL) {
         const char *value = g_bytes_get_data(msg->bytes, &len);
 
-        g_assert_cmpint(text_envelope_read(value, len, &envelope), ==, 0);
+        g_assert_cmpint(service_config_envelope_read(value, len, &envelope),
+                        ==, 0);
         event.envelope = &envelope;
-        event.same = envelope.text_len == strlen(run->text) &&
-                     memcmp(envelope.text, run->text, envelope.text_len) == 0;
+        event.same =
+            envelope.source_len == strlen(run->text) &&
+            memcmp(envelope.source, run->text, envelope.source_len) == 0;
         if (run->seen != NULL) {
             g_bytes_unref(run->seen);
         }
--- a/tests/golden/scene_control.c
+++ b/tests/golden/scene_control.c
@@ -112,12 +112,13 @@
       uint64_t confirmed_us)
 {
     struct scene_host *host = &scene->hosts[i];
-    struct text *text = NULL;
+    struct service_config *text = NULL;
     char *report = NULL;
     size_t len = 0;
     const char *body = g_bytes_get_data(value, &len);
 
-    if (text_parse_envelope(body, len, version, &text, &report) < 0) {
+    if (service_config_parse_envelope(body, len, version, &text, &report) <
+        0) {
         scene_log(scene, "  %s refuses version %u", host->name,
                   (unsigned)version);
         g_free(report);
@@ -126,7 +127,7 @@
     }
     scene_log(scene, "  %s: version %u is in force (before: %u)", host->name,
               (unsigned)version, (unsigned)host->config.have);
-    text_free(host->text);
+    service_config_free(host->text);
     host->text = text;
     config_applied(&host->config, version, confirmed_us);
     if (host->agent) {
@@ -244,14 +245,15 @@
 announce(struct scene *scene, int i)
 {
     struct scene_host *host = &scene->hosts[i];
-    const struct text_service *service = NULL;
+    const struct service_config_entry *service = NULL;
     enum member_state state = host->state;
 
     if (state == MEMBER_READY && host->text == NULL) {
         state = MEMBER_WARMING;
     }
     if (host->agent && host->text != NULL) {
-        service = text_find_served(host->text, hash_service(host->service));
+        service = service_config_find_with_retired(
+            host->text, hash_service(host->service));
     }
     member_announce(&host->members, state, service != NULL ? service->id : 0,
                     service != NULL ? SCENE_SLOTS : 0,
@@ -362,7 +364,7 @@
 static void
 receive_ask(struct scene *scene, const struct scene_message *msg)
 {
-    const struct text *text = scene->hosts[msg->to].text;
+    const struct service_config *text = scene->hosts[msg->to].text;
     Swiftarch__ConfigReply reply = SWIFTARCH__CONFIG_REPLY__INIT;
     size_t len = 0;
     const uint8_t *body = g_bytes_get_data(msg->bytes, &len);
--- a/tests/golden/scene_packet.c
+++ b/tests/golden/scene_packet.c
@@ -277,13 +277,13 @@
     struct addresses addresses;
 
     if (host->text == NULL || gue->service != id ||
-        text_find_served(host->text, id) == NULL) {
+        service_config_find_with_retired(host->text, id) == NULL) {
         return FLOW_ADDRESS_NONE;
     }
     addresses_set(&addresses, host->text, id);
-    return addresses_find(&addresses, text_find_served(host->text, id),
-                          packet->dst, packet->dport, packet->proto,
-                          SCENE_WALL_MS);
+    return addresses_find(
+        &addresses, service_config_find_with_retired(host->text, id),
+        packet->dst, packet->dport, packet->proto, SCENE_WALL_MS);
 }
 
 static void
--- a/tests/golden/scene_request.c
+++ b/tests/golden/scene_request.c
@@ -36,8 +36,9 @@
               const char *text)
 {
     struct scene_host *host = &scene->hosts[i];
-    const struct text_service *service =
-        text_find_served(host->text, hash_service(host->service));
+    const struct service_config_entry *service =
+        service_config_find_with_retired(host->text,
+                                         hash_service(host->service));
     struct scene_request *item = g_new0(struct scene_request, 1);
     struct engine_request request = {
         .service = service->id,
@@ -374,7 +375,7 @@
 {
     struct scene_host *host = &scene->hosts[i];
     uint64_t now_us = scene_now(scene);
-    const struct text_service *service;
+    const struct service_config_entry *service;
 
     if (host->view == NULL || host->text == NULL) {
         return;
@@ -389,11 +390,13 @@
         host->table = table;
         return;
     }
-    service = text_find_served(host->text, hash_service(host->service));
+    service = service_config_find_with_retired(host->text,
+                                               hash_service(host->service));
     uint32_t id = service != NULL ? service->id : 0;
     bool accept = id != 0 && host->state == MEMBER_READY;
     flow_set_view(host->flows, host->view, id,
-                  accept && text_find(host->text, id) != NULL, now_us);
+                  accept && service_config_find_id(host->text, id) != NULL,
+                  now_us);
     engine_set_upstream(host->engine, id, id != 0 ? SCENE_SLOTS : 0, accept,
                         now_us, &host->actions);
     scene_act(scene, i);
--- a/tests/lib/sample.c
+++ b/tests/lib/sample.c
@@ -6,16 +6,17 @@
 
 #include "base/hash.h"
 
-struct text *
+struct service_config *
 sample_parse(const char *source)
 {
-    struct text *text;
+    struct service_config *config;
     char *error;
-    int rc = text_parse(source, strlen(source), "t", &text, &error);
+    int rc =
+        service_config_parse(source, strlen(source), "t", &config, &error);
 
     g_assert_cmpstr(error, ==, NULL);
     g_assert_cmpint(rc, ==, 0);
-    return text;
+    return config;
 }
 
 void
--- a/tests/lib/sample.h
+++ b/tests/lib/sample.h
@@ -5,10 +5,10 @@
 #define SWIFTARCH_TESTS_LIB_SAMPLE_H
 
 #include "control/view.h"
-#include "text/text.h"
+#include "service_config/service_config.h"
 
-/** sample_parse() - parse a valid text under the file name "t" */
-struct text *
+/** sample_parse() - parse a valid config under the file name "t" */
+struct service_config *
 sample_parse(const char *source);
 
 /** sample_agent() - fill in a member: an alive, ready agent with two slots */
--- a/tests/platform/tls_test.c
+++ b/tests/platform/tls_test.c
@@ -14,11 +14,11 @@
 #define DAY_S 86400L
 
 /**
- * struct site - a platform that speaks TLS, and a client of it
+ * struct fixture - a platform that speaks TLS, and a client of it
  * @context: the platform's certificate
  * @trusted: file of the certificates that the client trusts
  */
-struct site {
+struct fixture {
     struct platform_call call;
     struct event_base *base;
     struct evhttp *server;
@@ -28,7 +28,7 @@
     struct error err;
     int status;
     uint64_t version;
-    unsigned asked;
+    unsigned requests;
 };
 
 static X509 *
@@ -54,23 +54,23 @@
 }
 
 static void
-trust(struct site *site, X509 *cert)
+trust(struct fixture *fixture, X509 *cert)
 {
-    int fd = g_file_open_tmp("trusted-XXXXXX", &site->trusted, NULL);
+    int fd = g_file_open_tmp("trusted-XXXXXX", &fixture->trusted, NULL);
     FILE *file = fdopen(fd, "w");
 
     g_assert_nonnull(file);
     PEM_write_X509(file, cert);
     fclose(file);
-    g_setenv("SSL_CERT_FILE", site->trusted, TRUE);
+    g_setenv("SSL_CERT_FILE", fixture->trusted, TRUE);
 }
 
 static struct bufferevent *
 on_accept(struct event_base *base, void *data)
 {
-    struct site *site = data;
+    struct fixture *fixture = data;
 
-    return bufferevent_openssl_socket_new(base, -1, SSL_new(site->context),
+    return bufferevent_openssl_socket_new(base, -1, SSL_new(fixture->context),
                                           BUFFEREVENT_SSL_ACCEPTING,
                                           BEV_OPT_CLOSE_ON_FREE);
 }
@@ -78,9 +78,9 @@
 static void
 on_request(struct evhttp_request *request, void *data)
 {
-    struct site *site = data;
+    struct fixture *fixture = data;
 
-    site->asked++;
+    fixture->requests++;
     evhttp_add_header(evhttp_request_get_output_headers(request), "ETag",
                       "\"3\"");
     evhttp_send_reply(request, 200, "OK", NULL);
@@ -89,18 +89,18 @@
 static void
 on_done(struct platform_call *call, const struct platform_reply *reply)
 {
-    struct site *site = (struct site *)call;
+    struct fixture *fixture = (struct fixture *)call;
 
-    site->status = reply->status;
-    site->version = reply->version;
-    site->err = reply->error;
-    event_base_loopbreak(site->base);
+    fixture->status = reply->status;
+    fixture->version = reply->version;
+    fixture->err = reply->error;
+    event_base_loopbreak(fixture->base);
 }
 
 /* A platform whose certificate holds @names; the client trusts it, or
  * another one of the same kind. */
 static void
-site_init(struct site *site, const char *names, bool trusted)
+fixture_init(struct fixture *fixture, const char *names, bool trusted)
 {
     EVP_PKEY *key = EVP_EC_gen("P-256");
     EVP_PKEY *other = EVP_EC_gen("P-256");
@@ -112,23 +112,23 @@
     struct sockaddr_in at = {0};
     socklen_t len = sizeof(at);
 
-    site->context = SSL_CTX_new(TLS_server_method());
-    SSL_CTX_use_certificate(site->context, cert);
-    SSL_CTX_use_PrivateKey(site->context, key);
-    trust(site, trusted ? cert : stranger);
-    site->base = event_base_new();
-    site->server = evhttp_new(site->base);
-    evhttp_set_bevcb(site->server, on_accept, site);
-    evhttp_set_gencb(site->server, on_request, site);
-    bound = evhttp_bind_socket_with_handle(site->server, "127.0.0.1", 0);
+    fixture->context = SSL_CTX_new(TLS_server_method());
+    SSL_CTX_use_certificate(fixture->context, cert);
+    SSL_CTX_use_PrivateKey(fixture->context, key);
+    trust(fixture, trusted ? cert : stranger);
+    fixture->base = event_base_new();
+    fixture->server = evhttp_new(fixture->base);
+    evhttp_set_bevcb(fixture->server, on_accept, fixture);
+    evhttp_set_gencb(fixture->server, on_request, fixture);
+    bound = evhttp_bind_socket_with_handle(fixture->server, "127.0.0.1", 0);
     g_assert_cmpint(getsockname(evhttp_bound_socket_get_fd(bound),
                                 (struct sockaddr *)&at, &len),
                     ==, 0);
     port = ntohs(at.sin_port);
     url = g_strdup_printf("https://127.0.0.1:%u", port);
-    site->platform = platform_new(site->base, url, &site->err);
-    g_assert_nonnull(site->platform);
-    site->call.done = on_done;
+    fixture->platform = platform_new(fixture->base, url, &fixture->err);
+    g_assert_nonnull(fixture->platform);
+    fixture->call.done = on_done;
     X509_free(cert);
     X509_free(stranger);
     EVP_PKEY_free(key);
@@ -136,45 +136,45 @@
 }
 
 static void
-site_finish(struct site *site)
+fixture_finish(struct fixture *fixture)
 {
-    platform_free(site->platform);
-    evhttp_free(site->server);
-    event_base_free(site->base);
-    SSL_CTX_free(site->context);
-    unlink(site->trusted);
-    g_free(site->trusted);
+    platform_free(fixture->platform);
+    evhttp_free(fixture->server);
+    event_base_free(fixture->base);
+    SSL_CTX_free(fixture->context);
+    unlink(fixture->trusted);
+    g_free(fixture->trusted);
 }
 
 static void
-get(struct site *site)
+get(struct fixture *fixture)
 {
-    g_assert_cmpint(platform_get(site->platform, "config", &site->call), ==,
-                    0);
-    event_base_dispatch(site->base);
+    g_assert_cmpint(platform_get(fixture->platform, "config", &fixture->call),
+                    ==, 0);
+    event_base_dispatch(fixture->base);
 }
 
-TEST_F(site, a_trusted_platform_answers, "IP:127.0.0.1", true)
+TEST_F(fixture, a_trusted_platform_answers, "IP:127.0.0.1", true)
 {
-    get(site);
-    g_assert_cmpint(site->status, ==, 0);
-    g_assert_cmpuint(site->version, ==, 3);
-    get(site);
-    g_assert_cmpuint(site->asked, ==, 2);
+    get(fixture);
+    g_assert_cmpint(fixture->status, ==, 0);
+    g_assert_cmpuint(fixture->version, ==, 3);
+    get(fixture);
+    g_assert_cmpuint(fixture->requests, ==, 2);
 }
 
-TEST_F(site, a_platform_of_another_name_is_refused, "DNS:elsewhere", true)
+TEST_F(fixture, a_platform_of_another_name_is_refused, "DNS:elsewhere", true)
 {
-    get(site);
-    g_assert_cmpint(site->status, <, 0);
-    g_assert_cmpuint(site->asked, ==, 0);
-    g_assert_nonnull(strstr(site->err.detail, "mismatch"));
+    get(fixture);
+    g_assert_cmpint(fixture->status, <, 0);
+    g_assert_cmpuint(fixture->requests, ==, 0);
+    g_assert_nonnull(strstr(fixture->err.detail, "mismatch"));
 }
 
-TEST_F(site, an_unknown_signer_is_refused, "IP:127.0.0.1", false)
+TEST_F(fixture, an_unknown_signer_is_refused, "IP:127.0.0.1", false)
 {
-    get(site);
-    g_assert_cmpint(site->status, <, 0);
-    g_assert_cmpuint(site->asked, ==, 0);
-    g_assert_nonnull(strstr(site->err.detail, "self-signed"));
+    get(fixture);
+    g_assert_cmpint(fixture->status, <, 0);
+    g_assert_cmpuint(fixture->requests, ==, 0);
+    g_assert_nonnull(strstr(fixture->err.detail, "self-signed"));
 }
--- a/tests/request/admit_test.c
+++ b/tests/request/admit_test.c
@@ -10,13 +10,15 @@
 
     fixture_fill_slots(f);
     for (int i = 0; i < 16; i++) {
-        last = fixture_arrive(f, TEXT_ORDINARY, false, 10 * USEC_PER_SEC + i);
+        last = fixture_arrive(f, SERVICE_CONFIG_ORDINARY, false,
+                              10 * USEC_PER_SEC + i);
     }
-    fixture_arrive(f, TEXT_ORDINARY, false, 10 * USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_ORDINARY, false, 10 * USEC_PER_SEC);
     fixture_assert_finished(f, f->next_id, ENGINE_NOT_RUN, ENGINE_QUEUE_FULL);
-    fixture_arrive(f, TEXT_URGENT, false, 10 * USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 10 * USEC_PER_SEC);
     fixture_assert_finished(f, last, ENGINE_NOT_RUN, ENGINE_QUEUE_FULL);
-    g_assert_cmpuint(engine_waiting_of(f->engine, TEXT_URGENT), ==, 1);
+    g_assert_cmpuint(engine_waiting_of(f->engine, SERVICE_CONFIG_URGENT), ==,
+                     1);
     g_assert_cmpuint(engine_waiting(f->engine), ==, 16);
 }
 
@@ -28,9 +30,11 @@
     uint64_t ordinary;
 
     fixture_fill_slots(f);
-    ordinary = fixture_arrive(f, TEXT_ORDINARY, false, 60 * USEC_PER_SEC);
+    ordinary =
+        fixture_arrive(f, SERVICE_CONFIG_ORDINARY, false, 60 * USEC_PER_SEC);
     while (urgent_before < 20) {
-        uint64_t id = fixture_arrive(f, TEXT_URGENT, false, 60 * USEC_PER_SEC);
+        uint64_t id =
+            fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 60 * USEC_PER_SEC);
 
         fixture_end(f, SELF, running, ENGINE_UP_ANSWERED);
         if (fixture_find(f, ENGINE_RUN, ordinary) != NULL) {
@@ -51,11 +55,11 @@
 
     fixture_set_run_time(f, 100 * MS);
     fixture_fill_slots(f);
-    fixture_arrive(f, TEXT_URGENT, false, 90 * MS);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 90 * MS);
     fixture_assert_finished(f, f->next_id, ENGINE_NOT_RUN, ENGINE_TOO_LATE);
     refused = fixture_find(f, ENGINE_FINISH, f->next_id);
     g_assert_cmpuint(refused->retry_after_ms, >, 0);
-    waiting = fixture_arrive(f, TEXT_URGENT, false, 300 * MS);
+    waiting = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 300 * MS);
     g_assert_null(fixture_find(f, ENGINE_FINISH, waiting));
     fixture_tick_to(f, f->now_us + 190 * MS);
     g_assert_null(fixture_find(f, ENGINE_FINISH, waiting));
@@ -70,11 +74,11 @@
     fixture_set_run_time(f, 100 * MS);
     fixture_fill_slots(f);
     for (int i = 0; i < 10; i++) {
-        fixture_arrive(f, TEXT_URGENT, false, 5 * USEC_PER_SEC);
+        fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 5 * USEC_PER_SEC);
     }
-    fixture_arrive(f, TEXT_URGENT, false, 6 * USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 6 * USEC_PER_SEC);
     g_assert_null(fixture_find(f, ENGINE_FINISH, f->next_id));
-    fixture_arrive(f, TEXT_ORDINARY, false, 500 * MS);
+    fixture_arrive(f, SERVICE_CONFIG_ORDINARY, false, 500 * MS);
     fixture_assert_finished(f, f->next_id, ENGINE_NOT_RUN, ENGINE_TOO_LATE);
     g_assert_cmpuint(engine_waiting(f->engine), ==, 11);
 }
@@ -88,7 +92,7 @@
     fixture_set_run_time(f, 100 * MS);
     fixture_fill_slots(f);
     for (int i = 0; i < 100; i++) {
-        uint64_t id = fixture_arrive(f, TEXT_URGENT, false, 10 * MS);
+        uint64_t id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 10 * MS);
         uint32_t after = fixture_find(f, ENGINE_FINISH, id)->retry_after_ms;
 
         per_second[MIN(after / 1000, 7)]++;
@@ -106,7 +110,8 @@
     fixture_report_load(f, PEER, 1001);
     fixture_report_load(f, OTHER, 1001);
     for (int i = 0; i < 200; i++) {
-        uint64_t id = fixture_arrive(f, TEXT_URGENT, true, 10 * USEC_PER_SEC);
+        uint64_t id =
+            fixture_arrive(f, SERVICE_CONFIG_URGENT, true, 10 * USEC_PER_SEC);
 
         fixture_end(f, SELF, id, i % 2 ? ENGINE_UP_ANSWERED : ENGINE_UP_LOST);
         if (fixture_find(f, ENGINE_FINISH, id) == NULL) {
@@ -129,10 +134,10 @@
     uint64_t id;
 
     fixture_members(f, MEMBER_READY, 2, false);
-    id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     fixture_assert_finished(f, id, ENGINE_NOT_RUN, ENGINE_DEPENDENCY);
     fixture_members(f, MEMBER_READY, 2, true);
-    id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, id));
 }
 
@@ -144,7 +149,7 @@
         uint64_t id;
 
         fixture_members(f, MEMBER_READY, 2, true);
-        id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+        id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
         fixture_members(f, MEMBER_READY, 2, false);
         fixture_end(f, SELF, id, ENGINE_UP_LOST);
     }
@@ -155,7 +160,7 @@
         uint64_t id;
 
         fixture_members(f, MEMBER_READY, 2, true);
-        id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+        id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
         fixture_members(f, MEMBER_READY, 2, false);
         engine_upstream_end(f->engine, SELF, id, ENGINE_UP_ANSWERED,
                             server_error, sizeof(server_error), f->now_us,
@@ -168,7 +173,8 @@
 lose_runs(struct fixture *f, int count)
 {
     for (int i = 0; i < count; i++) {
-        uint64_t id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+        uint64_t id =
+            fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
 
         fixture_end(f, SELF, id, ENGINE_UP_LOST);
     }
@@ -189,7 +195,7 @@
     fixture_tick_to(f, f->now_us + 300 * MS);
     g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
                      ==, 1);
-    fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     fixture_end(f, SELF, f->next_id, ENGINE_UP_ANSWERED);
     g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
                      ==, 2);
@@ -226,13 +232,13 @@
 {
     fixture_set_run_time(f, 100 * MS);
     for (int i = 0; i < 5; i++) {
-        fixture_arrive(f, TEXT_URGENT, false, 50 * MS);
+        fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 50 * MS);
         fixture_tick_to(f, f->now_us + 200 * MS);
     }
     g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
                      ==, 2);
     for (int i = 0; i < HEALTH_FAILURES_MAX; i++) {
-        fixture_arrive(f, TEXT_URGENT, false, 500 * MS);
+        fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 500 * MS);
         fixture_tick_to(f, f->now_us + 500 * MS);
     }
     g_assert_cmpuint(upstream_usable_slots(&f->engine->upstream, f->now_us),
@@ -247,7 +253,8 @@
                                   .waiting = {5, 0}};
 
     for (int i = 0; i < UPSTREAM_ERRORS_MAX; i++) {
-        uint64_t id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+        uint64_t id =
+            fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
 
         engine_upstream_end(f->engine, SELF, id, ENGINE_UP_ANSWERED,
                             server_error, sizeof(server_error), f->now_us,
@@ -256,7 +263,7 @@
     f->out.count = 0;
     engine_peer(f->engine, PEER, &msg, NULL, 0, f->now_us, &f->out);
     g_assert_null(fixture_find_sent(f, ENGINE_PEER_PULL, PEER));
-    fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     fixture_end(f, SELF, f->next_id, ENGINE_UP_ANSWERED);
     g_assert_nonnull(fixture_find_sent(f, ENGINE_PEER_PULL, PEER));
 }
@@ -266,12 +273,12 @@
 {
     GHashTable *services = f->engine->services;
 
-    g_assert_cmpint(services_class(services, NEEDED, TEXT_URGENT), ==,
-                    TEXT_URGENT);
-    g_assert_cmpint(services_class(services, NEEDED, TEXT_ORDINARY), ==,
-                    TEXT_ORDINARY);
-    g_assert_cmpint(services_class(services, UNNEEDED, TEXT_URGENT), ==,
-                    TEXT_ORDINARY);
+    g_assert_cmpint(services_class(services, NEEDED, SERVICE_CONFIG_URGENT),
+                    ==, SERVICE_CONFIG_URGENT);
+    g_assert_cmpint(services_class(services, NEEDED, SERVICE_CONFIG_ORDINARY),
+                    ==, SERVICE_CONFIG_ORDINARY);
+    g_assert_cmpint(services_class(services, UNNEEDED, SERVICE_CONFIG_URGENT),
+                    ==, SERVICE_CONFIG_ORDINARY);
 }
 
 static void
@@ -279,7 +286,7 @@
 {
     struct engine_request request = {.service = NEEDED,
                                      .caller = 9,
-                                     .class = TEXT_ORDINARY,
+                                     .class = SERVICE_CONFIG_ORDINARY,
                                      .deadline_us = f->now_us + USEC_PER_SEC};
 
     for (request.id = 1; request.id <= 5; request.id++) {
@@ -297,8 +304,8 @@
 test_slow_start(struct fixture *f, gconstpointer data)
 {
     fixture_members(f, MEMBER_WARMING, 2, true);
-    fixture_arrive(f, TEXT_URGENT, false, 60 * USEC_PER_SEC);
-    fixture_arrive(f, TEXT_URGENT, false, 60 * USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 60 * USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 60 * USEC_PER_SEC);
     g_assert_cmpuint(engine_busy(f->engine), ==, 1);
     fixture_tick_to(f, f->now_us + UPSTREAM_SLOW_START_US);
     g_assert_cmpuint(engine_busy(f->engine), ==, 2);
@@ -311,14 +318,14 @@
     uint64_t id;
 
     engine_set_upstream(f->engine, SERVICE, 2, false, f->now_us, &f->out);
-    id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     g_assert_null(fixture_find(f, ENGINE_RUN, id));
     f->out.count = 0;
     engine_stop(f->engine, f->now_us, &f->out);
     g_assert_null(fixture_find(f, ENGINE_FINISH, id));
     fixture_receive(f, ENGINE_PEER_PULL, 0, 0, 0);
     g_assert_nonnull(fixture_find_sent(f, ENGINE_PEER_RUN, PEER));
-    fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     fixture_assert_finished(f, f->next_id, ENGINE_NOT_RUN, ENGINE_STOPPING);
     fixture_receive(f, ENGINE_PEER_DONE, id, ENGINE_ANSWERED, 0);
     g_assert_cmpuint(engine_open_requests(f->engine), ==, 0);
@@ -368,12 +375,12 @@
 
     fixture_members(f, MEMBER_READY, 0, true);
     engine_set_upstream(f->engine, SERVICE, 0, false, f->now_us, &f->out);
-    id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     fixture_assert_finished(f, id, ENGINE_NOT_RUN, ENGINE_NO_UPSTREAM);
     g_assert_cmpuint(fixture_find(f, ENGINE_FINISH, id)->retry_after_ms, >=,
                      750);
     for (int i = 0; i < 4000; i++) {
-        id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+        id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     }
     g_assert_cmpuint(fixture_find(f, ENGINE_FINISH, id)->retry_after_ms, >=,
                      3000);
@@ -389,7 +396,8 @@
     uint64_t ordinary;
 
     fixture_fill_slots(f);
-    ordinary = fixture_arrive(f, TEXT_ORDINARY, false, 10 * USEC_PER_SEC);
+    ordinary =
+        fixture_arrive(f, SERVICE_CONFIG_ORDINARY, false, 10 * USEC_PER_SEC);
     engine_peer(f->engine, PEER, &msg, NULL, 0, f->now_us, &f->out);
     fixture_end(f, SELF, 1, ENGINE_UP_ANSWERED);
     g_assert_nonnull(fixture_find_sent(f, ENGINE_PEER_PULL, PEER));
@@ -414,7 +422,8 @@
 
         engine_peer(f->engine, PEER, &msg, NULL, 0, f->now_us, &f->out);
         engine_peer(f->engine, OTHER, &msg, NULL, 0, f->now_us, &f->out);
-        id = fixture_arrive(f, TEXT_URGENT, false, 60 * USEC_PER_SEC);
+        id =
+            fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 60 * USEC_PER_SEC);
         f->now_us += 10 * MS;
         fixture_end(f, SELF, id - 2, ENGINE_UP_ANSWERED);
         pulled = fixture_find_sent(f, ENGINE_PEER_PULL, from) != NULL;
@@ -446,10 +455,12 @@
     peer_answered(peers_find(&f->engine->peers, PEER), 10 * MS);
     fixture_fill_slots(f);
     for (int i = 0; i < 5; i++) {
-        fixture_arrive(f, TEXT_URGENT, false, (90 - (uint64_t)i) * MS);
+        fixture_arrive(f, SERVICE_CONFIG_URGENT, false,
+                       (90 - (uint64_t)i) * MS);
     }
     g_assert_cmpuint(engine_waiting(f->engine), ==, 5);
-    behind = fixture_arrive(f, TEXT_URGENT, false, 10 * USEC_PER_SEC);
+    behind =
+        fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 10 * USEC_PER_SEC);
     fixture_end(f, SELF, behind - 6, ENGINE_UP_ANSWERED);
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, behind));
     g_assert_cmpuint(engine_waiting(f->engine), ==, 5);
@@ -467,10 +478,10 @@
     peer_answered(peers_find(&f->engine->peers, PEER), 10 * MS);
     fixture_fill_slots(f);
     fixture_report_load(f, PEER, 1001);
-    id = fixture_arrive(f, TEXT_URGENT, false, 90 * MS);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 90 * MS);
     fixture_assert_finished(f, id, ENGINE_NOT_RUN, ENGINE_TOO_LATE);
     fixture_report_load(f, PEER, 901);
-    id = fixture_arrive(f, TEXT_URGENT, false, 90 * MS);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 90 * MS);
     g_assert_null(fixture_find(f, ENGINE_FINISH, id));
 }
 
--- a/tests/request/cell.c
+++ b/tests/request/cell.c
@@ -196,8 +196,9 @@
 static void
 set_text(struct cell *cell, unsigned node)
 {
-    struct text_service service = {.id = CELL_SERVICE, .class = TEXT_URGENT};
-    struct text text = {.services = &service, .count = 1};
+    struct service_config_entry service = {.id = CELL_SERVICE,
+                                           .class = SERVICE_CONFIG_URGENT};
+    struct service_config text = {.services = &service, .count = 1};
     struct engine_actions out = {0};
 
     service.limits.queue = CELL_QUEUE;
@@ -328,7 +329,7 @@
 }
 
 uint64_t
-cell_arrive(struct cell *cell, unsigned node, enum text_class class,
+cell_arrive(struct cell *cell, unsigned node, enum service_config_class class,
             bool idempotent, bool keyed, uint64_t left_us)
 {
     struct engine_request request = {
@@ -356,7 +357,9 @@
 static void
 random_arrival(struct cell *cell, unsigned node)
 {
-    cell_arrive(cell, node, chance(cell, 600) ? TEXT_URGENT : TEXT_ORDINARY,
+    cell_arrive(cell, node,
+                chance(cell, 600) ? SERVICE_CONFIG_URGENT
+                                  : SERVICE_CONFIG_ORDINARY,
                 chance(cell, 300), chance(cell, 300),
                 random_between(cell, 30000, 1000000));
 }
--- a/tests/request/cell.h
+++ b/tests/request/cell.h
@@ -88,7 +88,7 @@
 /** cell_arrive() - add a request at @node with a deadline in @left_us;
  * returns its id */
 uint64_t
-cell_arrive(struct cell *cell, unsigned node, enum text_class class,
+cell_arrive(struct cell *cell, unsigned node, enum service_config_class class,
             bool idempotent, bool keyed, uint64_t left_us);
 
 /** cell_advance() - process the events of the next @us */
--- a/tests/request/fixture.c
+++ b/tests/request/fixture.c
@@ -28,14 +28,14 @@
 }
 
 void
-fixture_services(struct fixture *f, enum text_class needed_class)
+fixture_services(struct fixture *f, enum service_config_class needed_class)
 {
-    struct text_service services[3] = {
-        {.id = SERVICE, .class = TEXT_URGENT},
+    struct service_config_entry services[3] = {
+        {.id = SERVICE, .class = SERVICE_CONFIG_URGENT},
         {.id = NEEDED, .class = needed_class},
-        {.id = UNNEEDED, .class = TEXT_ORDINARY},
+        {.id = UNNEEDED, .class = SERVICE_CONFIG_ORDINARY},
     };
-    struct text text = {.services = services, .count = 3};
+    struct service_config text = {.services = services, .count = 3};
 
     services[0].depends[0] = 1;
     services[0].depends_count = 1;
@@ -51,7 +51,7 @@
 {
     *f = (struct fixture){.now_us = 1000 * USEC_PER_SEC};
     f->engine = engine_new(SELF, ENGINE_PULL, 42);
-    fixture_services(f, TEXT_ORDINARY);
+    fixture_services(f, SERVICE_CONFIG_ORDINARY);
     fixture_members(f, MEMBER_READY, 2, true);
     engine_set_upstream(f->engine, SERVICE, 2, true, f->now_us, &f->out);
     f->out.count = 0;
@@ -65,8 +65,8 @@
 }
 
 uint64_t
-fixture_arrive(struct fixture *f, enum text_class class, bool idempotent,
-               uint64_t left_us)
+fixture_arrive(struct fixture *f, enum service_config_class class,
+               bool idempotent, uint64_t left_us)
 {
     struct engine_request request = {
         .id = ++f->next_id,
@@ -213,7 +213,8 @@
 fixture_set_run_time(struct fixture *f, uint64_t run_us)
 {
     for (int i = 0; i < 20; i++) {
-        uint64_t id = fixture_arrive(f, TEXT_URGENT, false, 10 * USEC_PER_SEC);
+        uint64_t id =
+            fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 10 * USEC_PER_SEC);
 
         f->now_us += run_us;
         fixture_end(f, SELF, id, ENGINE_UP_ANSWERED);
@@ -223,8 +224,8 @@
 void
 fixture_fill_slots(struct fixture *f)
 {
-    fixture_arrive(f, TEXT_URGENT, false, 10 * USEC_PER_SEC);
-    fixture_arrive(f, TEXT_URGENT, false, 10 * USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 10 * USEC_PER_SEC);
+    fixture_arrive(f, SERVICE_CONFIG_URGENT, false, 10 * USEC_PER_SEC);
     g_assert_cmpuint(engine_busy(f->engine), ==, 2);
 }
 
--- a/tests/request/fixture.h
+++ b/tests/request/fixture.h
@@ -41,7 +41,7 @@
 /** fixture_services() - set a configuration where SERVICE depends on NEEDED
  * and no service on UNNEEDED */
 void
-fixture_services(struct fixture *f, enum text_class needed_class);
+fixture_services(struct fixture *f, enum service_config_class needed_class);
 
 /** fixture_set_up() - create agent SELF with two free slots and two peers */
 void
@@ -54,8 +54,8 @@
 /** fixture_arrive() - add a request with a deadline in @left_us; returns
  * its id */
 uint64_t
-fixture_arrive(struct fixture *f, enum text_class class, bool idempotent,
-               uint64_t left_us);
+fixture_arrive(struct fixture *f, enum service_config_class class,
+               bool idempotent, uint64_t left_us);
 
 /** fixture_arrive_keyed() - add a request with an Idempotency-Key and a
  * deadline in one second; returns its id */
--- a/tests/request/invariants.c
+++ b/tests/request/invariants.c
@@ -100,7 +100,7 @@
 urgent_could_run(const struct cell *cell, unsigned node)
 {
     const struct cell_node *at = &cell->nodes[node];
-    const struct entry *urgent = at->engine->queue.head[TEXT_URGENT];
+    const struct entry *urgent = at->engine->queue.head[SERVICE_CONFIG_URGENT];
 
     for (; urgent != NULL; urgent = urgent->next) {
         if (urgent->runnable && !is_avoiding(cell, at, urgent) &&
@@ -117,7 +117,7 @@
 urgent_could_be_sent(const struct cell *cell, unsigned node, uint64_t peer)
 {
     const struct engine *engine = cell->nodes[node].engine;
-    const struct entry *urgent = engine->queue.head[TEXT_URGENT];
+    const struct entry *urgent = engine->queue.head[SERVICE_CONFIG_URGENT];
     const struct peer *to = peers_find(&engine->peers, peer);
 
     for (int i = 0; urgent != NULL && i < UNPLACED_MAX; i++) {
@@ -131,9 +131,10 @@
 
 /* Counts urgent starts for the minimum share; invariants_node() resets it. */
 static void
-count_start(struct cell_node *at, enum text_class class)
+count_start(struct cell_node *at, enum service_config_class class)
 {
-    at->urgent_starts = class == TEXT_URGENT ? at->urgent_starts + 1 : 0;
+    at->urgent_starts =
+        class == SERVICE_CONFIG_URGENT ? at->urgent_starts + 1 : 0;
     at->started = true;
 }
 
@@ -156,8 +157,8 @@
     if (entry == NULL || action->origin != at->id) {
         return;
     }
-    if (entry->request.class == TEXT_ORDINARY && !is_min_share_due(at) &&
-        urgent_could_run(cell, node)) {
+    if (entry->request.class == SERVICE_CONFIG_ORDINARY &&
+        !is_min_share_due(at) && urgent_could_run(cell, node)) {
         fail(cell, "ordinary before waiting urgent at node %u", node);
     }
     count_start(at, entry->request.class);
@@ -172,11 +173,11 @@
     struct cell_node *at = &cell->nodes[node];
     const struct entry *entry =
         entry_find(at->engine->entries, action->origin, action->id);
-    enum text_class class = action->msg.request.class;
+    enum service_config_class class = action->msg.request.class;
     bool avoids_local = entry != NULL && (is_avoiding(cell, at, entry) ||
                                           is_too_slow(cell, at, entry));
 
-    if (cell->policy == ENGINE_PULL && class == TEXT_ORDINARY &&
+    if (cell->policy == ENGINE_PULL && class == SERVICE_CONFIG_ORDINARY &&
         !avoids_local && !is_min_share_due(at) &&
         urgent_could_be_sent(cell, node, action->to)) {
         fail(cell, "node %u sends ordinary before waiting urgent", node);
@@ -213,7 +214,8 @@
 {
     struct cell_node *at = &cell->nodes[node];
 
-    if (at->started && engine_waiting_of(at->engine, TEXT_ORDINARY) == 0) {
+    if (at->started &&
+        engine_waiting_of(at->engine, SERVICE_CONFIG_ORDINARY) == 0) {
         at->urgent_starts = 0;
     }
     at->started = false;
--- a/tests/request/outcome_test.c
+++ b/tests/request/outcome_test.c
@@ -6,15 +6,16 @@
 static void
 test_outcomes(struct fixture *f, gconstpointer data)
 {
-    uint64_t id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    uint64_t id =
+        fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
 
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, id));
     fixture_end(f, SELF, id, ENGINE_UP_ANSWERED);
     fixture_assert_finished(f, id, ENGINE_ANSWERED, ENGINE_REASON_NONE);
-    id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     fixture_end(f, SELF, id, ENGINE_UP_LOST);
     fixture_assert_finished(f, id, ENGINE_UNKNOWN, ENGINE_LOST);
-    id = fixture_arrive(f, TEXT_URGENT, false, USEC_PER_SEC);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, false, USEC_PER_SEC);
     fixture_end(f, SELF, id, ENGINE_UP_TRUNCATED);
     fixture_assert_finished(f, id, ENGINE_UNKNOWN, ENGINE_TRUNCATED);
 }
@@ -23,14 +24,14 @@
 static void
 test_retried_elsewhere(struct fixture *f, gconstpointer data)
 {
-    uint64_t id = fixture_arrive(f, TEXT_URGENT, true, USEC_PER_SEC);
+    uint64_t id = fixture_arrive(f, SERVICE_CONFIG_URGENT, true, USEC_PER_SEC);
 
     fixture_end(f, SELF, id, ENGINE_UP_LOST);
     g_assert_null(fixture_find(f, ENGINE_FINISH, id));
     g_assert_null(fixture_find(f, ENGINE_RUN, id));
     fixture_receive(f, ENGINE_PEER_PULL, 0, 0, 0);
     g_assert_nonnull(fixture_find_sent(f, ENGINE_PEER_RUN, PEER));
-    id = fixture_arrive(f, TEXT_URGENT, true, USEC_PER_SEC);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, true, USEC_PER_SEC);
     fixture_end(f, SELF, id, ENGINE_UP_LOST);
     fixture_tick_to(f, f->now_us + 100 * MS);
     g_assert_nonnull(fixture_find(f, ENGINE_RUN, id));
@@ -40,7 +41,7 @@
 static void
 test_retried_locally_last(struct fixture *f, gconstpointer data)
 {
-    uint64_t id = fixture_arrive(f, TEXT_URGENT, true, USEC_PER_SEC);
+    uint64_t id = fixture_arrive(f, SERVICE_CONFIG_URGENT, true, USEC_PER_SEC);
 
     fixture_end(f, SELF, id, ENGINE_UP_LOST);
     g_assert_null(fixture_find(f, ENGINE_RUN, id));
@@ -53,7 +54,7 @@
 static void
 test_lost_then_refused(struct fixture *f, gconstpointer data)
 {
-    uint64_t id = fixture_arrive(f, TEXT_URGENT, true, USEC_PER_SEC);
+    uint64_t id = fixture_arrive(f, SERVICE_CONFIG_URGENT, true, USEC_PER_SEC);
 
     fixture_end(f, SELF, id, ENGINE_UP_LOST);
     fixture_tick_to(f, f->now_us + 100 * MS);
@@ -66,7 +67,7 @@
 static void
 test_deadline_while_running(struct fixture *f, gconstpointer data)
 {
-    uint64_t id = fixture_arrive(f, TEXT_URGENT, true, 100 * MS);
+    uint64_t id = fixture_arrive(f, SERVICE_CONFIG_URGENT, true, 100 * MS);
 
     fixture_tick_to(f, f->now_us + 100 * MS);
     fixture_assert_finished(f, id, ENGINE_UNKNOWN, ENGINE_DEADLINE);
@@ -116,7 +117,7 @@
     uint64_t id;
 
     fixture_fill_slots(f);
-    id = fixture_arrive(f, TEXT_URGENT, idempotent, USEC_PER_SEC);
+    id = fixture_arrive(f, SERVICE_CONFIG_URGENT, idempotent, USEC_PER_SEC);
     fixture_receive(f, ENGINE_PEER_PULL, 0, 0, 0);
     g_assert_nonnull(fixture_find_sent(f, ENGINE_PEER_RUN, PEER));
     return id;
@@ -308,7 +309,7 @@
 {
     GRand *random = g_rand_new_with_seed(20261202);
     uint64_t recent_id =
-        fixture_arrive(f, TEXT_URGENT, true, 600 * USEC_PER_SEC);
+        fixture_arrive(f, SERVICE_CONFIG_URGENT, true, 600 * USEC_PER_SEC);
 
     for (int i = 0; i < 20000; i++) {
         struct engine_peer_msg msg;
@@ -328,7 +329,7 @@
             msg.origin = SELF;
             msg.request.id = recent_id + g_rand_int_range(random, 0, 10);
         }
-        fixture_arrive(f, TEXT_URGENT, true, 100 * MS);
+        fixture_arrive(f, SERVICE_CONFIG_URGENT, true, 100 * MS);
         f->now_us += MS;
         (void)engine_peer(f->engine, g_rand_int_range(random, 1, 5), &msg,
                           NULL, 0, f->now_us, &f->out);
--- a/tests/request/priority_test.c
+++ b/tests/request/priority_test.c
@@ -88,19 +88,19 @@
 set_text(struct fixture *fixture, const char *service)
 {
     struct agent *agent = &fixture->agent;
-    struct text *text = NULL;
+    struct service_config *text = NULL;
     char *report = NULL;
 
-    g_assert_cmpint(
-        text_parse(source, sizeof(source) - 1, "priority", &text, &report), ==,
-        0);
-    agent->service = *text_find(text, hash_service(service));
+    g_assert_cmpint(service_config_parse(source, sizeof(source) - 1,
+                                         "priority", &text, &report),
+                    ==, 0);
+    agent->service = *service_config_find_id(text, hash_service(service));
     agent->service.ip = FLOW_LOCAL; /* local address of the fake flows */
     agent->service_known = true;
     engine_set_text(agent->requests.engine, text, fixture->clock.now_us,
                     &agent->requests.out);
     requests_execute_actions(agent);
-    text_free(text);
+    service_config_free(text);
 }
 
 static void
--- a/tests/request/session_test.c
+++ b/tests/request/session_test.c
@@ -179,16 +179,16 @@
 }
 
 static void
-arrive(struct session *s, unsigned agent, uint64_t id, enum text_class class,
-       uint64_t left_ms)
+arrive(struct session *s, unsigned agent, uint64_t id,
+       enum service_config_class class, uint64_t left_ms)
 {
     struct engine_request request = {
         .id = id, .service = SERVICE, .caller = (uint32_t)id, .class = class};
     struct engine_actions out = {0};
 
     log_line(s, "%s %u arrives at %u, %u ms left",
-             class == TEXT_URGENT ? "urgent" : "ordinary", (unsigned)id,
-             agent + 1, (unsigned)left_ms);
+             class == SERVICE_CONFIG_URGENT ? "urgent" : "ordinary",
+             (unsigned)id, agent + 1, (unsigned)left_ms);
     request.deadline_us = s->now_us + left_ms * USEC_PER_MSEC;
     engine_arrive(s->engines[agent], &request, s->now_us, &out);
     apply_actions(s, agent, &out);
@@ -210,10 +210,10 @@
 static void
 run_requests(struct session *s)
 {
-    arrive(s, 0, 1, TEXT_ORDINARY, 1000);
-    arrive(s, 1, 101, TEXT_URGENT, 1000);
-    arrive(s, 0, 2, TEXT_ORDINARY, 1000);
-    arrive(s, 0, 3, TEXT_URGENT, 1000);
+    arrive(s, 0, 1, SERVICE_CONFIG_ORDINARY, 1000);
+    arrive(s, 1, 101, SERVICE_CONFIG_URGENT, 1000);
+    arrive(s, 0, 2, SERVICE_CONFIG_ORDINARY, 1000);
+    arrive(s, 0, 3, SERVICE_CONFIG_URGENT, 1000);
     wait_ms(s, 5);
     end(s, 1, 2, 101, ENGINE_UP_ANSWERED);
     wait_ms(s, 5);
@@ -232,7 +232,7 @@
     s->draining = true;
     set_upstream(s, 0, false);
     set_views(s);
-    arrive(s, 0, 4, TEXT_URGENT, 1000);
+    arrive(s, 0, 4, SERVICE_CONFIG_URGENT, 1000);
     wait_ms(s, 5);
     end(s, 1, 1, 2, ENGINE_UP_ANSWERED);
     wait_ms(s, 5);
@@ -241,12 +241,12 @@
     apply_actions(s, 0, &out);
     wait_ms(s, 5);
     end(s, 1, 1, 4, ENGINE_UP_ANSWERED);
-    arrive(s, 1, 102, TEXT_URGENT, 50);
+    arrive(s, 1, 102, SERVICE_CONFIG_URGENT, 50);
     wait_ms(s, 120);
     log_line(s, "1 stops");
     engine_stop(s->engines[0], s->now_us, &out);
     apply_actions(s, 0, &out);
-    arrive(s, 0, 5, TEXT_URGENT, 1000);
+    arrive(s, 0, 5, SERVICE_CONFIG_URGENT, 1000);
     wait_ms(s, 20);
 }
 
--- a/tests/text/sample.c
+++ b/tests/service_config/sample.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-const char sample_text[] =
+const char sample_config[] =
     "{\"services\": [\n"
     "  {\"name\": \"lots\", \"address\": \"10.0.0.1\", \"port\": 80,\n"
     "   \"protocol\": \"tcp\", \"class\": \"urgent\",\n"
@@ -15,14 +15,15 @@
     "]}\n";
 
 void
-sample_assert_same(const struct text *a, const struct text *b)
+sample_assert_same(const struct service_config *a,
+                   const struct service_config *b)
 {
     g_assert_cmpuint(a->count, ==, b->count);
     for (size_t i = 0; i < a->count; i++) {
-        struct text_service left = a->services[i];
-        struct text_service right = b->services[i];
+        struct service_config_entry left = a->services[i];
+        struct service_config_entry right = b->services[i];
 
-        /* The source begins where the text does, the file may not. */
+        /* The source begins where the config does, the file may not. */
         left.line = 0;
         right.line = 0;
         g_assert_cmpmem(&left, sizeof(left), &right, sizeof(right));
--- a/tests/text/text_mutation_test.c
+++ b/tests/service_config/service_config_mutation_test.c
@@ -7,7 +7,7 @@
 #define MUTATIONS 4000
 #define SEED 20261202
 
-/* Often leaves a good text with another value. */
+/* Often leaves a good config with another value. */
 static void
 mutate_digit(GRand *rand, GString *source)
 {
@@ -79,23 +79,24 @@
 static bool
 check_mutant(const GString *source)
 {
-    struct text *text;
-    struct text *again;
+    struct service_config *config;
+    struct service_config *again;
     char *report;
-    int rc = text_parse(source->str, source->len, "t", &text, &report);
+    int rc =
+        service_config_parse(source->str, source->len, "t", &config, &report);
 
     g_assert_true((rc == 0) == (report == NULL));
-    g_assert_true((rc == 0) == (text != NULL));
+    g_assert_true((rc == 0) == (config != NULL));
     if (rc != 0) {
         g_assert_true(g_utf8_validate(report, -1, NULL));
         assert_report(report, source->str);
         g_free(report);
         return false;
     }
-    again = sample_parse(text->source);
-    sample_assert_same(text, again);
-    text_free(again);
-    text_free(text);
+    again = sample_parse(config->source);
+    sample_assert_same(config, again);
+    service_config_free(again);
+    service_config_free(config);
     return true;
 }
 
@@ -106,7 +107,7 @@
 
     g_test_message("seed %d", SEED);
     for (unsigned i = 0; i < MUTATIONS; i++) {
-        g_autoptr(GString) source = g_string_new(sample_text);
+        g_autoptr(GString) source = g_string_new(sample_config);
         int count = g_rand_int_range(rand, 1, 4);
 
         for (int j = 0; j < count; j++) {
@@ -124,31 +125,35 @@
 static bool
 check_value(const GString *value)
 {
-    struct text *text;
-    struct text *again;
+    struct service_config *config;
+    struct service_config *again;
     char *report;
 
-    if (text_parse_envelope(value->str, value->len, 7, &text, &report) < 0) {
-        g_assert_null(text);
+    if (service_config_parse_envelope(value->str, value->len, 7, &config,
+                                      &report) < 0) {
+        g_assert_null(config);
         g_assert_nonnull(report);
         g_free(report);
         return false;
     }
     g_assert_null(report);
-    g_assert_cmpint(text_parse_envelope(text->source, text->source_len, 7,
-                                        &again, &report),
+    g_assert_cmpint(service_config_parse_envelope(config->source,
+                                                  config->source_len, 7,
+                                                  &again, &report),
                     ==, 0);
-    sample_assert_same(text, again);
-    for (size_t i = 0; i < text->retired_count; i++) {
-        const struct text_service *old = &text->retired[i].service;
+    sample_assert_same(config, again);
+    for (size_t i = 0; i < config->retired_count; i++) {
+        const struct service_config_entry *old = &config->retired[i].service;
 
         g_assert_cmpuint(old->id, !=, 0);
-        g_assert_true(text_find_retired(text, old->ip, old->port,
-                                        old->proto) == &text->retired[i]);
-        g_assert_null(text_find_addr(text, old->ip, old->port, old->proto));
+        g_assert_true(service_config_find_retired(config, old->ip, old->port,
+                                                  old->proto) ==
+                      &config->retired[i]);
+        g_assert_null(
+            service_config_find_addr(config, old->ip, old->port, old->proto));
     }
-    text_free(again);
-    text_free(text);
+    service_config_free(again);
+    service_config_free(config);
     return true;
 }
 
@@ -160,16 +165,16 @@
         "\"class\": \"ordinary\", \"until_ms\": 1700000000000},\n"
         "{\"name\": \"lots\", \"address\": \"10.0.0.2\", \"port\": 81, "
         "\"class\": \"urgent\", \"until_ms\": 1700000000001}]";
-    struct text_envelope envelope = {
+    struct service_config_envelope envelope = {
         .write_id = "0123456789abcdef0123456789abcdef",
         .author = "asha",
-        .text = sample_text,
-        .text_len = strlen(sample_text),
+        .source = sample_config,
+        .source_len = strlen(sample_config),
         .retired = retired,
         .retired_len = strlen(retired),
     };
 
-    return text_envelope_write(&envelope, len);
+    return service_config_envelope_write(&envelope, len);
 }
 
 TEST(value_mutations)
--- a/tests/text/text_retire_test.c
+++ b/tests/service_config/service_config_retire_test.c
@@ -3,13 +3,13 @@
 
 #include "base/hash.h"
 #include "sample.h"
-#include "text/text_retire.h"
+#include "service_config/service_config_retire.h"
 #include "lib/harness.h"
 
 #define SUITE "/text/retire"
 #define NOW_MS UINT64_C(1700000000000)
 #define HOLD_MS UINT64_C(1000000)
-#define UNTIL_MS (NOW_MS + HOLD_MS + TEXT_RETIRE_SKEW_MS)
+#define UNTIL_MS (NOW_MS + HOLD_MS + SERVICE_CONFIG_RETIRE_SKEW_MS)
 
 #define LOTS(port)                                                            \
     "{\"name\": \"lots\", \"address\": \"10.0.0.1\", "                        \
@@ -22,86 +22,93 @@
 
 /** struct step - what a change made of the list */
 struct step {
-    struct text_retired retired[TEXT_RETIRED_MAX];
+    struct service_config_retired retired[SERVICE_CONFIG_RETIRED_MAX];
     size_t count;
     char *report;
     int rc;
 };
 
-static struct text_change
-change_of(const struct text *from, const struct text *to, uint64_t now_ms)
+static struct service_config_change
+change_of(const struct service_config *from, const struct service_config *to,
+          uint64_t now_ms)
 {
-    return (struct text_change){.from = from,
-                                .to = to,
-                                .name = "t",
-                                .now_ms = now_ms,
-                                .hold_ms = HOLD_MS};
+    return (struct service_config_change){.from = from,
+                                          .to = to,
+                                          .name = "t",
+                                          .now_ms = now_ms,
+                                          .hold_ms = HOLD_MS};
 }
 
 static void
-take_step(const struct text_change *change, struct step *step)
+take_step(const struct service_config_change *change, struct step *step)
 {
-    step->rc = text_retire(change, step->retired, &step->count, &step->report);
+    step->rc = service_config_retire(change, step->retired, &step->count,
+                                     &step->report);
     g_assert_true((step->rc == 0) == (step->report == NULL));
 }
 
-/* The value that holds a text and a list. */
+/* The value that holds a config and a list. */
 static char *
-value_of(const struct text *text, const char *list, size_t *len)
+value_of(const struct service_config *config, const char *list, size_t *len)
 {
-    struct text_envelope envelope = {
+    struct service_config_envelope envelope = {
         .write_id = "1",
         .author = "a",
-        .text = text->source,
-        .text_len = text->source_len,
+        .source = config->source,
+        .source_len = config->source_len,
         .retired = list,
         .retired_len = strlen(list),
     };
 
-    return text_envelope_write(&envelope, len);
+    return service_config_envelope_write(&envelope, len);
 }
 
-/* The text that processes have once @to was published over @from. */
-static struct text *
-publish(const struct text *from, const char *source, uint64_t now_ms)
+/* The config that processes have once @to was published over @from. */
+static struct service_config *
+publish(const struct service_config *from, const char *source, uint64_t now_ms)
 {
-    struct text *to = sample_parse(source);
-    struct text_change change = change_of(from, to, now_ms);
+    struct service_config *to = sample_parse(source);
+    struct service_config_change change = change_of(from, to, now_ms);
     struct step step;
-    struct text *text;
+    struct service_config *config;
     char *report;
     size_t len;
 
     take_step(&change, &step);
     g_assert_cmpstr(step.report, ==, NULL);
-    g_autofree char *list = text_retired_write(step.retired, step.count);
+    g_autofree char *list =
+        service_config_retired_write(step.retired, step.count);
     g_autofree char *value = value_of(to, list, &len);
-    g_assert_cmpint(text_parse_envelope(value, len, 2, &text, &report), ==, 0);
-    text_free(to);
-    return text;
+    g_assert_cmpint(
+        service_config_parse_envelope(value, len, 2, &config, &report), ==, 0);
+    service_config_free(to);
+    return config;
 }
 
 static void
-assert_retired(const struct text *text, size_t i, const char *name,
+assert_retired(const struct service_config *config, size_t i, const char *name,
                uint16_t port, uint64_t until_ms)
 {
-    g_assert_cmpuint(i, <, text->retired_count);
-    g_assert_cmpstr(text->retired[i].service.name, ==, name);
-    g_assert_cmpuint(text->retired[i].service.id, ==, hash_service(name));
-    g_assert_cmpuint(text->retired[i].service.port, ==, port);
-    g_assert_cmpuint(text->retired[i].until_ms, ==, until_ms);
-    g_assert_true(text_find_retired(text, 0x0a000001, port, TEXT_TCP) ==
-                  &text->retired[i]);
+    g_assert_cmpuint(i, <, config->retired_count);
+    g_assert_cmpstr(config->retired[i].service.name, ==, name);
+    g_assert_cmpuint(config->retired[i].service.id, ==, hash_service(name));
+    g_assert_cmpuint(config->retired[i].service.port, ==, port);
+    g_assert_cmpuint(config->retired[i].until_ms, ==, until_ms);
+    g_assert_true(service_config_find_retired(config, 0x0a000001, port,
+                                              SERVICE_CONFIG_TCP) ==
+                  &config->retired[i]);
 }
 
 /* Twice moved, then moved back to the first address, then removed. */
 TEST(moves)
 {
-    struct text *first = publish(NULL, TEXT(LOTS("80")), NOW_MS);
-    struct text *second = publish(first, TEXT(LOTS("81")), NOW_MS);
-    struct text *third = publish(second, TEXT(LOTS("82")), NOW_MS + 1);
-    struct text *back = publish(third, TEXT(LOTS("80")), NOW_MS + 2);
-    struct text *gone = publish(back, TEXT(ALBUMS("90")), NOW_MS + 3);
+    struct service_config *first = publish(NULL, TEXT(LOTS("80")), NOW_MS);
+    struct service_config *second = publish(first, TEXT(LOTS("81")), NOW_MS);
+    struct service_config *third =
+        publish(second, TEXT(LOTS("82")), NOW_MS + 1);
+    struct service_config *back = publish(third, TEXT(LOTS("80")), NOW_MS + 2);
+    struct service_config *gone =
+        publish(back, TEXT(ALBUMS("90")), NOW_MS + 3);
     uint32_t id = hash_service("lots");
 
     g_assert_cmpuint(first->retired_count, ==, 0);
@@ -115,56 +122,58 @@
     assert_retired(back, 1, "lots", 82, UNTIL_MS + 2);
     g_assert_cmpuint(gone->retired_count, ==, 3);
     assert_retired(gone, 2, "lots", 80, UNTIL_MS + 3);
-    g_assert_true(text_find(gone, id) == NULL);
-    g_assert_true(text_find_served(gone, id) == &gone->retired[2].service);
+    g_assert_true(service_config_find_id(gone, id) == NULL);
+    g_assert_true(service_config_find_with_retired(gone, id) ==
+                  &gone->retired[2].service);
     g_assert_cmpuint(gone->retired[2].service.limits.queue, ==, 9);
-    g_assert_cmpint(gone->retired[2].service.class, ==, TEXT_URGENT);
-    g_assert_true(text_find_served(back, id) == text_find(back, id));
-    text_free(first);
-    text_free(second);
-    text_free(third);
-    text_free(back);
-    text_free(gone);
+    g_assert_cmpint(gone->retired[2].service.class, ==, SERVICE_CONFIG_URGENT);
+    g_assert_true(service_config_find_with_retired(back, id) ==
+                  service_config_find_id(back, id));
+    service_config_free(first);
+    service_config_free(second);
+    service_config_free(third);
+    service_config_free(back);
+    service_config_free(gone);
 }
 
 /* What a process passes on says the same as what the platform holds. */
 TEST(passed_on)
 {
-    struct text *first = publish(NULL, TEXT(LOTS("80")), NOW_MS);
-    struct text *moved = publish(first, TEXT(LOTS("81")), NOW_MS);
-    struct text *again;
+    struct service_config *first = publish(NULL, TEXT(LOTS("80")), NOW_MS);
+    struct service_config *moved = publish(first, TEXT(LOTS("81")), NOW_MS);
+    struct service_config *again;
     char *report;
 
-    g_assert_cmpint(text_parse_envelope(moved->source, moved->source_len, 2,
-                                        &again, &report),
+    g_assert_cmpint(service_config_parse_envelope(
+                        moved->source, moved->source_len, 2, &again, &report),
                     ==, 0);
     sample_assert_same(moved, again);
-    text_free(first);
-    text_free(moved);
-    text_free(again);
+    service_config_free(first);
+    service_config_free(moved);
+    service_config_free(again);
 }
 
 static void
-assert_refused(const struct text *from, const char *source, uint64_t now_ms,
-               const char *expected)
+assert_refused(const struct service_config *from, const char *source,
+               uint64_t now_ms, const char *expected)
 {
-    struct text *to = sample_parse(source);
-    struct text_change change = change_of(from, to, now_ms);
+    struct service_config *to = sample_parse(source);
+    struct service_config_change change = change_of(from, to, now_ms);
     struct step step;
 
     take_step(&change, &step);
     g_assert_cmpstr(step.report, ==, expected);
     g_free(step.report);
-    text_free(to);
+    service_config_free(to);
 }
 
 /* A name is a service's identity: a renamed one is another. */
 TEST(reuse)
 {
-    struct text *first =
+    struct service_config *first =
         publish(NULL, TEXT(LOTS("80") ",\n" ALBUMS("81")), NOW_MS);
-    struct text *gone = publish(first, TEXT(LOTS("80")), NOW_MS);
-    struct text *later;
+    struct service_config *gone = publish(first, TEXT(LOTS("80")), NOW_MS);
+    struct service_config *later;
 
     assert_refused(first, TEXT(LOTS("82") ",\n" ALBUMS("80")), NOW_MS,
                    "t:3: services[1].address: found tcp 10.0.0.1:80 for "
@@ -179,20 +188,21 @@
     later = publish(gone, TEXT(LOTS("81")), UNTIL_MS);
     g_assert_cmpuint(later->retired_count, ==, 1);
     assert_retired(later, 0, "lots", 80,
-                   UNTIL_MS + HOLD_MS + TEXT_RETIRE_SKEW_MS);
-    text_free(first);
-    text_free(gone);
-    text_free(later);
+                   UNTIL_MS + HOLD_MS + SERVICE_CONFIG_RETIRE_SKEW_MS);
+    service_config_free(first);
+    service_config_free(gone);
+    service_config_free(later);
 }
 
 TEST(forget)
 {
-    struct text *first =
+    struct service_config *first =
         publish(NULL, TEXT(LOTS("80") ",\n" ALBUMS("81")), NOW_MS);
-    struct text *gone = publish(first, TEXT(LOTS("80")), NOW_MS);
-    struct text *to = sample_parse(TEXT(LOTS("81")));
-    struct text_change change = change_of(gone, to, NOW_MS);
-    struct text_forget forget = {{0x0a000001, 81}, TEXT_UDP};
+    struct service_config *gone = publish(first, TEXT(LOTS("80")), NOW_MS);
+    struct service_config *to = sample_parse(TEXT(LOTS("81")));
+    struct service_config_change change = change_of(gone, to, NOW_MS);
+    struct service_config_forget forget = {{0x0a000001, 81},
+                                           SERVICE_CONFIG_UDP};
     struct step step;
 
     change.forget = &forget;
@@ -200,7 +210,7 @@
     take_step(&change, &step);
     g_assert_cmpint(step.rc, ==, -EINVAL);
     g_free(step.report);
-    forget.proto = TEXT_TCP;
+    forget.proto = SERVICE_CONFIG_TCP;
     take_step(&change, &step);
     g_assert_cmpint(step.rc, ==, 0);
     g_assert_cmpuint(step.count, ==, 1);
@@ -209,48 +219,48 @@
     take_step(&change, &step);
     g_assert_cmpint(step.rc, ==, 0);
     g_assert_cmpuint(step.count, ==, 0);
-    text_free(first);
-    text_free(gone);
-    text_free(to);
+    service_config_free(first);
+    service_config_free(gone);
+    service_config_free(to);
 }
 
 TEST(too_many)
 {
     g_autoptr(GString) many = g_string_new("{\"services\": [");
-    struct text *text;
+    struct service_config *config;
 
-    for (unsigned i = 0; i <= TEXT_RETIRED_MAX; i++)
+    for (unsigned i = 0; i <= SERVICE_CONFIG_RETIRED_MAX; i++)
         g_string_append_printf(many,
                                "%s{\"name\": \"s%u\", \"address\": "
                                "\"10.0.0.2\", \"port\": %u, \"class\": "
                                "\"ordinary\"}",
                                i > 0 ? "," : "", i, i + 1);
     g_string_append(many, "]}");
-    text = sample_parse(many->str);
-    assert_refused(text, TEXT(LOTS("80")), NOW_MS,
+    config = sample_parse(many->str);
+    assert_refused(config, TEXT(LOTS("80")), NOW_MS,
                    "t:1: found 257 addresses that services have left and "
                    "that may have open flows, expected at most 256\n");
-    text_free(text);
+    service_config_free(config);
 }
 
-/* A text that just fits leaves no room for a list. */
+/* A config that just fits leaves no room for a list. */
 TEST(too_long)
 {
-    size_t room = TEXT_SIZE_MAX - TEXT_ENVELOPE_MAX;
-    struct text *text = publish(NULL, TEXT(LOTS("80")), NOW_MS);
+    size_t room = SERVICE_CONFIG_SIZE_MAX - SERVICE_CONFIG_ENVELOPE_MAX;
+    struct service_config *config = publish(NULL, TEXT(LOTS("80")), NOW_MS);
     g_autoptr(GString) source = g_string_new(TEXT(LOTS("81")));
     size_t pad = room - source->len;
     g_autofree char *spaces = g_strnfill(pad, ' ');
 
     g_string_insert(source, 1, spaces);
     g_assert_cmpuint(source->len, ==, room);
-    assert_refused(text, source->str, NOW_MS,
+    assert_refused(config, source->str, NOW_MS,
                    "t:1: found 1048842 bytes with the 1 addresses that "
                    "services have left, expected at most 1048576\n");
-    text_free(text);
+    service_config_free(config);
 }
 
-/* A list that nobody could have written is refused with the text. */
+/* A list that nobody could have written is refused with the config. */
 TEST(bad_lists)
 {
     static const struct {
@@ -280,18 +290,19 @@
          "config:2: retired[1]: found the address of \"y\" again, expected "
          "it once\n"},
     };
-    struct text *text = sample_parse(TEXT(LOTS("80")));
+    struct service_config *config = sample_parse(TEXT(LOTS("80")));
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct text *parsed;
+        struct service_config *parsed;
         g_autofree char *report = NULL;
         size_t len;
-        g_autofree char *value = value_of(text, cases[i].list, &len);
+        g_autofree char *value = value_of(config, cases[i].list, &len);
 
-        g_assert_cmpint(text_parse_envelope(value, len, 2, &parsed, &report),
-                        ==, -EINVAL);
+        g_assert_cmpint(
+            service_config_parse_envelope(value, len, 2, &parsed, &report), ==,
+            -EINVAL);
         g_assert_null(parsed);
         g_assert_cmpstr(report, ==, cases[i].expected);
     }
-    text_free(text);
+    service_config_free(config);
 }
--- a/tests/text/text_test.c
+++ b/tests/service_config/service_config_test.c
@@ -13,27 +13,27 @@
 static char *
 parse_bad(const char *source, size_t len, int expected)
 {
-    struct text *text;
+    struct service_config *config;
     char *report;
-    int rc = text_parse(source, len, "t", &text, &report);
+    int rc = service_config_parse(source, len, "t", &config, &report);
 
     g_assert_cmpint(rc, ==, expected);
-    g_assert_null(text);
+    g_assert_null(config);
     g_assert_nonnull(report);
     return report;
 }
 
 TEST(full)
 {
-    struct text *text = sample_parse(sample_text);
-    const struct text_service *lots = &text->services[0];
+    struct service_config *config = sample_parse(sample_config);
+    const struct service_config_entry *lots = &config->services[0];
 
-    g_assert_cmpuint(text->count, ==, 3);
-    g_assert_cmpuint(text->version, ==, 0);
+    g_assert_cmpuint(config->count, ==, 3);
+    g_assert_cmpuint(config->version, ==, 0);
     g_assert_cmpuint(lots->id, ==, hash_service("lots"));
     g_assert_cmpuint(lots->ip, ==, 0x0a000001);
     g_assert_cmpuint(lots->port, ==, 80);
-    g_assert_cmpint(lots->class, ==, TEXT_URGENT);
+    g_assert_cmpint(lots->class, ==, SERVICE_CONFIG_URGENT);
     g_assert_cmpuint(lots->depends_count, ==, 2);
     g_assert_cmpuint(lots->depends[0], ==, 1);
     g_assert_cmpuint(lots->depends[1], ==, 2);
@@ -41,38 +41,43 @@
     g_assert_cmpuint(lots->limits.connections_per_caller, ==, 100);
     g_assert_cmpuint(lots->limits.queue, ==, 7);
     g_assert_cmpuint(lots->limits.idle_s, ==, 60);
-    text_free(text);
+    service_config_free(config);
 }
 
 TEST(defaults)
 {
-    struct text *text = sample_parse("{\"services\":[" LOTS "]}");
-    const struct text_limits expected = {2000, 200,     64,  32,
-                                         5000, 1 << 20, 3600};
+    struct service_config *config = sample_parse("{\"services\":[" LOTS "]}");
+    const struct service_config_limits expected = {2000, 200,     64,  32,
+                                                   5000, 1 << 20, 3600};
 
-    g_assert_cmpint(text->services[0].proto, ==, TEXT_TCP);
-    g_assert_cmpmem(&text->services[0].limits, sizeof(expected), &expected,
+    g_assert_cmpint(config->services[0].proto, ==, SERVICE_CONFIG_TCP);
+    g_assert_cmpmem(&config->services[0].limits, sizeof(expected), &expected,
                     sizeof(expected));
-    text_free(text);
+    service_config_free(config);
 }
 
 TEST(find)
 {
-    struct text *text = sample_parse(sample_text);
-    const struct text_service *clock = &text->services[2];
-
-    g_assert_true(text_find(text, hash_service("clock")) == clock);
-    g_assert_null(text_find(text, hash_service("clocks")));
-    g_assert_true(text_find_name(text, "clock") == clock);
-    g_assert_true(text_find_addr(text, 0x0a000001, 80, TEXT_UDP) == clock);
-    g_assert_true(text_find_addr(text, 0x0a000001, 80, TEXT_TCP) ==
-                  &text->services[0]);
-    g_assert_null(text_find_addr(text, 0x0a000001, 81, TEXT_TCP));
-    g_assert_null(text_find_addr(text, 0x0a000002, 80, TEXT_UDP));
-    text_free(text);
+    struct service_config *config = sample_parse(sample_config);
+    const struct service_config_entry *clock = &config->services[2];
+
+    g_assert_true(service_config_find_id(config, hash_service("clock")) ==
+                  clock);
+    g_assert_null(service_config_find_id(config, hash_service("clocks")));
+    g_assert_true(service_config_find_name(config, "clock") == clock);
+    g_assert_true(service_config_find_addr(config, 0x0a000001, 80,
+                                           SERVICE_CONFIG_UDP) == clock);
+    g_assert_true(
+        service_config_find_addr(config, 0x0a000001, 80, SERVICE_CONFIG_TCP) ==
+        &config->services[0]);
+    g_assert_null(
+        service_config_find_addr(config, 0x0a000001, 81, SERVICE_CONFIG_TCP));
+    g_assert_null(
+        service_config_find_addr(config, 0x0a000002, 80, SERVICE_CONFIG_UDP));
+    service_config_free(config);
 }
 
-/** struct fault_case - a wrong text and the report it must get */
+/** struct fault_case - a wrong config and the report it must get */
 struct fault_case {
     const char *source;
     const char *report;
@@ -210,7 +215,7 @@
             g_free(parse_bad(source, strlen(source), -EINVAL));
         }
         else {
-            text_free(sample_parse(source));
+            service_config_free(sample_parse(source));
         }
     }
 }
@@ -231,7 +236,7 @@
                                                    : "");
 
     if (good) {
-        text_free(sample_parse(source));
+        service_config_free(sample_parse(source));
     }
     else {
         g_free(parse_bad(source, strlen(source), -EINVAL));
@@ -274,16 +279,17 @@
 
 TEST(size)
 {
-    size_t most = TEXT_SIZE_MAX - TEXT_ENVELOPE_MAX;
+    size_t most = SERVICE_CONFIG_SIZE_MAX - SERVICE_CONFIG_ENVELOPE_MAX;
     g_autofree char *good = g_strdup("{\"services\":[" LOTS "]}");
     g_autofree char *space = g_strnfill(most + 1 - strlen(good), ' ');
     g_autofree char *source = g_strconcat(good, space, NULL);
-    struct text *text;
+    struct service_config *config;
     g_autofree char *report = NULL;
 
-    g_assert_cmpint(text_parse(source, most, "t", &text, &report), ==, 0);
-    g_assert_cmpuint(text->source_len, ==, strlen(good));
-    text_free(text);
+    g_assert_cmpint(service_config_parse(source, most, "t", &config, &report),
+                    ==, 0);
+    g_assert_cmpuint(config->source_len, ==, strlen(good));
+    service_config_free(config);
     report = parse_bad(source, most + 1, -EFBIG);
     g_assert_cmpstr(report, ==,
                     "t:1: found 1047553 bytes, expected at most 1047552 (a "
