--- a/src/agent/actions.c
+++ b/src/agent/actions.c
@@ -7,7 +7,6 @@
 #include "agent/request.h"
 #include "base/log.h"
 
-/* Ends that arise while actions are carried out are told with the tick. */
 void
 actions_defer_run_end(struct requests *requests, uint64_t origin, uint64_t id,
                       enum engine_upstream how)
@@ -26,11 +25,11 @@
         request_find(requests, action->origin, action->id);
     char lines[256];
 
-    /* The service is checked once more at the last moment: the upstream may
-     * have been replaced by another service's. */
+    /* The upstream may have been replaced by that of another service since
+     * the request was queued. */
     if (request == NULL || request->http == NULL || request->run != NULL ||
         request->service != agent->upstream.service) {
-        g_message("A request to run is not held or not served here.");
+        g_message("A request to run is not stored or not served here.");
         actions_defer_run_end(requests, action->origin, action->id,
                               ENGINE_UP_UNREACHED);
         return;
@@ -74,7 +73,7 @@
     char parent[TRACE_PARENT_MAX];
 
     if (request == NULL || request->http == NULL) {
-        g_warning("A request to pass on is not held here.");
+        g_warning("A request to send to a peer is not stored here.");
         requests_unsent(requests->agent, action->to, msg->request.id);
         return;
     }
@@ -98,7 +97,7 @@
         answer = request->answer;
     }
     if (peer_links_send(requests->agent, action->to, msg, answer, "") < 0) {
-        /* It ran, but its answer can't be carried: nobody will know it. */
+        /* It ran, but its answer can't be sent to the origin. */
         cut.outcome = ENGINE_UNKNOWN;
         cut.reason = ENGINE_TRUNCATED;
         peer_links_send(requests->agent, action->to, &cut, NULL, "");
@@ -124,7 +123,7 @@
     }
 }
 
-/* The bytes of a final answer; the caller's. */
+/* Returns a reference to the final answer of a request. */
 static GByteArray *
 final_answer(const struct request *request, const struct engine_action *action)
 {
@@ -141,7 +140,7 @@
     if (!action->replayed && request->answer != NULL) {
         return g_byte_array_ref(request->answer);
     }
-    /* It ran, but its answer is no longer kept anywhere. */
+    /* It ran, but its answer is no longer stored. */
     return answer_refusal(ENGINE_UNKNOWN, ENGINE_TRUNCATED, 0);
 }
 
@@ -187,10 +186,10 @@
 void
 actions_execute(struct requests *requests)
 {
-    requests->acting = true;
+    requests->executing = true;
     for (size_t i = 0; i < requests->out.count; i++) {
         act_one(requests, &requests->out.items[i]);
     }
     requests->out.count = 0;
-    requests->acting = false;
+    requests->executing = false;
 }
--- a/src/agent/addresses.h
+++ b/src/agent/addresses.h
@@ -1,5 +1,8 @@
 /**
- * DOC: addresses - which addresses are those of the service served here
+ * DOC: addresses - current and retired addresses of the local service
+ *
+ * Decides whether an address is current, retired (its flows continue until a
+ * set time), expired or not the service's.
  */
 #ifndef SWIFTARCH_AGENT_ADDRESSES_H
 #define SWIFTARCH_AGENT_ADDRESSES_H
@@ -12,8 +15,13 @@
 #include "service_config/service_config.h"
 #include "service_config/service_config_retire.h"
 
-/** struct retired_address - an retired_address, and until when it stays the
- * service's */
+/**
+ * struct retired_address - an address that the service had before
+ * @ip: address, host byte order
+ * @port: port
+ * @proto: SERVICE_CONFIG_TCP or SERVICE_CONFIG_UDP
+ * @until_ms: end of its retirement, ms since 1970
+ */
 struct retired_address {
     uint32_t ip;
     uint16_t port;
@@ -22,10 +30,10 @@
 };
 
 /**
- * struct addresses - those that the service had before
- * @removed: and the config gives it none now
- * @count: how many
- * @items: the addresses
+ * struct addresses - retired addresses of a service
+ * @removed: the configuration no longer has the service
+ * @count: number of @items
+ * @items: the retired addresses
  */
 struct addresses {
     bool removed;
@@ -33,7 +41,7 @@
     struct retired_address items[SERVICE_CONFIG_RETIRED_MAX];
 };
 
-/** addresses_set() - take over what @config retires of a service */
+/** addresses_set() - copy the retired addresses of @service from @config */
 static inline void
 addresses_set(struct addresses *addresses, const struct service_config *config,
               uint32_t service)
@@ -52,9 +60,9 @@
     }
 }
 
-/** addresses_find() - what an retired_address is to @service as it is now;
- * @now_ms since 1970, which may differ from the publisher's clock by
- * SERVICE_CONFIG_RETIRE_SKEW_MS */
+/** addresses_find() - classify an address; @service is the current entry.
+ * @now_ms is the time since 1970. A retired address expires
+ * SERVICE_CONFIG_RETIRE_SKEW_MS early, as the publisher's clock may differ. */
 static inline enum flow_address
 addresses_find(const struct addresses *addresses,
                const struct service_config_entry *service, uint32_t ip,
--- a/src/agent/answer.c
+++ b/src/agent/answer.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #define MS_PER_S 1000
-#define STATUS_OFFSET 9 /* of the code in "HTTP/1.1 200 OK" */
+#define STATUS_OFFSET 9 /* offset of the code in "HTTP/1.1 200 OK" */
 
 /** struct phrase - reason phrase of a status */
 struct phrase {
@@ -27,7 +27,7 @@
 };
 
 static const char *
-phrase_of(unsigned status)
+reason_phrase(unsigned status)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(phrases); i++) {
         if (phrases[i].status == status) {
@@ -37,7 +37,7 @@
     return "Error";
 }
 
-/* Error types of RFC 9209 where one fits. */
+/* Proxy-Status error type (RFC 9209) of a reason. */
 static const char *
 proxy_error(enum engine_reason reason)
 {
@@ -77,20 +77,20 @@
 }
 
 static GByteArray *
-from_text(const GString *text)
+bytes_from_string(const GString *string)
 {
-    GByteArray *out = g_byte_array_sized_new((guint)text->len);
+    GByteArray *out = g_byte_array_sized_new((guint)string->len);
 
-    g_byte_array_append(out, (const guint8 *)text->str, (guint)text->len);
+    g_byte_array_append(out, (const guint8 *)string->str, (guint)string->len);
     return out;
 }
 
 static void
-append_retry_after(GString *text, uint32_t ms)
+append_retry_after(GString *string, uint32_t ms)
 {
     uint32_t seconds = ms / MS_PER_S + (ms % MS_PER_S != 0);
 
-    g_string_append_printf(text, "Retry-After: %u\r\nRetry-After-Ms: %u\r\n",
+    g_string_append_printf(string, "Retry-After: %u\r\nRetry-After-Ms: %u\r\n",
                            seconds, ms);
 }
 
@@ -99,50 +99,51 @@
                uint32_t retry_after_ms)
 {
     unsigned status = status_of(outcome);
-    GString *text = g_string_new(NULL);
+    GString *string = g_string_new(NULL);
 
-    g_string_append_printf(text, "HTTP/1.1 %u %s\r\n", status,
-                           phrase_of(status));
+    g_string_append_printf(string, "HTTP/1.1 %u %s\r\n", status,
+                           reason_phrase(status));
     if (outcome == ENGINE_NOT_RUN || outcome == ENGINE_IN_PROGRESS) {
-        append_retry_after(text, retry_after_ms);
+        append_retry_after(string, retry_after_ms);
     }
-    g_string_append_printf(text, "Swiftarch-Outcome: %s\r\n",
+    g_string_append_printf(string, "Swiftarch-Outcome: %s\r\n",
                            answer_outcome_name(outcome));
     g_string_append_printf(
-        text, "Proxy-Status: swiftarch; error=%s; details=\"%s\"\r\n",
+        string, "Proxy-Status: swiftarch; error=%s; details=\"%s\"\r\n",
         proxy_error(reason), answer_reason_name(reason));
-    g_string_append(text, "Content-Length: 0\r\n\r\n");
-    GByteArray *out = from_text(text);
-    g_string_free(text, TRUE);
+    g_string_append(string, "Content-Length: 0\r\n\r\n");
+    GByteArray *out = bytes_from_string(string);
+    g_string_free(string, TRUE);
     return out;
 }
 
 GByteArray *
 answer_error(unsigned status)
 {
-    GString *text = g_string_new(NULL);
+    GString *string = g_string_new(NULL);
 
-    g_string_append_printf(text,
+    g_string_append_printf(string,
                            "HTTP/1.1 %u %s\r\n"
                            "Swiftarch-Outcome: not-run\r\n"
                            "Content-Length: 0\r\n\r\n",
-                           status, phrase_of(status));
-    GByteArray *out = from_text(text);
-    g_string_free(text, TRUE);
+                           status, reason_phrase(status));
+    GByteArray *out = bytes_from_string(string);
+    g_string_free(string, TRUE);
     return out;
 }
 
 GByteArray *
 answer_with_field(const uint8_t *answer, size_t len, const char *line)
 {
-    static const char blank[] = "\r\n\r\n";
-    const uint8_t *end = memmem(answer, len, blank, sizeof(blank) - 1);
-    size_t first = end == NULL ? len : (size_t)(end - answer) + 2;
+    static const char header_end[] = "\r\n\r\n";
+    const uint8_t *end =
+        memmem(answer, len, header_end, sizeof(header_end) - 1);
+    size_t fields_end = end == NULL ? len : (size_t)(end - answer) + 2;
     GByteArray *out = g_byte_array_sized_new((guint)(len + strlen(line)));
 
-    g_byte_array_append(out, answer, (guint)first);
+    g_byte_array_append(out, answer, (guint)fields_end);
     g_byte_array_append(out, (const guint8 *)line, (guint)strlen(line));
-    g_byte_array_append(out, answer + first, (guint)(len - first));
+    g_byte_array_append(out, answer + fields_end, (guint)(len - fields_end));
     return out;
 }
 
--- a/src/agent/answer_reader.c
+++ b/src/agent/answer_reader.c
@@ -10,7 +10,7 @@
     STATUS_UNAVAILABLE = 503
 };
 
-/* Return values of on_headers that http_parser knows. */
+/* Results of on_headers() for http_parser. */
 enum { HEADERS_OK = 0, HEADERS_NO_BODY = 1 };
 
 static struct answer_reader *
@@ -170,9 +170,9 @@
 }
 
 static void
-append_text(GByteArray *out, const char *text)
+append_string(GByteArray *out, const char *string)
 {
-    g_byte_array_append(out, (const guint8 *)text, (guint)strlen(text));
+    g_byte_array_append(out, (const guint8 *)string, (guint)strlen(string));
 }
 
 static void
@@ -184,33 +184,33 @@
     if (!without_body(reader)) {
         g_snprintf(line, sizeof(line), "Content-Length: %u\r\n",
                    reader->body->len);
-        append_text(out, line);
+        append_string(out, line);
     }
     else if (length != NULL && reader->head) {
-        append_text(out, "Content-Length: ");
-        append_text(out, length);
-        append_text(out, "\r\n");
+        append_string(out, "Content-Length: ");
+        append_string(out, length);
+        append_string(out, "\r\n");
     }
 }
 
 GByteArray *
 answer_reader_take(const struct answer_reader *reader)
 {
-    /* Only an agent may say what became of a request. */
-    static const char *const ours[] = {"Swiftarch-Outcome",
-                                       "Idempotency-Replayed", NULL};
+    /* Fields that only agents set; those of an upstream are dropped. */
+    static const char *const agent_fields[] = {"Swiftarch-Outcome",
+                                               "Idempotency-Replayed", NULL};
     GByteArray *out = g_byte_array_new();
     char start[32];
 
     g_snprintf(start, sizeof(start), "HTTP/1.1 %03u ",
                reader->parser.status_code);
-    append_text(out, start);
+    append_string(out, start);
     g_byte_array_append(out, (const guint8 *)reader->phrase->str,
                         (guint)reader->phrase->len);
-    append_text(out, "\r\n");
-    fields_write(&reader->fields, ours, out);
+    append_string(out, "\r\n");
+    fields_write(&reader->fields, agent_fields, out);
     append_length(reader, out);
-    append_text(out, "\r\n");
+    append_string(out, "\r\n");
     g_byte_array_append(out, reader->body->data, reader->body->len);
     return out;
 }
--- a/src/agent/backend.c
+++ b/src/agent/backend.c
@@ -7,7 +7,7 @@
 #include "agent/answer.h"
 #include "agent/answer_reader.h"
 
-/* Where a run is; nothing was sent before BACKEND_SENT. */
+/* State of a run; no byte is sent before BACKEND_SENT. */
 enum backend_state { BACKEND_CONNECTING, BACKEND_SENT };
 
 struct backend_run {
@@ -102,7 +102,7 @@
     const struct timeval timeout = {0, BACKEND_CONNECT_TIMEOUT_MS * 1000L};
     struct sockaddr_in sin = addr_to_sockaddr(upstream);
 
-    /* Deferred callbacks: none may run before backend_start() returned. */
+    /* Callbacks are deferred until backend_start() has returned. */
     run->bev = bufferevent_socket_new(run->backend->base, -1,
                                       BEV_OPT_CLOSE_ON_FREE |
                                           BEV_OPT_DEFER_CALLBACKS);
--- a/src/agent/backend.h
+++ b/src/agent/backend.h
@@ -1,9 +1,9 @@
 /**
- * DOC: backend - requests handed to the local upstream
+ * DOC: backend - HTTP/1.1 client of the local upstream
  *
- * One connection for each request, closed after its answer, so that an
- * answer, however late, can never reach another request. Says how each run
- * ended, in the engine's terms; an aborted run says nothing more.
+ * Opens one connection for each request and closes it after the answer, so
+ * that a late answer cannot be taken for that of another request. Reports how
+ * each run ended as enum engine_upstream; an aborted run is not reported.
  */
 #ifndef SWIFTARCH_AGENT_BACKEND_H
 #define SWIFTARCH_AGENT_BACKEND_H
@@ -21,11 +21,13 @@
 struct backend_owner;
 struct backend_run;
 
-/** struct backend_ops - what the owner is told, from the event loop only */
+/** struct backend_ops - events for the owner, called from the event loop only
+ */
 struct backend_ops {
     /**
-     * @on_end: a run ended and is gone. @answer (ENGINE_UP_ANSWERED, else
-     * NULL) is the receiver's.
+     * @on_end: a run ended and was freed. @data is that of backend_start().
+     * @answer is set for ENGINE_UP_ANSWERED, else NULL; the owner takes
+     * ownership.
      */
     void (*on_end)(struct backend_owner *owner, void *data,
                    enum engine_upstream how, GByteArray *answer);
@@ -37,10 +39,10 @@
 };
 
 /**
- * struct backend - the client side towards one upstream
+ * struct backend - all open runs
  * @base: event loop
- * @owner: told of ends
- * @runs: runs not ended yet
+ * @owner: receives the ends of runs
+ * @runs: open runs, queue of struct backend_run
  */
 struct backend {
     struct event_base *base;
@@ -48,32 +50,32 @@
     GQueue runs;
 };
 
-/** backend_init() - begin without runs */
+/** backend_init() - initialize without runs */
 void
 backend_init(struct backend *backend, struct event_base *base,
              struct backend_owner *owner);
 
-/** backend_finish() - close all runs without a word */
+/** backend_finish() - free all runs without reporting their ends */
 void
 backend_finish(struct backend *backend);
 
 /**
- * backend_start() - hand a request over
+ * backend_start() - send a request to the upstream
  * @upstream: address of the upstream
  * @http: the request (reader.h form)
- * @lines: fields put before its own, each ended by CR LF
+ * @lines: fields added after its own, each ended by CR LF
  * @body_max: largest answer body, bytes
- * @data: given backend with on_end
+ * @data: passed to on_end
  *
- * Return: the run, or NULL when it could not begin (nothing was sent).
+ * Return: the run, or NULL when no connection could be started (nothing was
+ * sent).
  */
 struct backend_run *
 backend_start(struct backend *backend, struct addr upstream,
               const GByteArray *http, const char *lines, size_t body_max,
               void *data);
 
-/** backend_abort() - cancel a run: its connection is closed, its answer
- * dropped */
+/** backend_abort() - cancel a run: close its connection and drop its answer */
 void
 backend_abort(struct backend_run *run);
 
--- a/src/agent/fields.c
+++ b/src/agent/fields.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <strings.h>
 
-static const char *const hop_by_hop[] = {
+static const char *const not_forwarded[] = {
     "Connection",
     "Keep-Alive",
     "Proxy-Authenticate",
@@ -17,7 +17,7 @@
     NULL,
 };
 
-/* Fields that Connection may name without their being dropped. */
+/* Fields forwarded even when Connection lists them. */
 static const char *const always_forwarded[] = {"Host", NULL};
 
 static bool
@@ -61,7 +61,7 @@
 }
 
 static bool
-named_by_connection(const struct fields *fields, const char *name)
+listed_in_connection(const struct fields *fields, const char *name)
 {
     for (size_t i = 0; i < fields_len(fields); i++) {
         const struct field *field = field_at(fields, i);
@@ -148,9 +148,9 @@
     for (size_t i = 0; i < fields_len(fields); i++) {
         const struct field *field = field_at(fields, i);
         const char *name = field->name->str;
-        if (name_in(hop_by_hop, name) || name_in(skip, name) ||
+        if (name_in(not_forwarded, name) || name_in(skip, name) ||
             (!name_in(always_forwarded, name) &&
-             named_by_connection(fields, name))) {
+             listed_in_connection(fields, name))) {
             continue;
         }
         g_byte_array_append(out, (const guint8 *)name,
--- a/src/agent/fields.h
+++ b/src/agent/fields.h
@@ -1,8 +1,8 @@
 /**
  * DOC: fields - header fields of one HTTP message, in order
  *
- * Collects what http_parser hands out in pieces, and writes back only the
- * end-to-end fields (RFC 9110, 7.6.1).
+ * Collects the names and values that http_parser delivers in pieces, and
+ * writes the end-to-end fields only (RFC 9110, 7.6.1).
  */
 #ifndef SWIFTARCH_AGENT_FIELDS_H
 #define SWIFTARCH_AGENT_FIELDS_H
@@ -11,7 +11,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** struct field - one header field; both parts end in NUL */
+/** struct field - one header field */
 struct field {
     GString *name;
     GString *value;
@@ -20,8 +20,8 @@
 /**
  * struct fields - the fields of a message
  * @items: array of struct field, NULL while there are none
- * @bytes: size of all names and values
- * @in_value: the last piece belonged to a value
+ * @bytes: total size of all names and values
+ * @in_value: the last piece was part of a value
  */
 struct fields {
     GArray *items;
@@ -29,32 +29,33 @@
     bool in_value;
 };
 
-/** fields_clear() - drop all fields and their memory */
+/** fields_clear() - remove and free all fields */
 void
 fields_clear(struct fields *fields);
 
-/** fields_add_name() - a piece of a field name */
+/** fields_add_name() - append a piece of a field name; starts a new field
+ * after a value */
 void
 fields_add_name(struct fields *fields, const char *at, size_t len);
 
-/** fields_add_value() - a piece of a field value */
+/** fields_add_value() - append a piece of the last field's value */
 void
 fields_add_value(struct fields *fields, const char *at, size_t len);
 
-/** fields_get() - value of the first field @name, or NULL */
+/** fields_get() - value of the first field @name (any case), or NULL */
 const char *
 fields_get(const struct fields *fields, const char *name);
 
-/** fields_count() - how many fields are called @name */
+/** fields_count() - number of fields @name (any case) */
 size_t
 fields_count(const struct fields *fields, const char *name);
 
 /**
  * fields_write() - append the end-to-end fields to @out
- * @skip: further names to leave out, ended by NULL
+ * @skip: further names to omit, ended by NULL
  *
- * Connection, what it names, and the other hop-by-hop fields are left
- * out, and Content-Length, which the writer of the message sets.
+ * Omits Connection, the fields it lists, the other hop-by-hop fields, and
+ * Content-Length, which the writer of the message sets.
  */
 void
 fields_write(const struct fields *fields, const char *const *skip,
--- a/src/agent/frontend.c
+++ b/src/agent/frontend.c
@@ -11,26 +11,27 @@
 size_t
 frontend_conn_backlog(const struct frontend_conn *fc)
 {
-    return fc->out == NULL ? 0 : fc->out->len - fc->out_pos;
+    return fc->output == NULL ? 0 : fc->output->len - fc->output_pos;
 }
 
 void
 frontend_conn_discard_output(struct frontend_conn *fc)
 {
-    if (fc->out != NULL) {
+    if (fc->output != NULL) {
         fc->frontend->backlog -= frontend_conn_backlog(fc);
-        g_byte_array_unref(fc->out);
-        fc->out = NULL;
-        fc->out_pos = 0;
+        g_byte_array_unref(fc->output);
+        fc->output = NULL;
+        fc->output_pos = 0;
     }
 }
 
-/* Hands the stack what it takes, and closes once all is taken. */
+/* Writes pending output to the stack; closes the flow after the last byte when
+ * close_after is set. */
 static void
-flush(struct frontend_conn *fc, uint64_t now_us)
+flush_output(struct frontend_conn *fc, uint64_t now_us)
 {
     while (frontend_conn_backlog(fc) > 0) {
-        size_t taken = stack_write(fc->conn, fc->out->data + fc->out_pos,
+        size_t taken = stack_write(fc->conn, fc->output->data + fc->output_pos,
                                    frontend_conn_backlog(fc));
         if (taken == 0) {
             if (fc->stalled_us == 0) {
@@ -38,7 +39,7 @@
             }
             return;
         }
-        fc->out_pos += taken;
+        fc->output_pos += taken;
         fc->frontend->backlog -= taken;
         fc->last_io_us = now_us;
         fc->stalled_us = 0;
@@ -50,12 +51,12 @@
 }
 
 static void
-append_out(struct frontend_conn *fc, const uint8_t *data, size_t len)
+append_output(struct frontend_conn *fc, const uint8_t *data, size_t len)
 {
-    if (fc->out == NULL) {
-        fc->out = g_byte_array_sized_new((guint)len);
+    if (fc->output == NULL) {
+        fc->output = g_byte_array_sized_new((guint)len);
     }
-    g_byte_array_append(fc->out, data, (guint)len);
+    g_byte_array_append(fc->output, data, (guint)len);
     fc->frontend->backlog += len;
 }
 
@@ -67,7 +68,7 @@
     g_snprintf(lines, sizeof(lines), "%s%s", fc->frontend->via,
                last ? CONNECTION_CLOSE : "");
     GByteArray *message = answer_with_field(answer->data, answer->len, lines);
-    append_out(fc, message->data, message->len);
+    append_output(fc, message->data, message->len);
     g_byte_array_unref(message);
 }
 
@@ -78,13 +79,13 @@
     fc->frontend->partial_bytes -= fc->partial_bytes;
     fc->partial_bytes = 0;
     reader_finish(&fc->reader);
-    if (fc->in != NULL) {
-        g_byte_array_unref(fc->in);
-        fc->in = NULL;
+    if (fc->input != NULL) {
+        g_byte_array_unref(fc->input);
+        fc->input = NULL;
     }
 }
 
-/* Sends the answers that have come up to the first that has not. */
+/* Sends answers in request order, up to the first one still missing. */
 static void
 send_answers(struct frontend_conn *fc, uint64_t now_us)
 {
@@ -96,7 +97,7 @@
             break;
         }
         g_queue_pop_head(&fc->slots);
-        /* A stopping agent says so on the last answer it owes. */
+        /* A stopping agent closes the flow with its last pending answer. */
         bool last =
             slot->last || (frontend->stopping && g_queue_is_empty(&fc->slots));
         append_answer(fc, slot->answer, last);
@@ -108,7 +109,7 @@
             break;
         }
     }
-    flush(fc, now_us);
+    flush_output(fc, now_us);
 }
 
 static bool
@@ -127,7 +128,6 @@
     }
 }
 
-/* An unreadable request gets its answer after those before it. */
 void
 frontend_conn_reject(struct frontend_conn *fc, unsigned status,
                      uint64_t now_us)
@@ -160,7 +160,7 @@
     frontend->owner->ops->on_request(frontend->owner, slot, request,
                                      stack_conn_peer(fc->conn),
                                      stack_conn_local(fc->conn));
-    /* The owner may have answered at once, and closed the flow with it. */
+    /* The owner may have answered in the callback and so ended the flow. */
     if (fc->ended || must_pause(fc)) {
         reader_pause(&fc->reader);
     }
@@ -172,11 +172,11 @@
     static const char interim[] = "HTTP/1.1 100 Continue\r\n\r\n";
     struct frontend_conn *fc = (struct frontend_conn *)owner;
 
-    /* Behind an open answer it would be out of order; the caller's own
-     * timeout then lets the body come. */
+    /* While an earlier answer is pending, 100 Continue would be out of order;
+     * the caller then sends the body after its own timeout. */
     if (g_queue_is_empty(&fc->slots)) {
-        append_out(fc, (const uint8_t *)interim, sizeof(interim) - 1);
-        flush(fc, fc->now_us);
+        append_output(fc, (const uint8_t *)interim, sizeof(interim) - 1);
+        flush_output(fc, fc->now_us);
     }
 }
 
@@ -185,7 +185,7 @@
     .on_continue = on_continue,
 };
 
-/* Keeps count of what half-read requests hold, over all flows. */
+/* Updates the count of partially read bytes of this flow and of all flows. */
 static void
 count_partial_bytes(struct frontend_conn *fc)
 {
@@ -198,7 +198,8 @@
     fc->partial_bytes = partial_bytes;
 }
 
-/* Reads @data; what the reader does not take yet is kept in fc->in. */
+/* Feeds @data to the reader; stores the bytes it does not take in fc->input.
+ */
 static void
 read_bytes(struct frontend_conn *fc, const uint8_t *data, size_t len,
            uint64_t now_us)
@@ -222,20 +223,20 @@
         return;
     }
     if (taken < len) {
-        fc->in = g_byte_array_new();
-        g_byte_array_append(fc->in, data + taken, (guint)(len - taken));
+        fc->input = g_byte_array_new();
+        g_byte_array_append(fc->input, data + taken, (guint)(len - taken));
     }
 }
 
-/* Goes on with kept bytes as far as the bounds allow. */
+/* Reads stored input until a pipelining or backlog limit pauses the flow. */
 static void
 read_pending(struct frontend_conn *fc, uint64_t now_us)
 {
-    while (fc->in != NULL && !fc->ended && !must_pause(fc)) {
-        GByteArray *in = fc->in;
-        fc->in = NULL;
-        read_bytes(fc, in->data, in->len, now_us);
-        g_byte_array_unref(in);
+    while (fc->input != NULL && !fc->ended && !must_pause(fc)) {
+        GByteArray *input = fc->input;
+        fc->input = NULL;
+        read_bytes(fc, input->data, input->len, now_us);
+        g_byte_array_unref(input);
     }
     set_paused(fc, !fc->ended && must_pause(fc));
 }
@@ -317,11 +318,11 @@
     }
     fc->last_io_us = now_us;
     fc->now_us = now_us;
-    if (fc->in == NULL && must_pause(fc)) {
-        fc->in = g_byte_array_new();
+    if (fc->input == NULL && must_pause(fc)) {
+        fc->input = g_byte_array_new();
     }
-    if (fc->in != NULL) {
-        g_byte_array_append(fc->in, data, (guint)len);
+    if (fc->input != NULL) {
+        g_byte_array_append(fc->input, data, (guint)len);
     }
     else {
         read_bytes(fc, data, len, now_us);
@@ -337,7 +338,7 @@
 
     if (fc != NULL) {
         fc->now_us = now_us;
-        flush(fc, now_us);
+        flush_output(fc, now_us);
         read_pending(fc, now_us);
     }
 }
@@ -354,11 +355,11 @@
     frontend_conn_stop_reading(fc);
     if (g_queue_is_empty(&fc->slots)) {
         fc->close_after = true;
-        flush(fc, fc->last_io_us);
+        flush_output(fc, fc->last_io_us);
         return;
     }
     struct frontend_slot *slot = g_queue_peek_tail(&fc->slots);
-    slot->last = true; /* half-closed: what it asked for is still owed */
+    slot->last = true; /* half-closed: pending answers are still sent */
 }
 
 void
@@ -390,8 +391,8 @@
 
     slot->answer = answer;
     send_answers(fc, now_us);
-    /* Within on_request() the reader is in the middle of its bytes. */
-    if (fc->in != NULL) {
+    /* During on_request() fc->input is NULL: read_bytes() is still running. */
+    if (fc->input != NULL) {
         read_pending(fc, now_us);
     }
     else {
--- a/src/agent/frontend.h
+++ b/src/agent/frontend.h
@@ -1,9 +1,9 @@
 /**
- * DOC: frontend - callers' HTTP/1.1 on the flows of the stack
+ * DOC: frontend - HTTP/1.1 server for callers on the flows of the stack
  *
- * Reads requests, answers them in order however they end, bounds what a
- * caller may hold: header and body size, pipelined requests, unread
- * answers, connections in all and for each caller.
+ * Reads requests and sends their answers in request order. Limits header and
+ * body size, pipelined requests, unsent answers, and flows in total and per
+ * caller.
  */
 #ifndef SWIFTARCH_AGENT_FRONTEND_H
 #define SWIFTARCH_AGENT_FRONTEND_H
@@ -17,11 +17,11 @@
 #include "base/addr.h"
 #include "stack/stack.h"
 
-#define FRONTEND_VIA_MAX 64
-#define FRONTEND_PIPELINE_MAX 8
-#define FRONTEND_BACKLOG_MAX (256u << 10)
-#define FRONTEND_BACKLOG_TOTAL_MAX (64u << 20)
-#define FRONTEND_PARTIAL_BYTES_MAX (64u << 20)
+#define FRONTEND_VIA_MAX 64               /* bytes */
+#define FRONTEND_PIPELINE_MAX 8           /* unanswered requests of a flow */
+#define FRONTEND_BACKLOG_MAX (256u << 10) /* bytes, one flow */
+#define FRONTEND_BACKLOG_TOTAL_MAX (64u << 20) /* bytes, all flows */
+#define FRONTEND_PARTIAL_BYTES_MAX (64u << 20) /* bytes, all flows */
 #define FRONTEND_READ_TIMEOUT_US (10 * UINT64_C(1000000))
 #define FRONTEND_WRITE_TIMEOUT_US (10 * UINT64_C(1000000))
 
@@ -29,11 +29,11 @@
 struct frontend_owner;
 
 /**
- * struct frontend_slot - place of one request in the order of its flow
- * @conn: its flow, NULL once that is gone
+ * struct frontend_slot - position of one request in the answers of its flow
+ * @conn: its flow
  * @id: the owner's id of the request
- * @answer: its answer, once there is one
- * @last: no request follows on the flow
+ * @answer: its answer, NULL until there is one
+ * @last: the flow closes after this answer
  */
 struct frontend_slot {
     struct frontend_conn *conn;
@@ -42,16 +42,16 @@
     bool last;
 };
 
-/** struct frontend_ops - what the owner is told */
+/** struct frontend_ops - events for the owner */
 struct frontend_ops {
-    /** @on_request: a whole request on a flow from @caller to @local; set
-     * slot->id and take over request->http. frontend_answer() may be called at
-     * once. */
+    /** @on_request: a complete request on a flow from @caller to @local. The
+     * owner sets slot->id and takes ownership of request->http; it may call
+     * frontend_answer() from the callback. */
     void (*on_request)(struct frontend_owner *owner,
                        struct frontend_slot *slot,
                        struct reader_request *request, struct addr caller,
                        struct addr local);
-    /** @on_gone: the caller of an unanswered request is gone; @slot is
+    /** @on_gone: the flow of an unanswered request was closed; @slot is
      * invalid afterwards */
     void (*on_gone)(struct frontend_owner *owner, struct frontend_slot *slot);
     /** @on_flow: a flow opened or ended */
@@ -65,11 +65,11 @@
 };
 
 /**
- * struct frontend_limits - bounds of a service
- * @connections: open flows
- * @per_caller: open flows of one caller
+ * struct frontend_limits - limits of a service
+ * @connections: maximum of open flows
+ * @per_caller: maximum of open flows of one caller address
  * @body_max: largest request body, bytes
- * @idle_us: flows without bytes for so long are closed
+ * @idle_us: idle time after which a flow is closed
  */
 struct frontend_limits {
     size_t connections;
@@ -78,7 +78,14 @@
     uint64_t idle_us;
 };
 
-/** struct frontend_stats - what the frontend counted */
+/**
+ * struct frontend_stats - counters
+ * @opened: flows opened
+ * @refused: flows refused by a limit, of UDP callers too
+ * @bad_requests: requests rejected with an error status
+ * @slow: flows reset or requests rejected for a timeout or the backlog limit
+ * @reset: flows that the stack closed with an error
+ */
 struct frontend_stats {
     uint64_t opened;
     uint64_t refused;
@@ -89,16 +96,16 @@
 
 /**
  * struct frontend - all flows of the agent
- * @owner: told of requests
- * @via: field that says who owns the flow, put on each answer
- * @limits: bounds in force
- * @conns: flows, as GQueue of struct frontend_conn
- * @callers: open flows by caller address
- * @backlog: bytes of answers not yet taken by the stack
- * @partial_bytes: bytes of requests read in part, over all flows
- * @partial_bytes_max: over this much the flow that brings more is refused
- * @stopping: close each flow after its next answer
- * @stats: counts
+ * @owner: receives requests and flow events
+ * @via: Via field with this agent's name, added to each answer
+ * @limits: current limits of the service
+ * @conns: open flows, queue of struct frontend_conn
+ * @callers: number of open flows by caller address
+ * @backlog: bytes of answers not yet written to the stack, all flows
+ * @partial_bytes: bytes of partially read requests, all flows
+ * @partial_bytes_max: above it, a flow that adds partial bytes gets a 503
+ * @stopping: close each flow after its last pending answer
+ * @stats: counters
  */
 struct frontend {
     struct frontend_owner *owner;
@@ -113,25 +120,27 @@
     struct frontend_stats stats;
 };
 
-/** frontend_init() - begin without flows; @name: of this host, for Via */
+/** frontend_init() - initialize without flows; @name of this host is sent in
+ * Via */
 void
 frontend_init(struct frontend *frontend, struct frontend_owner *owner,
               const char *name);
 
-/** frontend_finish() - forget all flows; the stack is freed before */
+/** frontend_finish() - free all flows; called after the stack is freed */
 void
 frontend_finish(struct frontend *frontend);
 
-/** frontend_can_open() - whether the limits allow one more flow of @ip */
+/** frontend_can_open() - whether the limits allow another flow of caller @ip
+ */
 bool
 frontend_can_open(const struct frontend *frontend, uint32_t ip);
 
-/** frontend_count_caller() - note that flows of @ip became more or fewer */
+/** frontend_count_caller() - add @change to the number of open flows of @ip */
 void
 frontend_count_caller(struct frontend *frontend, uint32_t ip, int change);
 
 /** frontend_open(), frontend_data(), frontend_writable(), frontend_eof(),
- * frontend_closed() - what the stack tells of a flow; monotonic @now_us */
+ * frontend_closed() - events of a flow from the stack; @now_us is monotonic */
 void
 frontend_open(struct frontend *frontend, struct stack_conn *conn,
               uint64_t now_us);
@@ -146,33 +155,33 @@
 void
 frontend_closed(struct frontend *frontend, struct stack_conn *conn);
 
-/** frontend_answer() - the answer of a request; sent once all earlier ones of
- * its flow are. @slot is invalid afterwards. */
+/** frontend_answer() - answer a request; takes ownership of @answer and sends
+ * it after all earlier answers of the flow. @slot is invalid afterwards. */
 void
 frontend_answer(struct frontend *frontend, struct frontend_slot *slot,
                 GByteArray *answer, uint64_t now_us);
 
-/** frontend_tick() - close what is idle or too slow; about once a second */
+/** frontend_tick() - close idle and slow flows; called about once a second */
 void
 frontend_tick(struct frontend *frontend, uint64_t now_us);
 
-/** frontend_abort_unless() - reset the flows to addresses that aren't kept */
+/** frontend_abort_unless() - reset the flows for whose local address @keep
+ * returns false */
 void
 frontend_abort_unless(struct frontend *frontend,
-                      bool (*is_kept)(const void *arg, struct addr local),
+                      bool (*keep)(const void *arg, struct addr local),
                       const void *arg);
 
-/** frontend_abort_all() - reset every flow: the service it was for is no
- * longer served here */
+/** frontend_abort_all() - reset every flow; called when the host changes its
+ * service */
 void
 frontend_abort_all(struct frontend *frontend);
 
-/** frontend_close_idle() - FIN on every flow that has no request in progress
- */
+/** frontend_close_idle() - send FIN on every flow without a pending answer */
 void
 frontend_close_idle(struct frontend *frontend);
 
-/** frontend_count() - flows open */
+/** frontend_count() - number of open flows */
 size_t
 frontend_count(const struct frontend *frontend);
 
--- a/src/agent/frontend_private.h
+++ b/src/agent/frontend_private.h
@@ -1,5 +1,5 @@
 /**
- * DOC: front_private - what the parts of the frontend share
+ * DOC: frontend_private - per-flow state shared by the frontend's files
  */
 #ifndef SWIFTARCH_AGENT_FRONTEND_PRIVATE_H
 #define SWIFTARCH_AGENT_FRONTEND_PRIVATE_H
@@ -8,23 +8,23 @@
 
 /**
  * struct frontend_conn - one caller's flow
- * @reader_owner: so that the reader finds the flow; first member
- * @frontend: all flows
+ * @reader_owner: receives the reader's events; first member
+ * @frontend: the frontend it belongs to
  * @conn: the stack's handle
- * @reader: reads its requests
- * @slots: requests without an answer sent, in order
- * @in: bytes not read yet, while the reader is paused
- * @out: bytes of answers the stack has not taken
- * @out_pos: how many of @out it has
- * @last_io_us: when the caller last sent or took bytes
- * @request_start_us: when the request being read began
- * @stalled_us: since when the stack takes nothing, 0 while it does
- * @now_us: time of the call in progress
- * @partial_bytes: bytes of the request being read, counted in
- * frontend->partial_bytes
- * @paused: reading stopped until an answer is sent
+ * @reader: HTTP parser of its requests
+ * @slots: struct frontend_slot of unanswered requests, in order
+ * @input: bytes not read yet while the reader is paused, or NULL
+ * @output: bytes of answers for the stack, or NULL
+ * @output_pos: bytes of @output already written to the stack
+ * @last_io_us: last time the caller sent or the stack accepted bytes
+ * @request_start_us: start of the request being read, 0 between requests
+ * @stalled_us: time since which the stack accepts no bytes, 0 while it does
+ * @now_us: time of the current call
+ * @partial_bytes: bytes of the request being read, included in
+ *                 frontend->partial_bytes
+ * @paused: the stack delivers no bytes until an answer is sent
  * @ended: no further request is read
- * @close_after: close once @out is taken
+ * @close_after: close the flow once @output is written
  * @link: in frontend->conns
  */
 struct frontend_conn {
@@ -33,9 +33,9 @@
     struct stack_conn *conn;
     struct reader reader;
     GQueue slots;
-    GByteArray *in;
-    GByteArray *out;
-    size_t out_pos;
+    GByteArray *input;
+    GByteArray *output;
+    size_t output_pos;
     uint64_t last_io_us;
     uint64_t request_start_us;
     uint64_t stalled_us;
@@ -47,20 +47,21 @@
     GList link;
 };
 
-/** frontend_conn_backlog() - bytes of answers the stack has not taken */
+/** frontend_conn_backlog() - bytes of answers not yet written to the stack */
 size_t
 frontend_conn_backlog(const struct frontend_conn *fc);
 
-/** frontend_conn_discard_output() - forget them */
+/** frontend_conn_discard_output() - drop these bytes */
 void
 frontend_conn_discard_output(struct frontend_conn *fc);
 
-/** frontend_conn_stop_reading() - read no further request */
+/** frontend_conn_stop_reading() - read no further request and drop partial
+ * input */
 void
 frontend_conn_stop_reading(struct frontend_conn *fc);
 
-/** frontend_conn_reject() - @status after the answers still owed, then
- * close */
+/** frontend_conn_reject() - answer the request being read with error @status
+ * after all pending answers, then close the flow */
 void
 frontend_conn_reject(struct frontend_conn *fc, unsigned status,
                      uint64_t now_us);
--- a/src/agent/frontend_tick.c
+++ b/src/agent/frontend_tick.c
@@ -25,7 +25,7 @@
     }
 }
 
-/* Over the common bound, flows that take nothing go first. */
+/* Resets stalled flows while the backlog of all flows exceeds its limit. */
 static void
 trim_backlog(struct frontend *frontend)
 {
@@ -52,12 +52,12 @@
 
 void
 frontend_abort_unless(struct frontend *frontend,
-                      bool (*is_kept)(const void *arg, struct addr local),
+                      bool (*keep)(const void *arg, struct addr local),
                       const void *arg)
 {
     for (GList *l = frontend->conns.head; l != NULL; l = l->next) {
         struct frontend_conn *fc = l->data;
-        if (!is_kept(arg, stack_conn_local(fc->conn))) {
+        if (!keep(arg, stack_conn_local(fc->conn))) {
             frontend_conn_stop_reading(fc);
             stack_abort(fc->conn);
         }
--- a/src/agent/reader.c
+++ b/src/agent/reader.c
@@ -8,7 +8,7 @@
 
 #define KEY_SEED_FIRST 1
 #define KEY_SEED_SECOND 2
-#define TARGET_MAX 8192
+#define TARGET_MAX 8192 /* bytes */
 
 enum {
     STATUS_BAD_REQUEST = 400,
@@ -20,9 +20,10 @@
     STATUS_VERSION = 505
 };
 
-/* Fields that the sender to the upstream writes anew. */
-static const char *const rewritten[] = {"Expect", "Request-Timeout-Ms",
-                                        "traceparent", NULL};
+/* Fields not copied to the upstream's request: the agent handles or rewrites
+ * them. */
+static const char *const not_copied[] = {"Expect", "Request-Timeout-Ms",
+                                         "traceparent", NULL};
 
 static struct reader *
 reader_of(http_parser *parser)
@@ -30,7 +31,7 @@
     return parser->data;
 }
 
-/* A non-zero return makes http_parser stop; @status tells why. */
+/* Sets the error status; the non-zero result stops http_parser. */
 static int
 refuse(struct reader *reader, unsigned status)
 {
@@ -107,7 +108,8 @@
     return 0;
 }
 
-/* Fields that would be ambiguous to whoever reads them next. */
+/* Returns an error status for an unsupported version or method and for a
+ * missing, repeated or invalid Host or Idempotency-Key; 0 otherwise. */
 static unsigned
 check_fields(const struct reader *reader)
 {
@@ -140,7 +142,7 @@
     unsigned status = check_fields(reader);
 
     reader->headers_done = true;
-    parser->upgrade = 0; /* no other protocol is spoken here */
+    parser->upgrade = 0; /* Upgrade is not supported */
     if (status != 0) {
         return refuse(reader, status);
     }
@@ -204,7 +206,7 @@
     request->fingerprint = fingerprint_of(reader);
 }
 
-/* 0 for a missing or unreadable field: the service's own deadline holds. */
+/* Returns 0 for a missing or invalid field: the service's deadline applies. */
 static uint32_t
 read_timeout(const struct reader *reader)
 {
@@ -223,9 +225,9 @@
 }
 
 static void
-append_text(GByteArray *out, const char *text)
+append_string(GByteArray *out, const char *string)
 {
-    g_byte_array_append(out, (const guint8 *)text, (guint)strlen(text));
+    g_byte_array_append(out, (const guint8 *)string, (guint)strlen(string));
 }
 
 static GByteArray *
@@ -237,19 +239,19 @@
     bool has_body =
         body != NULL || fields_get(&reader->fields, "Content-Length") != NULL;
 
-    append_text(out, http_method_str((enum http_method)parser->method));
-    append_text(out, " ");
+    append_string(out, http_method_str((enum http_method)parser->method));
+    append_string(out, " ");
     g_byte_array_append(out, (const guint8 *)reader->target->str,
                         (guint)reader->target->len);
-    append_text(out, " HTTP/1.1\r\n");
-    fields_write(&reader->fields, rewritten, out);
+    append_string(out, " HTTP/1.1\r\n");
+    fields_write(&reader->fields, not_copied, out);
     if (has_body) {
         char line[48];
         g_snprintf(line, sizeof(line), "Content-Length: %u\r\n",
                    body == NULL ? 0 : body->len);
-        append_text(out, line);
+        append_string(out, line);
     }
-    append_text(out, "Via: 1.1 swiftarch\r\n\r\n");
+    append_string(out, "Via: 1.1 swiftarch\r\n\r\n");
     if (body != NULL) {
         g_byte_array_append(out, body->data, body->len);
     }
--- a/src/agent/reader.h
+++ b/src/agent/reader.h
@@ -1,9 +1,8 @@
 /**
- * DOC: reader - requests of one caller's flow, read from its bytes
+ * DOC: reader - parser of the HTTP/1.1 requests of one caller's flow
  *
- * Parses HTTP/1.1 (http_parser), keeps within limits, and hands out each
- * whole request in the form in which it goes to an upstream: end-to-end
- * fields only, body with Content-Length.
+ * Enforces size limits and passes each complete request to its owner in the
+ * form sent to an upstream: end-to-end fields only, body with Content-Length.
  */
 #ifndef SWIFTARCH_AGENT_READER_H
 #define SWIFTARCH_AGENT_READER_H
@@ -17,23 +16,23 @@
 #include "agent/fields.h"
 #include "service_config/service_config.h"
 
-#define READER_HEADER_MAX 16384
-#define READER_KEY_MAX 255
-#define READER_URGENCY_DEFAULT 3
+#define READER_HEADER_MAX 16384  /* bytes of field names and values */
+#define READER_KEY_MAX 255       /* bytes of an Idempotency-Key */
+#define READER_URGENCY_DEFAULT 3 /* RFC 9218 */
 #define READER_TIMEOUT_MS_MAX 3600000
 #define TRACEPARENT_MAX 64
 
 /**
- * struct reader_request - one whole request
- * @idempotent: its method may be run twice
- * @keep_alive: the flow may carry another request after it
+ * struct reader_request - one complete request
+ * @idempotent: its method is idempotent
+ * @keep_alive: another request may follow on the flow
  * @keyed: has an Idempotency-Key
  * @key_hash: 128-bit hash of that key
- * @fingerprint: hash of method, target and body
+ * @fingerprint: hash of method, target and body, set with @keyed
  * @urgency: u= of its Priority field, 0 (most urgent) to 7
- * @timeout_ms: its Request-Timeout-Ms, 0 without
+ * @timeout_ms: its Request-Timeout-Ms, 0 without one
  * @traceparent: W3C trace context, or empty
- * @http: the request as it goes to an upstream; taken over by the receiver
+ * @http: the request as sent to an upstream; owned by the receiver
  */
 struct reader_request {
     bool idempotent;
@@ -50,12 +49,12 @@
 struct reader;
 struct reader_owner;
 
-/** struct reader_ops - what the owner of a reader is told */
+/** struct reader_ops - events for the owner of a reader */
 struct reader_ops {
-    /** @on_request: a whole request; may call reader_pause() */
+    /** @on_request: a complete request; may call reader_pause() */
     void (*on_request)(struct reader_owner *owner,
                        struct reader_request *request);
-    /** @on_continue: the caller waits for "100 Continue" */
+    /** @on_continue: the caller expects "100 Continue" */
     void (*on_continue)(struct reader_owner *owner);
 };
 
@@ -66,15 +65,15 @@
 
 /**
  * struct reader - state of one flow's parser
- * @owner: told of requests
+ * @owner: receives requests
  * @parser: http_parser's state
  * @fields: header fields of the request being read
- * @target: its target, NULL before it began
+ * @target: its target, NULL between requests
  * @body: its body, NULL while there is none
- * @body_max: largest body taken, bytes
- * @status: HTTP status that answers a bad request, 0 while all is well
+ * @body_max: largest body accepted, bytes
+ * @status: HTTP status for a bad request, 0 without an error
  * @in_message: between the first byte and the end of a request
- * @headers_done: its header was read whole
+ * @headers_done: its header section is complete
  */
 struct reader {
     struct reader_owner *owner;
@@ -88,8 +87,8 @@
     bool headers_done;
 };
 
-/** reader_class() - class of a request of a service: urgent work may call
- * itself less urgent, ordinary work stays ordinary */
+/** reader_class() - class of a request: that of its service, or ordinary when
+ * it is less urgent than the default */
 static inline enum service_config_class
 reader_class(enum service_config_class service, unsigned urgency)
 {
@@ -97,30 +96,31 @@
                                              : SERVICE_CONFIG_ORDINARY;
 }
 
-/** reader_init() - begin to read a flow */
+/** reader_init() - initialize the reader of a flow */
 void
 reader_init(struct reader *reader, struct reader_owner *owner,
             size_t body_max);
 
-/** reader_finish() - free what is held */
+/** reader_finish() - free the partially read request */
 void
 reader_finish(struct reader *reader);
 
 /**
- * reader_feed() - read more bytes of the flow
+ * reader_feed() - parse more bytes of the flow
  *
- * Return: bytes taken; fewer than @len after reader_pause(), or when
- * reader->status says why nothing further can be read.
+ * Return: bytes consumed; fewer than @len after reader_pause(), or after an
+ * error (reader->status is not 0).
  */
 size_t
 reader_feed(struct reader *reader, const char *data, size_t len);
 
-/** reader_pause() - stop after the present request; feed the rest again
- * later */
+/** reader_pause() - stop after the current request; the caller feeds the rest
+ * again later */
 void
 reader_pause(struct reader *reader);
 
-/** reader_urgency() - u= of a Priority field (RFC 9218), default 3 */
+/** reader_urgency() - u= of a Priority field (RFC 9218), or
+ * READER_URGENCY_DEFAULT; @priority may be NULL */
 unsigned
 reader_urgency(const char *priority);
 
--- a/src/agent/refresh.c
+++ b/src/agent/refresh.c
@@ -22,42 +22,43 @@
     pthread_mutex_unlock(&agent->flow_lock);
 }
 
-/* Listens where the text says, and nowhere else. */
+/* Listens on the service's configured address only. */
 static void
 set_listening(struct agent *agent)
 {
-    struct addr want = {0};
-    char text[ADDR_TEXT_MAX];
+    struct addr wanted = {0};
+    char address[ADDR_TEXT_MAX];
 
     if (agent->service_known && !agent->addresses.removed &&
         agent->service.proto == SERVICE_CONFIG_TCP) {
-        want = (struct addr){agent->service.ip, agent->service.port};
+        wanted = (struct addr){agent->service.ip, agent->service.port};
     }
-    if (addr_equal(want, agent->listening)) {
+    if (addr_equal(wanted, agent->listening)) {
         return;
     }
     if (agent->listening.port != 0) {
         stack_unlisten(agent->stack, agent->listening);
     }
     agent->listening = (struct addr){0};
-    if (want.port == 0) {
+    if (wanted.port == 0) {
         return;
     }
-    int ret = stack_add_address(agent->stack, want.ip);
+    int ret = stack_add_address(agent->stack, wanted.ip);
     if (ret == 0) {
-        ret = stack_listen(agent->stack, want);
+        ret = stack_listen(agent->stack, wanted);
     }
     if (ret < 0) {
-        g_warning("Cannot serve %s: %s.", addr_format(want, text),
+        g_warning("Cannot serve %s: %s.", addr_format(wanted, address),
                   g_strerror(-ret));
         return;
     }
-    agent->listening = want;
+    agent->listening = wanted;
     g_message("Serving %s at %s.", agent->service.name,
-              addr_format(want, text));
+              addr_format(wanted, address));
 }
 
-/* Flows of the service served before find nobody here any more. */
+/* Resets the flows of the previous service after the upstream announced
+ * another one. */
 static void
 reset_former_service(struct agent *agent)
 {
@@ -65,7 +66,7 @@
         agent->upstream.service == agent->service.id) {
         return;
     }
-    g_warning("The host now serves %s: flows of %s are reset.",
+    g_warning("The host now serves %s: resetting the flows of %s.",
               agent->upstream.name, agent->service.name);
     frontend_abort_all(&agent->frontend);
     datagrams_finish(&agent->datagrams);
@@ -80,31 +81,31 @@
            FLOW_ADDRESS_NONE;
 }
 
-/* Flows to an address that the text leaves to nobody or to others get no
- * packet any more: their callers are told. */
+/* Resets flows to addresses that no longer belong to the service: balancers
+ * forward no packets of them. */
 static void
-set_addresses(struct agent *agent, const struct service_config *text)
+set_addresses(struct agent *agent, const struct service_config *config)
 {
     bool removed = agent->addresses.removed;
 
-    addresses_set(&agent->addresses, text, agent->service.id);
+    addresses_set(&agent->addresses, config, agent->service.id);
     frontend_abort_unless(&agent->frontend, is_service_address, agent);
     if (agent->service_known && agent->addresses.removed && !removed) {
-        g_message("%s was removed: its open flows go on.",
+        g_message("Service %s was removed: its open flows continue.",
                   agent->service.name);
     }
 }
 
-/* Takes over what the text in force says of the announced service. */
+/* Applies the configuration of the announced service. */
 static void
-set_service(struct agent *agent, const struct service_config *text)
+set_service(struct agent *agent, const struct service_config *config)
 {
     struct upstream *upstream = &agent->upstream;
     const struct service_config_entry *service = NULL;
 
     reset_former_service(agent);
-    if (text != NULL && upstream->announced) {
-        service = service_config_find_with_retired(text, upstream->service);
+    if (config != NULL && upstream->announced) {
+        service = service_config_find_with_retired(config, upstream->service);
     }
     agent->service_known = service != NULL;
     if (service != NULL) {
@@ -116,12 +117,13 @@
             .idle_us = service->limits.idle_s * USEC_PER_SEC,
         };
     }
-    else if (text != NULL && upstream->announced && !upstream->warned) {
+    else if (config != NULL && upstream->announced && !upstream->warned) {
         upstream->warned = true;
-        g_warning("The text in force knows no service %s.", upstream->name);
+        g_warning("The configuration in force has no service %s.",
+                  upstream->name);
     }
-    if (text != NULL && upstream->announced) {
-        set_addresses(agent, text);
+    if (config != NULL && upstream->announced) {
+        set_addresses(agent, config);
     }
     set_listening(agent);
 }
@@ -186,12 +188,13 @@
     requests_execute_actions(agent);
 }
 
-/* Hands everything to the cores again; inside an RCU read section. */
+/* Passes service, view and upstream to all components; called within an RCU
+ * read-side critical section. */
 static void
 refresh_components(struct agent *agent, const struct view *view,
-                   const struct service_config *text)
+                   const struct service_config *config)
 {
-    set_service(agent, text);
+    set_service(agent, config);
     if (view != NULL) {
         set_flow_view(agent, view);
     }
@@ -210,16 +213,16 @@
 
 static void
 service_config_changed(struct agent *agent, const struct view *view,
-                       const struct service_config *text)
+                       const struct service_config *config)
 {
     g_message("Configuration %" G_GUINT64_FORMAT " is in force.",
-              (guint64)text->version);
-    engine_set_text(agent->requests.engine, text, agent_now(agent),
+              (guint64)config->version);
+    engine_set_text(agent->requests.engine, config, agent_now(agent),
                     &agent->requests.out);
     requests_execute_actions(agent);
-    agent->text_version = text->version;
+    agent->text_version = config->version;
     agent->upstream.warned = false;
-    refresh_components(agent, view, text);
+    refresh_components(agent, view, config);
 }
 
 void
@@ -227,7 +230,8 @@
 {
     rcu_read_lock();
     const struct view *view = blackboard_view(&agent->blackboard);
-    const struct service_config *text = blackboard_config(&agent->blackboard);
+    const struct service_config *config =
+        blackboard_config(&agent->blackboard);
     if (view != NULL && view->seq != agent->view_seq) {
         agent->view_seq = view->seq;
         set_flow_view(agent, view);
@@ -236,8 +240,8 @@
                         &agent->requests.out);
         requests_execute_actions(agent);
     }
-    if (text != NULL && text->version != agent->text_version) {
-        service_config_changed(agent, view, text);
+    if (config != NULL && config->version != agent->text_version) {
+        service_config_changed(agent, view, config);
     }
     rcu_read_unlock();
 }
--- a/src/agent/request.c
+++ b/src/agent/request.c
@@ -98,7 +98,6 @@
                start_us, agent_now(agent), detail);
 }
 
-/* The engine is done with the request; a run may still have to end. */
 void
 request_finished(struct requests *requests, struct request *request,
                  enum engine_outcome outcome)
@@ -122,7 +121,6 @@
     return trace_format(ctx, buf);
 }
 
-/* Fields that tell the upstream how long the answer is awaited. */
 void
 request_run_lines(struct agent *agent, struct request *request, char *buf,
                   size_t size)
--- a/src/agent/requests.c
+++ b/src/agent/requests.c
@@ -16,18 +16,22 @@
 #define UNSERVED_RETRY_MS 1000
 #define KEEP_AFTER_DEADLINE_US (60 * USEC_PER_SEC)
 
-/** enum deferred_type - events that may arise while actions are carried out */
+/** enum deferred_type - events that can occur while actions execute */
 enum deferred_type {
-    DEFERRED_ARRIVAL, /* a flow read on once its answer had gone */
+    DEFERRED_ARRIVAL, /* a request read once an earlier answer was sent */
     DEFERRED_LOST,    /* the connection to @member broke */
-    DEFERRED_UNSENT   /* RUN of @id never left for @member */
+    DEFERRED_UNSENT   /* RUN of @id could not be sent to @member */
 };
 
 /**
- * struct deferred - an event that waits until the actions are carried out
+ * struct deferred - an event handled after the current actions
+ * @type: kind of event
+ * @member: peer concerned, unused for an arrival
+ * @id: local request, for DEFERRED_UNSENT
+ * @arrival: the request, for DEFERRED_ARRIVAL
  *
- * An engine call in between would move the list of actions and free what
- * they point to.
+ * An engine call while actions execute would reallocate the list of actions
+ * and free the data they point to.
  */
 struct deferred {
     enum deferred_type type;
@@ -48,7 +52,7 @@
 {
     uint64_t now_us = agent_now(requests->agent);
 
-    g_assert(!requests->acting);
+    g_assert(!requests->executing);
     switch (deferred->type) {
     case DEFERRED_ARRIVAL:
         engine_arrive(requests->engine, &deferred->arrival, now_us,
@@ -71,7 +75,7 @@
     struct requests *requests = &agent->requests;
     struct deferred *deferred;
 
-    if (requests->acting) {
+    if (requests->executing) {
         return;
     }
     actions_execute(requests);
@@ -82,7 +86,8 @@
     }
 }
 
-/* Bytes that waited while the host changed its service are not for it. */
+/* Whether @local belongs to the current service. A request may have been read
+ * before the host changed its service. */
 static bool
 is_served(const struct agent *agent, struct addr local)
 {
@@ -92,9 +97,9 @@
 
 static void
 refuse_unserved(struct agent *agent, struct frontend_slot *slot,
-                struct reader_request *read)
+                struct reader_request *parsed)
 {
-    g_byte_array_unref(read->http);
+    g_byte_array_unref(parsed->http);
     slot->last = true;
     frontend_answer(
         &agent->frontend, slot,
@@ -102,8 +107,8 @@
         agent_now(agent));
 }
 
-/* The engine grants a raise only to calls of a service that an urgent one
- * depends on. */
+/* The engine grants a higher class only to calls that an urgent service makes
+ * to its dependencies. */
 static enum service_config_class
 requested_class(enum service_config_class service, unsigned urgency)
 {
@@ -113,40 +118,42 @@
 
 static void
 on_request(struct frontend_owner *owner, struct frontend_slot *slot,
-           struct reader_request *read, struct addr caller, struct addr local)
+           struct reader_request *parsed, struct addr caller,
+           struct addr local)
 {
     struct requests *requests = (struct requests *)owner;
     struct agent *agent = requests->agent;
     const struct service_config_entry *service = &agent->service;
 
     if (!is_served(agent, local)) {
-        refuse_unserved(agent, slot, read);
+        refuse_unserved(agent, slot, parsed);
         return;
     }
     uint64_t id = requests->next_id++;
-    uint32_t timeout_ms =
-        read->timeout_ms != 0 ? read->timeout_ms : service->limits.deadline_ms;
+    uint32_t timeout_ms = parsed->timeout_ms != 0
+                              ? parsed->timeout_ms
+                              : service->limits.deadline_ms;
     struct request *request =
-        request_new(requests, agent->self, id, read->traceparent);
+        request_new(requests, agent->self, id, parsed->traceparent);
     struct deferred deferred = {.type = DEFERRED_ARRIVAL};
 
     deferred.arrival = (struct engine_request){
         .id = id,
         .service = service->id,
         .caller = caller.ip,
-        .class = requested_class(service->class, read->urgency),
-        .idempotent = read->idempotent,
-        .keyed = read->keyed,
+        .class = requested_class(service->class, parsed->urgency),
+        .idempotent = parsed->idempotent,
+        .keyed = parsed->keyed,
         .key = {.service = service->id,
-                .hash = {read->key_hash[0], read->key_hash[1]},
-                .fingerprint = read->fingerprint},
+                .hash = {parsed->key_hash[0], parsed->key_hash[1]},
+                .fingerprint = parsed->fingerprint},
         .deadline_us = agent_arrival_us(agent) + timeout_ms * USEC_PER_MSEC,
     };
 
     slot->id = id;
     request->service = service->id;
     request->slot = slot;
-    request->http = read->http;
+    request->http = parsed->http;
     request->deadline_us = deferred.arrival.deadline_us;
     defer_event(requests, &deferred);
     requests_execute_actions(agent);
@@ -163,7 +170,7 @@
         return;
     }
     request->slot = NULL;
-    g_assert(!requests->acting);
+    g_assert(!requests->executing);
     engine_cancel(requests->engine, slot->id, agent_now(agent),
                   &requests->out);
     requests_execute_actions(agent);
@@ -179,7 +186,7 @@
 }
 
 static struct requests *
-of_back_owner(struct backend_owner *owner)
+requests_of_backend_owner(struct backend_owner *owner)
 {
     char *base = (char *)owner;
 
@@ -203,7 +210,7 @@
 on_run_end(struct backend_owner *owner, void *data, enum engine_upstream how,
            GByteArray *answer)
 {
-    struct requests *requests = of_back_owner(owner);
+    struct requests *requests = requests_of_backend_owner(owner);
     struct agent *agent = requests->agent;
     struct request *request = data;
     uint64_t origin = request->origin;
@@ -216,7 +223,7 @@
     if (how == ENGINE_UP_UNREACHED) {
         upstream_connect_failed(agent);
     }
-    g_assert(!requests->acting);
+    g_assert(!requests->executing);
     engine_upstream_end(requests->engine, origin, id, how,
                         answer == NULL ? NULL : answer->data,
                         answer == NULL ? 0 : answer->len, agent_now(agent),
@@ -291,7 +298,7 @@
     }
 }
 
-/* Keeps the bytes of a request that a peer wants run here. */
+/* Stores the bytes of a request that a peer sent to run here. */
 static void
 store_peer_request(struct requests *requests,
                    const struct engine_peer_msg *msg, const uint8_t *bytes,
@@ -300,7 +307,7 @@
     uint64_t id = msg->request.id;
 
     if (bytes == NULL || request_find(requests, msg->origin, id) != NULL) {
-        return; /* a repeated message changes nothing that runs */
+        return; /* a repeated RUN does not affect the current run */
     }
     struct request *request =
         request_new(requests, msg->origin, id, traceparent);
@@ -340,7 +347,7 @@
     else if (msg->type == ENGINE_PEER_DONE) {
         store_peer_answer(requests, msg, bytes, len);
     }
-    g_assert(!requests->acting);
+    g_assert(!requests->executing);
     engine_peer(requests->engine, from, msg, bytes, len, agent_now(agent),
                 &requests->out);
     requests_execute_actions(agent);
@@ -373,7 +380,7 @@
     struct ended_run *item;
 
     while ((item = g_queue_pop_head(&requests->ended)) != NULL) {
-        g_assert(!requests->acting);
+        g_assert(!requests->executing);
         engine_upstream_end(requests->engine, item->origin, item->id,
                             item->how, NULL, 0, agent_now(requests->agent),
                             &requests->out);
@@ -388,7 +395,7 @@
     struct requests *requests = &agent->requests;
 
     report_ended_runs(requests);
-    g_assert(!requests->acting);
+    g_assert(!requests->executing);
     engine_tick(requests->engine, agent_now(agent), &requests->out);
     requests_execute_actions(agent);
 }
--- a/src/agent/requests.h
+++ b/src/agent/requests.h
@@ -1,9 +1,9 @@
 /**
- * DOC: requests - the bytes and sockets behind the engine's requests
+ * DOC: requests - connects the request engine with flows, upstream and peers
  *
- * Holds each request's bytes by its origin and id, hands events to the
- * engine and carries out its actions: runs at the upstream, messages to
- * peers, final answers to callers.
+ * Stores each request's bytes by its origin and id, passes events to the
+ * engine and executes its actions: runs at the upstream, messages to peers,
+ * final answers to callers.
  */
 #ifndef SWIFTARCH_AGENT_REQUESTS_H
 #define SWIFTARCH_AGENT_REQUESTS_H
@@ -22,20 +22,20 @@
 #define REQUESTS_REASONS ENGINE_REASONS
 
 /**
- * struct requests - all requests here, of own callers and of peers
- * @frontend_owner: what the frontend calls; first member
- * @backend_owner: what the back calls
- * @agent: the program
- * @engine: decides
- * @out: its actions
+ * struct requests - requests of this agent's callers and of peers
+ * @frontend_owner: receives the frontend's events; first member
+ * @backend_owner: receives the backend's events
+ * @agent: the agent it belongs to
+ * @engine: the request engine
+ * @out: actions of the engine not executed yet
  * @table: struct request by origin and id
- * @deferred: events that arose while actions were carried out
- * @ended: struct ended_run to report with the next tick
- * @acting: actions are being carried out
+ * @deferred: struct deferred, events that occurred while actions executed
+ * @ended: struct ended_run, reported to the engine with the next tick
+ * @executing: actions are being executed
  * @next_id: id of the next local request
- * @outcomes: counter handles by outcome
- * @reasons: counter handles by reason
- * @runs: counter handle
+ * @outcomes: counter handles of requests_total by outcome
+ * @reasons: counter handles of requests_by_reason_total by reason
+ * @runs: counter handle of upstream_runs_total
  */
 struct requests {
     struct frontend_owner frontend_owner;
@@ -46,21 +46,22 @@
     GHashTable *table;
     GQueue deferred;
     GQueue ended;
-    bool acting;
+    bool executing;
     uint64_t next_id;
     int outcomes[REQUESTS_OUTCOMES];
     int reasons[REQUESTS_REASONS];
     int runs;
 };
 
-/** requests_register() - register the counters; before any thread */
+/** requests_register() - register the counters; called before any thread
+ * starts */
 void
 requests_register(struct agent *agent);
 
 /**
- * requests_init() - begin without requests
- * @salt: high half of the ids given here; random, so that a restarted
- *        agent never gives an id twice
+ * requests_init() - create the engine and an empty table
+ * @salt: high half of this agent's request ids; random, so that a restarted
+ *        agent does not reuse ids
  *
  * Return: 0 or -ENOMEM.
  */
@@ -71,13 +72,13 @@
 void
 requests_finish(struct agent *agent);
 
-/** requests_execute_actions() - carry out the actions that the last engine
- * call left; call after each engine call made elsewhere */
+/** requests_execute_actions() - execute the actions of the last engine call,
+ * then the deferred events; called after every engine call */
 void
 requests_execute_actions(struct agent *agent);
 
-/** requests_peer() - a message of a peer; @http goes with RUN, @answer with
- * DONE, both may be NULL */
+/** requests_peer() - handle a message of peer @from; @bytes is the request of
+ * a RUN or the answer of a DONE, and may be NULL */
 void
 requests_peer(struct agent *agent, uint64_t from,
               const struct engine_peer_msg *msg, const uint8_t *bytes,
@@ -87,16 +88,18 @@
 void
 requests_peer_lost(struct agent *agent, uint64_t member);
 
-/** requests_unsent() - RUN of local request @id never left for @member */
+/** requests_unsent() - RUN of local request @id could not be sent to @member
+ */
 void
 requests_unsent(struct agent *agent, uint64_t member, uint64_t id);
 
-/** requests_tick() - drive the engine's time; every 10 ms */
+/** requests_tick() - report ended runs and advance the engine's time; called
+ * every 10 ms */
 void
 requests_tick(struct agent *agent);
 
-/** requests_sweep() - drop bytes that the engine has forgotten; about once a
- * second */
+/** requests_sweep() - free requests that are long past their deadline and have
+ * neither run nor caller; called about once a second */
 void
 requests_sweep(struct agent *agent);
 
--- a/tests/agent/fake_agent.c
+++ b/tests/agent/fake_agent.c
@@ -16,19 +16,19 @@
         deadline_ms);
     struct engine *engine = agent->requests.engine;
     struct view *view = sample_pair("self", FAKE_AGENT_PEER, "lots");
-    struct service_config *text = sample_parse(source);
+    struct service_config *config = sample_parse(source);
 
     engine_set_view(engine, view, now_us, &agent->requests.out);
     requests_execute_actions(agent);
-    agent->service = *service_config_find_name(text, "lots");
+    agent->service = *service_config_find_name(config, "lots");
     agent->service_known = true;
-    engine_set_text(engine, text, now_us, &agent->requests.out);
+    engine_set_text(engine, config, now_us, &agent->requests.out);
     requests_execute_actions(agent);
     engine_set_upstream(engine, hash_service("lots"), 2, true, now_us,
                         &agent->requests.out);
     requests_execute_actions(agent);
     free(view);
-    service_config_free(text);
+    service_config_free(config);
 }
 
 void
@@ -63,11 +63,11 @@
 fake_agent_answer(const char *body)
 {
     GByteArray *answer = g_byte_array_new();
-    g_autofree char *text =
+    g_autofree char *message =
         g_strdup_printf("HTTP/1.1 200 OK\r\nContent-Length: %zu"
                         "\r\n\r\n%s",
                         strlen(body), body);
 
-    g_byte_array_append(answer, (guint8 *)text, (guint)strlen(text));
+    g_byte_array_append(answer, (guint8 *)message, (guint)strlen(message));
     return answer;
 }
--- a/tests/agent/fake_agent.h
+++ b/tests/agent/fake_agent.h
@@ -1,6 +1,8 @@
 /**
- * DOC: fake_agent - an agent of the service "lots" with one peer and two
- * slots, on a clock stepped by hand; tests bring the back and the links
+ * DOC: fake_agent - an agent for tests, of the service "lots"
+ *
+ * It has one peer, two slots and a manual clock. The test implements backend
+ * and peer links.
  */
 #ifndef SWIFTARCH_TESTS_AGENT_FAKE_AGENT_H
 #define SWIFTARCH_TESTS_AGENT_FAKE_AGENT_H
@@ -10,17 +12,17 @@
 #define FAKE_AGENT_PEER "peer"
 #define FAKE_AGENT_START_US (100 * USEC_PER_SEC)
 
-/** fake_agent_init() - begin, with the service's limit @deadline_ms;
- * @clock is started as well */
+/** fake_agent_init() - initialize the agent and @clock; @deadline_ms is the
+ * service's limit */
 void
 fake_agent_init(struct agent *agent, struct clock_manual *clock, uint64_t seed,
                 unsigned deadline_ms);
 
-/** fake_agent_finish() - free what it holds */
+/** fake_agent_finish() - free the agent's memory */
 void
 fake_agent_finish(struct agent *agent);
 
-/** fake_agent_answer() - a whole answer with @body */
+/** fake_agent_answer() - create a complete answer with @body */
 GByteArray *
 fake_agent_answer(const char *body);
 
--- a/tests/agent/fake_stack.c
+++ b/tests/agent/fake_stack.c
@@ -3,8 +3,9 @@
 void
 fake_conn_init(struct stack_conn *conn, uint32_t ip)
 {
-    *conn = (struct stack_conn){
-        .peer = {ip, 4000}, .written = g_string_new(NULL), .room = SIZE_MAX};
+    *conn = (struct stack_conn){.peer = {ip, 4000},
+                                .written = g_string_new(NULL),
+                                .writable = SIZE_MAX};
 }
 
 void
@@ -16,11 +17,11 @@
 size_t
 stack_write(struct stack_conn *conn, const uint8_t *data, size_t len)
 {
-    size_t taken = MIN(len, conn->room);
+    size_t taken = MIN(len, conn->writable);
 
     g_assert_false(conn->closed);
     g_string_append_len(conn->written, (const char *)data, (gssize)taken);
-    conn->room -= taken;
+    conn->writable -= taken;
     return taken;
 }
 
--- a/tests/agent/test_backend.c
+++ b/tests/agent/test_backend.c
@@ -9,9 +9,10 @@
 
 #define SUITE "/agent/back"
 #define REQUEST "POST /r HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
-#define WHOLE "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
+#define HEADER_200 "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 
-/** struct fixture - a backend, and an upstream that says @script and closes */
+/** struct fixture - a backend, and an upstream that sends @script and closes
+ */
 struct fixture {
     struct backend_owner owner;
     struct event_base *base;
@@ -144,7 +145,8 @@
     return run;
 }
 
-/** struct run_end_case - what an upstream says, and what that means */
+/** struct run_end_case - an upstream's bytes and the expected end of the run
+ */
 struct run_end_case {
     const char *name;
     const char *script;
@@ -153,34 +155,36 @@
 };
 
 static const struct run_end_case run_end_cases[] = {
-    {"whole", WHOLE "body", ENGINE_UP_ANSWERED, WHOLE "body"},
-    {"twice", WHOLE "body" WHOLE "next", ENGINE_UP_ANSWERED, WHOLE "body"},
+    {"complete", HEADER_200 "body", ENGINE_UP_ANSWERED, HEADER_200 "body"},
+    {"two answers", HEADER_200 "body" HEADER_200 "next", ENGINE_UP_ANSWERED,
+     HEADER_200 "body"},
     {"chunked",
      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
      "4\r\nbody\r\n0\r\n\r\n",
-     ENGINE_UP_ANSWERED, WHOLE "body"},
-    {"pretending",
+     ENGINE_UP_ANSWERED, HEADER_200 "body"},
+    {"agent fields",
      "HTTP/1.1 200 OK\r\nSwiftarch-Outcome: not-run\r\n"
      "Content-Length: 4\r\n\r\nbody",
-     ENGINE_UP_ANSWERED, WHOLE "body"},
-    {"interim", "HTTP/1.1 100 Continue\r\n\r\n" WHOLE "body",
-     ENGINE_UP_ANSWERED, WHOLE "body"},
-    {"cut", WHOLE "bo", ENGINE_UP_TRUNCATED, NULL},
-    {"cut chunks",
+     ENGINE_UP_ANSWERED, HEADER_200 "body"},
+    {"interim", "HTTP/1.1 100 Continue\r\n\r\n" HEADER_200 "body",
+     ENGINE_UP_ANSWERED, HEADER_200 "body"},
+    {"truncated", HEADER_200 "bo", ENGINE_UP_TRUNCATED, NULL},
+    {"truncated chunks",
      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n",
      ENGINE_UP_TRUNCATED, NULL},
     {"unframed", "HTTP/1.1 200 OK\r\n\r\nbody", ENGINE_UP_TRUNCATED, NULL},
     {"too large", "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n",
      ENGINE_UP_TRUNCATED, NULL},
-    {"nonsense", "nonsense\r\n\r\n", ENGINE_UP_TRUNCATED, NULL},
-    {"shed", "HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
+    {"not HTTP", "nonsense\r\n\r\n", ENGINE_UP_TRUNCATED, NULL},
+    {"refused",
+     "HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
      ENGINE_UP_REFUSED, NULL},
-    {"failed", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+    {"503 without Retry-After", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
      ENGINE_UP_ANSWERED, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"},
-    {"cut shed",
+    {"truncated refusal",
      "HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 5\r\n\r\n",
      ENGINE_UP_TRUNCATED, NULL},
-    {"silent", "", ENGINE_UP_LOST, NULL},
+    {"closed without answer", "", ENGINE_UP_LOST, NULL},
 };
 
 TEST(run_end_cases)
@@ -216,27 +220,28 @@
     g_assert_cmpuint(fixture->answer->len, ==, strlen(fixture->script));
 }
 
-TEST_F(fixture, unreached, WHOLE "body")
+TEST_F(fixture, unreached, HEADER_200 "body")
 {
     evconnlistener_free(fixture->listener);
     fixture->listener = NULL;
     start(fixture, REQUEST);
     g_assert_cmpuint(fixture->ends, ==,
-                     0); /* never from within backend_start() */
+                     0); /* not reported within backend_start() */
     event_base_dispatch(fixture->base);
     g_assert_cmpint(fixture->how, ==, ENGINE_UP_UNREACHED);
 }
 
-/* An aborted run says nothing; the upstream sees its connection close, and
- * what it answers later reaches nobody. */
-TEST_F(fixture, late_after_abort, NULL)
+/* An aborted run is not reported: its connection closes, and a late answer of
+ * the upstream is dropped. */
+TEST_F(fixture, late_answer_after_abort, NULL)
 {
     fixture->stay_open = true;
     struct backend_run *run = start(fixture, REQUEST);
     event_base_dispatch(fixture->base);
     g_assert_cmpuint(fixture->received->len, >, 0);
     backend_abort(run);
-    bufferevent_write(fixture->last, WHOLE "late", strlen(WHOLE "late"));
+    bufferevent_write(fixture->last, HEADER_200 "late",
+                      strlen(HEADER_200 "late"));
     event_base_dispatch(fixture->base);
     g_assert_null(fixture->last);
     event_base_loop(fixture->base, EVLOOP_NONBLOCK);
--- a/tests/agent/test_frontend.c
+++ b/tests/agent/test_frontend.c
@@ -9,7 +9,8 @@
 #define CALLER 0x0a010001
 #define GET "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-/** struct fixture - a frontend and an owner that answers when told */
+/** struct fixture - a frontend, and an owner that answers on the test's call
+ */
 struct fixture {
     struct frontend_owner owner;
     struct frontend frontend;
@@ -48,7 +49,7 @@
     slot->id = fixture->count;
     fixture->slots[fixture->count++] = slot;
     if (fixture->answer_immediately) {
-        answer(fixture, fixture->count - 1, "at once");
+        answer(fixture, fixture->count - 1, "immediate");
     }
 }
 
@@ -112,7 +113,7 @@
     return (size_t)(at - fixture->conn.written->str);
 }
 
-/* Answers that come in any order leave in the order of the requests. */
+/* Answers given in any order are sent in the order of the requests. */
 TEST_F(fixture, pipelined_order)
 {
     feed(fixture, GET GET GET, 2);
@@ -128,8 +129,8 @@
     g_assert_false(fixture->conn.closed);
 }
 
-/* No more than FRONTEND_PIPELINE_MAX requests of a flow are partial_bytes. */
-TEST_F(fixture, pipeline_bound)
+/* A flow has at most FRONTEND_PIPELINE_MAX unanswered requests. */
+TEST_F(fixture, pipeline_limit)
 {
     for (size_t i = 0; i < 12; i++) {
         feed(fixture, GET, 2);
@@ -143,7 +144,7 @@
     g_assert_false(fixture->conn.paused);
 }
 
-TEST_F(fixture, bad_after_good)
+TEST_F(fixture, bad_request_after_good)
 {
     feed(fixture, GET "nonsense\r\n\r\n", 2);
     g_assert_cmpuint(fixture->conn.written->len, ==, 0);
@@ -156,8 +157,8 @@
     g_assert_cmpuint(fixture->count, ==, 1);
 }
 
-/* A caller that is gone takes its requests with it, answered or not. */
-TEST_F(fixture, gone)
+/* Closing a flow drops its requests and reports the unanswered ones. */
+TEST_F(fixture, caller_closes)
 {
     feed(fixture, GET GET, 2);
     answer(fixture, 1, "late");
@@ -168,7 +169,7 @@
     frontend_open(&fixture->frontend, &fixture->conn, 3);
 }
 
-/* A half-closed flow still gets what it asked for, then is closed. */
+/* A half-closed flow receives its pending answers and is then closed. */
 TEST_F(fixture, half_closed)
 {
     feed(fixture, GET, 2);
@@ -179,7 +180,8 @@
     g_assert_true(fixture->conn.closed);
 }
 
-/* While stopping, the last answer owed says so; none is cut. */
+/* A stopping agent sends all pending answers, the last with Connection:
+ * close. */
 TEST_F(fixture, stopping)
 {
     feed(fixture, GET GET, 2);
@@ -194,8 +196,9 @@
     g_assert_true(fixture->conn.closed);
 }
 
-/* A flow that ends with an answer given at once reads no further request. */
-TEST_F(fixture, stop_at_once)
+/* A flow that ends with an answer given in on_request() reads no further
+ * request. */
+TEST_F(fixture, stopping_with_immediate_answer)
 {
     fixture->answer_immediately = true;
     fixture->frontend.stopping = true;
@@ -221,13 +224,14 @@
     fake_conn_finish(&others[0]);
 }
 
-/* A caller that takes nothing is let go, one that dawdles is told. */
-TEST(slow)
+/* A caller that reads nothing is reset; one that sends its request too slowly
+ * gets a 408. */
+TEST(slow_callers)
 {
     struct fixture fixture;
 
     fixture_init(&fixture);
-    fixture.conn.room = 5;
+    fixture.conn.writable = 5;
     feed(&fixture, GET, 2);
     answer(&fixture, 0, "stuck");
     g_assert_cmpuint(fixture.frontend.backlog, >, 0);
@@ -245,8 +249,8 @@
     fixture_finish(&fixture);
 }
 
-/* Half-read bodies of all flows together are bounded. */
-TEST_F(fixture, held_bound)
+/* Partially read bodies of all flows together are limited. */
+TEST_F(fixture, partial_bytes_limit)
 {
     static const char head[] = "POST / HTTP/1.1\r\nHost: h\r\n"
                                "Content-Length: 900\r\n\r\n";
@@ -266,20 +270,20 @@
     g_assert_true(other.closed);
     frontend_closed(&fixture->frontend, &other);
     fake_conn_finish(&other);
-    feed(fixture, body, 3); /* the first one goes on and is read whole */
+    feed(fixture, body, 3); /* the first request is still read to its end */
     g_assert_cmpuint(fixture->count, ==, 1);
     g_assert_cmpuint(fixture->frontend.partial_bytes, ==, 0);
     answer(fixture, 0, "x");
 }
 
-/* An answer larger than the window leaves whole, piece by piece. */
+/* An answer larger than the send window is sent in pieces. */
 TEST_F(fixture, short_writes)
 {
-    fixture->conn.room = 7;
+    fixture->conn.writable = 7;
     feed(fixture, GET, 2);
     answer(fixture, 0, "a body that does not fit");
     while (fixture->frontend.backlog > 0) {
-        fixture->conn.room = 7;
+        fixture->conn.writable = 7;
         frontend_writable(&fixture->frontend, &fixture->conn, 3);
     }
     g_assert_cmpstr(fixture->conn.written->str, ==,
--- a/tests/agent/test_property.c
+++ b/tests/agent/test_property.c
@@ -1,9 +1,8 @@
 /*
- * Seeded random orders of events at one agent: callers that pipeline and
- * vanish, runs that end in every way, a peer that grants, takes, answers and
- * is lost. After each step each caller's bytes must be its own answers,
- * whole and in order; "not run" is only said of what never began; nothing
- * that may run once began twice.
+ * Random events at one agent, for fixed seeds. Each caller must receive
+ * complete answers to its own requests, in order. A 503 must mean that the
+ * request did not start. A non-idempotent request, and all requests of one key
+ * together, must start at most once.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -20,23 +19,22 @@
 #define STEPS 3000
 #define SEEDS 20
 
-/** struct sent_request - one request, and how often it may have started to run
- */
+/** struct sent_request - one request; @started counts the runs that may have
+ * started */
 struct sent_request {
     unsigned started;
     bool idempotent;
     int key;
 };
 
-/** struct backend_run - a run at the upstream; peers' runs are kept alike */
+/** struct backend_run - a run at the upstream or at the peer */
 struct backend_run {
     void *data;
     uint64_t id;
     size_t sent_request;
 };
 
-/** struct client - a caller's flow and the requests that it waits for, in
- * order */
+/** struct client - a caller's flow and its unanswered requests, in order */
 struct client {
     struct stack_conn conn;
     bool open;
@@ -55,7 +53,7 @@
     GPtrArray *runs;
     GPtrArray *at_peer;
     GArray *reserves;
-    size_t answers[3]; /* whole, not run, other */
+    size_t answers[3]; /* complete, not run, other */
 };
 
 static struct world *current_world;
@@ -79,7 +77,8 @@
     return run;
 }
 
-/* What an upstream has seen may have run, whatever is heard of it later. */
+/* Counts a run that the upstream may have started, whatever its reported
+ * end. */
 static void
 count_started(struct world *world, const struct backend_run *run)
 {
@@ -132,7 +131,7 @@
 
     if (msg->type == ENGINE_PEER_RUN) {
         if (g_rand_int_range(world->random, 0, 10) == 0) {
-            return -1; /* no room in the queue of the link */
+            return -1; /* the link's queue is full */
         }
         struct backend_run *run = start_run(world, bytes);
         run->id = msg->request.id;
@@ -156,7 +155,7 @@
 {
 }
 
-/* Checks one whole answer to request @n; returns its length. */
+/* Checks the complete answer to request @n; returns its length. */
 static size_t
 check_answer(struct world *world, const char *text, size_t n)
 {
@@ -169,7 +168,7 @@
     const char *body = blank + 4;
     g_assert_cmpuint(strlen(body), >=, body_len);
     if (g_str_has_prefix(text, "HTTP/1.1 200 ")) {
-        /* Replays carry the answer to the first request with the key. */
+        /* A replay is the answer to the first request with the key. */
         size_t first = (size_t)atoi(body);
         const struct sent_request *sent_request = &world->sent_request[n];
         g_assert_true(first == n ||
@@ -242,8 +241,8 @@
         g_snprintf(key, sizeof(key), "Idempotency-Key: k%d\r\n",
                    sent_request->key);
     }
-    /* A key's requests differ in their target, which is in the fingerprint;
-     * so retries send the first one's. */
+    /* A retry repeats the first target of its key, as the fingerprint must
+     * match. */
     size_t target = n;
     for (size_t k = 0; sent_request->key >= 0 && k < n; k++) {
         if (world->sent_request[k].key == sent_request->key) {
@@ -262,7 +261,7 @@
 }
 
 static GByteArray *
-answer_to(const struct backend_run *run)
+answer_of_run(const struct backend_run *run)
 {
     char body[32];
 
@@ -292,7 +291,7 @@
         count_started(world, run);
     }
     owner->ops->on_end(owner, run->data, how,
-                       how == ENGINE_UP_ANSWERED ? answer_to(run) : NULL);
+                       how == ENGINE_UP_ANSWERED ? answer_of_run(run) : NULL);
 }
 
 static void
@@ -305,7 +304,7 @@
 }
 
 static void
-peer_ends(struct world *world)
+peer_sends_done(struct world *world)
 {
     struct engine_peer_msg msg = {.type = ENGINE_PEER_DONE,
                                   .origin = world->agent.self};
@@ -325,7 +324,7 @@
     else {
         count_started(world, run);
         msg.outcome = how == 1 ? ENGINE_UNKNOWN : ENGINE_ANSWERED;
-        answer = how == 1 ? NULL : answer_to(run);
+        answer = how == 1 ? NULL : answer_of_run(run);
     }
     deliver_message(world, &msg, answer);
     if (answer != NULL) {
@@ -333,7 +332,7 @@
     }
 }
 
-/* All that the peer had of us may or may not have run there. */
+/* Every request sent to the peer may have run there. */
 static void
 peer_is_lost(struct world *world)
 {
@@ -346,7 +345,7 @@
 }
 
 static void
-peer_grants(struct world *world)
+peer_sends_grant(struct world *world)
 {
     struct engine_peer_msg msg = {.type = ENGINE_PEER_IDEM};
 
@@ -356,7 +355,7 @@
     msg.idem = g_array_index(world->reserves, struct idem_msg, 0);
     g_array_remove_index(world->reserves, 0);
     if (g_rand_int_range(world->random, 0, 8) == 0) {
-        return; /* lost on the way */
+        return; /* message lost */
     }
     msg.idem.type = IDEM_MSG_GRANT;
     msg.idem.state = IDEM_STARTED;
@@ -364,7 +363,7 @@
 }
 
 static void
-peer_pulls(struct world *world)
+peer_sends_pull_or_status(struct world *world)
 {
     struct engine_peer_msg msg = {.type = ENGINE_PEER_PULL, .free_slots = 2};
 
@@ -386,15 +385,15 @@
 {
     size_t i = (size_t)g_rand_int_range(world->random, 0, FLOWS);
     struct client *caller = &world->callers[i];
-    int what = g_rand_int_range(world->random, 0, 100);
+    int event = g_rand_int_range(world->random, 0, 100);
 
-    if (what < 30) {
+    if (event < 30) {
         tick(world);
     }
-    else if (what < 50) {
+    else if (event < 50) {
         end_run(world);
     }
-    else if (what < 70) {
+    else if (event < 70) {
         if (caller->open) {
             send_request(world, i);
         }
@@ -402,16 +401,16 @@
             open_caller(world, i);
         }
     }
-    else if (what < 82) {
-        peer_grants(world);
+    else if (event < 82) {
+        peer_sends_grant(world);
     }
-    else if (what < 88) {
-        peer_pulls(world);
+    else if (event < 88) {
+        peer_sends_pull_or_status(world);
     }
-    else if (what < 96) {
-        peer_ends(world);
+    else if (event < 96) {
+        peer_sends_done(world);
     }
-    else if (what < 98) {
+    else if (event < 98) {
         peer_is_lost(world);
     }
     else if (caller->open) {
@@ -433,7 +432,7 @@
         world->callers[i].waiting = g_array_new(FALSE, FALSE, sizeof(size_t));
     }
     for (int i = 0; i < 2000; i++) {
-        tick(world); /* past the cold start */
+        tick(world); /* until the engine's cold start has ended */
     }
 }
 
@@ -453,13 +452,13 @@
     g_rand_free(world->random);
 }
 
-/* Everyone who still waits gets a final answer, and nothing is left over. */
+/* Every open request gets a final answer, and the engine holds none. */
 static void
 run_until_idle(struct world *world)
 {
     for (int i = 0; i < 600; i++) {
         end_run(world);
-        peer_ends(world);
+        peer_sends_done(world);
         tick(world);
         check_callers(world);
     }
@@ -490,10 +489,10 @@
         }
         world_finish(world);
     }
-    /* Each kind of answer was really provoked. */
+    /* The events cover each kind of answer. */
     for (size_t k = 0; k < G_N_ELEMENTS(answers); k++) {
         g_assert_cmpuint(answers[k], >, 100);
     }
-    g_test_message("%zu whole, %zu not run, %zu other", answers[0], answers[1],
-                   answers[2]);
+    g_test_message("%zu complete, %zu not run, %zu other", answers[0],
+                   answers[1], answers[2]);
 }
--- a/tests/agent/test_reader.c
+++ b/tests/agent/test_reader.c
@@ -7,7 +7,7 @@
 #define BODY_MAX 64
 #define REQUESTS_MAX 16
 
-/** struct sink - a reader's owner that keeps what it is told */
+/** struct sink - a reader and an owner that records its events */
 struct sink {
     struct reader_owner owner;
     struct reader reader;
@@ -86,7 +86,7 @@
     g_assert_cmpuint(sink->requests[0].urgency, ==, 1);
 }
 
-/* The same bytes give the same requests, however they are cut. */
+/* Requests are read alike wherever their bytes are split. */
 TEST(any_cut)
 {
     const char *text = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -111,7 +111,7 @@
     }
 }
 
-TEST_F(sink, pause_keeps_rest)
+TEST_F(sink, pause_leaves_rest)
 {
     static const char one[] = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n";
     char text[256];
@@ -127,7 +127,7 @@
     g_assert_cmpuint(sink->reader.status, ==, 0);
 }
 
-/** struct bad_request - a request and the status that refuses it */
+/** struct bad_request - a bad request and the status expected for it */
 struct bad_request {
     const char *text;
     unsigned status;
@@ -190,7 +190,7 @@
     g_assert_cmpuint(sink->reader.status, ==, 414);
 }
 
-/* One key with another target or body is another request. */
+/* The fingerprint changes with target and body, not with other fields. */
 TEST_F(sink, fingerprint)
 {
     static const char *const texts[] = {
@@ -226,7 +226,8 @@
     g_assert_cmpuint(reader_urgency("xu=1"), ==, 3);
 }
 
-/* Mutated requests neither crash the reader nor make it keep much. */
+/* Mutated requests neither crash the reader nor yield more than one request.
+ */
 TEST(mutations)
 {
     const char *text = "POST /a HTTP/1.1\r\nHost: h\r\n"
--- a/tests/agent/test_session.c
+++ b/tests/agent/test_session.c
@@ -1,8 +1,6 @@
 /*
- * One whole session of an agent with the clock stepped by hand: callers'
- * bytes in, runs, messages to the peer, callers' bytes out. What happened
- * is compared with golden/session.txt; run with UPDATE_GOLDEN=1 to write
- * it anew, and read the difference.
+ * Runs a session of an agent with a manual clock and compares its log with
+ * golden/session.txt. UPDATE_GOLDEN=1 rewrites that file.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -19,14 +17,14 @@
 #define RUNS_MAX 64
 #define TICK_STEP_MS 10
 
-/* A run that the fake backend holds until the session ends it. */
+/* A run of the fake backend; the test ends it. */
 struct backend_run {
     void *data;
     char *line;
     bool ended;
 };
 
-/** struct session - the agent under test and what happened to it */
+/** struct session - the agent under test and the log of its events */
 struct session {
     struct agent agent;
     struct clock_manual clock;
@@ -58,7 +56,7 @@
     g_string_append_c(session->log, '\n');
 }
 
-/* Line ends as marks, so that each message is one line of the golden file. */
+/* Returns a message as one line, with " | " for each line end. */
 static char *
 one_line(const uint8_t *bytes, size_t len)
 {
@@ -66,8 +64,8 @@
     g_auto(GStrv) lines = g_strsplit(text, "\r\n", -1);
 
     for (char **line = lines; *line != NULL; line++) {
-        /* Spread by chance, so that callers don't come backend together; the
-         * engine's own tests hold its bounds. */
+        /* Random, so that retries spread; the engine's tests check its
+         * range. */
         if (g_str_has_prefix(*line, "Retry-After-Ms: ")) {
             (*line)[strlen("Retry-After-Ms: ")] = '\0';
         }
@@ -149,7 +147,7 @@
 void
 upstream_connect_failed(struct agent *agent)
 {
-    log_line("the upstream is lost");
+    log_line("connecting to the upstream failed");
 }
 
 void
@@ -159,7 +157,7 @@
     log_line("flow %s", open ? "open" : "ended");
 }
 
-/* Says what the caller received since the last log_received. */
+/* Logs the bytes that the caller received since the last call. */
 static void
 log_received(struct session *session)
 {
@@ -211,7 +209,7 @@
 
     g_assert_cmpuint(i, <, session->run_count);
     if (run->ended) {
-        log_line("(run %zu was aborted: a late answer finds nobody)", i);
+        log_line("(run %zu was aborted: its late answer is dropped)", i);
         return;
     }
     run->ended = true;
@@ -224,21 +222,21 @@
 }
 
 static void
-grant(struct session *session)
+peer_sends_grant(struct session *session)
 {
     struct engine_peer_msg msg = {.type = ENGINE_PEER_IDEM,
                                   .idem = session->reserve};
 
     msg.idem.type = IDEM_MSG_GRANT;
     msg.idem.state = IDEM_STARTED;
-    log_line("peer grants");
+    log_line("peer sends GRANT");
     requests_peer(&session->agent, hash_name(FAKE_AGENT_PEER), &msg, NULL, 0,
                   "");
     log_received(session);
 }
 
 static void
-peer_runs(struct session *session, uint64_t id, const char *http)
+peer_sends_run(struct session *session, uint64_t id, const char *http)
 {
     struct engine_peer_msg msg = {
         .type = ENGINE_PEER_RUN,
@@ -250,7 +248,7 @@
                     .deadline_us = session->clock.now_us + USEC_PER_SEC},
     };
 
-    log_line("peer asks to run %" G_GUINT64_FORMAT, (guint64)id);
+    log_line("peer sends RUN %" G_GUINT64_FORMAT, (guint64)id);
     requests_peer(&session->agent, msg.origin, &msg, (const uint8_t *)http,
                   strlen(http), "");
 }
@@ -262,7 +260,7 @@
     session->log = g_string_new(NULL);
     fake_agent_init(&session->agent, &session->clock, 1, 1000);
     fake_conn_init(&session->caller, CALLER);
-    advance(session, 20000); /* the cold start is over, replicas settled */
+    advance(session, 20000); /* until the engine's cold start has ended */
     frontend_open(&session->agent.frontend, &session->caller,
                   session->clock.now_us);
 }
@@ -302,7 +300,7 @@
                                 "Content-Length: 4\r\n\r\nyour";
 
     send_request(session, first);
-    grant(session);
+    peer_sends_grant(session);
     advance(session, 10);
     send_request(session, first);
     end_run(session, 3, ENGINE_UP_ANSWERED, "reserved");
@@ -333,8 +331,8 @@
 static void
 peer_request(struct session *session)
 {
-    peer_runs(session, 77,
-              "POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
+    peer_sends_run(session, 77,
+                   "POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     advance(session, 10);
     end_run(session, 7, ENGINE_UP_ANSWERED, "for the peer");
     advance(session, 20);
@@ -383,8 +381,7 @@
     compare(GOLDEN_DIR "/session.txt", session->log->str);
 }
 
-/* Requests that were read late, after the host came to serve something
- * else, are not run there. */
+/* Requests read after the host changed its service are not run. */
 TEST_F(session, service_changes)
 {
     char request[64];
