--- a/src/agent/reader.h
+++ b/src/agent/reader.h
@@ -20,7 +20,7 @@
 #define READER_KEY_MAX 255       /* bytes of an Idempotency-Key */
 #define READER_URGENCY_DEFAULT 3 /* RFC 9218 */
 #define READER_TIMEOUT_MS_MAX 3600000
-#define TRACEPARENT_MAX 64
+#define TRACEPARENT_MAX 64 /* bytes, with NUL */
 
 /**
  * struct reader_request - one complete request
--- a/src/agent/requests.c
+++ b/src/agent/requests.c
@@ -107,8 +107,8 @@
         agent_now(agent));
 }
 
-/* The engine grants a higher class only to calls that an urgent service makes
- * to its dependencies. */
+/* Requests with a raised urgency ask for the urgent class; the engine grants
+ * it only if an urgent service depends on this one. */
 static enum service_config_class
 requested_class(enum service_config_class service, unsigned urgency)
 {
