--- a/src/cli/apply.c
+++ b/src/cli/apply.c
@@ -1,3 +1,9 @@
+/**
+ * DOC: apply - "swiftarch apply": publishes a service configuration
+ *
+ * Prints the differences to the published version, the addresses that are
+ * retired and the outcome. See apply_core for the decisions.
+ */
 #include <errno.h>
 #include <inttypes.h>
 #include <stdio.h>
@@ -15,9 +21,9 @@
 #define MSEC_PER_HOUR (3600 * UINT64_C(1000))
 #define FORGET_MAX 16
 #define HOLD_HOURS_MAX 8760
-#define SUMMARY "Publish an operators' text by one conditional write."
+#define SUMMARY "Publish a service configuration by one conditional write."
 
-/** struct apply_options - command line */
+/** struct apply_options - parsed command line of "apply" */
 struct apply_options {
     struct arg_lit *help;
     struct arg_file *file;
@@ -30,22 +36,22 @@
     struct arg_end *end;
 };
 
-/* Who wrote what is published now, and when. */
+/* Author and time of the published version. */
 static void
 print_author(const struct apply_run *run, FILE *out)
 {
-    char *words;
+    char *time;
 
     if (!run->has_current) {
-        fprintf(out, "someone who left no name");
+        fprintf(out, "an unnamed author");
         return;
     }
-    words = service_config_format_time(run->current.written_ms);
-    fprintf(out, "%s at %s", run->current.author, words);
-    g_free(words);
+    time = service_config_format_time(run->current.written_ms);
+    fprintf(out, "%s at %s", run->current.author, time);
+    g_free(time);
 }
 
-/* Differences between what is published and ours. */
+/* Differences between the published configuration and the new one. */
 static void
 print_diff(const struct apply_run *run, FILE *out)
 {
@@ -59,7 +65,7 @@
         value = g_bytes_get_data(run->current_value, &len);
         if (service_config_parse_envelope(value, len, run->current_version,
                                           &published, &report) < 0) {
-            fprintf(out, "  what is published can't be read as a text\n");
+            fprintf(out, "  the published configuration can't be parsed\n");
         }
     }
     if (config_diff(published, run->config, lines) == 0) {
@@ -71,14 +77,14 @@
     service_config_free(published);
 }
 
-/* The version that --expect names isn't the one that is published. */
+/* The published version isn't the one given by --expect. */
 static void
 print_mismatch(const struct apply_run *run)
 {
     if (run->end.version == 0) {
         fprintf(stderr,
-                "Not applied: nothing is published yet, found no version "
-                "%" PRIu64 ".\n",
+                "Not applied: nothing is published yet, expected to "
+                "replace version %" PRIu64 ".\n",
                 run->core.expect);
         return;
     }
@@ -96,7 +102,7 @@
 {
     fprintf(stderr, "%s", what);
     if (run->end.version == 0) {
-        fprintf(stderr, "; the platform does not tell by whom.\n");
+        fprintf(stderr, "; the platform does not report the author.\n");
         return;
     }
     fprintf(stderr, ". Version %" PRIu64 " was written by ", run->end.version);
@@ -153,7 +159,8 @@
         print_retired(run, stdout);
         return CLI_OK;
     case APPLY_UNCHANGED:
-        printf("unchanged: version %" PRIu64 " already holds this text\n",
+        printf("unchanged: version %" PRIu64
+               " already holds this configuration\n",
                version);
         return CLI_OK;
     case APPLY_REPLACED:
@@ -164,10 +171,11 @@
             print_mismatch(run);
             return CLI_RACE_LOST;
         }
-        print_conflict(run, "Not applied: another text came first");
+        print_conflict(run, "Not applied: another version was written first");
         return CLI_RACE_LOST;
     case APPLY_NOT_WRITTEN:
-        fprintf(stderr, "Not applied: the platform did not take it.\n");
+        fprintf(stderr,
+                "Not applied: the platform did not accept the write.\n");
         print_error(run);
         return CLI_FAILED;
     case APPLY_FORBIDDEN:
@@ -175,38 +183,40 @@
         fprintf(stderr,
                 "Not applied over version %" PRIu64
                 ". Wait, choose another address, or end the open flows of "
-                "the old\none knowingly with --forget \"tcp|udp "
+                "the old\none with --forget \"tcp|udp "
                 "ADDRESS:PORT\".\n",
                 version);
         return CLI_USAGE;
     case APPLY_UNKNOWN_REPLACED:
-        print_conflict(run, "Unknown: yours was replaced, or never written");
+        print_conflict(run,
+                       "Unknown: the write was replaced or never applied");
         return CLI_UNKNOWN;
     default:
-        fprintf(stderr, "Unknown: the write's answer was lost and the text "
-                        "is not seen yet.\nRead back with \"swiftarch "
-                        "show\", or apply again.\n");
+        fprintf(stderr,
+                "Unknown: the reply to the write was lost and the "
+                "version is not published yet.\nCheck with \"swiftarch "
+                "show\", or apply again.\n");
         print_error(run);
         return CLI_UNKNOWN;
     }
 }
 
 static int
-parse_forget(const char *words, struct service_config_forget *forget)
+parse_forget(const char *arg, struct service_config_forget *forget)
 {
-    if (g_str_has_prefix(words, "tcp ")) {
+    if (g_str_has_prefix(arg, "tcp ")) {
         forget->proto = SERVICE_CONFIG_TCP;
     }
-    else if (g_str_has_prefix(words, "udp ")) {
+    else if (g_str_has_prefix(arg, "udp ")) {
         forget->proto = SERVICE_CONFIG_UDP;
     }
     else {
         return -EINVAL;
     }
-    return addr_parse(words + strlen("tcp "), &forget->addr);
+    return addr_parse(arg + strlen("tcp "), &forget->addr);
 }
 
-/* Of addresses that services leave or have left. */
+/* Reads --hold and --forget: how long retired addresses stay reserved. */
 static int
 parse_change(const struct apply_options *options,
              struct service_config_forget *forget,
@@ -228,19 +238,19 @@
         change->hold_ms = (uint64_t)hours * MSEC_PER_HOUR;
     }
     for (int i = 0; i < options->forget->count; i++) {
-        const char *words = options->forget->sval[i];
+        const char *arg = options->forget->sval[i];
 
-        if (strcmp(words, "all") == 0) {
+        if (strcmp(arg, "all") == 0) {
             change->forget_all = true;
         }
-        else if (parse_forget(words, &forget[change->forget_count]) == 0) {
+        else if (parse_forget(arg, &forget[change->forget_count]) == 0) {
             change->forget_count++;
         }
         else {
             fprintf(stderr,
                     "--forget: found \"%s\", expected \"tcp|udp "
                     "ADDRESS:PORT\" or all\n",
-                    words);
+                    arg);
             return CLI_USAGE;
         }
     }
@@ -274,15 +284,15 @@
 }
 
 static int
-parse_version(const char *word, uint64_t *version)
+parse_version(const char *arg, uint64_t *version)
 {
     char *end;
 
-    if (!g_ascii_isdigit(word[0])) {
+    if (!g_ascii_isdigit(arg[0])) {
         return -EINVAL;
     }
     errno = 0;
-    *version = g_ascii_strtoull(word, &end, 10);
+    *version = g_ascii_strtoull(arg, &end, 10);
     return *end == '\0' && errno == 0 ? 0 : -EINVAL;
 }
 
@@ -340,18 +350,18 @@
 {
     struct apply_options options = {
         .help = arg_lit0("h", "help", "print this"),
-        .file =
-            arg_file1(NULL, NULL, "FILE", "the text, - for standard input"),
+        .file = arg_file1(NULL, NULL, "FILE",
+                          "service configuration, - for standard input"),
         .settings =
             arg_file1(NULL, "operator", "SETTINGS", "operator settings file"),
-        .dry_run = arg_lit0(NULL, "dry-run", "only tell what would change"),
-        .expect = arg_str0(NULL, "expect", "VERSION",
-                           "replace this version and no other"),
+        .dry_run = arg_lit0(NULL, "dry-run", "only print what would change"),
+        .expect =
+            arg_str0(NULL, "expect", "VERSION", "replace this version only"),
         .as = arg_str0(NULL, "as", "NAME",
-                       "who publishes it; default: the user"),
+                       "author of the version; default: the user"),
         .hold = arg_int0(NULL, "hold", "HOURS",
-                         "how long an address that a service leaves is kept "
-                         "for its\nopen flows; default: 24"),
+                         "how long an address that a service leaves stays "
+                         "reserved\nfor its open flows; default: 24"),
         .forget = arg_strn(NULL, "forget", "WORDS", 0, FORGET_MAX,
                            "end the open flows of \"tcp|udp ADDRESS:PORT\", "
                            "or of all\naddresses that services have left"),
--- a/src/cli/apply_core.c
+++ b/src/cli/apply_core.c
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-/** enum write_result - what a read back proves of our write */
+/** enum write_result - result of our write, derived from a later read */
 enum write_result {
     WRITE_APPLIED,
     WRITE_APPLIED_THEN_REPLACED,
@@ -39,7 +39,7 @@
     };
 }
 
-/* Waits before the read after @tries that told nothing. */
+/* Exponential backoff after @tries inconclusive reads. */
 static struct apply_action
 wait_after(unsigned tries)
 {
@@ -51,7 +51,7 @@
     };
 }
 
-/* Our write can only have become the version after the expected one. */
+/* If applied, our write became the version after the expected one. */
 static enum write_result
 write_result_of(const struct apply_core *core, const struct apply_event *event)
 {
@@ -73,8 +73,8 @@
                : WRITE_NOT_APPLIED;
 }
 
-/* The write isn't there. Another one under the same condition is safe; after
- * the last one, a delayed one may still land, so look again. */
+/* The write isn't visible. Sending it again under the same condition is safe.
+ * After the last attempt, read again: a delayed write may still be applied. */
 static struct apply_action
 retry_unchanged(struct apply_core *core)
 {
@@ -108,8 +108,8 @@
     }
 }
 
-/* After a plain refusal ours can't be there, unless something between us
- * and the platform sent the write twice. */
+/* A refused write isn't applied, unless a proxy sent it twice and only the
+ * second one was refused. */
 static struct apply_action
 finish_conflict(const struct apply_core *core, const struct apply_event *event)
 {
@@ -148,7 +148,7 @@
     }
 }
 
-/* The platform is silent: what is certain without another read. */
+/* The platform doesn't answer: the outcome known without another read. */
 static struct apply_action
 finish_unread(const struct apply_core *core)
 {
--- a/src/cli/apply_core.h
+++ b/src/cli/apply_core.h
@@ -1,11 +1,11 @@
 /**
- * DOC: apply_core - the decisions of "apply" (pure)
+ * DOC: apply_core - state machine of "apply", without I/O
  *
- * Publishing is one conditional write with a random write id in it. When
- * its answer is lost, the object is read back: our id in it, or in the
- * history of the text that replaced it, proves that the write landed.
- * An unchanged version allows one more write under the same condition and
- * the same id; the condition lets only one of the two land.
+ * Publishing is one conditional write with a random write id. When the reply
+ * is lost, the object is read back: the write was applied if its id is in the
+ * object, or in the history of the version that replaced it. If the version
+ * is unchanged, the write is sent once more with the same id and condition,
+ * so that at most one of the two is applied.
  */
 #ifndef SWIFTARCH_CLI_APPLY_CORE_H
 #define SWIFTARCH_CLI_APPLY_CORE_H
@@ -15,29 +15,29 @@
 
 #include "service_config/service_config.h"
 
-#define APPLY_WRITES_MAX 2
-#define APPLY_READS_MAX 6
-#define APPLY_CHECKS_MAX 3
-#define APPLY_WAIT_FIRST_MS 200
+#define APPLY_WRITES_MAX 2      /* attempts */
+#define APPLY_READS_MAX 6       /* failed reads in a row */
+#define APPLY_CHECKS_MAX 3      /* reads after the last write */
+#define APPLY_WAIT_FIRST_MS 200 /* doubled after each try */
 #define APPLY_WAIT_MAX_MS 2000
 
-/** enum apply_event_type - what the platform answered, or time that passed */
+/** enum apply_event_type - reply of the platform, or end of a wait */
 enum apply_event_type {
-    APPLY_READ,         /* the object, version 0 if there is none */
-    APPLY_READ_FAILED,  /* no answer to a read */
+    APPLY_READ,         /* object read, version 0 if there is none */
+    APPLY_READ_FAILED,  /* a read got no reply */
     APPLY_WRITTEN,      /* the write took effect */
-    APPLY_STALE,        /* the version was not the expected one */
-    APPLY_REFUSED,      /* the write certainly had no effect */
-    APPLY_LOST,         /* the write had an effect or not */
+    APPLY_STALE,        /* refused: the version is not the expected one */
+    APPLY_REFUSED,      /* the write had no effect */
+    APPLY_LOST,         /* the write may have had an effect */
     APPLY_TIMER_EXPIRED /* the wait is over */
 };
 
 /**
- * struct apply_event - one event
- * @type: which
+ * struct apply_event - input of apply_core_step()
+ * @type: kind of event
  * @version: APPLY_READ, APPLY_WRITTEN: version of the object
- * @envelope: APPLY_READ: what it holds, or NULL
- * @same: APPLY_READ: it holds the text that is to be published
+ * @envelope: APPLY_READ: parsed object, or NULL
+ * @same: APPLY_READ: the object already holds the configuration to publish
  */
 struct apply_event {
     enum apply_event_type type;
@@ -46,29 +46,36 @@
     bool same;
 };
 
-/** enum apply_outcome - how it ended */
+/** enum apply_outcome - result of a run; @version as in struct apply_action */
 enum apply_outcome {
-    APPLY_APPLIED,          /* ours is published as @version */
-    APPLY_UNCHANGED,        /* it was already published; nothing written */
-    APPLY_REPLACED,         /* ours was published, @version replaced it */
-    APPLY_RACE_LOST,        /* ours was not published, @version came first */
-    APPLY_NOT_WRITTEN,      /* ours was not published: no answer, or refused */
-    APPLY_UNKNOWN_REPLACED, /* @version is another's; ours came between or not
-                             */
-    APPLY_UNKNOWN,          /* ours isn't there now as far as is known, but its
-                               write may still be under way */
-    APPLY_FORBIDDEN         /* not written: what is published forbids it */
+    APPLY_APPLIED,          /* published as @version */
+    APPLY_UNCHANGED,        /* already published, nothing written */
+    APPLY_REPLACED,         /* published, then replaced by @version */
+    APPLY_RACE_LOST,        /* not published, @version was written first */
+    APPLY_NOT_WRITTEN,      /* not published: no reply, or refused */
+    APPLY_UNKNOWN_REPLACED, /* @version is of another author; ours may have
+                               been published before it */
+    APPLY_UNKNOWN,          /* not published yet; the write may still be in
+                               progress */
+    APPLY_FORBIDDEN         /* not written: conflicts with retired addresses */
 };
 
-/** enum apply_action_type - what the program must do */
+/** enum apply_action_type - action to perform */
 enum apply_action_type {
     APPLY_DO_READ,
-    APPLY_DO_WRITE, /* if the version is @expect */
-    APPLY_DO_WAIT,  /* @wait_ms, then APPLY_TIMER_EXPIRED */
+    APPLY_DO_WRITE, /* write if the version is @expect */
+    APPLY_DO_WAIT,  /* wait @wait_ms, then APPLY_TIMER_EXPIRED */
     APPLY_DO_FINISH
 };
 
-/** struct apply_action - one action with its arguments */
+/**
+ * struct apply_action - result of apply_core_step()
+ * @type: kind of action
+ * @expect: APPLY_DO_WRITE: version to replace, 0 if the object must not exist
+ * @wait_ms: APPLY_DO_WAIT: time to wait
+ * @outcome: APPLY_DO_FINISH: result of the run
+ * @version: APPLY_DO_FINISH: version of the object, 0 if unknown
+ */
 struct apply_action {
     enum apply_action_type type;
     uint64_t expect;
@@ -77,22 +84,22 @@
     uint64_t version;
 };
 
-/** enum apply_phase - what the next read is for */
+/** enum apply_phase - purpose of the next read */
 enum apply_phase {
-    APPLY_PHASE_READ_VERSION,  /* learn the version to replace */
-    APPLY_PHASE_READ_CONFLICT, /* the write was refused: who came first */
-    APPLY_PHASE_CONFIRM        /* the answer was lost: did the write land */
+    APPLY_PHASE_READ_VERSION,  /* get the version to replace */
+    APPLY_PHASE_READ_CONFLICT, /* write refused: get the version found */
+    APPLY_PHASE_CONFIRM /* reply lost: check whether the write was applied */
 };
 
 /**
  * struct apply_core - state of one run
- * @write_id: ours
- * @version_given: the operator named the version to replace, in @expect
+ * @write_id: random id of our write
+ * @version_given: @expect was given by the operator
  * @expect: version to replace
- * @phase: what the next read is for
+ * @phase: purpose of the next read
  * @writes: writes sent
- * @lost: an answer to a write was lost
- * @reads: reads that failed in a row
+ * @lost: a reply to a write was lost
+ * @reads: failed reads in a row
  * @checks: reads that found the version unchanged after the last write
  */
 struct apply_core {
@@ -107,15 +114,15 @@
 };
 
 /**
- * apply_core_start() - begin
+ * apply_core_start() - initialize @core and return the first action
  * @write_id: random, never used before
- * @expect: version to replace, or NULL for the one that is found
+ * @expect: version to replace, or NULL for the current one
  */
 struct apply_action
 apply_core_start(struct apply_core *core, const char *write_id,
                  const uint64_t *expect);
 
-/** apply_core_step() - what to do after @event */
+/** apply_core_step() - return the next action after @event */
 struct apply_action
 apply_core_step(struct apply_core *core, const struct apply_event *event);
 
--- a/src/cli/apply_run.c
+++ b/src/cli/apply_run.c
@@ -143,7 +143,7 @@
     envelope->history_count = copied + 1;
 }
 
-/* What is published, or NULL when there is nothing that can be read. */
+/* The published configuration, or NULL if there is none or it is invalid. */
 static struct service_config *
 parse_published(const struct apply_run *run)
 {
@@ -161,8 +161,8 @@
     return config;
 }
 
-/* Not before the version to replace, however late our clock is: addresses
- * would be held for too short a time. */
+/* At least the time of the version to replace: a local clock that is behind
+ * would shorten the hold time of retired addresses. */
 static uint64_t
 now_ms(const struct apply_run *run)
 {
@@ -171,7 +171,7 @@
     return run->has_current ? MAX(ms, run->current.written_ms) : ms;
 }
 
-/* Works out what the config retires; what was read is what it replaces. */
+/* Lists the addresses to retire, from the version last read to the new one. */
 static int
 retire(struct apply_run *run)
 {
@@ -273,7 +273,8 @@
         break;
     }
     if (rc < 0) {
-        error_set(&run->error, rc, "call", NULL, "the call did not start");
+        error_set(&run->error, rc, "call", NULL,
+                  "the request could not be started");
         step(run, &failed);
     }
 }
@@ -293,7 +294,8 @@
         .base = event_base_new(),
     };
     if (run->base == NULL) {
-        return error_set(err, -ENOMEM, "apply", NULL, "no event base");
+        return error_set(err, -ENOMEM, "apply", NULL,
+                         "could not create an event base");
     }
     run->timer = evtimer_new(run->base, on_wait_timer, run);
     run->platform = platform_new(run->base, url, err);
@@ -322,7 +324,8 @@
     char id[SERVICE_CONFIG_WRITE_ID_MAX];
 
     if (make_write_id(id) < 0) {
-        error_set(&run->error, -EIO, "write id", NULL, "no random numbers");
+        error_set(&run->error, -EIO, "write id", NULL,
+                  "random number generator failed");
         run->end = (struct apply_action){.type = APPLY_DO_FINISH,
                                          .outcome = APPLY_NOT_WRITTEN};
         return;
--- a/src/cli/apply_run.h
+++ b/src/cli/apply_run.h
@@ -1,5 +1,7 @@
 /**
- * DOC: apply_run - carries out the decisions of apply_core on the platform
+ * DOC: apply_run - performs the actions of apply_core on the platform
+ *
+ * Blocks in an event loop of its own until the run ends.
  */
 #ifndef SWIFTARCH_CLI_APPLY_RUN_H
 #define SWIFTARCH_CLI_APPLY_RUN_H
@@ -13,32 +15,31 @@
 #include "service_config/service_config.h"
 #include "service_config/service_config_retire.h"
 
-#define APPLY_OBJECT SETTINGS_OBJECT /* unless the settings say otherwise */
+#define APPLY_OBJECT SETTINGS_OBJECT /* default object */
 
 /**
- * struct apply_run - one run
- * @call: the platform's; first member
- * @base: event base, left when the run ends
- * @platform: client
- * @timer: waits
- * @core: decisions
- * @action: action under way
+ * struct apply_run - one run of "apply"
+ * @call: platform call in progress; first member
+ * @base: event loop, stopped when the run ends
+ * @platform: client of the platform
+ * @timer: timer of APPLY_DO_WAIT
+ * @core: state machine
+ * @action: action in progress
  * @object: platform object to write
- * @config: config to publish
- * @author: who publishes it
- * @dry_run: read only
- * @change: what the operator decided about retired addresses; @from, @to and
- *          @now_ms are filled in
- * @retired: addresses that are retired with the config, once it is to be
- *           written
- * @retired_count: how many
- * @report: why the outcome is APPLY_FORBIDDEN, or NULL
+ * @config: config to publish, owned by the caller
+ * @author: author of the new version
+ * @dry_run: stop before the write
+ * @change: the operator's options for retired addresses; @from, @to and
+ *          @now_ms are set before the write
+ * @retired: addresses retired by the new version, set before the write
+ * @retired_count: number of entries in @retired
+ * @report: reasons of APPLY_FORBIDDEN, or NULL
  * @current_value: value last read, or NULL
- * @current: what it holds; valid when @has_current
- * @has_current: the value was an envelope
+ * @current: envelope parsed from @current_value; valid if @has_current
+ * @has_current: @current_value is a valid envelope
  * @current_version: version last read
- * @end: the final action
- * @error: of the last failed call
+ * @end: final action; APPLY_DO_WRITE after a dry run
+ * @error: error of the last failed call
  */
 struct apply_run {
     struct platform_call call;
@@ -64,8 +65,10 @@
 };
 
 /**
- * apply_run_init() - prepare
- * @url: of the platform
+ * apply_run_init() - create the event loop and the client
+ * @url: base URL of the platform
+ * @config: config to publish, kept until apply_run_finish()
+ * @author: author of the version, kept until apply_run_finish()
  *
  * Return: 0 or a negative errno with @err filled.
  */
@@ -74,13 +77,13 @@
                const struct service_config *config, const char *author,
                struct error *err);
 
-/** apply_run_finish() - free */
+/** apply_run_finish() - free all resources of @run */
 void
 apply_run_finish(struct apply_run *run);
 
 /**
- * apply_run_publish() - run until the end; see @end
- * @expect: version to replace, or NULL for whatever is there
+ * apply_run_publish() - run until the outcome is in @end
+ * @expect: version to replace, or NULL for the current one
  */
 void
 apply_run_publish(struct apply_run *run, const uint64_t *expect);
--- a/src/cli/check.c
+++ b/src/cli/check.c
@@ -1,3 +1,6 @@
+/**
+ * DOC: check - "swiftarch check": validates a service configuration file
+ */
 #include <stdio.h>
 
 #include <argtable2.h>
@@ -6,7 +9,7 @@
 #include "cli/cli.h"
 #include "cli/load_config.h"
 
-#define SUMMARY "Check an operators' text and print every fault found."
+#define SUMMARY "Check a service configuration and print every error found."
 
 static int
 check_file(const char *path)
@@ -15,7 +18,7 @@
     int code = load_config(path, &config);
 
     if (code == CLI_OK) {
-        printf("%s: good: %zu services\n", path, config->count);
+        printf("%s: valid: %zu services\n", path, config->count);
         service_config_free(config);
     }
     return code;
@@ -25,8 +28,8 @@
 cli_check(int argc, char **argv)
 {
     struct arg_lit *help = arg_lit0("h", "help", "print this");
-    struct arg_file *file =
-        arg_file1(NULL, NULL, "FILE", "the text, - for standard input");
+    struct arg_file *file = arg_file1(
+        NULL, NULL, "FILE", "service configuration, - for standard input");
     struct arg_end *end = arg_end(5);
     void *table[] = {help, file, end};
     int code = CLI_FAILED;
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -9,7 +9,7 @@
 
 #include "service_config/service_config.h"
 
-#define READ_STEP 65536
+#define READ_CHUNK_BYTES 65536
 
 static void
 print_help(const struct cli_command *commands, size_t count, FILE *out)
@@ -19,10 +19,10 @@
     for (size_t i = 0; i < count; i++) {
         fprintf(out, "  %-14s %s\n", commands[i].name, commands[i].summary);
     }
-    fprintf(out, "\nswiftarch COMMAND --help tells a command's options.\n"
-                 "Exit codes: 0 done, 1 failed, 2 usage, settings or text "
-                 "wrong,\n3 lost a race, 4 some process did not answer, "
-                 "5 outcome unknown.\n");
+    fprintf(out, "\nswiftarch COMMAND --help lists the options of a command.\n"
+                 "Exit codes: 0 success, 1 failure, 2 invalid usage, settings "
+                 "or configuration,\n3 concurrent write, 4 a process did "
+                 "not answer, 5 outcome unknown.\n");
 }
 
 static int
@@ -59,7 +59,7 @@
         }
     }
     fprintf(stderr,
-            "swiftarch: found the command %s, expected one of:", argv[1]);
+            "swiftarch: unknown command %s, expected one of:", argv[1]);
     for (size_t i = 0; i < count; i++) {
         fprintf(stderr, " %s", commands[i].name);
     }
@@ -83,7 +83,7 @@
     }
     if (errors > 0) {
         arg_print_errors(stderr, end, argv[0]);
-        fprintf(stderr, "%s --help tells its options.\n", argv[0]);
+        fprintf(stderr, "%s --help lists its options.\n", argv[0]);
         *code = CLI_USAGE;
         return false;
     }
@@ -93,11 +93,11 @@
 static int
 read_stream(FILE *in, GByteArray *bytes)
 {
-    guint8 step[READ_STEP];
+    guint8 chunk[READ_CHUNK_BYTES];
     size_t got;
 
-    while ((got = fread(step, 1, sizeof(step), in)) > 0) {
-        g_byte_array_append(bytes, step, (guint)got);
+    while ((got = fread(chunk, 1, sizeof(chunk), in)) > 0) {
+        g_byte_array_append(bytes, chunk, (guint)got);
         if (bytes->len > SERVICE_CONFIG_SIZE_MAX) {
             return -EFBIG;
         }
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -1,5 +1,5 @@
 /**
- * DOC: cli - the command line of the one binary
+ * DOC: cli - subcommands of swiftarch and their command lines
  */
 #ifndef SWIFTARCH_CLI_CLI_H
 #define SWIFTARCH_CLI_CLI_H
@@ -15,17 +15,17 @@
 /** enum cli_exit - exit codes, documented in swiftarch(1) */
 enum cli_exit {
     CLI_OK = 0,
-    CLI_FAILED = 1,    /* it could not be done; nothing was changed */
-    CLI_USAGE = 2,     /* command line, settings or text are wrong */
-    CLI_RACE_LOST = 3, /* another operator's text came first */
-    CLI_NO_ANSWER = 4, /* some process did not answer */
-    CLI_UNKNOWN = 5    /* whether the text was published is unknown */
+    CLI_FAILED = 1,    /* failed, nothing was changed */
+    CLI_USAGE = 2,     /* invalid command line, settings or config */
+    CLI_RACE_LOST = 3, /* another version was written first */
+    CLI_NO_ANSWER = 4, /* a process did not answer */
+    CLI_UNKNOWN = 5    /* unknown whether the config was published */
 };
 
 /**
  * struct cli_command - one subcommand
- * @name: its word
- * @summary: what it does, in one line
+ * @name: name on the command line
+ * @summary: one line for the list of commands
  * @run: argv[0] is "swiftarch NAME"; returns the exit code
  */
 struct cli_command {
@@ -34,35 +34,36 @@
     int (*run)(int argc, char **argv);
 };
 
-/** cli_run() - find the command and run it; returns the exit code */
+/** cli_run() - run the subcommand named by argv[1]; returns the exit code */
 int
 cli_run(const struct cli_command *commands, size_t count, int argc,
         char **argv);
 
 /**
  * cli_parse() - parse a subcommand's arguments with argtable
- * @table: argtable's table, ended by @end
+ * @table: argtable's table, ends with @end
  * @summary: printed by --help
- * @code: exit code when the command is not to go on
+ * @code: set to the exit code if the result is false
  *
- * Return: whether to go on.
+ * Return: false after --help or an invalid command line.
  */
 bool
 cli_parse(void **table, struct arg_lit *help, struct arg_end *end,
           const char *summary, int argc, char **argv, int *code);
 
 /**
- * cli_read_file() - read a whole file of at most a megabyte
+ * cli_read_file() - read a file of at most SERVICE_CONFIG_SIZE_MAX bytes
  * @path: file, "-" for standard input
- * @data: g_free() it
+ * @data: content, for g_free(); NULL after an error
+ * @len: length of @data
  *
  * Return: 0, or a negative errno after a message on standard error.
  */
 int
 cli_read_file(const char *path, char **data, size_t *len);
 
-/** cli_settings() - load operator settings; CLI_OK or CLI_USAGE, with the
- * faults on standard error */
+/** cli_settings() - load operator settings; CLI_OK, or CLI_USAGE after a
+ * message on standard error */
 int
 cli_settings(struct settings *settings, const char *path);
 
--- a/src/cli/config_diff.c
+++ b/src/cli/config_diff.c
@@ -2,7 +2,12 @@
 
 #include "base/addr.h"
 
-/** struct diff - differences of one service, being listed */
+/**
+ * struct diff - writer of the differences of one service
+ * @service: name of the service
+ * @out: lines written so far are appended here
+ * @count: differences found
+ */
 struct diff {
     const char *service;
     GString *out;
@@ -10,7 +15,8 @@
 };
 
 static void
-differ(struct diff *diff, const char *key, const char *from, const char *to)
+diff_string(struct diff *diff, const char *key, const char *from,
+            const char *to)
 {
     if (g_strcmp0(from, to) != 0) {
         g_string_append_printf(diff->out, "  ~ %s.%s: %s -> %s\n",
@@ -27,7 +33,7 @@
 
     g_snprintf(left, sizeof(left), "%u", from);
     g_snprintf(right, sizeof(right), "%u", to);
-    differ(diff, key, left, right);
+    diff_string(diff, key, left, right);
 }
 
 static void
@@ -51,39 +57,39 @@
 format_depends(const struct service_config *config,
                const struct service_config_entry *service)
 {
-    GString *words = g_string_new("[");
+    GString *names = g_string_new("[");
 
     for (size_t i = 0; i < service->depends_count; i++) {
-        g_string_append_printf(words, "%s%s", i > 0 ? ", " : "",
+        g_string_append_printf(names, "%s%s", i > 0 ? ", " : "",
                                config->services[service->depends[i]].name);
     }
-    g_string_append_c(words, ']');
-    return g_string_free(words, FALSE);
+    g_string_append_c(names, ']');
+    return g_string_free(names, FALSE);
 }
 
 static size_t
-diff_service(const struct service_config *from_text,
+diff_service(const struct service_config *from_config,
              const struct service_config_entry *from,
-             const struct service_config *to_text,
+             const struct service_config *to_config,
              const struct service_config_entry *to, GString *out)
 {
     struct diff diff = {.service = from->name, .out = out};
     char left[ADDR_TEXT_MAX];
     char right[ADDR_TEXT_MAX];
-    char *from_words = format_depends(from_text, from);
-    char *to_words = format_depends(to_text, to);
+    char *from_depends = format_depends(from_config, from);
+    char *to_depends = format_depends(to_config, to);
 
-    differ(&diff, "address and port",
-           addr_format((struct addr){from->ip, from->port}, left),
-           addr_format((struct addr){to->ip, to->port}, right));
-    differ(&diff, "protocol", service_config_proto_name(from->proto),
-           service_config_proto_name(to->proto));
-    differ(&diff, "class", service_config_class_name(from->class),
-           service_config_class_name(to->class));
-    differ(&diff, "depends_on", from_words, to_words);
+    diff_string(&diff, "address and port",
+                addr_format((struct addr){from->ip, from->port}, left),
+                addr_format((struct addr){to->ip, to->port}, right));
+    diff_string(&diff, "protocol", service_config_proto_name(from->proto),
+                service_config_proto_name(to->proto));
+    diff_string(&diff, "class", service_config_class_name(from->class),
+                service_config_class_name(to->class));
+    diff_string(&diff, "depends_on", from_depends, to_depends);
     diff_limits(&diff, &from->limits, &to->limits);
-    g_free(from_words);
-    g_free(to_words);
+    g_free(from_depends);
+    g_free(to_depends);
     return diff.count;
 }
 
--- a/src/cli/config_diff.h
+++ b/src/cli/config_diff.h
@@ -1,5 +1,5 @@
 /**
- * DOC: config_diff - what differs between two texts, for a person
+ * DOC: config_diff - readable differences between two configs
  */
 #ifndef SWIFTARCH_CLI_CONFIG_DIFF_H
 #define SWIFTARCH_CLI_CONFIG_DIFF_H
@@ -10,11 +10,11 @@
 
 /**
  * config_diff() - add a line to @out for each difference
- * @from: one config, or NULL for none
- * @to: the other
+ * @from: old config, or NULL for none
+ * @to: new config
  *
- * "+ NAME" is only in @to, "- NAME" only in @from, "~ NAME.KEY: A -> B" in
- * both.
+ * "+ NAME" is a service only in @to, "- NAME" one only in @from and
+ * "~ NAME.KEY: A -> B" a changed value.
  *
  * Return: number of differences.
  */
--- a/src/cli/control_query.c
+++ b/src/cli/control_query.c
@@ -81,7 +81,7 @@
     return process;
 }
 
-/* A member that some process names. */
+/* Adds or updates a process from a reply's member list. */
 static void
 add_member(struct control_query *query, const Swiftarch__ShowMember *member)
 {
@@ -111,8 +111,8 @@
     return strcmp(member->name, reply->name) == 0;
 }
 
-/* Whom an answer came from: its own entry in its list tells the address;
- * one without a list was known by name before it was asked. */
+/* Finds the sender of a reply by the control address of its own entry in the
+ * member list. A reply without a list is matched by name. */
 static struct control_query_process *
 find_sender(const struct control_query *query,
             const Swiftarch__ShowReply *reply)
@@ -228,7 +228,7 @@
     finish_if_complete(platform->query);
 }
 
-/* Members of the cell that the platform names, asked like seeds. */
+/* Queries the members in the seed list of the cell as seeds. */
 static void
 on_cell_reply(struct platform_call *call, const struct platform_reply *reply)
 {
@@ -266,7 +266,8 @@
     }
 }
 
-/* Nobody is left to answer and nobody has: try the platform's list. */
+/* Reads the seed list of the cell if no seed has answered. Returns whether
+ * the read is in progress. */
 static bool
 query_cell(struct control_query *query)
 {
@@ -308,13 +309,15 @@
     int rc;
 
     if (getrandom(&self, sizeof(self), 0) != sizeof(self)) {
-        return error_set(err, -EIO, "identity", NULL, "no random numbers");
+        return error_set(err, -EIO, "identity", NULL,
+                         "random number generator failed");
     }
     rc = auth_init(&query->auth, query->settings->site_key,
                    query->settings->site_key_len, self,
                    (uint64_t)g_get_real_time() / USEC_PER_MSEC);
     if (rc < 0) {
-        return error_set(err, rc, "site key", NULL, "the key can't be used");
+        return error_set(err, rc, "site key", NULL,
+                         "the key could not be set up");
     }
     return 0;
 }
--- a/src/cli/control_query.h
+++ b/src/cli/control_query.h
@@ -1,10 +1,10 @@
 /**
- * DOC: query - asks the processes of a site what is in force on them
+ * DOC: control_query - queries the state of all processes of a site
  *
- * The seeds of the operator's settings are asked for their members, then
- * every member that any of them names is asked itself. When no seed
- * answers, the platform's object "cell-NAME" names others, if the settings
- * have a cell. The platform is read beside it for the published version.
+ * The seeds of the operator settings are queried for their members, then
+ * every member in a reply is queried. If no seed answers and the settings
+ * name a cell, further seeds are read from the platform's object "cell-NAME".
+ * The published version is read from the platform at the same time.
  */
 #ifndef SWIFTARCH_CLI_CONTROL_QUERY_H
 #define SWIFTARCH_CLI_CONTROL_QUERY_H
@@ -23,9 +23,9 @@
 #include "service_config/service_config.h"
 
 #define CONTROL_QUERY_TIMEOUT_MS 2000
-#define CONTROL_QUERY_NAME_MAX 64
+#define CONTROL_QUERY_NAME_MAX 64 /* bytes, with the final NUL */
 
-/** enum control_query_state - how far a question has come */
+/** enum control_query_state - progress of the query to one process */
 enum control_query_state {
     CONTROL_QUERY_PENDING,
     CONTROL_QUERY_ANSWERED,
@@ -33,15 +33,14 @@
 };
 
 /**
- * struct control_query_process - one process
- * @name: its name; empty for an address of which nothing is known
- * @control: where it was asked
- * @seed: asked as a seed
- * @state: of the question
+ * struct control_query_process - a queried process
+ * @name: its name; empty for a seed that did not answer and is in no list
+ * @control: control address
+ * @seed: queried as a seed
+ * @state: progress of the query
  * @reason: CONTROL_QUERY_FAILED: negative errno
- * @member: what others say of it, in a reply held by struct control_query, or
- * NULL
- * @reply: its own answer, or NULL
+ * @member: newest entry about it in the reply of another process, or NULL
+ * @reply: its own reply, or NULL
  */
 struct control_query_process {
     char name[CONTROL_QUERY_NAME_MAX];
@@ -54,14 +53,15 @@
 };
 
 /**
- * struct control_query_platform - what the platform answered
- * @call: first member
- * @done: it answered or failed
- * @status: of the reply
- * @version: of the object "config"
- * @envelope: what it holds; no text in it
- * @has_envelope: whether it could be read
- * @error: of a failure
+ * struct control_query_platform - a read from the platform
+ * @call: platform call; first member
+ * @query: query that it belongs to
+ * @done: the call has ended
+ * @status: status of the reply, 0 or a negative errno
+ * @version: version of the object
+ * @envelope: parsed object, without its source
+ * @has_envelope: @envelope is valid
+ * @error: reason of a failure
  */
 struct control_query_platform {
     struct platform_call call;
@@ -75,16 +75,23 @@
 };
 
 /**
- * struct control_query - one round of questions
- * @handler: of @hub; first member
- * @settings: operator's; kept
- * @counters: query for counters
+ * struct control_query - a query to all processes of a site
+ * @handler: callbacks of @hub; first member
+ * @settings: operator settings, owned by the caller
+ * @counters: request the counters too
  * @seeds_only: don't query the members
- * @processes: struct control_query_process, in the order they became known
- * @config: config version and text come from this reply, the highest
- *          version heard; NULL while there is none
- * @platform: see there
- * @cell: answer to the fallback question
+ * @processes: struct control_query_process, in the order of discovery
+ * @config: reply with the highest config version, or NULL
+ * @platform: read of the published configuration
+ * @cell: read of the cell's seed list
+ * @cell_queried: @cell was started
+ * @base: event loop, stopped when the query ends
+ * @timer: timeout of the query
+ * @client: client of the platform
+ * @auth: keys of @hub
+ * @hub: connections to the processes
+ * @hub_ready: @hub is initialized
+ * @ended: all processes have answered or failed, or the timeout expired
  */
 struct control_query {
     struct link_handler handler;
@@ -105,17 +112,21 @@
     bool ended;
 };
 
-/** control_query_init() - prepare; 0 or a negative errno with @err filled */
+/**
+ * control_query_init() - create the event loop and the clients
+ *
+ * Return: 0 or a negative errno with @err filled.
+ */
 int
 control_query_init(struct control_query *query,
                    const struct settings *settings, struct error *err);
 
-/** control_query_finish() - free */
+/** control_query_finish() - free all resources of @query */
 void
 control_query_finish(struct control_query *query);
 
-/** control_query_run() - query until all have answered or failed, @timeout_ms
- * at most */
+/** control_query_run() - query until all processes have answered or failed,
+ * for at most @timeout_ms */
 void
 control_query_run(struct control_query *query, unsigned timeout_ms);
 
--- a/src/cli/explain.c
+++ b/src/cli/explain.c
@@ -1,3 +1,10 @@
+/**
+ * DOC: explain - "swiftarch explain": prints how a packet or a request would
+ * be handled
+ *
+ * The decision is based on the state of a running process or on a service
+ * configuration file.
+ */
 #include <errno.h>
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,10 +21,11 @@
 #include "cli/snapshot.h"
 
 #define SUMMARY                                                               \
-    "Tell what a packet or a request would meet, and why, from what a "       \
-    "process\nof the site knows (--operator) or from a text alone (--text)."
+    "Explain how a packet or a request would be handled, from the state of "  \
+    "a\nprocess of the site (--operator) or from a service configuration "    \
+    "file (--text)."
 
-/** struct explain_options - command line */
+/** struct explain_options - parsed command line of "explain" */
 struct explain_options {
     struct arg_lit *help;
     struct arg_file *settings;
@@ -65,11 +73,11 @@
         return CLI_FAILED;
     }
     if (rc < 0) {
-        fprintf(stderr, "the answer of %s can't be read\n",
+        fprintf(stderr, "the reply of %s can't be parsed\n",
                 query->config->name);
         return CLI_FAILED;
     }
-    printf("as %s sees it, version %" PRIu64 "\n", query->config->name,
+    printf("state of %s, version %" PRIu64 "\n", query->config->name,
            query->config->config_version);
     return CLI_OK;
 }
@@ -98,17 +106,17 @@
 }
 
 static int
-print_packet(const struct snapshot *snapshot, const char *words)
+print_packet(const struct snapshot *snapshot, const char *arg)
 {
     GString *out = g_string_new(NULL);
     struct packet_spec spec;
     int rc;
 
-    if (packet_spec_parse(words, &spec) < 0) {
+    if (packet_spec_parse(arg, &spec) < 0) {
         fprintf(stderr,
                 "--packet: found \"%s\", expected \"tcp|udp ADDRESS:PORT "
                 "ADDRESS:PORT [syn|ack]\"\n",
-                words);
+                arg);
         g_string_free(out, TRUE);
         return CLI_USAGE;
     }
@@ -122,7 +130,7 @@
 print_request(const struct snapshot *snapshot,
               const struct explain_options *options)
 {
-    char **words = g_strsplit(options->request->sval[0], " ", -1);
+    char **parts = g_strsplit(options->request->sval[0], " ", -1);
     struct request_spec spec = {
         .key = string_of(options->key),
         .priority = string_of(options->priority),
@@ -131,20 +139,20 @@
     GString *out = g_string_new(NULL);
     int rc = -EINVAL;
 
-    if (g_strv_length(words) != 2) {
+    if (g_strv_length(parts) != 2) {
         fprintf(stderr,
                 "--request: found \"%s\", expected \"SERVICE "
                 "METHOD\"\n",
                 options->request->sval[0]);
     }
     else {
-        spec.service = words[0];
-        spec.method = words[1];
+        spec.service = parts[0];
+        spec.method = parts[1];
         rc = explain_request(snapshot, &spec, out);
     }
     fputs(out->str, rc < 0 ? stderr : stdout);
     g_string_free(out, TRUE);
-    g_strfreev(words);
+    g_strfreev(parts);
     if (rc == -EINVAL || rc == -ENOENT) {
         return CLI_USAGE;
     }
@@ -181,15 +189,17 @@
     struct explain_options options = {
         .help = arg_lit0("h", "help", "print this"),
         .settings = arg_file0(NULL, "operator", "SETTINGS",
-                              "operator settings file: ask the site"),
-        .config = arg_file0(NULL, "text", "FILE", "a text alone"),
+                              "operator settings file: query the site"),
+        .config =
+            arg_file0(NULL, "text", "FILE", "service configuration file"),
         .packet = arg_str0(NULL, "packet", "WORDS",
                            "\"tcp 10.9.0.1:4000 10.0.0.1:80 [syn|ack]\""),
         .request = arg_str0(NULL, "request", "WORDS", "\"SERVICE METHOD\""),
-        .key = arg_str0(NULL, "key", "KEY", "its Idempotency-Key"),
-        .priority =
-            arg_str0(NULL, "priority", "FIELD", "its Priority, such as u=5"),
-        .timeout = arg_str0(NULL, "timeout-ms", "N", "its deadline"),
+        .key = arg_str0(NULL, "key", "KEY", "Idempotency-Key of the request"),
+        .priority = arg_str0(NULL, "priority", "FIELD",
+                             "Priority of the request, such as u=5"),
+        .timeout =
+            arg_str0(NULL, "timeout-ms", "N", "deadline of the request"),
         .end = arg_end(10),
     };
     void *table[] = {options.help,     options.settings, options.config,
--- a/src/cli/explain_packet.c
+++ b/src/cli/explain_packet.c
@@ -13,13 +13,14 @@
 #include "service_config/service_config_retire.h"
 
 #define TTL 64
-#define RETRY_SLOW_START_US UINT64_C(3600000000) /* beyond every cold start   \
-                                                  */
+
+/* Current time passed to route_decide(), after the end of every slow start. */
+#define AFTER_SLOW_START_US UINT64_C(3600000000)
 
 int
-packet_spec_parse(const char *words, struct packet_spec *spec)
+packet_spec_parse(const char *input, struct packet_spec *spec)
 {
-    char **parts = g_strsplit_set(words, " ", -1);
+    char **parts = g_strsplit_set(input, " ", -1);
     guint count = g_strv_length(parts);
     int rc = -EINVAL;
 
@@ -97,38 +98,38 @@
         addr_format(spec->dst, dst),
         spec->proto == SERVICE_CONFIG_UDP ? "any datagram may open a flow"
         : spec->is_syn                    ? "SYN, may open a flow"
-                                          : "ACK, of a flow that is open");
+                                          : "ACK, belongs to an open flow");
 }
 
 static const char *
 describe_eligibility(const struct view_member *member)
 {
     if (member->health == MEMBER_DEAD) {
-        return "dead: gets nothing";
+        return "dead: gets no packets";
     }
     if (member->health == MEMBER_SUSPECT) {
-        return "silent: gets no new flow, its own flows' packets come to it "
-               "after the others";
+        return "suspect: gets no new flow, packets of its flows try the "
+               "other endpoints first";
     }
     switch (member->state) {
     case MEMBER_READY:
         return "takes new flows";
     case MEMBER_WARMING:
-        return "takes a growing share of new flows (cold start)";
+        return "takes an increasing share of new flows (slow start)";
     case MEMBER_DRAINING:
-        return "keeps its flows, gets no new one";
+        return "keeps its flows, gets no new flow";
     default:
-        return "keeps its flows until it stops, gets no new one";
+        return "keeps its flows until it stops, gets no new flow";
     }
 }
 
 static void
-print_member(const struct view_member *member, const char *place, GString *out)
+print_member(const struct view_member *member, const char *label, GString *out)
 {
     char data[ADDR_TEXT_MAX];
 
     g_string_append_printf(
-        out, "%s %-24s %-12s %-21s %s, %s: %s\n", place, member->name,
+        out, "%s %-24s %-12s %-21s %s, %s: %s\n", label, member->name,
         member->data_centre, addr_format(member->data, data),
         format_state(member->state), format_health(member->health),
         describe_eligibility(member));
@@ -141,20 +142,20 @@
     g_string_append(
         out, gue->flags & GUE_OPEN
                  ? "goes to  the first of these, which opens the flow unless "
-                   "one of the others knows\n         it already\n"
-                 : "goes to  the first of these; who does not know the flow "
-                   "passes it to the next\n");
-    g_string_append(out, "order    by standing, then by the score of each "
+                   "another of them has\n         it already\n"
+                 : "goes to  the first of these; an agent without the flow "
+                   "forwards it to the next\n");
+    g_string_append(out, "order    by health rank, then by the score of each "
                          "endpoint for the bucket\n         (rendezvous "
                          "hashing), highest first\n");
     for (size_t i = 0; i < gue->count; i++) {
         const struct view_member *member =
             view_find(snapshot->view, gue->hops[i].member);
-        char place[16];
+        char label[16];
 
-        g_snprintf(place, sizeof(place), "  %zu.", i + 1);
+        g_snprintf(label, sizeof(label), "  %zu.", i + 1);
         if (member != NULL) {
-            print_member(member, place, out);
+            print_member(member, label, out);
         }
     }
 }
@@ -185,7 +186,7 @@
             continue;
         }
         if (!any) {
-            g_string_append(out, "not asked, being ranked lower or dead\n");
+            g_string_append(out, "not used, being ranked lower or dead\n");
             any = true;
         }
         print_member(member, "   -", out);
@@ -200,8 +201,8 @@
     g_string_append_printf(out, "service  %s, %s\n", service->name,
                            service_config_class_name(service->class));
     g_string_append_printf(out,
-                           "bucket   %u of %d, from the hash of the five "
-                           "numbers of the flow\n",
+                           "bucket   %u of %d, from the hash of the flow's "
+                           "5-tuple\n",
                            rank_bucket(packet_flow_hash(packet)),
                            RANK_BUCKETS);
     if (retired != NULL) {
@@ -222,13 +223,13 @@
               GString *out)
 {
     const char *reason = drop == PACKET_NO_SERVICE
-                             ? "no service of the text has this address, "
-                               "port and protocol"
-                             : "no live endpoint is announced for it";
+                             ? "no service of the configuration has this "
+                               "address, port and protocol"
+                             : "the service has no live endpoint";
 
     if (drop == PACKET_NO_ENDPOINT && snapshot->source_process[0] == '\0') {
-        g_string_append(out, "goes to  endpoints announce themselves and "
-                             "stand in no text; ask with --operator\n");
+        g_string_append(out, "goes to  endpoints are not part of the "
+                             "configuration; use --operator\n");
         return;
     }
     g_string_append_printf(out, "dropped  %s (counted as reason=\"%s\")\n",
@@ -256,7 +257,7 @@
     if (rc < 0) {
         return rc;
     }
-    drop = route_decide(table, buf, len, RETRY_SLOW_START_US, &decision);
+    drop = route_decide(table, buf, len, AFTER_SLOW_START_US, &decision);
     route_table_free(table);
     print_packet(spec, out);
     if (service == NULL) {
--- a/src/cli/explain_packet.h
+++ b/src/cli/explain_packet.h
@@ -1,5 +1,7 @@
 /**
- * DOC: explain_packet - what a packet would meet, by the balancer's own code
+ * DOC: explain_packet - explains how a packet would be routed
+ *
+ * Builds the packet and passes it to the balancer's routing code.
  */
 #ifndef SWIFTARCH_CLI_EXPLAIN_PACKET_H
 #define SWIFTARCH_CLI_EXPLAIN_PACKET_H
@@ -11,11 +13,11 @@
 #include "cli/snapshot.h"
 
 /**
- * struct packet_spec - a packet in words
- * @proto: transport
- * @src: caller
- * @dst: service
- * @is_syn: TCP: the packet that is_syn a flow (SYN), else one of a flow
+ * struct packet_spec - a packet to explain
+ * @proto: transport protocol
+ * @src: address of the caller
+ * @dst: address of the service
+ * @is_syn: TCP: a SYN; otherwise an ACK of an open flow
  */
 struct packet_spec {
     enum service_config_proto proto;
@@ -25,14 +27,18 @@
 };
 
 /**
- * packet_spec_parse() - read "tcp|udp SOURCE DESTINATION [syn|ack]"
+ * packet_spec_parse() - parse "tcp|udp SOURCE DESTINATION [syn|ack]"
  *
  * Return: 0 or -EINVAL.
  */
 int
-packet_spec_parse(const char *words, struct packet_spec *spec);
+packet_spec_parse(const char *input, struct packet_spec *spec);
 
-/** explain_packet() - print to @out; 0 or -ENOMEM, -E2BIG */
+/**
+ * explain_packet() - append the explanation to @out
+ *
+ * Return: 0, -ENOMEM or -E2BIG.
+ */
 int
 explain_packet(const struct snapshot *snapshot, const struct packet_spec *spec,
                GString *out);
--- a/src/cli/explain_request.c
+++ b/src/cli/explain_request.c
@@ -10,14 +10,19 @@
 #include "request/retry.h"
 #include "request/services.h"
 
-#define NOW_US 1 /* of the pretended process that looks at the members */
+#define NOW_US 1 /* current time of the simulated process */
 #define HOUR_US (3600 * USEC_PER_SEC)
 
-/** struct read_request - the request as an agent's reader hands it out */
+/**
+ * struct read_request - a request parsed by the agent's reader
+ * @base: callbacks of the reader; first member
+ * @request: parsed request; valid if @complete
+ * @complete: the reader found the end of the request
+ */
 struct read_request {
     struct reader_owner base;
     struct reader_request request;
-    bool whole;
+    bool complete;
 };
 
 static void
@@ -28,7 +33,7 @@
     g_byte_array_unref(request->http);
     read->request = *request;
     read->request.http = NULL;
-    read->whole = true;
+    read->complete = true;
 }
 
 static void
@@ -49,7 +54,8 @@
     }
 }
 
-/* Reads the request as an agent would; its status, 0 when it is good. */
+/* Parses the request as an agent would. Returns its HTTP status, 0 if valid.
+ */
 static unsigned
 read_request(const struct request_spec *spec, size_t body_max,
              struct read_request *read)
@@ -68,7 +74,7 @@
     reader_init(&reader, &read->base, body_max);
     reader_feed(&reader, http->str, http->len);
     status = reader.status;
-    if (status == 0 && !read->whole) {
+    if (status == 0 && !read->complete) {
         status = 400;
     }
     reader_finish(&reader);
@@ -82,18 +88,18 @@
 {
     enum service_config_class class = reader_class(service->class, urgency);
     const char *order = class == SERVICE_CONFIG_URGENT
-                            ? "it goes before ordinary requests"
-                            : "it waits behind urgent requests";
+                            ? "served before ordinary requests"
+                            : "queued behind urgent requests";
 
     g_string_append_printf(out, "class    %s: %s",
                            service_config_class_name(class), order);
     if (class != service->class) {
-        g_string_append_printf(out, " (its Priority u=%u asks for less)",
+        g_string_append_printf(out, " (lowered by its Priority u=%u)",
                                urgency);
     }
     g_string_append_printf(out,
                            ",\n         but one start in %d is ordinary while "
-                           "both wait\n",
+                           "both are queued\n",
                            QUEUE_ORDINARY_EVERY);
 }
 
@@ -122,7 +128,7 @@
         g_string_append_printf(
             out,
             "runs     at most once for its key, which is kept for %" PRIu64
-            " h: a repeat gets the\n         recorded answer, 409 while the "
+            " h: a repeat gets the\n         recorded reply, 409 while the "
             "first runs, 504 when its outcome is\n         unknown, 422 when "
             "method, target or body differ\n",
             (uint64_t)(IDEM_TTL_US / HOUR_US));
@@ -130,15 +136,15 @@
     if (request->idempotent) {
         g_string_append_printf(
             out,
-            "retry    its method is idempotent: after a lost answer it may be "
+            "retry    its method is idempotent: after a lost reply it may be "
             "run again, %d runs\n         in all, within a budget of %d %% "
-            "of the answers\n",
+            "of the replies\n",
             RETRY_ATTEMPTS_MAX, RETRY_PERCENT);
         return;
     }
     g_string_append(out, "retry    its method is not idempotent: once handed "
                          "to an upstream it is never sent\n         again; "
-                         "without a whole answer its outcome is unknown "
+                         "without a complete reply its outcome is unknown "
                          "(504)\n");
 }
 
@@ -177,17 +183,18 @@
         g_string_append(out, "needs    no other service\n");
     }
     for (guint i = 0; i < service->dependencies->len; i++) {
-        uint32_t need = g_array_index(service->dependencies, uint32_t, i);
+        uint32_t dependency =
+            g_array_index(service->dependencies, uint32_t, i);
 
         g_string_append_printf(
             out, "needs    %s",
-            service_config_find_id(snapshot->config, need)->name);
+            service_config_find_id(snapshot->config, dependency)->name);
         if (snapshot->source_process[0] != '\0') {
-            size_t working = count_available(snapshot->view, need);
+            size_t available = count_available(snapshot->view, dependency);
 
-            g_string_append_printf(out, ": %zu endpoints take work%s", working,
-                                   working == 0 ? ", so it is refused (503)"
-                                                : "");
+            g_string_append_printf(
+                out, ": %zu endpoints accept requests%s", available,
+                available == 0 ? ", so it is refused (503)" : "");
         }
         g_string_append_c(out, '\n');
     }
@@ -200,8 +207,9 @@
 {
     const struct view *view = snapshot->view;
 
-    g_string_append(out, "runs at  any endpoint with a free slot, its flow's "
-                         "own first\n");
+    g_string_append(out,
+                    "runs at  any endpoint with a free slot, first the one "
+                    "of its flow\n");
     for (size_t i = 0; i < view->count; i++) {
         const struct view_member *member = &view->members[i];
 
@@ -216,13 +224,13 @@
         }
     }
     if (count_available(view, service) == 0) {
-        g_string_append(out, "         no endpoint takes work: refused, not "
-                             "run (503)\n");
+        g_string_append(out, "         no endpoint accepts requests: refused, "
+                             "not run (503)\n");
     }
 }
 
-/* The replicas as a process would pick them that starts now and tells by
- * the incarnations how long the others have been there. */
+/* Selects the replicas as a process started now would. It derives the age of
+ * the other processes from their incarnations. */
 static int
 print_replicas(const struct snapshot *snapshot, const struct idem_key *key,
                GString *out)
@@ -249,7 +257,7 @@
             member->data_centre, format_state(member->state),
             format_health(member->health),
             replicas_eligible(set.sessions[i], NOW_US) ? ""
-                                                       : ", not settled yet");
+                                                       : ", not eligible yet");
     }
     replicas_finish(&replicas);
     return 0;
@@ -266,8 +274,8 @@
     };
 
     if (snapshot->source_process[0] == '\0') {
-        g_string_append(out, "runs at  endpoints announce themselves and "
-                             "stand in no text; ask with --operator\n");
+        g_string_append(out, "runs at  endpoints are not part of the "
+                             "configuration; use --operator\n");
         return 0;
     }
     print_endpoints(snapshot, service->id, out);
@@ -284,14 +292,14 @@
     unsigned status;
 
     if (service == NULL) {
-        g_string_append_printf(out, "the text has no service \"%s\"\n",
-                               spec->service);
+        g_string_append_printf(
+            out, "the configuration has no service \"%s\"\n", spec->service);
         return -ENOENT;
     }
     if (service->proto == SERVICE_CONFIG_UDP) {
         g_string_append_printf(out,
-                               "%s is a UDP service: its datagrams are passed "
-                               "on, no request is read\n",
+                               "%s is a UDP service: its datagrams are "
+                               "forwarded, no request is parsed\n",
                                service->name);
         return 0;
     }
@@ -299,7 +307,7 @@
     if (status != 0) {
         g_string_append_printf(out,
                                "answered with %u by the agent: the request "
-                               "can't be read, nothing is run\n",
+                               "can't be parsed and is not run\n",
                                status);
         return -EINVAL;
     }
--- a/src/cli/explain_request.h
+++ b/src/cli/explain_request.h
@@ -1,5 +1,8 @@
 /**
- * DOC: explain_request - what a request would meet, by the agent's own code
+ * DOC: explain_request - explains how a request would be handled
+ *
+ * Parses the request with the agent's reader, then prints its class, limits,
+ * retries, dependencies, endpoints and idempotency replicas.
  */
 #ifndef SWIFTARCH_CLI_EXPLAIN_REQUEST_H
 #define SWIFTARCH_CLI_EXPLAIN_REQUEST_H
@@ -9,12 +12,12 @@
 #include "cli/snapshot.h"
 
 /**
- * struct request_spec - a request in words
- * @service: service it is for
+ * struct request_spec - a request to explain
+ * @service: name of the service
  * @method: HTTP method
- * @key: its Idempotency-Key, or NULL
- * @priority: its Priority field (RFC 9218), or NULL
- * @timeout_ms: its Request-Timeout-Ms, or NULL
+ * @key: Idempotency-Key field, or NULL
+ * @priority: Priority field (RFC 9218), or NULL
+ * @timeout_ms: Request-Timeout-Ms field, or NULL
  */
 struct request_spec {
     const char *service;
@@ -25,10 +28,10 @@
 };
 
 /**
- * explain_request() - print to @out
+ * explain_request() - append the explanation to @out
  *
- * Return: 0, -ENOENT when the text has no such service, -EINVAL when the
- * request can't be read (both printed), -ENOMEM.
+ * Return: 0, -ENOENT if the config has no such service, -EINVAL if the
+ * request can't be parsed (both with a message in @out), or -ENOMEM.
  */
 int
 explain_request(const struct snapshot *snapshot,
--- a/src/cli/format.h
+++ b/src/cli/format.h
@@ -1,12 +1,12 @@
 /**
- * DOC: words - words for what processes say in numbers
+ * DOC: format - names of member roles, states and health, and durations
  */
 #ifndef SWIFTARCH_CLI_FORMAT_H
 #define SWIFTARCH_CLI_FORMAT_H
 
 #include <stdint.h>
 
-#define FORMAT_AGE_MAX 32
+#define FORMAT_AGE_MAX 32 /* bytes, with the final NUL */
 
 /** format_role() - "balancer", "agent" or "unknown" */
 const char *
@@ -20,8 +20,8 @@
 const char *
 format_health(uint32_t health);
 
-/** format_age() - "0.4 s", "3 min", "2 h" or "never" for UINT64_MAX, in @buf
- * (FORMAT_AGE_MAX) */
+/** format_age() - "0.4 s", "3 min" or "2 h" in @buf of FORMAT_AGE_MAX bytes,
+ * or "never" for UINT64_MAX */
 const char *
 format_age(uint64_t ms, char *buf);
 
--- a/src/cli/load_config.h
+++ b/src/cli/load_config.h
@@ -1,5 +1,5 @@
 /**
- * DOC: load_config - the operators' config from a file
+ * DOC: load_config - reads a service configuration file
  */
 #ifndef SWIFTARCH_CLI_LOAD_CONFIG_H
 #define SWIFTARCH_CLI_LOAD_CONFIG_H
@@ -7,9 +7,10 @@
 #include "service_config/service_config.h"
 
 /**
- * load_config() - read and parse a config; every fault goes to standard error
+ * load_config() - read and parse a config, print all errors on standard error
  * @path: file, "-" for standard input
- * @config: service_config_free() it after CLI_OK
+ * @config: set to the config, for service_config_free(), if the result is
+ *          CLI_OK
  *
  * Return: CLI_OK or CLI_USAGE.
  */
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -1,5 +1,7 @@
 /**
- * DOC: main - the one binary
+ * DOC: main - table of the subcommands of swiftarch
+ *
+ * The commands of terminated mode are built with SWIFTARCH_TERMINATED only.
  */
 #include <stdio.h>
 
@@ -15,7 +17,7 @@
 #include "balancer/balancer.h"
 #endif
 
-/* Names the settings file when the command line doesn't. */
+/* Default of --settings. */
 #define SETTINGS_VARIABLE "SWIFTARCH_CONFIG"
 
 static const char *
@@ -47,7 +49,7 @@
         const char *path = settings_path(settings);
 
         if (path == NULL) {
-            fprintf(stderr, "%s: --settings FILE is needed\n", argv[0]);
+            fprintf(stderr, "%s: --settings FILE is required\n", argv[0]);
             code = CLI_USAGE;
         }
         else {
@@ -62,17 +64,19 @@
 static int
 run_balancer(int argc, char **argv)
 {
-    return run_role(balancer_run,
-                    "Run a balancer until SIGTERM; a second one ends it hard.",
-                    argc, argv);
+    return run_role(
+        balancer_run,
+        "Run a balancer until SIGTERM; a second one stops it at once.", argc,
+        argv);
 }
 
 static int
 run_agent(int argc, char **argv)
 {
-    return run_role(agent_run,
-                    "Run an agent until SIGTERM; a second one ends it hard.",
-                    argc, argv);
+    return run_role(
+        agent_run,
+        "Run an agent until SIGTERM; a second one stops it at once.", argc,
+        argv);
 }
 
 #endif
@@ -81,8 +85,8 @@
 run_relay_balancer(int argc, char **argv)
 {
     return run_role(relay_balancer_run,
-                    "Run a relay balancer until SIGTERM; a second one ends "
-                    "it hard.",
+                    "Run a relay balancer until SIGTERM; a second one stops "
+                    "it at once.",
                     argc, argv);
 }
 
@@ -90,8 +94,8 @@
 run_relay_agent(int argc, char **argv)
 {
     return run_role(relay_agent_run,
-                    "Run a relay agent until SIGTERM; a second one ends it "
-                    "hard.",
+                    "Run a relay agent until SIGTERM; a second one stops "
+                    "it at once.",
                     argc, argv);
 }
 
@@ -101,19 +105,20 @@
     static const struct cli_command commands[] = {
         {"relay-balancer", "relay packets to the agents of their service",
          run_relay_balancer},
-        {"relay-agent", "relay packets to the endpoint beside it",
+        {"relay-agent", "relay packets to the local endpoint",
          run_relay_agent},
-        {"relay-show", "tell what is in force on processes of relay mode",
+        {"relay-show", "show the state of balancers and agents of relay mode",
          cli_relay_show},
-        {"relay-explain", "tell what processes of relay mode know of a flow",
+        {"relay-explain", "show the state of a flow in relay mode",
          cli_relay_explain},
 #ifdef SWIFTARCH_TERMINATED
         {"balancer", "forward packets from the fabric", run_balancer},
-        {"agent", "serve the upstream beside it", run_agent},
-        {"check", "check an operators' text", cli_check},
-        {"apply", "publish an operators' text", cli_apply},
-        {"show", "tell what is in force on each process", cli_show},
-        {"explain", "tell what a packet or a request would meet", cli_explain},
+        {"agent", "forward requests to the local upstream", run_agent},
+        {"check", "check a service configuration", cli_check},
+        {"apply", "publish a service configuration", cli_apply},
+        {"show", "show the configuration in force on each process", cli_show},
+        {"explain", "explain how a packet or a request is handled",
+         cli_explain},
 #endif
     };
 
--- a/src/cli/show.c
+++ b/src/cli/show.c
@@ -1,3 +1,7 @@
+/**
+ * DOC: show - "swiftarch show": prints the configuration in force on each
+ * process
+ */
 #include <stdio.h>
 
 #include <argtable2.h>
@@ -8,11 +12,11 @@
 #include "cli/show_print.h"
 
 #define SUMMARY                                                               \
-    "Tell, process by process, which configuration is in force since when."
+    "Show which configuration is in force on each process, and since when."
 #define TIMEOUT_MIN_MS 100
 #define TIMEOUT_MAX_MS 60000
 
-/** struct show_options - command line */
+/** struct show_options - parsed command line of "show" */
 struct show_options {
     struct arg_lit *help;
     struct arg_file *settings;
@@ -85,7 +89,7 @@
         .counters = arg_lit0(NULL, "counters", "print the counters too"),
         .json = arg_lit0(NULL, "json", "print one JSON object"),
         .timeout = arg_int0(NULL, "timeout-ms", "N",
-                            "wait so long for answers, default 2000"),
+                            "timeout for replies, default 2000"),
         .end = arg_end(10),
     };
     void *table[] = {options.help, options.settings, options.counters,
--- a/src/cli/show_print.c
+++ b/src/cli/show_print.c
@@ -77,7 +77,7 @@
         service =
             service_config_find_with_retired(config, process->member->service);
     }
-    return service != NULL ? service->name : "not in the text";
+    return service != NULL ? service->name : "not in the configuration";
 }
 
 static struct service_config *
@@ -102,11 +102,11 @@
     GDateTime *now = g_date_time_new_now_utc();
     GDateTime *then =
         g_date_time_add(now, -(GTimeSpan)(ms_ago * USEC_PER_MSEC));
-    char *words = g_date_time_format(then, "%Y-%m-%d %H:%M:%S UTC");
+    char *formatted = g_date_time_format(then, "%Y-%m-%d %H:%M:%S UTC");
 
     g_date_time_unref(now);
     g_date_time_unref(then);
-    return words;
+    return formatted;
 }
 
 static void
@@ -123,7 +123,7 @@
     g_string_append_printf(out, "version %" PRIu64 " in force since %s (%s)",
                            reply->config_version, since,
                            format_age(reply->in_force_ms, age));
-    g_string_append_printf(out, ", word %s old",
+    g_string_append_printf(out, ", confirmed %s ago",
                            format_age(reply->heard_ms, age));
     g_free(since);
 }
@@ -137,10 +137,10 @@
         return;
     }
     if (reply->platform_ok_ms == UINT64_MAX) {
-        g_string_append(out, ", reads the platform: no answer yet");
+        g_string_append(out, ", reads the platform: no reply yet");
         return;
     }
-    g_string_append_printf(out, ", reads the platform: last answer %s ago",
+    g_string_append_printf(out, ", reads the platform: last reply %s ago",
                            format_age(reply->platform_ok_ms, age));
 }
 
@@ -151,7 +151,7 @@
                            g_strerror(-process->reason));
     if (process->member != NULL) {
         g_string_append_printf(
-            out, ", the others take it for %s, last told version %" PRIu64,
+            out, ", other processes report it %s with version %" PRIu64,
             format_health(process->member->health),
             process->member->config_version);
     }
@@ -218,12 +218,12 @@
     else {
         g_string_append_printf(out,
                                "platform: version %" PRIu64
-                               " is published, by nobody named\n",
+                               " is published, without an author\n",
                                platform->version);
     }
 }
 
-/* Of the version that is in force where it was asked. */
+/* Lists the retired addresses of the newest config version in the replies. */
 static void
 print_retired(const struct service_config *config, GString *out)
 {
@@ -259,10 +259,11 @@
     if (query->platform.done && query->platform.status == 0 &&
         query->config != NULL &&
         query->config->config_version < query->platform.version) {
-        g_string_append_printf(out,
-                               "the published version %" PRIu64
-                               " is not in force yet where it was asked\n",
-                               query->platform.version);
+        g_string_append_printf(
+            out,
+            "the published version %" PRIu64
+            " is not in force yet on the queried processes\n",
+            query->platform.version);
     }
 }
 
--- a/src/cli/show_print.h
+++ b/src/cli/show_print.h
@@ -1,5 +1,5 @@
 /**
- * DOC: show_print - what the processes answered, for a person or as JSON
+ * DOC: show_print - prints the result of a control query as a table or JSON
  */
 #ifndef SWIFTARCH_CLI_SHOW_PRINT_H
 #define SWIFTARCH_CLI_SHOW_PRINT_H
@@ -8,31 +8,36 @@
 
 #include "cli/control_query.h"
 
-/** struct show_totals - the answers summed up */
+/**
+ * struct show_totals - summary of a query
+ * @processes: known processes
+ * @answered: processes that answered
+ * @versions: different config versions in force
+ */
 struct show_totals {
     size_t processes;
     size_t answered;
     size_t versions;
 };
 
-/** show_sort() - put the processes in the order of their names */
+/** show_sort() - sort the processes by name */
 void
 show_sort(struct control_query *query);
 
-/** show_totals() - count; an address of which nothing but its silence is
- * known is no process */
+/** show_totals() - count the processes; a seed that did not answer and is in
+ * no member list is not counted */
 struct show_totals
 show_totals(const struct control_query *query);
 
-/** show_print_table() - one line a process, then the summary */
+/** show_print_table() - append one line per process and a summary to @out */
 void
 show_print_table(const struct control_query *query, GString *out);
 
-/** show_print_counters() - counters of each process that answered */
+/** show_print_counters() - append the counters of each process to @out */
 void
 show_print_counters(const struct control_query *query, GString *out);
 
-/** show_print_json() - all of it as one JSON object */
+/** show_print_json() - append the whole result as one JSON object to @out */
 void
 show_print_json(const struct control_query *query, GString *out);
 
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -18,15 +18,15 @@
 #define PORT_HTTPS 443
 
 /**
- * struct platform - the client
+ * struct platform - client of the object API
  * @base: event base
  * @url: base URL, for errors
- * @host: its host
- * @path: its path without a slash at the end
- * @peer: whom the connections call
- * @tls: transport, where the URL says https
- * @transfers: every struct transfer; those without a call are idle
- * @calls: calls made so far
+ * @host: host of @url
+ * @path: path of @url without a trailing slash
+ * @peer: peer of the connections
+ * @tls: TLS transport of https URLs
+ * @transfers: all struct transfer; idle if without a call
+ * @calls: number of calls started
  */
 struct platform {
     struct event_base *base;
@@ -40,12 +40,12 @@
 };
 
 /**
- * struct transfer - a connection, and its call in progress
- * @http: the call as the client of HTTP knows it
- * @platform: its client
- * @httpc: the connection
- * @call: whom to tell, NULL while it is idle
- * @step: what is done, for errors
+ * struct transfer - a connection with at most one call in progress
+ * @http: HTTP call
+ * @platform: client that it belongs to
+ * @httpc: connection
+ * @call: call in progress, NULL while idle
+ * @step: name of the operation, for errors
  * @is_write: the call is a PUT
  */
 struct transfer {
@@ -57,7 +57,7 @@
     bool is_write;
 };
 
-/* ETag: "VERSION"; anything else leaves the version 0. */
+/* Parses an ETag of the form "VERSION". Returns 0 for anything else. */
 static uint64_t
 version_of(const char *etag)
 {
@@ -100,15 +100,15 @@
 {
     switch (status) {
     case -ECONNREFUSED:
-        return "nobody accepts connections there";
+        return "no server listens on this address";
     case -ECONNRESET:
-        return "the connection ended without an answer";
+        return "the connection closed before the reply";
     case -ETIMEDOUT:
-        return "no answer came in time";
+        return "no reply before the timeout";
     case -EMSGSIZE:
-        return "the answer is too large";
+        return "the reply is too large";
     default:
-        return "what came is no answer";
+        return "the request failed or the reply is invalid";
     }
 }
 
@@ -167,7 +167,7 @@
     g_free(transfer);
 }
 
-/* An idle connection, or a new one. */
+/* Returns an idle connection or opens a new one; NULL without memory. */
 static struct transfer *
 transfer_get(struct platform *platform)
 {
@@ -238,7 +238,7 @@
     return ret;
 }
 
-/* Takes scheme, host, port and path of a base URL. */
+/* Sets host, port, path and transport from a base URL. */
 static int
 set_url(struct platform *platform, const struct evhttp_uri *uri)
 {
@@ -301,7 +301,7 @@
         error_set(err, ret, "platform", url, "%s",
                   ret == -EINVAL
                       ? "the base URL must begin with http:// or https://"
-                      : "the client can't be set up");
+                      : "the client could not be set up");
         platform_free(platform);
         return NULL;
     }
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -3,15 +3,13 @@
  *
  *   GET /v1/objects/NAME                    200 body, ETag: "VERSION"; 404
  *   GET /v1/objects/NAME?after=V&wait=S     200 once the version is above V,
- *                                           304 when S seconds passed
- *   PUT /v1/objects/NAME, If-Match: "V"     200 ETag: "V+1"; 412 ETag: now
+ *                                           304 after S seconds
+ *   PUT /v1/objects/NAME, If-Match: "V"     200 ETag: "V+1"; 412 ETag: current
  *   PUT /v1/objects/NAME, If-None-Match: *  200 ETag: "1"; 412 if it exists
  *
- * Values are up to 1 MiB. Versions grow by one with each write and never
- * go back. Statuses of their own: -ECONNREFUSED (nothing was sent), -EBUSY
- * (429, 503), -EMSGSIZE (413, or an answer above 1 MiB), -EPROTO (no
- * version in the answer). The configuration is the object "config"; the seed
- * list of a cell is "cell-NAME".
+ * Values are up to 1 MiB. The version grows by one with each write. The
+ * configuration is the object "config"; the seed list of a cell is
+ * "cell-NAME".
  */
 #ifndef SWIFTARCH_PLATFORM_PLATFORM_H
 #define SWIFTARCH_PLATFORM_PLATFORM_H
@@ -22,18 +20,20 @@
 
 #include "base/error.h"
 
-#define PLATFORM_VALUE_MAX (1u << 20)
+#define PLATFORM_VALUE_MAX (1u << 20) /* bytes */
 #define PLATFORM_TIMEOUT_MS 2500
 
 /**
- * struct platform_reply - what came back
- * @status: 0, -ENOENT, -ESTALE (412), -EAGAIN (304), -ETIMEDOUT, or another
- *          negative errno: for a write, whether it took effect is then
- *          unknown and must be settled by reading
+ * struct platform_reply - result of a call
+ * @status: 0, -ENOENT (404), -ESTALE (412), -EAGAIN (304), -ECONNREFUSED
+ *          (nothing was sent), -EBUSY (429, 503), -EMSGSIZE (413, or a reply
+ *          above 1 MiB), -EPROTO (no version in the reply), -ETIMEDOUT or
+ *          another negative errno. After -ETIMEDOUT or another error a write
+ *          may have taken effect: read the object.
  * @version: version of the object, 0 if unknown
- * @value: body (valid during the callback), NULL if none
- * @len: its length
- * @error: step and peer of a failure
+ * @value: body, valid during the callback; NULL if none
+ * @len: length of @value
+ * @error: step, peer and reason of a failure
  */
 struct platform_reply {
     int status;
@@ -43,7 +43,10 @@
     struct error error;
 };
 
-/** struct platform_call - caller-owned; @done is told once, at the end */
+/**
+ * struct platform_call - a call in progress, owned by the caller
+ * @done: called once with the result, on the thread of the event base
+ */
 struct platform_call {
     void (*done)(struct platform_call *call,
                  const struct platform_reply *reply);
@@ -52,20 +55,25 @@
 struct platform;
 
 /**
- * platform_new() - a client on @base (all calls from that thread)
- * @url: base URL
+ * platform_new() - create a client; use it only on the thread of @base
+ * @url: base URL, http:// or https://
  *
  * Return: the client or NULL with @err filled.
  */
 struct platform *
 platform_new(struct event_base *base, const char *url, struct error *err);
 
-/** platform_free() - cancel what is open (no callback) and free; not from
- * inside a callback */
+/** platform_free() - cancel all calls without their callbacks and free; not
+ * to be called from a callback */
 void
 platform_free(struct platform *platform);
 
-/** platform_get() - read an object */
+/**
+ * platform_get() - read an object
+ *
+ * Return: 0, -EINVAL for an invalid @name, or another negative errno. @call is
+ * not called back after an error. The same holds for the functions below.
+ */
 int
 platform_get(struct platform *platform, const char *name,
              struct platform_call *call);
@@ -75,12 +83,13 @@
 platform_watch(struct platform *platform, const char *name, uint64_t after,
                unsigned wait_s, struct platform_call *call);
 
-/** platform_put() - conditional write; @expect 0 means it must not exist */
+/** platform_put() - write @name if its version is @expect, or if it doesn't
+ * exist for @expect 0; -EMSGSIZE above PLATFORM_VALUE_MAX */
 int
 platform_put(struct platform *platform, const char *name, uint64_t expect,
              const char *value, size_t len, struct platform_call *call);
 
-/** platform_calls() - calls made so far, watches included */
+/** platform_calls() - number of calls started, watches included */
 uint64_t
 platform_calls(const struct platform *platform);
 
--- a/src/platform/tls.c
+++ b/src/platform/tls.c
@@ -21,7 +21,7 @@
     return ok;
 }
 
-/* The certificate must be for this name, or for this address. */
+/* Requires a certificate for the host name or address; sets SNI for a name. */
 static bool
 expect_host(SSL *ssl, const char *host)
 {
@@ -55,7 +55,7 @@
         SSL_free(ssl);
         return NULL;
     }
-    /* Servers that just close are common; HTTP has lengths of its own. */
+    /* Accept a close without close_notify: HTTP delimits its own messages. */
     bufferevent_openssl_set_allow_dirty_shutdown(bev, 1);
     return bev;
 }
--- a/src/platform/tls.h
+++ b/src/platform/tls.h
@@ -1,8 +1,8 @@
 /**
- * DOC: tls - connections to the platform that are encrypted
+ * DOC: tls - TLS transport of connections to the platform
  *
- * The peer must show a certificate for its name, signed by somebody whom the
- * host trusts ($SSL_CERT_FILE and $SSL_CERT_DIR, as for other programs).
+ * The peer needs a certificate for its name, signed by an authority that the
+ * host trusts (OpenSSL's defaults, $SSL_CERT_FILE and $SSL_CERT_DIR).
  */
 #ifndef SWIFTARCH_PLATFORM_TLS_H
 #define SWIFTARCH_PLATFORM_TLS_H
@@ -13,11 +13,10 @@
 
 /**
  * struct tls - transport to one peer
- * @base: for httpc
- * @context: OpenSSL's settings
- * @host: name or address that the certificate must hold
- * @verify_error: verify_error the last certificate was refused, NULL for not
- * at all
+ * @base: operations for httpc; first member
+ * @context: OpenSSL context
+ * @host: name or address that the certificate must contain
+ * @verify_error: why the last certificate was rejected, or NULL
  */
 struct tls {
     struct httpc_transport base;
@@ -26,11 +25,11 @@
     const char *verify_error;
 };
 
-/** tls_init() - 0 or -ENOMEM */
+/** tls_init() - set up the transport to @host; 0 or -ENOMEM */
 int
 tls_init(struct tls *tls, const char *host);
 
-/** tls_finish() - free; no client may use it any more */
+/** tls_finish() - free; no connection may use the transport any more */
 void
 tls_finish(struct tls *tls);
 
--- a/tests/cli/apply_core_test.c
+++ b/tests/cli/apply_core_test.c
@@ -1,3 +1,10 @@
+/**
+ * DOC: apply_core_test - outcomes of "apply" with lost, delayed and refused
+ * writes
+ *
+ * A random model checks that a write is applied at most once and that the
+ * reported outcome is true.
+ */
 #include <string.h>
 
 #include "cli/apply_core.h"
@@ -9,7 +16,7 @@
 #define SEED 20261202
 #define ROUNDS 20000
 
-/** struct step - an event and the action it must lead to */
+/** struct step - an event and the expected action */
 struct step {
     struct apply_event event;
     struct apply_action action;
@@ -38,7 +45,7 @@
     g_assert_cmpuint(got.version, ==, expected.version);
 }
 
-/** struct script - events in turn and the actions they must lead to */
+/** struct script - a sequence of events and expected actions */
 struct script {
     const char *name;
     const uint64_t *expect;
@@ -56,8 +63,8 @@
 static const uint64_t six = 6;
 static const struct script scripts[] = {
     {"success", NULL, {{BEGIN}, {WRITTEN(7)}}},
-    {"first of all", NULL, {{SEES(0, NULL), DO_WRITE(0)}, {WRITTEN(1)}}},
-    {"same",
+    {"first version", NULL, {{SEES(0, NULL), DO_WRITE(0)}, {WRITTEN(1)}}},
+    {"already published",
      NULL,
      {{.event = {APPLY_READ, 6, &others, true}, DO_END(APPLY_UNCHANGED, 6)}}},
     {"version too new", &six, {{ENDS(7, &others, APPLY_RACE_LOST)}}},
@@ -66,24 +73,23 @@
     {"race lost",
      NULL,
      {{BEGIN}, {STALE}, {ENDS(7, &others, APPLY_RACE_LOST)}}},
-    {"race lost long ago",
+    {"race lost, then replaced twice",
      NULL,
      {{BEGIN}, {STALE}, {ENDS(9, &others, APPLY_RACE_LOST)}}},
-    /* Something on the way sent our write twice: the refusal is of the
-     * second. */
-    {"refused by ourselves",
+    /* A proxy sent the write twice, and the second one was refused. */
+    {"duplicate refused",
      NULL,
      {{BEGIN}, {STALE}, {ENDS(7, &ours, APPLY_APPLIED)}}},
-    {"lost and landed",
+    {"reply lost, write applied",
      NULL,
      {{BEGIN}, {LOST}, {ENDS(7, &ours, APPLY_APPLIED)}}},
-    {"lost and beaten",
+    {"reply lost, race lost",
      NULL,
      {{BEGIN}, {LOST}, {ENDS(7, &others, APPLY_RACE_LOST)}}},
-    {"lost, landed, replaced",
+    {"reply lost, write applied and replaced",
      NULL,
      {{BEGIN}, {LOST}, {ENDS(8, &others_over_ours, APPLY_REPLACED)}}},
-    {"lost, beaten twice",
+    {"reply lost, race lost, replaced",
      NULL,
      {{BEGIN}, {LOST}, {ENDS(8, &others_over_others, APPLY_RACE_LOST)}}},
     {"history too short",
@@ -95,15 +101,17 @@
     {"no history",
      NULL,
      {{BEGIN}, {LOST}, {ENDS(8, NULL, APPLY_UNKNOWN_REPLACED)}}},
-    /* The first write may yet land: the second one has the same condition. */
-    {"lost, not landed", NULL, {{BEGIN}, {LOST}, {BEGIN}, {WRITTEN(7)}}},
-    {"lost, landed late",
+    /* The first write may still be applied: both have the same condition. */
+    {"write lost, second write applied",
+     NULL,
+     {{BEGIN}, {LOST}, {BEGIN}, {WRITTEN(7)}}},
+    {"reply lost, first write applied late",
      NULL,
      {{BEGIN}, {LOST}, {BEGIN}, {STALE}, {ENDS(7, &ours, APPLY_APPLIED)}}},
-    {"lost, then beaten",
+    {"write lost, race lost",
      NULL,
      {{BEGIN}, {LOST}, {BEGIN}, {STALE}, {ENDS(7, &others, APPLY_RACE_LOST)}}},
-    {"lost twice, landed",
+    {"both replies lost, write applied late",
      NULL,
      {{BEGIN},
       {LOST},
@@ -112,7 +120,7 @@
       {STILL_OLD(200)},
       {WAITED},
       {ENDS(7, &ours, APPLY_APPLIED)}}},
-    {"lost twice",
+    {"both writes lost",
      NULL,
      {{BEGIN},
       {LOST},
@@ -123,8 +131,8 @@
       {STILL_OLD(400)},
       {WAITED},
       {ENDS(6, &others, APPLY_UNKNOWN)}}},
-    /* Refused without effect after one that may have had: still open. */
-    {"lost, then refused",
+    /* The second write had no effect, but the first one may be applied. */
+    {"write lost, second write refused",
      NULL,
      {{BEGIN},
       {LOST},
@@ -136,7 +144,7 @@
      {{BEGIN}, {.event = {APPLY_REFUSED}, DO_END(APPLY_NOT_WRITTEN, 6)}}},
 };
 
-/* No read leads to another at once: that is the end of the list. */
+/* The zeroed entry after the last step, a read after a read, ends the list. */
 static bool
 is_step(const struct step *step)
 {
@@ -159,7 +167,7 @@
     }
 }
 
-/* Feeds failed reads; the last one ends it with @outcome. */
+/* Feeds failed reads until the run ends with @outcome. */
 static void
 fail_reads(struct apply_core *core, enum apply_outcome outcome)
 {
@@ -180,7 +188,7 @@
     g_assert_cmpint(action.outcome, ==, outcome);
 }
 
-TEST(platform_down)
+TEST(platform_unavailable)
 {
     const struct step first = {BEGIN};
     const struct apply_event lost = {.type = APPLY_LOST};
@@ -202,11 +210,13 @@
 }
 
 /**
- * struct model - a platform with faults, and another operator
+ * struct model - a platform with faults and a second operator
+ * @rand: random number generator
  * @ids: write id of each version
- * @version: now
- * @pending: our write is still under way, with its condition
- * @ours: times our write took effect
+ * @version: current version
+ * @pending: our write is delayed
+ * @pending_expect: condition of the delayed write
+ * @ours: number of times that our write was applied
  */
 struct model {
     GRand *rand;
@@ -218,7 +228,7 @@
 };
 
 static void
-model_land(struct model *model, uint64_t expect)
+model_apply(struct model *model, uint64_t expect)
 {
     if (model->version == expect) {
         model->ids[++model->version] = OURS;
@@ -226,7 +236,7 @@
     }
 }
 
-/* Between two calls the other operator writes, a late write lands. */
+/* Randomly lets the other operator write and applies a delayed write. */
 static void
 model_advance_time(struct model *model)
 {
@@ -235,7 +245,7 @@
     }
     if (model->pending && g_rand_int_range(model->rand, 0, 2) == 0) {
         model->pending = false;
-        model_land(model, model->pending_expect);
+        model_apply(model, model->pending_expect);
     }
 }
 
@@ -268,7 +278,7 @@
     case 0:
         return (struct apply_event){.type = APPLY_REFUSED};
     case 1:
-        model_land(model, expect);
+        model_apply(model, expect);
         return (struct apply_event){.type = APPLY_LOST};
     case 2:
         return (struct apply_event){.type = APPLY_LOST};
@@ -282,13 +292,12 @@
     if (model->version != expect) {
         return (struct apply_event){.type = APPLY_STALE};
     }
-    model_land(model, expect);
+    model_apply(model, expect);
     return (struct apply_event){.type = APPLY_WRITTEN,
                                 .version = model->version};
 }
 
-/* What was outcome_counts at the end, against what is so once all has settled.
- */
+/* Compares the reported outcome with the final state of the model. */
 static void
 check_outcome(const struct model *model, const struct apply_action *end)
 {
@@ -335,13 +344,13 @@
         action = apply_core_step(&core, &event);
     }
     if (model.pending) {
-        model_land(&model, model.pending_expect);
+        model_apply(&model, model.pending_expect);
     }
     check_outcome(&model, &action);
     outcome_counts[action.outcome]++;
 }
 
-TEST(model)
+TEST(random_model)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(SEED);
     unsigned outcome_counts[APPLY_UNKNOWN + 1] = {0};
--- a/tests/cli/apply_run_test.c
+++ b/tests/cli/apply_run_test.c
@@ -1,3 +1,7 @@
+/**
+ * DOC: apply_run_test - "apply" against the stand-in platform, with faults and
+ * concurrent writers
+ */
 #include <string.h>
 
 #include "cli/apply_run.h"
@@ -12,7 +16,7 @@
 #define FIRST "{\"services\":[" SERVICE("lots", "80") "]}"
 #define SECOND "{\"services\":[" SERVICE("lots", "81") "]}"
 
-/** struct fixture - a stand-in in this process and two texts */
+/** struct fixture - stand-in platform in this process, and two configs */
 struct fixture {
     struct server server;
     char *url;
@@ -96,7 +100,7 @@
     assert_published(fixture, 2, fixture->second, "rehema", 1);
 }
 
-TEST_F(fixture, lost_answer)
+TEST_F(fixture, reply_lost_after_write)
 {
     struct apply_action end;
 
@@ -109,7 +113,7 @@
     assert_published(fixture, 1, fixture->first, "asha", 0);
 }
 
-TEST_F(fixture, lost_write)
+TEST_F(fixture, write_lost)
 {
     struct apply_action end;
 
@@ -121,8 +125,9 @@
     assert_published(fixture, 1, fixture->first, "asha", 0);
 }
 
-/* An answer that comes after the timeout: read back, not written again. */
-TEST_F(fixture, answer_too_late)
+/* After a write whose reply times out, the object is read back and not written
+ * again. */
+TEST_F(fixture, reply_after_timeout)
 {
     struct apply_action end;
 
@@ -135,7 +140,7 @@
     assert_published(fixture, 2, fixture->second, "asha", 1);
 }
 
-TEST_F(fixture, down)
+TEST_F(fixture, platform_unavailable)
 {
     struct apply_action end;
 
@@ -147,7 +152,7 @@
                      0);
 }
 
-/** struct concurrent_writer - one of the operators that publish at once */
+/** struct concurrent_writer - an operator that publishes in its own thread */
 struct concurrent_writer {
     struct fixture *fixture;
     const struct service_config *config;
@@ -156,22 +161,21 @@
 };
 
 static gpointer
-race(gpointer data)
+publish_in_thread(gpointer data)
 {
     const uint64_t one = 1;
-    struct concurrent_writer *concurrent_writer = data;
+    struct concurrent_writer *writer = data;
 
-    concurrent_writer->end =
-        publish(concurrent_writer->fixture, concurrent_writer->config,
-                concurrent_writer->author, &one);
+    writer->end =
+        publish(writer->fixture, writer->config, writer->author, &one);
     return NULL;
 }
 
-TEST_F(fixture, race)
+TEST_F(fixture, concurrent_writers)
 {
     struct service_config *zero =
         sample_parse("{\"services\":[" SERVICE("zero", "1") "]}");
-    struct concurrent_writer racers[2] = {
+    struct concurrent_writer writers[2] = {
         {.fixture = fixture, .config = fixture->first, .author = "asha"},
         {.fixture = fixture, .config = fixture->second, .author = "rehema"},
     };
@@ -180,19 +184,19 @@
 
     publish(fixture, zero, "start", NULL);
     for (size_t i = 0; i < 2; i++) {
-        threads[i] = g_thread_new("racer", race, &racers[i]);
+        threads[i] = g_thread_new("writer", publish_in_thread, &writers[i]);
     }
     for (size_t i = 0; i < 2; i++) {
         g_thread_join(threads[i]);
     }
     for (size_t i = 0; i < 2; i++) {
-        if (racers[i].end.outcome == APPLY_APPLIED) {
+        if (writers[i].end.outcome == APPLY_APPLIED) {
             won++;
-            assert_published(fixture, 2, racers[i].config, racers[i].author,
+            assert_published(fixture, 2, writers[i].config, writers[i].author,
                              1);
         }
         else {
-            g_assert_cmpint(racers[i].end.outcome, ==, APPLY_RACE_LOST);
+            g_assert_cmpint(writers[i].end.outcome, ==, APPLY_RACE_LOST);
         }
     }
     g_assert_cmpuint(won, ==, 1);
@@ -215,7 +219,7 @@
     return config;
 }
 
-/* The list is worked out from the version that is replaced. */
+/* The retired addresses follow from the version that is replaced. */
 TEST_F(fixture, retired)
 {
     struct service_config *config;
@@ -233,8 +237,8 @@
     service_config_free(config);
 }
 
-/* An operator whose clock is late doesn't hold an address for too short. */
-TEST_F(fixture, late_clock)
+/* An operator's clock that is behind doesn't shorten the hold time. */
+TEST_F(fixture, clock_behind)
 {
     const uint64_t ahead_ms = UINT64_C(1) << 42;
     struct service_config_envelope envelope = {
--- a/tests/cli/examples_test.c
+++ b/tests/cli/examples_test.c
@@ -1,7 +1,8 @@
 /**
- * DOC: examples_test - the settings under examples/ load as they are
+ * DOC: examples_test - the settings under examples/ are valid
  *
- * Argument: the folder examples/. The texts are checked by session/check.txt.
+ * Argument: the folder examples/. session/check.txt checks the service
+ * configurations.
  */
 #include <glib.h>
 
--- a/tests/cli/explain_test.c
+++ b/tests/cli/explain_test.c
@@ -1,3 +1,6 @@
+/**
+ * DOC: explain_test - explanations of packets and requests, and config_diff
+ */
 #include <errno.h>
 #include <string.h>
 
@@ -12,7 +15,7 @@
 #include "lib/sample.h"
 
 #define SUITE "/explain"
-#define TEXT                                                                  \
+#define CONFIG_SOURCE                                                         \
     "{\"services\":["                                                         \
     "{\"name\":\"desk\",\"address\":\"10.0.0.1\",\"port\":80,"                \
     "\"class\":\"urgent\"},"                                                  \
@@ -21,7 +24,7 @@
     "{\"name\":\"clock\",\"address\":\"10.0.0.3\",\"port\":123,"              \
     "\"protocol\":\"udp\",\"class\":\"ordinary\"}]}"
 #define AGENTS 4
-#define OLD_US UINT64_C(60000000)
+#define AGENT_AGE_US UINT64_C(60000000)
 
 static const char *const agent_names[AGENTS] = {"one", "two", "three", "four"};
 
@@ -32,7 +35,7 @@
     member->name = (char *)agent_names[i];
     member->data_centre = "cbd";
     member->id = hash_name(agent_names[i]);
-    member->incarnation = (uint64_t)g_get_real_time() - OLD_US;
+    member->incarnation = (uint64_t)g_get_real_time() - AGENT_AGE_US;
     member->role = MEMBER_AGENT;
     member->state = MEMBER_READY;
     member->health = MEMBER_ALIVE;
@@ -44,7 +47,7 @@
     member->slots = 2;
 }
 
-/* Four agents of "desk"; the last but one drains, the last is dead. */
+/* Four agents of "desk"; the third is draining, the fourth is dead. */
 static void
 snapshot_init(struct snapshot *snapshot, const char *config)
 {
@@ -69,17 +72,17 @@
 }
 
 static void
-assert_contains(const char *words, const char *part)
+assert_contains(const char *output, const char *part)
 {
-    if (strstr(words, part) == NULL) {
-        g_error("expected \"%s\" in:\n%s", part, words);
+    if (strstr(output, part) == NULL) {
+        g_error("expected \"%s\" in:\n%s", part, output);
     }
 }
 
-/* Explains @packet in words that have all @parts; the words. */
+/* Returns the explanation of @packet, which must contain all @parts. */
 static char *
-packet_words(const struct snapshot *snapshot, const char *packet,
-             const char *const *parts)
+packet_output(const struct snapshot *snapshot, const char *packet,
+              const char *const *parts)
 {
     GString *out = g_string_new(NULL);
     struct packet_spec spec;
@@ -94,7 +97,7 @@
 
 #define PARTS(...) ((const char *const[]){__VA_ARGS__, NULL})
 
-TEST_F(snapshot, packet, TEXT)
+TEST_F(snapshot, packet, CONFIG_SOURCE)
 {
     const struct packet packet = {.src = 0x0a090001,
                                   .dst = 0x0a000001,
@@ -105,47 +108,47 @@
     bool one_first = rank_score(hash_name("one"), bucket) >
                      rank_score(hash_name("two"), bucket);
     g_autofree char *rank = g_strdup_printf("bucket   %u of 4096", bucket);
-    char *words =
-        packet_words(snapshot, "tcp 10.9.0.1:4000 10.0.0.1:80",
-                     PARTS(one_first ? "  1. one " : "  1. two ", rank,
-                           "service  desk, urgent\n", "  3. three ",
-                           "draining, alive: keeps its flows", "   - four "));
+    char *output =
+        packet_output(snapshot, "tcp 10.9.0.1:4000 10.0.0.1:80",
+                      PARTS(one_first ? "  1. one " : "  1. two ", rank,
+                            "service  desk, urgent\n", "  3. three ",
+                            "draining, alive: keeps its flows", "   - four "));
 
-    g_assert_null(strstr(words, "  4. "));
-    g_free(words);
+    g_assert_null(strstr(output, "  4. "));
+    g_free(output);
 }
 
-/* The address that desk has left: who holds its flows, and until when. */
+/* A retired address: endpoints of its open flows and end of the hold time. */
 TEST_F(snapshot, packet_retired,
        "{\"retired\":[{\"name\":\"desk\",\"address\":\"10.0.0.7\","
        "\"port\":80,\"class\":\"urgent\",\"until_ms\":1700000000000}],"
-       "\"text\":" TEXT "}")
+       "\"text\":" CONFIG_SOURCE "}")
 {
-    g_free(packet_words(
+    g_free(packet_output(
         snapshot, "tcp 10.9.0.1:4000 10.0.0.7:80",
         PARTS("service  desk, urgent\n",
               "retired  the service has left this address; it is kept for "
               "its open flows until\n         2023-11-14 22:13:20 UTC. A new "
               "flow is reset",
               "  3. three ")));
-    char *words =
-        packet_words(snapshot, "tcp 10.9.0.1:4000 10.0.0.1:80", PARTS(""));
-    g_assert_null(strstr(words, "retired"));
-    g_free(words);
+    char *output =
+        packet_output(snapshot, "tcp 10.9.0.1:4000 10.0.0.1:80", PARTS(""));
+    g_assert_null(strstr(output, "retired"));
+    g_free(output);
 }
 
-TEST_F(snapshot, packet_dropped, TEXT)
+TEST_F(snapshot, packet_dropped, CONFIG_SOURCE)
 {
-    g_free(packet_words(
-        snapshot, "udp 10.9.0.1:4000 10.0.0.1:80",
-        PARTS("dropped  no service of the text", "reason=\"service\"")));
-    g_free(packet_words(snapshot, "udp 10.9.0.1:4000 10.0.0.3:123",
-                        PARTS("reason=\"no_endpoint\"")));
+    g_free(packet_output(snapshot, "udp 10.9.0.1:4000 10.0.0.1:80",
+                         PARTS("dropped  no service of the configuration",
+                               "reason=\"service\"")));
+    g_free(packet_output(snapshot, "udp 10.9.0.1:4000 10.0.0.3:123",
+                         PARTS("reason=\"no_endpoint\"")));
 }
 
-TEST(packet_words)
+TEST(packet_spec_parse)
 {
-    static const char *const bad[] = {
+    static const char *const invalid[] = {
         "",
         "tcp",
         "tcp 10.0.0.1:1",
@@ -157,8 +160,8 @@
     };
     struct packet_spec spec;
 
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        g_assert_cmpint(packet_spec_parse(bad[i], &spec), ==, -EINVAL);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+        g_assert_cmpint(packet_spec_parse(invalid[i], &spec), ==, -EINVAL);
     }
     g_assert_cmpint(packet_spec_parse("tcp 10.0.0.1:1 10.0.0.2:2 ack", &spec),
                     ==, 0);
@@ -166,8 +169,8 @@
 }
 
 static char *
-request_words(const struct snapshot *snapshot, struct request_spec spec,
-              int rc)
+request_output(const struct snapshot *snapshot, struct request_spec spec,
+               int rc)
 {
     GString *out = g_string_new(NULL);
 
@@ -179,9 +182,9 @@
 assert_explanation(const struct snapshot *snapshot, struct request_spec spec,
                    int rc, const char *part)
 {
-    g_autofree char *words = request_words(snapshot, spec, rc);
+    g_autofree char *output = request_output(snapshot, spec, rc);
 
-    assert_contains(words, part);
+    assert_contains(output, part);
 }
 
 TEST(request)
@@ -191,7 +194,7 @@
     struct request_spec post = {.service = "desk", .method = "POST"};
     struct request_spec report = {.service = "reports", .method = "GET"};
 
-    snapshot_init(&snapshot, TEXT);
+    snapshot_init(&snapshot, CONFIG_SOURCE);
     assert_explanation(&snapshot, get, 0, "class    urgent");
     assert_explanation(&snapshot, get, 0, "its method is idempotent");
     assert_explanation(&snapshot, get, 0, "deadline 5000 ms, the service's");
@@ -201,8 +204,8 @@
     assert_explanation(&snapshot, post, 0, "class    ordinary");
     assert_explanation(&snapshot, post, 0, "deadline 250 ms, its own");
     assert_explanation(&snapshot, report, 0,
-                       "needs    desk: 2 endpoints take work");
-    assert_explanation(&snapshot, report, 0, "no endpoint takes work");
+                       "needs    desk: 2 endpoints accept requests");
+    assert_explanation(&snapshot, report, 0, "no endpoint accepts requests");
     snapshot_finish(&snapshot);
 }
 
@@ -212,17 +215,17 @@
     struct request_spec post = {
         .service = "desk", .method = "POST", .key = "k"};
     const char *record;
-    g_autofree char *words = NULL;
+    g_autofree char *output = NULL;
 
-    snapshot_init(&snapshot, TEXT);
-    words = request_words(&snapshot, post, 0);
-    g_assert_nonnull(strstr(words, "at most once for its key"));
-    record = strstr(words, "record   of its key is kept by 3 of at most 3");
+    snapshot_init(&snapshot, CONFIG_SOURCE);
+    output = request_output(&snapshot, post, 0);
+    g_assert_nonnull(strstr(output, "at most once for its key"));
+    record = strstr(output, "record   of its key is kept by 3 of at most 3");
     g_assert_nonnull(record);
     g_assert_nonnull(strstr(record, "one "));
     g_assert_nonnull(strstr(record, "two "));
     g_assert_nonnull(strstr(record, "three "));
-    g_assert_null(strstr(record, "not settled yet"));
+    g_assert_null(strstr(record, "not eligible yet"));
     snapshot_finish(&snapshot);
 }
 
@@ -230,7 +233,7 @@
 {
     struct snapshot snapshot;
 
-    snapshot_init(&snapshot, TEXT);
+    snapshot_init(&snapshot, CONFIG_SOURCE);
     assert_explanation(
         &snapshot, (struct request_spec){.service = "none", .method = "GET"},
         -ENOENT, "no service \"none\"");
@@ -245,7 +248,7 @@
 
 TEST(diff)
 {
-    struct service_config *from = sample_parse(TEXT);
+    struct service_config *from = sample_parse(CONFIG_SOURCE);
     struct service_config *to = sample_parse(
         "{\"services\":["
         "{\"name\":\"desk\",\"address\":\"10.0.0.9\",\"port\":80,"
--- a/tests/cli/session_test.c
+++ b/tests/cli/session_test.c
@@ -1,12 +1,11 @@
 /**
- * DOC: session_test - golden files of whole operator sessions
+ * DOC: session_test - output and exit codes of operator sessions
  *
- * A session file is a transcript. "$ WORDS" runs swiftarch with these words,
- * "@operator" standing for a settings file that names the stand-in platform;
- * "! MODE COUNT" puts a fault of the stand-in in force. What follows is the
- * output of the command, times replaced by TIME, and "= CODE". The commands
- * are run again and the transcript must be the same. With SESSION_UPDATE
- * set in the environment the file is written anew.
+ * A session file is a transcript. "$ ARGS" runs swiftarch with these
+ * arguments; "@operator" is replaced by a settings file for the stand-in
+ * platform. The output follows, with times replaced by TIME, then "= CODE".
+ * "! MODE COUNT" sets a fault of the stand-in. The test runs the commands and
+ * compares the transcript; with SESSION_UPDATE set it rewrites the file.
  */
 #include <fcntl.h>
 #include <stdio.h>
@@ -20,9 +19,17 @@
 #include "cli/cli.h"
 #include "standin/platform/server.h"
 
-#define WORDS_MAX 24
+#define ARGS_MAX 24
 
-/** struct session - one run of a session file */
+/**
+ * struct session - one run of a session file
+ * @server: stand-in platform
+ * @dir: temporary folder of the files below
+ * @settings: path of the operator settings
+ * @key: path of the site key
+ * @capture: path of the captured output
+ * @transcript: transcript of this run
+ */
 struct session {
     struct server server;
     char *dir;
@@ -33,18 +40,18 @@
 };
 
 static const struct cli_command commands[] = {
-    {"check", "check an operators' text", cli_check},
-    {"apply", "publish an operators' text", cli_apply},
-    {"show", "tell what is in force on each process", cli_show},
-    {"explain", "tell what a packet or a request would meet", cli_explain},
+    {"check", "check a service configuration", cli_check},
+    {"apply", "publish a service configuration", cli_apply},
+    {"show", "show the configuration in force on each process", cli_show},
+    {"explain", "explain how a packet or a request is handled", cli_explain},
 };
 
 static void
-write_file(const char *path, const char *text)
+write_file(const char *path, const char *content)
 {
     GError *error = NULL;
 
-    g_file_set_contents(path, text, -1, &error);
+    g_file_set_contents(path, content, -1, &error);
     g_assert_no_error(error);
 }
 
@@ -54,7 +61,7 @@
     struct addr any = {.ip = INADDR_LOOPBACK};
     struct error err;
     GError *error = NULL;
-    g_autofree char *text = NULL;
+    g_autofree char *settings = NULL;
 
     g_assert_cmpint(server_init(&session->server, any, &err), ==, 0);
     session->dir = g_dir_make_tmp("session-XXXXXX", &error);
@@ -63,11 +70,11 @@
     session->key = g_build_filename(session->dir, "site.key", NULL);
     session->capture = g_build_filename(session->dir, "output", NULL);
     session->transcript = g_string_new(NULL);
-    text = g_strdup_printf("{\"platform\":\"http://127.0.0.1:%u\","
-                           "\"seeds\":[\"127.0.0.1:1\"],"
-                           "\"site_key_file\":\"site.key\"}",
-                           server_port(&session->server));
-    write_file(session->settings, text);
+    settings = g_strdup_printf("{\"platform\":\"http://127.0.0.1:%u\","
+                               "\"seeds\":[\"127.0.0.1:1\"],"
+                               "\"site_key_file\":\"site.key\"}",
+                               server_port(&session->server));
+    write_file(session->settings, settings);
     write_file(session->key, "a key for tests only");
 }
 
@@ -86,12 +93,13 @@
     server_finish(&session->server);
 }
 
-/* Runs a command with its output in the capture file; its exit code. */
+/* Runs a command with its output in the capture file. Returns its exit code.
+ */
 static int
 run_captured(struct session *session, int argc, char **argv)
 {
-    int kept_out = dup(STDOUT_FILENO);
-    int kept_err = dup(STDERR_FILENO);
+    int saved_stdout = dup(STDOUT_FILENO);
+    int saved_stderr = dup(STDERR_FILENO);
     int file = open(session->capture, O_CREAT | O_TRUNC | O_RDWR | O_CLOEXEC,
                     S_IRUSR | S_IWUSR);
     int code;
@@ -102,10 +110,10 @@
     dup2(file, STDERR_FILENO);
     code = cli_run(commands, G_N_ELEMENTS(commands), argc, argv);
     fflush(stdout);
-    dup2(kept_out, STDOUT_FILENO);
-    dup2(kept_err, STDERR_FILENO);
-    close(kept_out);
-    close(kept_err);
+    dup2(saved_stdout, STDOUT_FILENO);
+    dup2(saved_stderr, STDERR_FILENO);
+    close(saved_stdout);
+    close(saved_stderr);
     close(file);
     return code;
 }
@@ -130,16 +138,16 @@
 static void
 run_command(struct session *session, const char *line)
 {
-    g_auto(GStrv) words = NULL;
-    char *argv[WORDS_MAX + 2] = {(char *)"swiftarch"};
+    g_auto(GStrv) args = NULL;
+    char *argv[ARGS_MAX + 2] = {(char *)"swiftarch"};
     int argc;
     int code;
 
-    g_assert_true(g_shell_parse_argv(line, &argc, &words, NULL));
-    g_assert_cmpint(argc, <=, WORDS_MAX);
+    g_assert_true(g_shell_parse_argv(line, &argc, &args, NULL));
+    g_assert_cmpint(argc, <=, ARGS_MAX);
     for (int i = 0; i < argc; i++) {
         argv[i + 1] =
-            strcmp(words[i], "@operator") == 0 ? session->settings : words[i];
+            strcmp(args[i], "@operator") == 0 ? session->settings : args[i];
     }
     code = run_captured(session, argc + 1, argv);
     g_string_append_printf(session->transcript, "$ %s\n", line);
@@ -150,12 +158,12 @@
 static void
 set_fault(struct session *session, const char *line)
 {
-    g_auto(GStrv) words = g_strsplit(line, " ", 2);
+    g_auto(GStrv) fields = g_strsplit(line, " ", 2);
     struct server_fault fault = {0};
 
-    g_assert_cmpuint(g_strv_length(words), ==, 2);
-    g_assert_cmpint(server_parse_mode(words[0], &fault.mode), ==, 0);
-    fault.count = (unsigned)g_ascii_strtoull(words[1], NULL, 10);
+    g_assert_cmpuint(g_strv_length(fields), ==, 2);
+    g_assert_cmpint(server_parse_mode(fields[0], &fault.mode), ==, 0);
+    fault.count = (unsigned)g_ascii_strtoull(fields[1], NULL, 10);
     server_set_fault(&session->server, fault);
     g_string_append_printf(session->transcript, "! %s\n", line);
 }
@@ -189,8 +197,8 @@
 }
 
 static void
-drop_log(const gchar *domain, GLogLevelFlags level, const gchar *message,
-         gpointer data)
+discard_log(const gchar *domain, GLogLevelFlags level, const gchar *message,
+            gpointer data)
 {
 }
 
@@ -198,7 +206,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_log_set_default_handler(drop_log, NULL);
+    g_log_set_default_handler(discard_log, NULL);
     for (int i = 1; i < argc; i++) {
         g_autofree char *name = g_path_get_basename(argv[i]);
         g_autofree char *path = g_strdup_printf("/session/%s", name);
--- a/tests/cli/show_test.c
+++ b/tests/cli/show_test.c
@@ -1,3 +1,7 @@
+/**
+ * DOC: show_test - output of "show" with processes that answer and that don't,
+ * and exit codes of all commands
+ */
 #include <errno.h>
 #include <fcntl.h>
 #include <stdio.h>
@@ -16,21 +20,30 @@
 
 #define SUITE "/show"
 #define KEY "sixteen bytes of key"
-#define TEXT                                                                  \
+#define CONFIG_SOURCE                                                         \
     "{\"services\":[{\"name\":\"desk\",\"address\":\"10.0.0.1\","             \
     "\"port\":80,\"class\":\"urgent\"}]}"
-#define CONFIG                                                                \
+#define ENVELOPE                                                              \
     "{\"retired\":[{\"name\":\"desk\",\"address\":\"10.0.0.7\","              \
     "\"port\":80,\"class\":\"urgent\",\"until_ms\":1700000000000}],"          \
-    "\"text\":" TEXT "}"
+    "\"text\":" CONFIG_SOURCE "}"
 #define STOP_CHECK_US 5000
 #define FRAME_REQUEST 0x110
 #define FRAME_REPLY 0x111
 
 /**
- * struct fake - two processes at one hub in a thread of its own: the one
- * that answers names the other, whose control address is closed; and an
- * operator whose seed is the first, and what it was shown
+ * struct fake - a fake process in a thread of its own, and an operator
+ * @handler: callbacks of @hub; first member
+ * @base: event loop of the thread
+ * @auth: keys of @hub
+ * @hub: control connections of the process "entry"
+ * @closed: control address of a second member, "silent"; none if 0
+ * @version: config version of "entry"
+ * @thread: thread of "entry"
+ * @stop: set to end the thread
+ * @settings: operator settings with "entry" as seed
+ * @totals: totals of the last query
+ * @output: output of the last query
  */
 struct fake {
     struct link_handler handler;
@@ -43,12 +56,12 @@
     gint stop;
     struct settings settings;
     struct show_totals totals;
-    char *words;
+    char *output;
 };
 
 static void
-fill_member(Swiftarch__ShowMember *member, const char *name, struct addr at,
-            uint32_t role)
+fill_member(Swiftarch__ShowMember *member, const char *name,
+            struct addr control, uint32_t role)
 {
     swiftarch__show_member__init(member);
     member->name = (char *)name;
@@ -56,8 +69,8 @@
     member->id = hash_name(name);
     member->incarnation = 1;
     member->role = role;
-    member->control_ip = at.ip;
-    member->control_port = at.port;
+    member->control_ip = control.ip;
+    member->control_port = control.port;
     member->service = role == MEMBER_AGENT ? hash_service("desk") : 0;
     member->config_version = 3;
 }
@@ -74,8 +87,8 @@
     reply->heard_ms = 250;
     reply->platform_ok_ms = UINT64_MAX;
     reply->counters = "a_total 1\n";
-    reply->config.data = (uint8_t *)CONFIG;
-    reply->config.len = strlen(CONFIG);
+    reply->config.data = (uint8_t *)ENVELOPE;
+    reply->config.len = strlen(ENVELOPE);
 }
 
 static void
@@ -165,7 +178,7 @@
     link_hub_finish(&fake->hub);
     auth_finish(&fake->auth);
     event_base_free(fake->base);
-    g_free(fake->words);
+    g_free(fake->output);
 }
 
 static void
@@ -188,19 +201,19 @@
         show_print_counters(&query, out);
     }
     control_query_finish(&query);
-    fake->words = g_string_free(out, FALSE);
+    fake->output = g_string_free(out, FALSE);
 }
 
 #define NOWHERE ((struct addr){0})
 
-/* Where nothing listens (tcpmux). */
+/* No server listens on this port (tcpmux). */
 #define CLOSED ((struct addr){INADDR_LOOPBACK, 1})
 
 TEST_F(fake, all_answer, NOWHERE)
 {
     static const char *const parts[] = {
         "version 3 in force since ",
-        "(1.5 s), word 0.2 s old",
+        "(1.5 s), confirmed 0.2 s ago",
         "# entry\na_total 1\n",
         "platform: did not answer",
         ("retired: tcp 10.0.0.7:80 of desk, for its open flows until "
@@ -213,18 +226,18 @@
     g_assert_cmpuint(fake->totals.answered, ==, 1);
     g_assert_cmpuint(fake->totals.versions, ==, 1);
     for (size_t i = 0; i < G_N_ELEMENTS(parts); i++) {
-        g_assert_nonnull(strstr(fake->words, parts[i]));
+        g_assert_nonnull(strstr(fake->output, parts[i]));
     }
 }
 
-TEST_F(fake, one_silent, CLOSED)
+TEST_F(fake, one_member_without_answer, CLOSED)
 {
     show(fake, false);
     g_assert_cmpuint(fake->totals.processes, ==, 2);
     g_assert_cmpuint(fake->totals.answered, ==, 1);
-    g_assert_nonnull(strstr(fake->words,
-                            "DID NOT ANSWER (Connection refused), the others "
-                            "take it for alive, last told version 3"));
+    g_assert_nonnull(strstr(fake->output,
+                            "DID NOT ANSWER (Connection refused), other "
+                            "processes report it alive with version 3"));
 }
 
 static struct json_object *
@@ -241,7 +254,7 @@
     struct json_object *list;
 
     show(fake, true);
-    struct json_object *root = json_tokener_parse(fake->words);
+    struct json_object *root = json_tokener_parse(fake->output);
     list = value_of(root, "processes");
     g_assert_cmpuint(json_object_array_length(list), ==, 2);
     g_assert_cmpint(json_object_get_int64(value_of(
@@ -260,17 +273,17 @@
     json_object_put(root);
 }
 
-/* With another key nobody answers, and nothing is believed. */
+/* Replies are rejected if the site keys differ. */
 TEST_F(fake, wrong_key, NOWHERE)
 {
     seed_with(fake, fake->settings.seeds[0], "sixteen bytes and more");
     show(fake, false);
     g_assert_cmpuint(fake->totals.answered, ==, 0);
-    g_assert_nonnull(strstr(fake->words, "seed 127.0.0.1:"));
+    g_assert_nonnull(strstr(fake->output, "seed 127.0.0.1:"));
 }
 
-/* The seeds are silent: the platform's list of the cell names another. */
-TEST_F(fake, cell_of_platform, NOWHERE)
+/* If no seed answers, the seed list of the cell is read from the platform. */
+TEST_F(fake, cell_seeds_of_platform, NOWHERE)
 {
     struct addr any = {.ip = INADDR_LOOPBACK};
     struct server server;
@@ -293,33 +306,33 @@
     show(fake, false);
     g_assert_cmpuint(fake->totals.answered, ==, 1);
     g_assert_nonnull(
-        strstr(fake->words, "platform: nothing is published yet"));
+        strstr(fake->output, "platform: nothing is published yet"));
     server_finish(&server);
 }
 
-/* The commands' output is no test output. */
+/* Runs a command with its output discarded: stdout carries the TAP report. */
 static int
 run_quietly(const struct cli_command *commands, size_t count, int argc,
             char **argv)
 {
-    int kept = dup(STDOUT_FILENO);
+    int saved = dup(STDOUT_FILENO);
     int null = open("/dev/null", O_WRONLY | O_CLOEXEC);
     int code;
 
-    g_assert_cmpint(kept, >=, 0);
+    g_assert_cmpint(saved, >=, 0);
     g_assert_cmpint(null, >=, 0);
     fflush(stdout);
     dup2(null, STDOUT_FILENO);
     code = cli_run(commands, count, argc, argv);
     fflush(stdout);
-    dup2(kept, STDOUT_FILENO);
+    dup2(saved, STDOUT_FILENO);
     close(null);
-    close(kept);
+    close(saved);
     return code;
 }
 
 static int
-run_with(const char *const *words, size_t count)
+run_with(const char *const *args, size_t count)
 {
     static const struct cli_command commands[] = {
         {"check", "", cli_check},
@@ -330,7 +343,7 @@
     char *argv[16] = {NULL};
 
     for (size_t i = 0; i < count; i++) {
-        argv[i] = (char *)words[i];
+        argv[i] = (char *)args[i];
     }
     return run_quietly(commands, G_N_ELEMENTS(commands), (int)count, argv);
 }
@@ -346,7 +359,8 @@
     int fd = g_file_open_tmp("text-XXXXXX", &path, &error);
 
     g_assert_cmpint(fd, >=, 0);
-    g_assert_cmpint(write(fd, TEXT, strlen(TEXT)), ==, strlen(TEXT));
+    g_assert_cmpint(write(fd, CONFIG_SOURCE, strlen(CONFIG_SOURCE)), ==,
+                    strlen(CONFIG_SOURCE));
     close(fd);
     g_assert_cmpint(run_with((const char *const[]){"swiftarch"}, 1), ==,
                     CLI_USAGE);
--- a/tests/cli/symbols.py
+++ b/tests/cli/symbols.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
-"""No global name of ours may be one that a library of the binary exports.
+"""Checks that no global symbol of the binary is exported by its libraries.
 
-The dynamic linker would hand the library our function in place of its own.
-symbols.py BINARY OBJECT_FOLDER...
+The dynamic linker would make the library call our function, not its own.
+
+usage: symbols.py BINARY OBJECT_FOLDER...
 """
 
 import pathlib
@@ -11,14 +12,14 @@
 
 
 def names(command):
-    """Global names that nm prints, without versions."""
+    """Returns the global names that nm prints, without versions."""
     out = subprocess.run(command, check=True, capture_output=True, text=True)
     lines = [line.split() for line in out.stdout.splitlines()]
     return {parts[2].split("@")[0] for parts in lines if len(parts) == 3}
 
 
 def main():
-    """Compare; 1 when a name stands on both sides."""
+    """Returns 1 if a symbol is defined on both sides."""
     binary, folders = sys.argv[1], sys.argv[2:]
     objects = [str(path) for folder in folders
                for path in pathlib.Path(folder).rglob("*.o")]
@@ -31,9 +32,9 @@
         if len(parts) > 2 and parts[2].startswith("/"):
             both |= ours & names(["nm", "-D", "--defined-only", parts[2]])
     for name in sorted(both):
-        print(f"{name} is a library's name too")
+        print(f"{name} is also exported by a library")
     if not ours:
-        print("no object was found")
+        print("no object file found")
     return 1 if both or not ours else 0
 
 
--- a/tests/platform/platform_test.c
+++ b/tests/platform/platform_test.c
@@ -1,3 +1,7 @@
+/**
+ * DOC: platform_test - platform client: conditional writes, watches, timeouts
+ * and lost replies
+ */
 #include <errno.h>
 #include <string.h>
 
@@ -10,7 +14,7 @@
 #define SUITE "/platform"
 #define SLOW_MS 2000
 
-/** struct fixture - a stand-in in this process and a client of it */
+/** struct fixture - stand-in platform in this process, and its client */
 struct fixture {
     struct server server;
     struct event_base *base;
@@ -18,7 +22,7 @@
     char *url;
 };
 
-/** struct call - a call whose reply is kept */
+/** struct call - a call and a copy of its reply */
 struct call {
     struct platform_call base;
     struct event_base *loop;
@@ -52,7 +56,7 @@
     *call = (struct call){.base.done = on_done, .loop = fixture->base};
 }
 
-/* Its status, once it is done. */
+/* Runs the event loop until the end of @call. Returns its status. */
 static int
 wait_for(struct fixture *fixture, struct call *call)
 {
@@ -134,7 +138,7 @@
     g_free(call.value);
 }
 
-TEST_F(fixture, conditions)
+TEST_F(fixture, conditional_writes)
 {
     struct call call;
 
@@ -153,7 +157,7 @@
     g_assert_cmpuint(server_read_stats(&fixture->server).conflicts, ==, 3);
 }
 
-TEST_F(fixture, sizes)
+TEST_F(fixture, value_size_limit)
 {
     g_autofree char *value = g_strnfill(PLATFORM_VALUE_MAX, 'x');
     struct call call;
@@ -168,23 +172,25 @@
                     ==, -EMSGSIZE);
 }
 
-TEST_F(fixture, names)
+TEST_F(fixture, invalid_names)
 {
-    static const char *const bad[] = {"", "a/b", "a?b", "..", "a b", "a%2f"};
+    static const char *const invalid[] = {"",   "a/b", "a?b",
+                                          "..", "a b", "a%2f"};
     struct call call;
 
     call_init(&call, fixture);
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        g_assert_cmpint(platform_get(fixture->platform, bad[i], &call.base),
-                        ==, -EINVAL);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
         g_assert_cmpint(
-            platform_put(fixture->platform, bad[i], 0, "", 0, &call.base), ==,
+            platform_get(fixture->platform, invalid[i], &call.base), ==,
             -EINVAL);
+        g_assert_cmpint(
+            platform_put(fixture->platform, invalid[i], 0, "", 0, &call.base),
+            ==, -EINVAL);
     }
     g_assert_cmpuint(platform_calls(fixture->platform), ==, 0);
 }
 
-TEST(url)
+TEST(invalid_url)
 {
     struct event_base *base = event_base_new();
     struct error err = {0};
@@ -218,9 +224,9 @@
     g_assert_cmpuint(server_read_stats(&fixture->server).watches, ==, 3);
 }
 
-/* The write took effect, its answer was lost: it is sent once only, also on
- * a connection that was used before, and reading back settles it. */
-TEST_F(fixture, lost_answer)
+/* A write whose reply is lost isn't sent twice, also on a reused connection.
+ */
+TEST_F(fixture, reply_lost_after_write)
 {
     struct call call;
 
@@ -235,7 +241,7 @@
     g_assert_cmpuint(server_read_stats(&fixture->server).conflicts, ==, 0);
 }
 
-TEST_F(fixture, lost_write)
+TEST_F(fixture, write_lost)
 {
     struct call call;
 
@@ -244,7 +250,7 @@
     g_assert_cmpint(get(fixture, "config", &call), ==, -ENOENT);
 }
 
-TEST_F(fixture, down)
+TEST_F(fixture, platform_unavailable)
 {
     struct call watch;
     struct call call;
@@ -264,7 +270,7 @@
     g_assert_cmpint(get(fixture, "config", &call), ==, -ENOENT);
 }
 
-TEST_F(fixture, gone)
+TEST_F(fixture, connection_refused)
 {
     struct error err;
     struct call call;
@@ -275,10 +281,9 @@
     g_assert_cmpint(get(fixture, "config", &call), ==, -ECONNREFUSED);
 }
 
-/* An answer after 2 s is still taken, also on a busy machine: that of a watch,
- * whose limit is far. A read or write without one is a timeout, and not before
- * 2 s; that it may come later on a busy machine proves nothing. */
-TEST_F(fixture, slow)
+/* A reply after 2 s is accepted: tested with a watch, whose timeout is long.
+ * A read or write without a reply times out, after more than 2 s. */
+TEST_F(fixture, timeouts)
 {
     struct call watch;
     struct call call;
@@ -307,7 +312,7 @@
     assert_object(fixture, 2, "b");
 }
 
-TEST_F(fixture, watch_ends)
+TEST_F(fixture, watch_connection_closed)
 {
     struct call watch;
 
@@ -316,8 +321,8 @@
     g_assert_cmpint(wait_for(fixture, &watch), ==, -ECONNRESET);
 }
 
-/* A watch that sleeps through a change ends as if there had been none. */
-TEST_F(fixture, watch_skips)
+/* A watch that misses a change ends with -EAGAIN. */
+TEST_F(fixture, watch_misses_change)
 {
     struct call watch;
     struct call call;
@@ -329,7 +334,7 @@
     assert_object(fixture, 1, "a");
 }
 
-TEST_F(fixture, rates)
+TEST_F(fixture, rate_limit)
 {
     struct call call;
     unsigned refused = 0;
@@ -342,7 +347,7 @@
     g_assert_cmpuint(server_read_stats(&fixture->server).refused, ==, refused);
 }
 
-TEST_F(fixture, free_while_open)
+TEST_F(fixture, free_cancels_calls)
 {
     struct error err;
     struct call watch;
--- a/tests/platform/tls_test.c
+++ b/tests/platform/tls_test.c
@@ -1,3 +1,6 @@
+/**
+ * DOC: tls_test - the client accepts only trusted certificates for its host
+ */
 #include <event2/bufferevent_ssl.h>
 #include <event2/http.h>
 #include <openssl/evp.h>
@@ -14,9 +17,17 @@
 #define DAY_S 86400L
 
 /**
- * struct fixture - a platform that speaks TLS, and a client of it
- * @context: the platform's certificate
- * @trusted: file of the certificates that the client trusts
+ * struct fixture - platform server with TLS, and its client
+ * @call: call in progress; first member
+ * @base: event loop of server and client
+ * @server: HTTPS server
+ * @context: TLS context of the server
+ * @trusted: path of the file with the client's trusted certificate
+ * @platform: client
+ * @err: error of the last reply
+ * @status: status of the last reply
+ * @version: version in the last reply
+ * @requests: requests that the server received
  */
 struct fixture {
     struct platform_call call;
@@ -97,40 +108,40 @@
     event_base_loopbreak(fixture->base);
 }
 
-/* A platform whose certificate holds @names; the client trusts it, or
- * another one of the same kind. */
+/* The server's certificate is for @names. The client trusts it, or only a
+ * certificate for the same names with another key. */
 static void
 fixture_init(struct fixture *fixture, const char *names, bool trusted)
 {
     EVP_PKEY *key = EVP_EC_gen("P-256");
     EVP_PKEY *other = EVP_EC_gen("P-256");
     X509 *cert = make_certificate(key, names);
-    X509 *stranger = make_certificate(other, names);
+    X509 *untrusted = make_certificate(other, names);
     struct evhttp_bound_socket *bound;
     g_autofree char *url = NULL;
     ev_uint16_t port;
-    struct sockaddr_in at = {0};
-    socklen_t len = sizeof(at);
+    struct sockaddr_in addr = {0};
+    socklen_t len = sizeof(addr);
 
     fixture->context = SSL_CTX_new(TLS_server_method());
     SSL_CTX_use_certificate(fixture->context, cert);
     SSL_CTX_use_PrivateKey(fixture->context, key);
-    trust(fixture, trusted ? cert : stranger);
+    trust(fixture, trusted ? cert : untrusted);
     fixture->base = event_base_new();
     fixture->server = evhttp_new(fixture->base);
     evhttp_set_bevcb(fixture->server, on_accept, fixture);
     evhttp_set_gencb(fixture->server, on_request, fixture);
     bound = evhttp_bind_socket_with_handle(fixture->server, "127.0.0.1", 0);
     g_assert_cmpint(getsockname(evhttp_bound_socket_get_fd(bound),
-                                (struct sockaddr *)&at, &len),
+                                (struct sockaddr *)&addr, &len),
                     ==, 0);
-    port = ntohs(at.sin_port);
+    port = ntohs(addr.sin_port);
     url = g_strdup_printf("https://127.0.0.1:%u", port);
     fixture->platform = platform_new(fixture->base, url, &fixture->err);
     g_assert_nonnull(fixture->platform);
     fixture->call.done = on_done;
     X509_free(cert);
-    X509_free(stranger);
+    X509_free(untrusted);
     EVP_PKEY_free(key);
     EVP_PKEY_free(other);
 }
@@ -154,7 +165,7 @@
     event_base_dispatch(fixture->base);
 }
 
-TEST_F(fixture, a_trusted_platform_answers, "IP:127.0.0.1", true)
+TEST_F(fixture, a_trusted_certificate_is_accepted, "IP:127.0.0.1", true)
 {
     get(fixture);
     g_assert_cmpint(fixture->status, ==, 0);
@@ -163,7 +174,8 @@
     g_assert_cmpuint(fixture->requests, ==, 2);
 }
 
-TEST_F(fixture, a_platform_of_another_name_is_refused, "DNS:elsewhere", true)
+TEST_F(fixture, a_certificate_for_another_name_is_rejected, "DNS:elsewhere",
+       true)
 {
     get(fixture);
     g_assert_cmpint(fixture->status, <, 0);
@@ -171,7 +183,7 @@
     g_assert_nonnull(strstr(fixture->err.detail, "mismatch"));
 }
 
-TEST_F(fixture, an_unknown_signer_is_refused, "IP:127.0.0.1", false)
+TEST_F(fixture, an_untrusted_certificate_is_rejected, "IP:127.0.0.1", false)
 {
     get(fixture);
     g_assert_cmpint(fixture->status, <, 0);
