--- a/bench/agent/flows.c
+++ b/bench/agent/flows.c
@@ -1,9 +1,9 @@
 /**
- * DOC: bench_agent_flows - what an agent's run_for flows cost in memory
+ * DOC: bench_agent_flows - memory that idle flows take in an agent
  *
- * Plays callers, fabric and balancer towards one running agent: opens
- * flows over the library's TCP, asks once on each, leaves them run_for, and
- * compares the resident_bytes memory that the agent reports before and after.
+ * Acts as callers, fabric and balancer of one running agent: opens flows with
+ * its own TCP stack, sends one request on each, leaves them idle, and compares
+ * the resident memory that the agent reports before and after.
  */
 #include <argtable2.h>
 #include <errno.h>
@@ -27,23 +27,28 @@
 #define PORT_FIRST 20000
 #define PACKET_BUF 2048
 #define SETTLE_US (3 * G_USEC_PER_SEC)
-#define LIMIT_US (120 * G_USEC_PER_SEC)
+#define TIMEOUT_US (120 * G_USEC_PER_SEC)
 
 enum exit_code { EXIT_OK = 0, EXIT_FAILED = 1, EXIT_USAGE = 2 };
 
-/** struct flow - one caller's flow */
+/** struct flow - a flow of a caller */
 struct flow {
     struct stack_conn *conn;
     bool answered;
 };
 
 /**
- * struct bench - the run
- * @fd: socket that plays the fabric
- * @hops: list with the one agent
- * @opened: flows begun
- * @answered: flows that got their answer
- * @lost: flows that ended
+ * struct bench - state of a run
+ * @owner: callbacks of the stack; first member
+ * @fd: socket at the fabric's address
+ * @agent: packet address of the agent
+ * @http: HTTP address of the agent
+ * @service: address of the service
+ * @hops: hop list of the agent only
+ * @count: flows to open
+ * @opened: flows that were begun
+ * @answered: flows that received their response
+ * @lost: flows that were closed
  */
 struct bench {
     struct stack_owner owner;
@@ -94,10 +99,10 @@
 {
     struct bench *bench = (struct bench *)owner;
     struct flow *flow = stack_conn_data(conn);
-    static const char good[] = "HTTP/1.1 200 ";
+    static const char ok_status[] = "HTTP/1.1 200 ";
 
-    if (!flow->answered && len >= sizeof(good) - 1 &&
-        memcmp(data, good, sizeof(good) - 1) == 0) {
+    if (!flow->answered && len >= sizeof(ok_status) - 1 &&
+        memcmp(data, ok_status, sizeof(ok_status) - 1) == 0) {
         flow->answered = true;
         bench->answered++;
     }
@@ -177,7 +182,7 @@
     bench->opened++;
 }
 
-/* Resident bytes that the agent reports on /metrics, 0 when it doesn't. */
+/* Resident memory in bytes from the agent's /metrics, 0 on error. */
 static uint64_t
 resident_bytes(const struct bench *bench)
 {
@@ -197,9 +202,9 @@
         }
     }
     close(fd);
-    const char *at = strstr(page->str, name);
+    const char *line = strstr(page->str, name);
     uint64_t bytes =
-        at == NULL ? 0 : g_ascii_strtoull(at + sizeof(name) - 1, NULL, 10);
+        line == NULL ? 0 : g_ascii_strtoull(line + sizeof(name) - 1, NULL, 10);
     g_string_free(page, TRUE);
     return bytes;
 }
@@ -215,9 +220,9 @@
 }
 
 static int
-measure(struct bench *bench)
+run_bench(struct bench *bench)
 {
-    gint64 until = g_get_monotonic_time() + LIMIT_US;
+    gint64 until = g_get_monotonic_time() + TIMEOUT_US;
     uint64_t before = resident_bytes(bench);
 
     while (bench->answered < bench->count && g_get_monotonic_time() < until &&
@@ -232,13 +237,14 @@
     uint64_t after = resident_bytes(bench);
     bool complete = bench->answered == bench->count && bench->lost == 0 &&
                     before > 0 && after > 0;
-    double each = ((double)after - (double)before) / (double)bench->count;
+    double bytes_per_flow =
+        ((double)after - (double)before) / (double)bench->count;
     printf("{\"flows\":%zu,\"answered\":%zu,\"lost\":%zu,"
            "\"resident_before\":%" G_GUINT64_FORMAT
            ",\"resident_after\":%" G_GUINT64_FORMAT
            ",\"bytes_per_idle_flow\":%.0f}\n",
            bench->count, bench->answered, bench->lost, (guint64)before,
-           (guint64)after, each);
+           (guint64)after, bytes_per_flow);
     return complete ? EXIT_OK : EXIT_FAILED;
 }
 
@@ -264,7 +270,7 @@
         return EXIT_FAILED;
     }
     bench->flows = g_new0(struct flow, bench->count);
-    int code = measure(bench);
+    int code = run_bench(bench);
     stack_free(bench->stack);
     close(bench->fd);
     g_free(bench->flows);
@@ -274,14 +280,15 @@
 int
 main(int argc, char **argv)
 {
-    struct arg_str *listen =
-        arg_str1(NULL, "listen", "IP:PORT", "plays the fabric");
+    struct arg_str *listen = arg_str1(NULL, "listen", "IP:PORT",
+                                      "the fabric's address, bound here");
     struct arg_str *data =
         arg_str1(NULL, "data", "IP:PORT", "the agent's packet address");
     struct arg_str *http =
         arg_str1(NULL, "http", "IP:PORT", "the agent's HTTP address");
-    struct arg_str *name = arg_str1(NULL, "agent", "NAME", "its name");
-    struct arg_str *service = arg_str1(NULL, "service", "NAME", "service");
+    struct arg_str *name = arg_str1(NULL, "agent", "NAME", "the agent's name");
+    struct arg_str *service =
+        arg_str1(NULL, "service", "NAME", "the service's name");
     struct arg_str *address =
         arg_str1(NULL, "address", "IP:PORT", "the service's address");
     struct arg_int *flows = arg_int0(NULL, "flows", "N", "default 2000");
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -188,12 +188,13 @@
                      evsignal_new(base, SIGINT, on_signal, agent), 0);
     g_assert(next <= AGENT_EVENTS);
     if (ret != 0) {
-        return error_set(err, -ENOMEM, "event", NULL, "no memory for events");
+        return error_set(err, -ENOMEM, "event", NULL,
+                         "cannot add events to the event loop");
     }
     return 0;
 }
 
-/* The parts that need no other process and no thread. */
+/* Initialises the modules that need no thread, socket or other process. */
 static int
 init_cores(struct agent *agent, struct error *err)
 {
@@ -249,7 +250,8 @@
     agent->stack_owner.ops = &stack_ops;
     agent->stack = stack_new(&agent->stack_owner);
     if (agent->stack == NULL) {
-        return error_set(err, -ENOMEM, "stack", NULL, "cannot start TCP");
+        return error_set(err, -ENOMEM, "stack", NULL,
+                         "cannot start the TCP stack");
     }
     agent->control = control_start(settings, &agent->blackboard, agent->clock,
                                    &agent->counters, err);
--- a/src/agent/datagram.c
+++ b/src/agent/datagram.c
@@ -13,12 +13,12 @@
 #define PROTO_UDP 17
 
 /**
- * struct datagram_flow - one caller's flow
- * @key: the caller's side as in its packets
- * @agent: whose flow
+ * struct datagram_flow - UDP flow of one caller
+ * @key: first packet of the flow; its addresses and ports identify the flow
+ * @agent: agent that relays the flow
  * @fd: socket connected to the upstream
- * @event: readable
- * @last_us: when a packet last went either way
+ * @event: read event of @fd
+ * @last_us: time of the last packet in either direction
  */
 struct datagram_flow {
     struct packet key;
@@ -63,7 +63,7 @@
 }
 
 static void
-on_answer(evutil_socket_t fd, short what, void *arg)
+on_reply(evutil_socket_t fd, short what, void *arg)
 {
     struct datagram_flow *flow = arg;
     const struct packet *key = &flow->key;
@@ -72,7 +72,7 @@
 
     ssize_t len = recv(fd, payload, sizeof(payload), MSG_DONTWAIT);
     if (len < 0) {
-        return; /* a refused datagram: UDP promises no more */
+        return; /* for example an ICMP error for an earlier datagram */
     }
     flow->last_us = agent_now(flow->agent);
     size_t total = packet_build_udp(key->dst, key->dport, key->src, key->sport,
@@ -95,15 +95,15 @@
         connect(flow->fd, (struct sockaddr *)&to, sizeof(to)) < 0) {
         goto err;
     }
-    flow->event = event_new(agent->base, flow->fd, EV_READ | EV_PERSIST,
-                            on_answer, flow);
+    flow->event =
+        event_new(agent->base, flow->fd, EV_READ | EV_PERSIST, on_reply, flow);
     if (flow->event == NULL || event_add(flow->event, NULL) < 0) {
         goto err;
     }
     g_hash_table_add(agent->datagrams.flows, flow);
     return flow;
 err:
-    g_warning("Cannot open a datagram flow.");
+    g_warning("Cannot open a UDP flow to the upstream.");
     flow_free(flow);
     return NULL;
 }
--- a/src/agent/drain.c
+++ b/src/agent/drain.c
@@ -3,9 +3,9 @@
 #include "agent/program.h"
 #include "base/log.h"
 
-/* After drain_s, requests in progress still get this long. */
+/* Time for requests in progress to end after drain_s. */
 #define CLOSE_GRACE_US (10 * USEC_PER_SEC)
-/* Lets last segments and messages go out before the end. */
+/* Time to send the last segments and messages before the exit. */
 #define FINAL_FLUSH_US (200 * USEC_PER_MSEC)
 
 static void
@@ -18,12 +18,12 @@
 agent_stop_begin(struct agent *agent)
 {
     if (agent->stop != AGENT_RUNNING) {
-        g_warning("Stopping at once.");
+        g_warning("Second signal: stopping without draining.");
         agent->hard_stop = true;
         end_loop(agent);
         return;
     }
-    g_message("A planned stop has begun: %zu flows are open.",
+    g_message("Planned stop: draining %zu open flows.",
               frontend_count(&agent->frontend));
     agent->stop = AGENT_DRAINING;
     agent->stop_until_us =
@@ -41,7 +41,7 @@
            engine_open_requests(engine) == 0 && engine_busy(engine) == 0;
 }
 
-/* Nothing in progress, and the records of keys are held by others too. */
+/* Idle, and other agents have acknowledged all idempotency records. */
 static bool
 is_done(const struct agent *agent)
 {
--- a/src/agent/ingress.c
+++ b/src/agent/ingress.c
@@ -19,7 +19,8 @@
 #define PROTO_UDP 17
 #define RESET_MAX 64
 
-/** struct flow_key - a flow as its caller's packets name it */
+/** struct flow_key - addresses and ports of a flow, as in its caller's packets
+ */
 struct flow_key {
     uint32_t src;
     uint32_t dst;
@@ -27,14 +28,15 @@
     uint16_t dport;
 };
 
-/** struct lingering - a closed flow still known to the flow core */
+/** struct lingering - a closed flow that stays in the flow table until
+ * @until_us */
 struct lingering {
     struct flow_key key;
     uint64_t until_us;
 };
 
-/* Counter cells have one writer each: the event loop's thread writes cell
- * 0, any other (the stack's own) cell 1. */
+/* Each counter cell has one writer: the event loop's thread writes cell 0, the
+ * stack's thread cell 1. */
 static _Thread_local unsigned counter_worker = 1;
 
 static guint
@@ -56,7 +58,7 @@
                 1);
 }
 
-/* The receiver of a packet on the list @to has gone: its port is closed. */
+/* Reports the member at @to as dead: its packet port is closed. */
 static void
 report_closed_port(struct agent *agent, struct addr to)
 {
@@ -73,7 +75,7 @@
     rcu_read_unlock();
 }
 
-/* Reads which sends were refused; also clears the socket's error. */
+/* Reads the destinations of refused packets; clears the socket's error. */
 static void
 read_error_queue(struct agent *agent)
 {
@@ -124,7 +126,7 @@
         .msg_iovlen = 2,
     };
 
-    /* The first try may only return the error of an earlier packet. */
+    /* The first call may return the pending error of an earlier packet. */
     if (sendmsg(agent->ingress.fd, &msg, MSG_DONTWAIT) < 0 &&
         (errno != ECONNREFUSED ||
          sendmsg(agent->ingress.fd, &msg, MSG_DONTWAIT) < 0)) {
@@ -174,8 +176,8 @@
     }
 }
 
-/* What the packet's address is to the service served here, by the text in
- * force and not by what a balancer took it for. */
+/* Kind of the packet's destination by the current configuration; a balancer's
+ * may be older. */
 static enum flow_address
 classify_address(const struct agent *agent, const struct gue *gue,
                  const struct packet *packet)
@@ -198,7 +200,7 @@
     stack_input(agent->stack, buf, len);
 }
 
-/* A flow over the limits is refused at once and forgotten. */
+/* Resets a flow that exceeds the connection limits. */
 static void
 open_flow(struct agent *agent, const struct packet *packet, const uint8_t *buf,
           size_t len)
@@ -269,7 +271,7 @@
     }
 }
 
-/* Reads one batch; returns how many packets came. */
+/* Reads one batch; returns the number of packets, or -1. */
 static int
 read_batch(struct agent *agent)
 {
@@ -340,7 +342,8 @@
     int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
     if (fd < 0) {
-        return error_set(err, -errno, "socket", NULL, "no packet socket");
+        return error_set(err, -errno, "socket", NULL,
+                         "cannot create the packet socket");
     }
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
     setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &size, sizeof(size));
@@ -349,7 +352,7 @@
         int code = -errno;
         close(fd);
         return error_set(err, code, "bind", addr_format(addr, peer),
-                         "cannot take packets there");
+                         "cannot bind the packet socket");
     }
     return fd;
 }
@@ -371,7 +374,7 @@
                                on_readable, agent);
     if (ingress->event == NULL || event_add(ingress->event, NULL) < 0) {
         return error_set(err, -ENOMEM, "event", NULL,
-                         "cannot watch the packet socket");
+                         "cannot add the packet socket to the event loop");
     }
     return 0;
 }
--- a/src/agent/ingress.h
+++ b/src/agent/ingress.h
@@ -1,10 +1,10 @@
 /**
- * DOC: ingress - packets that balancers and other agents hand us
+ * DOC: ingress - packets received from balancers and other agents
  *
- * Reads the packet socket in bounded batches, checks each packet again
- * (form, checksums, that it is for the service served here) and carries
- * out what the flow core decides. Also sends: forwarded packets, resets, and
- * the stack's answers, which go to the fabric in bare GUE.
+ * Reads the packet socket in bounded batches, validates each packet (format,
+ * checksums, address of the local service) and executes the flow table's
+ * decision. Also sends packets: to the next agent of a hop list, and to the
+ * fabric (resets and the stack's segments, in GUE without a hop list).
  */
 #ifndef SWIFTARCH_AGENT_INGRESS_H
 #define SWIFTARCH_AGENT_INGRESS_H
@@ -21,22 +21,23 @@
 
 struct agent;
 
-#define INGRESS_BATCH 64
-#define INGRESS_BATCHES_MAX 8
+#define INGRESS_BATCH 64      /* packets a system call */
+#define INGRESS_BATCHES_MAX 8 /* batches an event */
 #define INGRESS_LINGER_US (10 * UINT64_C(1000000))
 
 /**
- * struct ingress - packet side of the agent
- * @fd: UDP socket of settings.data
- * @event: readable
- * @fabric: where answers go
+ * struct ingress - packet socket and counters
+ * @fd: UDP socket bound to settings.data
+ * @event: read event of @fd
+ * @fabric: address that packets to callers are sent to
  * @live: flows open in the stack, a set of struct flow_key
- * @lingering: flows closed but kept known for late segments
- * @drops: counter handles by reason
- * @delivered: counter handle
- * @forwarded: counter handle
- * @resets: counter handle
- * @sent: counter handle
+ * @lingering: closed flows that stay in the flow table for late segments,
+ *             oldest first
+ * @drops: counter handles of dropped packets, by reason
+ * @delivered: counter handle, packets for the local upstream
+ * @forwarded: counter handle, packets forwarded to another agent
+ * @resets: counter handle, resets sent
+ * @sent: counter handle, packets sent to the fabric
  */
 struct ingress {
     int fd;
@@ -51,38 +52,42 @@
     int sent;
 };
 
-/** ingress_register() - register the counters; before any thread */
+/** ingress_register() - register the counters; called before any thread starts
+ */
 void
 ingress_register(struct agent *agent);
 
-/** ingress_init() - bind the socket and read it from the event loop */
+/** ingress_init() - bind the socket and add it to the event loop; 0 or a
+ * negative errno with @err filled */
 int
 ingress_init(struct agent *agent, struct error *err);
 
-/** ingress_finish() - close the socket */
+/** ingress_finish() - close the socket and free all memory */
 void
 ingress_finish(struct agent *agent);
 
-/** ingress_flow() - the stack opened or ended a flow */
+/** ingress_flow() - record that the stack opened or closed a flow; a closed
+ * one lingers for INGRESS_LINGER_US */
 void
 ingress_flow(struct agent *agent, struct addr caller, struct addr local,
              bool open);
 
-/** ingress_tick() - forget flows that lingered long enough */
+/** ingress_tick() - remove expired lingering flows; called once a second */
 void
 ingress_tick(struct agent *agent);
 
-/** ingress_forget() - drop the flow of @key from the flow core */
+/** ingress_forget() - remove the flow of @key from the flow table */
 void
 ingress_forget(struct agent *agent, const struct packet *key);
 
-/** egress_output() - send an IPv4 packet towards its caller; any thread */
+/** egress_output() - send an IPv4 packet to its caller through the fabric; any
+ * thread */
 void
 egress_output(struct agent *agent, const uint8_t *buf, size_t len);
 
-/** egress_output_untracked() - the same for a packet that belongs to no flow
- * of ours: a handshake with the same caller must not take its sequence number
- * for its own */
+/** egress_output_untracked() - as egress_output(), for a packet of another
+ * agent's flow: its sequence number must not be recorded for a half-open flow
+ * of the same caller */
 void
 egress_output_untracked(struct agent *agent, const uint8_t *buf, size_t len);
 
--- a/src/agent/metrics.c
+++ b/src/agent/metrics.c
@@ -5,7 +5,7 @@
 
 #include "agent/program.h"
 
-/* Resident memory from /proc, so that one page tells what an agent costs. */
+/* Resident memory of the process in bytes, 0 on error. */
 static uint64_t
 resident_bytes(void)
 {
--- a/src/agent/metrics.h
+++ b/src/agent/metrics.h
@@ -1,8 +1,8 @@
 /**
- * DOC: metrics - figures that the parts keep for themselves, for readers
+ * DOC: metrics - exports the state of the agent's modules to the counter table
  *
- * Gauges rise and fall; counter_handles only grow. Both are copied to the
- * counter table once a second and before it is read.
+ * Gauges may fall, counters only grow. Both are copied from the modules once a
+ * second and before each read of /metrics.
  */
 #ifndef SWIFTARCH_AGENT_METRICS_H
 #define SWIFTARCH_AGENT_METRICS_H
@@ -13,7 +13,7 @@
 
 struct agent;
 
-/** enum gauge - one each */
+/** enum gauge - exported gauges */
 enum gauge {
     GAUGE_FLOWS,
     GAUGE_HALF_OPEN,
@@ -24,7 +24,7 @@
     GAUGES
 };
 
-/** enum metric_counter - one each */
+/** enum metric_counter - exported counters */
 enum metric_counter {
     METRIC_FLOWS_OPENED,
     METRIC_FLOWS_REFUSED,
@@ -36,15 +36,15 @@
     METRIC_DECLINED,
     METRIC_DISPLACED,
     METRIC_DROPPED,
-    METRIC_PEER_STATUS, /* then one for each engine_peer_type */
+    METRIC_PEER_STATUS, /* first of one for each engine_peer_type */
     METRIC_COUNTERS = METRIC_PEER_STATUS + ENGINE_PEER_TYPES
 };
 
 /**
- * struct metrics - counter handles
- * @handles: of the metrics
- * @counter_handles: of the counter_handles
- * @reported: what each metric_counter showed last
+ * struct metrics - handles in the counter table
+ * @handles: handles of the gauges, by enum gauge
+ * @counter_handles: handles of the counters, by enum metric_counter
+ * @reported: last exported value of each metric_counter
  */
 struct metrics {
     int handles[GAUGES];
@@ -52,11 +52,12 @@
     uint64_t reported[METRIC_COUNTERS];
 };
 
-/** metrics_register() - register them; before any thread */
+/** metrics_register() - register all metrics; called before any thread starts
+ */
 void
 metrics_register(struct agent *agent);
 
-/** metrics_update() - bring them up to date, before they are read */
+/** metrics_update() - copy the current values to the counter table */
 void
 metrics_update(struct agent *agent);
 
--- a/src/agent/orphan_notifier.c
+++ b/src/agent/orphan_notifier.c
@@ -55,7 +55,7 @@
         orphan_flow_closed(core, caller, service);
     }
     else if (orphan_flow_opened(core, caller, service) < 0) {
-        g_info("A flow is not told to a backup: no room.");
+        g_info("A flow is not replicated to backups: limit reached.");
     }
 }
 
@@ -66,20 +66,20 @@
     struct orphans *core = &agent->orphan_notifier.core;
     struct orphan_message message;
     struct orphan_message reply;
-    bool answer = false;
+    bool has_reply = false;
 
     if (orphan_wire_read(wire, &message) < 0) {
-        g_warning("A malformed notice of a peer was dropped.");
+        g_warning("Dropped a malformed orphan message of a peer.");
         return;
     }
     rcu_read_lock();
     const struct view *view = blackboard_view(&agent->blackboard);
     if (view != NULL) {
-        answer = orphan_receive(core, view, from, &message, agent_now(agent),
-                                &reply);
+        has_reply = orphan_receive(core, view, from, &message,
+                                   agent_now(agent), &reply);
     }
     rcu_read_unlock();
-    if (answer) {
+    if (has_reply) {
         peer_links_send_orphans(agent, from, &reply);
     }
 }
@@ -93,7 +93,7 @@
 
     while (
         orphan_next_message(&orphan_notifier->core, now_us, &to, &message)) {
-        /* What fails to be sent is sent again without an answer. */
+        /* A send error is ignored: unacknowledged messages are resent. */
         peer_links_send_orphans(agent, to, &message);
         counter_add(&agent->counters, 0, orphan_notifier->batches, 1);
     }
--- a/src/agent/orphan_notifier.h
+++ b/src/agent/orphan_notifier.h
@@ -1,8 +1,9 @@
 /**
- * DOC: orphan_notifier - tells callers of other hosts' deaths, see src/orphans
+ * DOC: orphan_notifier - connects src/orphans to the agent
  *
- * Hands flows and views to the core, sends its messages over the peer
- * links and its probes to the fabric. From the event loop only.
+ * Passes flows, views and peer messages to the core, sends its messages over
+ * the peer links and its probes to the fabric. Called from the event loop
+ * only.
  */
 #ifndef SWIFTARCH_AGENT_ORPHAN_NOTIFIER_H
 #define SWIFTARCH_AGENT_ORPHAN_NOTIFIER_H
@@ -18,12 +19,12 @@
 struct peer_wire;
 
 /**
- * struct orphan_notifier - the core and its counters
- * @core: decides
- * @batches: counter handle, batches sent to backups
- * @probes: counter handle, callers probed
- * @replicated_flows: gauge handle, flows replicated_flows for others
- * @refused: gauge handle, flows and owners there was no room for
+ * struct orphan_notifier - core of src/orphans and its counters
+ * @core: state as an owner and as a backup
+ * @batches: counter handle, messages sent to backups
+ * @probes: counter handle, probes sent to callers
+ * @replicated_flows: gauge handle, flows stored for other agents
+ * @refused: gauge handle, flows and owners refused because of the limits
  */
 struct orphan_notifier {
     struct orphans core;
@@ -33,37 +34,41 @@
     int refused;
 };
 
-/** orphan_notifier_register() - register the counters; before any thread */
+/** orphan_notifier_register() - register the counters; called before any
+ * thread starts */
 void
 orphan_notifier_register(struct agent *agent);
 
-/** orphan_notifier_init() - begin without flows */
+/** orphan_notifier_init() - start without flows */
 void
 orphan_notifier_init(struct agent *agent);
 
-/** orphan_notifier_finish() - free what is replicated_flows */
+/** orphan_notifier_finish() - free all memory */
 void
 orphan_notifier_finish(struct agent *agent);
 
-/** orphan_notifier_set_view() - another view is in force */
+/** orphan_notifier_set_view() - pass a new view to the core */
 void
 orphan_notifier_set_view(struct agent *agent, const struct view *view);
 
-/** orphan_notifier_flow() - an own flow was established or ended */
+/** orphan_notifier_flow() - record that a local flow was established (@open)
+ * or closed */
 void
 orphan_notifier_flow(struct agent *agent, const struct stack_conn *conn,
                      bool open);
 
-/** orphan_notifier_receive() - a message of peer @from */
+/** orphan_notifier_receive() - handle a message of peer @from; replies if
+ * needed */
 void
 orphan_notifier_receive(struct agent *agent, uint64_t from,
                         const struct peer_wire *wire);
 
-/** orphan_notifier_tick() - send what is due; every 10 ms */
+/** orphan_notifier_tick() - send due messages and probes; called every 10 ms
+ */
 void
 orphan_notifier_tick(struct agent *agent);
 
-/** orphan_notifier_set_gauges() - bring the gauges up to date */
+/** orphan_notifier_set_gauges() - copy current values to the gauges */
 void
 orphan_notifier_set_gauges(struct agent *agent);
 
--- a/src/agent/orphan_wire.c
+++ b/src/agent/orphan_wire.c
@@ -4,7 +4,7 @@
 
 #include "agent/peer.pb-c.h"
 
-#define CALLER_LEN 6
+#define CALLER_LEN 6 /* IPv4 address and port, big endian */
 
 static void
 write_caller(uint8_t *at, struct addr caller)
@@ -55,7 +55,7 @@
     return peer_wire_pack_raw(&raw);
 }
 
-/* Appends the callers of @bytes; their count or -EBADMSG. */
+/* Writes the callers of @bytes from index @used; their count or -EBADMSG. */
 static int
 read_callers(const ProtobufCBinaryData *bytes, size_t used,
              struct orphan_message *message)
--- a/src/agent/pause.c
+++ b/src/agent/pause.c
@@ -1,6 +1,7 @@
 #include "agent/program.h"
 
-/* Ticks come every 10 ms; a gap this long is a process that stood still. */
+/* A longer gap between two ticks (every 10 ms) counts as a pause of the
+ * process. */
 #define PAUSE_MIN_US (100 * USEC_PER_MSEC)
 
 bool
--- a/src/agent/peer.pb-c.h
+++ b/src/agent/peer.pb-c.h
@@ -40,7 +40,7 @@
   Swiftarch__PeerKey *key;
   uint64_t time_left_us;
   /*
-   * the request as it goes to the upstream
+   * request sent to the upstream
    */
   ProtobufCBinaryData http;
   char *traceparent;
@@ -90,14 +90,14 @@
 
 
 /*
- * Flows that an owner's backup has to know of (src/notice). Callers take six
- * bytes each: address and port, big endian.
+ * Flows that an owner replicates to its backups (src/orphans). Each caller has
+ * six bytes: address and port, big endian.
  */
 struct  Swiftarch__PeerNotice
 {
   ProtobufCMessage base;
   /*
-   * notice_type
+   * orphan_message_type
    */
   uint32_t type;
   protobuf_c_boolean known;
@@ -118,7 +118,7 @@
 {
   ProtobufCMessage base;
   /*
-   * engine_peer_type, 100: pins, 101: notice
+   * engine_peer_type, 100: pins, 101: orphans
    */
   uint32_t type;
   uint64_t origin;
--- a/src/agent/peer_links.c
+++ b/src/agent/peer_links.c
@@ -11,9 +11,10 @@
 #include "base/log.h"
 
 /**
- * struct target - a member we send to, while its connection lasts
- * @member: its id
- * @runs: ids of our requests sent over this connection and not ended
+ * struct target - destination of an outgoing connection
+ * @member: member id
+ * @runs: ids of requests sent in RUN messages over the connection that are
+ * still running
  */
 struct target {
     uint64_t member;
@@ -45,7 +46,7 @@
 }
 
 static struct target *
-target_of(struct peer_links *links, struct addr to, uint64_t member)
+ensure_target(struct peer_links *links, struct addr to, uint64_t member)
 {
     guint64 key = addr_key(to);
     struct target *target = g_hash_table_lookup(links->targets, &key);
@@ -71,10 +72,10 @@
         *to = member->data;
     }
     rcu_read_unlock();
-    return to->port == 0 ? NULL : target_of(&agent->links, *to, id);
+    return to->port == 0 ? NULL : ensure_target(&agent->links, *to, id);
 }
 
-/* Notes a RUN that went out, and forgets one that is over. */
+/* Adds a sent RUN (@out) to its target, or removes an ended one. */
 static void
 track_run(struct agent *agent, uint64_t member, uint64_t id, bool out)
 {
@@ -92,7 +93,8 @@
     }
 }
 
-/* Members of other services have no business with our flows or requests. */
+/* Whether @id is another agent in the view; messages of others are not
+ * handled. */
 static bool
 is_peer(struct agent *agent, uint64_t id)
 {
@@ -122,8 +124,8 @@
     pthread_mutex_unlock(&agent->flow_lock);
 }
 
-/* A member that we don't know yet may know us: what it wants run is not run
- * here, and it hears so at once. */
+/* Declines a RUN of a member that isn't in this agent's view yet, so that the
+ * sender can run the request elsewhere at once. */
 static void
 decline_unknown(struct agent *agent, struct link_conn *conn, uint64_t sender,
                 const struct peer_wire *wire)
@@ -174,11 +176,11 @@
     struct peer_wire wire;
 
     if (type != PEER_LINKS_FRAME) {
-        g_info("A frame of an unknown type was dropped.");
+        g_info("Dropped a peer frame of an unknown type.");
         return;
     }
     if (peer_wire_unpack(body, len, agent_arrival_us(agent), &wire) < 0) {
-        g_warning("A malformed message of a peer was dropped.");
+        g_warning("Dropped a malformed message of a peer.");
         return;
     }
     if (is_peer(agent, sender)) {
@@ -191,7 +193,7 @@
     peer_wire_finish(&wire);
 }
 
-/* A closed port proves that the process at @member is gone. */
+/* Reports member @id as dead: its port is closed, so its process has ended. */
 static void
 report_dead(struct agent *agent, uint64_t id)
 {
@@ -205,7 +207,7 @@
     rcu_read_unlock();
 }
 
-/* The connection never came up: nothing queued on it was sent. */
+/* Reports all requests of a connection that was refused as not sent. */
 static void
 report_unsent_runs(struct agent *agent, const struct target *target)
 {
@@ -216,7 +218,7 @@
 }
 
 static void
-incoming_down(struct peer_links *links, struct link_conn *conn)
+handle_incoming_disconnect(struct peer_links *links, struct link_conn *conn)
 {
     const guint64 *id = g_hash_table_lookup(links->senders, conn);
 
@@ -236,7 +238,7 @@
     gpointer stolen_key;
     gpointer value;
 
-    incoming_down(links, conn);
+    handle_incoming_disconnect(links, conn);
     if (!g_hash_table_steal_extended(links->targets, &key, &stolen_key,
                                      &value)) {
         return;
@@ -273,7 +275,8 @@
     ret = auth_init(&links->auth, settings->site_key, settings->site_key_len,
                     agent->self, wall_ms);
     if (ret < 0) {
-        return error_set(err, ret, "site key", NULL, "cannot be used");
+        return error_set(err, ret, "site key", NULL,
+                         "cannot initialise authentication");
     }
     ret = link_hub_init(&links->hub, agent->base, &links->auth,
                         &links->handler, settings->data, err);
@@ -338,26 +341,26 @@
     return ret;
 }
 
-/* Sends the pins of one batch that are for pins' first receiver; the rest
- * are left for the next call. */
+/* Sends the pins for the first receiver @to[0] and moves the others to the
+ * front of the arrays; returns their count. */
 static size_t
 send_pins_to_first(struct agent *agent, struct flow_pin *pins, uint64_t *to,
                    size_t count)
 {
-    struct flow_pin mine[PEER_WIRE_PINS_MAX];
+    struct flow_pin batch[PEER_WIRE_PINS_MAX];
     uint64_t target = to[0];
-    size_t chosen = 0;
+    size_t batch_count = 0;
     size_t left = 0;
 
     for (size_t i = 0; i < count; i++) {
         if (to[i] == target) {
-            mine[chosen++] = pins[i];
+            batch[batch_count++] = pins[i];
             continue;
         }
         pins[left] = pins[i];
         to[left++] = to[i];
     }
-    GByteArray *body = peer_wire_pack_pins(mine, chosen);
+    GByteArray *body = peer_wire_pack_pins(batch, batch_count);
     send_bytes(agent, target, body);
     g_byte_array_unref(body);
     return left;
--- a/src/agent/peer_links.h
+++ b/src/agent/peer_links.h
@@ -1,9 +1,9 @@
 /**
  * DOC: peer_links - messages between the agents of one service
  *
- * peer.proto messages in link frames of type PEER_LINKS_FRAME. An agent
- * listens on TCP at the address and port of its packet socket, so whoever
- * knows a member's data address reaches it.
+ * Sends peer.proto messages in link frames of type PEER_LINKS_FRAME. An agent
+ * listens on TCP at the address and port of its packet socket, so a member's
+ * data address is enough to connect to it.
  */
 #ifndef SWIFTARCH_AGENT_PEER_LINKS_H
 #define SWIFTARCH_AGENT_PEER_LINKS_H
@@ -22,13 +22,13 @@
 
 /**
  * struct peer_links - links with the other agents
- * @handler: what the hub calls; first member
- * @agent: the program
- * @hub: the links
- * @auth: keys and sequences of this hub
- * @senders: member id of each incoming connection
- * @targets: struct target of each address sent to
- * @listening: the hub was begun
+ * @handler: callbacks of the hub; first member
+ * @agent: agent that owns the links
+ * @hub: listener and connections
+ * @auth: authentication state of the hub
+ * @senders: member id by incoming connection
+ * @targets: struct target by address, for outgoing connections
+ * @listening: @hub is initialised
  */
 struct peer_links {
     struct link_handler handler;
@@ -40,33 +40,36 @@
     bool listening;
 };
 
-/** peer_links_init() - listen for the other agents */
+/** peer_links_init() - listen on settings.data; 0 or a negative errno with
+ * @err filled */
 int
 peer_links_init(struct agent *agent, struct error *err);
 
-/** peer_links_finish() - close the links */
+/** peer_links_finish() - close all connections and free the tables */
 void
 peer_links_finish(struct agent *agent);
 
 /**
  * peer_links_send() - send a message to a member
- * @bytes: request or answer that goes with it, or NULL
+ * @bytes: HTTP request or response of the message, or NULL
  * @traceparent: trace context of a RUN, or ""
  *
- * Return: 0, -ENOENT when the member isn't known, or as link_send().
+ * Return: 0, -ENOENT when the view has no such member, or an error of
+ * link_send().
  */
 int
 peer_links_send(struct agent *agent, uint64_t member,
                 const struct engine_peer_msg *msg, const GByteArray *bytes,
                 const char *traceparent);
 
-/** peer_links_send_orphans() - send a message of src/notice; as
+/** peer_links_send_orphans() - send a message of src/orphans; returns as
  * peer_links_send() */
 int
 peer_links_send_orphans(struct agent *agent, uint64_t member,
                         const struct orphan_message *message);
 
-/** peer_links_send_pins() - send the pins that are due; about once a second */
+/** peer_links_send_pins() - send due pins to their agents; called once a
+ * second */
 void
 peer_links_send_pins(struct agent *agent);
 
--- a/src/agent/peer_wire.h
+++ b/src/agent/peer_wire.h
@@ -1,5 +1,5 @@
 /**
- * DOC: peer_wire - engine messages and pins as bytes (protobuf-c)
+ * DOC: peer_wire - encodes engine messages and pins as in peer.proto
  */
 #ifndef SWIFTARCH_AGENT_PEER_WIRE_H
 #define SWIFTARCH_AGENT_PEER_WIRE_H
@@ -12,35 +12,36 @@
 #include "request/engine.h"
 
 #define PEER_WIRE_PINS 100    /* PeerMessage.type of pins */
-#define PEER_WIRE_ORPHANS 101 /* and of agent/orphan_wire.h */
+#define PEER_WIRE_ORPHANS 101 /* PeerMessage.type of orphans */
 #define PEER_WIRE_PINS_MAX 64
 
 struct Swiftarch__PeerMessage;
 
 /**
- * peer_wire_pack() - bytes of a message
- * @bytes: request or answer that goes with it, or NULL
+ * peer_wire_pack() - encode a message; freed by the caller
+ * @bytes: HTTP request or response of the message, or NULL
  * @traceparent: trace context of a RUN, or NULL
- * @now_us: own clock; a deadline travels as the time left, since the
- *          clocks of two hosts have nothing in common
+ * @now_us: monotonic time; the deadline is sent as the time left, because
+ *          monotonic clocks of two hosts can't be compared
  */
 GByteArray *
 peer_wire_pack(const struct engine_peer_msg *msg, const GByteArray *bytes,
                const char *traceparent, uint64_t now_us);
 
-/** peer_wire_pack_pins() - bytes of at most PEER_WIRE_PINS_MAX pins */
+/** peer_wire_pack_pins() - encode at most PEER_WIRE_PINS_MAX pins; freed by
+ * the caller */
 GByteArray *
 peer_wire_pack_pins(const struct flow_pin *pins, size_t count);
 
 /**
- * struct peer_wire - a message read
- * @raw: what the other members point into
- * @pins: it carries pins, not a message of the engine
- * @notice: it carries a message for agent/orphan_wire.h
- * @msg: the message
- * @bytes: request or answer, or NULL
- * @len: its length
- * @traceparent: or ""
+ * struct peer_wire - a decoded message
+ * @raw: protobuf message; owns the memory of @msg, @bytes and @traceparent
+ * @pins: has pins, read by peer_wire_pin()
+ * @notice: has an orphan message, read by orphan_wire_read()
+ * @msg: engine message, unless @pins or @notice
+ * @bytes: HTTP request or response, or NULL
+ * @len: length of @bytes
+ * @traceparent: trace context of a RUN, or ""
  */
 struct peer_wire {
     struct Swiftarch__PeerMessage *raw;
@@ -52,21 +53,22 @@
     const char *traceparent;
 };
 
-/** peer_wire_unpack() - 0 or -EBADMSG; free with peer_wire_finish(). The
- * deadline counts from @now_us, own clock */
+/** peer_wire_unpack() - decode a message; 0, to be freed with
+ * peer_wire_finish(), or -EBADMSG. The deadline counts from @now_us, in
+ * monotonic time */
 int
 peer_wire_unpack(const uint8_t *body, size_t len, uint64_t now_us,
                  struct peer_wire *wire);
 
-/** peer_wire_pack_raw() - bytes of any message */
+/** peer_wire_pack_raw() - encode a protobuf message; freed by the caller */
 GByteArray *
 peer_wire_pack_raw(const struct Swiftarch__PeerMessage *raw);
 
-/** peer_wire_pin() - pin @i, or false past the last */
+/** peer_wire_pin() - write pin @i to @pin; false past the last */
 bool
 peer_wire_pin(const struct peer_wire *wire, size_t i, struct flow_pin *pin);
 
-/** peer_wire_finish() - free what was read */
+/** peer_wire_finish() - free a decoded message; may be called again */
 void
 peer_wire_finish(struct peer_wire *wire);
 
--- a/src/agent/program.h
+++ b/src/agent/program.h
@@ -1,10 +1,10 @@
 /**
- * DOC: program - the parts of the running agent, and who owns what
+ * DOC: program - state of the agent process
  *
- * One thread with a libevent loop owns everything here but the flow table
- * and the counters. The stack's own thread may call egress_output(), which
- * takes @flow_lock; the lock is a leaf under the stack's core lock, so the
- * stack is never called while it is held.
+ * The thread of the event loop owns all state but the flow table and the
+ * counters. The stack's thread may call egress_output(), which takes
+ * @flow_lock while the stack holds its core lock. The stack must therefore not
+ * be called with @flow_lock held.
  */
 #ifndef SWIFTARCH_AGENT_PROGRAM_H
 #define SWIFTARCH_AGENT_PROGRAM_H
@@ -36,35 +36,37 @@
 #include "stack/stack.h"
 #include "service_config/service_config.h"
 
-/** enum agent_stop - how far a planned stop has come */
+/** enum agent_stop - phase of a planned stop */
 enum agent_stop {
     AGENT_RUNNING,
-    AGENT_DRAINING, /* no new flow; flows end after their next answer */
-    AGENT_CLOSING   /* drain_s is over: FIN between requests */
+    AGENT_DRAINING, /* no new flows; flows end after their next response */
+    AGENT_CLOSING /* drained, or drain_s has passed: flows are closed when idle
+                   */
 };
 
 #define AGENT_EVENTS 8
 
 /**
- * struct agent - the whole program
- * @stack_owner: what the stack calls; first member
- * @runtime: the clock of programs
- * @clock: the clock in use; tests put a paused one here
+ * struct agent - state of the process
+ * @stack_owner: callbacks of the stack; first member
+ * @runtime: system clock
+ * @clock: clock in use: @runtime, or a manual clock in tests
+ * @flow_lock: protects @flows
  * @self: own member id
- * @service: the text's entry of the announced service; id 0 without one
- * @service_known: the text in force has that service
- * @view_seq: view last handed to the cores
- * @text_version: text last handed to the engine
- * @addresses: of the service before, while @service_known
- * @listening: address the stack listens on, port 0: none
- * @stop: planned stop
- * @stop_until_us: end of the present step of the stop
- * @hard_stop: a second signal came
- * @ticked_us: last tick
- * @paused_from_us: the tick before the process stood still, until the next
+ * @service: configuration of the announced service; id 0 without one
+ * @service_known: the current configuration has that service
+ * @addresses: retired addresses of the service, while @service_known
+ * @view_seq: sequence number of the view last passed to the modules
+ * @text_version: version of the configuration last passed to the engine
+ * @listening: address the stack listens on; port 0 for none
+ * @stop: phase of a planned stop
+ * @stop_until_us: end of the current phase
+ * @hard_stop: a second signal was received
+ * @ticked_us: time of the last tick
+ * @paused_from_us: last tick before a pause of the process, until the next
  *                  tick; 0 otherwise
  * @events: timers, signals and the stack's descriptor
- * @metrics: figures on /metrics
+ * @metrics: handles of the exported metrics
  */
 struct agent {
     struct stack_owner stack_owner;
@@ -103,7 +105,7 @@
     struct metrics metrics;
 };
 
-/** agent_now() - monotonic time, microseconds */
+/** agent_now() - monotonic time in microseconds */
 static inline uint64_t
 agent_now(struct agent *agent)
 {
@@ -111,25 +113,25 @@
 }
 
 /**
- * agent_was_paused() - note a tick; whether the process stood still before
+ * agent_was_paused() - record a tick; whether the process was paused before it
  *
- * What arrived during a pause is read before any deadline is judged, for an
- * answer may be among it: such a tick does nothing else.
+ * The caller skips the tick after a pause: data that arrived during the pause
+ * is read before deadlines are checked, as it may have the awaited response.
  */
 bool
 agent_was_paused(struct agent *agent);
 
 /**
- * agent_arrival_us() - since when bytes read now may have waited
+ * agent_arrival_us() - earliest arrival time of data that is read now
  *
- * Now, or the last time the process ran when it has stood still: a deadline
- * counted from then is never too generous.
+ * After a pause of the process this is the last tick before it, otherwise the
+ * current time. A deadline counted from it is never too late.
  */
 uint64_t
 agent_arrival_us(struct agent *agent);
 
-/** agent_address() - what an address is to the service served here, by the
- * text in force */
+/** agent_address() - kind of an address for the local service, by the current
+ * configuration */
 static inline enum flow_address
 agent_address(const struct agent *agent, uint32_t ip, uint16_t port,
               uint8_t proto)
@@ -141,29 +143,29 @@
                           (uint64_t)g_get_real_time() / USEC_PER_MSEC);
 }
 
-/** agent_accepts() - whether new flows and new work are taken here */
+/** agent_accepts() - whether the agent takes new flows and requests */
 bool
 agent_accepts(const struct agent *agent);
 
-/** agent_refresh() - hand a changed view, text or upstream to the cores */
+/** agent_refresh() - pass a new view or configuration to the modules */
 void
 agent_refresh(struct agent *agent);
 
-/** agent_upstream_changed() - the upstream's announcement changed */
+/** agent_upstream_changed() - pass a change of the upstream, or the start of a
+ * planned stop, to the modules */
 void
 agent_upstream_changed(struct agent *agent);
 
-/** agent_publish_load() - put slots busy and requests waiting on the
- * blackboard
- */
+/** agent_publish_load() - publish busy slots and waiting requests on the
+ * blackboard */
 void
 agent_publish_load(struct agent *agent);
 
-/** agent_stop_begin() - a planned stop, or the end at once if one runs */
+/** agent_stop_begin() - begin a planned stop, or exit at once during one */
 void
 agent_stop_begin(struct agent *agent);
 
-/** agent_stop_tick() - go on with a planned stop; every 10 ms */
+/** agent_stop_tick() - advance a planned stop; called every 10 ms */
 void
 agent_stop_tick(struct agent *agent);
 
--- a/src/agent/upstream.c
+++ b/src/agent/upstream.c
@@ -59,7 +59,7 @@
     upstream->addr = announcement->addr;
     upstream->slots = announcement->slots;
     upstream->state = announcement->state;
-    g_message("The upstream of %s at %s announced itself: %u slots, %s.",
+    g_message("Announcement of the upstream of %s at %s: %u slots, %s.",
               upstream->name, addr_format(upstream->addr, text),
               upstream->slots,
               upstream->state == MEMBER_READY     ? "ready"
@@ -69,19 +69,19 @@
 }
 
 static void
-mark_lost(struct agent *agent, const char *why)
+mark_lost(struct agent *agent, const char *reason)
 {
     if (agent->upstream.announced && !agent->upstream.lost) {
         agent->upstream.lost = true;
-        g_warning("The upstream is lost: %s.", why);
+        g_warning("The upstream is lost: %s.", reason);
         agent_upstream_changed(agent);
     }
 }
 
-/* Announcements come from the is_unchanged host only: the listener's address
- * decides who can reach it. */
+/* Whether only the same host can reach the listener; announcements are
+ * accepted from there only. */
 static bool
-on_loopback(const struct agent *agent)
+listens_on_loopback(const struct agent *agent)
 {
     return agent->settings.http.ip >> 24 == LOOPBACK_NET;
 }
@@ -109,7 +109,7 @@
 {
     const char *method = httpd_request_method(request);
 
-    if (!on_loopback(agent)) {
+    if (!listens_on_loopback(agent)) {
         respond(request, STATUS_FORBIDDEN,
                 "announcements are taken on loopback only\n");
     }
@@ -117,7 +117,7 @@
         put_announce(agent, request);
     }
     else if (strcmp(method, "DELETE") == 0) {
-        mark_lost(agent, "it said goodbye");
+        mark_lost(agent, "it withdrew its announcement");
         httpd_respond(request, STATUS_NO_CONTENT, TEXT_PLAIN, "", 0);
     }
     else {
@@ -202,7 +202,7 @@
 {
     if (agent_now(agent) - agent->upstream.announced_us >
         UPSTREAM_TIMEOUT_US) {
-        mark_lost(agent, "it is silent");
+        mark_lost(agent, "its announcements have stopped");
     }
 }
 
--- a/src/agent/upstream.h
+++ b/src/agent/upstream.h
@@ -1,9 +1,10 @@
 /**
- * DOC: upstream - what the local upstream says of itself
+ * DOC: upstream - state of the local upstream, and the agent's HTTP pages
  *
  * Serves /announce, /ready and /metrics. The upstream repeats its
- * announcement; when it falls silent or refuses connections it is lost: it
- * takes no new work, its service stays for the flows still open.
+ * announcement. When announcements stop or connections are refused it is lost:
+ * it gets no new requests, but its service stays for flows that are still
+ * open.
  */
 #ifndef SWIFTARCH_AGENT_UPSTREAM_H
 #define SWIFTARCH_AGENT_UPSTREAM_H
@@ -24,18 +25,18 @@
 
 /**
  * struct upstream - the announced upstream
- * @handler: what the listener calls; first member
- * @agent: the program
+ * @handler: callbacks of the listener; first member
+ * @agent: agent that owns the upstream
  * @httpd: listener on settings.http
- * @announced: an upstream has announced itself since the start
- * @lost: it is silent or refuses connections
- * @addr: where it takes requests
- * @service: id of its service, 0 without
+ * @announced: an announcement was received since the start
+ * @lost: announcements have stopped, or connections are refused
+ * @addr: address of its HTTP server
+ * @service: id of its service; 0 without one
  * @name: name of that service
- * @slots: requests it runs at once
- * @state: what it says of itself
- * @announced_us: when it was last heard
- * @warned: that the text doesn't know its service was logged
+ * @slots: maximum of concurrent requests
+ * @state: announced state
+ * @announced_us: time of the last announcement
+ * @warned: a warning that the configuration lacks its service was logged
  */
 struct upstream {
     struct httpd_handler handler;
@@ -53,10 +54,10 @@
 };
 
 /**
- * struct announcement - a PUT /announce, checked
+ * struct announcement - validated body of a PUT /announce
  * @service: name of the service
- * @addr: where the upstream takes requests
- * @slots: requests it runs at once
+ * @addr: address of the upstream's HTTP server
+ * @slots: maximum of concurrent requests
  * @state: warming, ready or draining
  */
 struct announcement {
@@ -66,12 +67,14 @@
     enum member_state state;
 };
 
-/** announcement_parse() - read the JSON; 0 or -EINVAL with @err filled */
+/** announcement_parse() - parse the JSON @body; 0, or -EINVAL or -ENOMEM with
+ * @err filled */
 int
 announcement_parse(const char *body, size_t len, struct announcement *out,
                    struct error *err);
 
-/** upstream_init() - listen on settings.http */
+/** upstream_init() - listen on settings.http; 0 or a negative errno with @err
+ * filled */
 int
 upstream_init(struct agent *agent, struct error *err);
 
@@ -79,15 +82,18 @@
 void
 upstream_finish(struct agent *agent);
 
-/** upstream_tick() - notice silence */
+/** upstream_tick() - mark the upstream lost without announcements for
+ * UPSTREAM_TIMEOUT_US; called every 10 ms */
 void
 upstream_tick(struct agent *agent);
 
-/** upstream_connect_failed() - it refused a connection */
+/** upstream_connect_failed() - mark the upstream lost: it refused a
+ * connection */
 void
 upstream_connect_failed(struct agent *agent);
 
-/** upstream_takes_work() - heard lately, and warming or ready */
+/** upstream_takes_work() - whether it is announced, not lost and not draining
+ */
 bool
 upstream_takes_work(const struct upstream *upstream);
 
--- a/tests/agent/fake_stack.h
+++ b/tests/agent/fake_stack.h
@@ -1,8 +1,8 @@
 /**
- * DOC: fake_stack - flows for tests of the front, without TCP
+ * DOC: fake_stack - connections for tests of the frontend, without TCP
  *
- * Implements the calls of stack/stack.h that the front makes; tests look
- * at what was written and set how much is taken.
+ * Implements the functions of stack/stack.h that the frontend calls. Tests
+ * read the written bytes and limit how many are accepted.
  */
 #ifndef SWIFTARCH_TESTS_AGENT_FAKE_STACK_H
 #define SWIFTARCH_TESTS_AGENT_FAKE_STACK_H
@@ -13,12 +13,12 @@
 #include "stack/stack.h"
 
 /**
- * struct stack_conn - a flow
- * @peer: caller
- * @data: the front's pointer
- * @written: bytes taken from the front
- * @room: bytes it still takes
- * @paused: the front asked for no more
+ * struct stack_conn - a connection
+ * @peer: address of the caller
+ * @data: pointer of the frontend
+ * @written: bytes accepted from the frontend
+ * @room: bytes that are still accepted
+ * @paused: the frontend paused reading
  * @closed: stack_close() was called
  * @aborted: stack_abort() was called
  */
@@ -32,11 +32,12 @@
     bool aborted;
 };
 
-/** fake_conn_init() - a flow of @ip that takes everything */
+/** fake_conn_init() - initialise a connection of caller @ip that accepts all
+ * bytes */
 void
 fake_conn_init(struct stack_conn *conn, uint32_t ip);
 
-/** fake_conn_finish() - free what was written */
+/** fake_conn_finish() - free the written bytes */
 void
 fake_conn_finish(struct stack_conn *conn);
 
--- a/tests/agent/test_ingress.c
+++ b/tests/agent/test_ingress.c
@@ -1,5 +1,5 @@
-/* Packets through a real socket, the real flow core and a stack that only
- * counts. */
+/* Packets that ingress delivers, forwards, resets or drops, with a real socket
+ * and flow table; the stack is a fake that counts packets. */
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -21,14 +21,19 @@
 #define PACKET_BUF 2200
 #define TCP_LEN 40
 
-/** struct fixture - an agent's ingress, a fabric and a closed port */
+/**
+ * struct fixture - an agent with its ingress and a fabric socket
+ * @closed: data address of the member "gone", a closed port
+ * @delivered: packets passed to the stack or to datagrams
+ * @reported_dead: last member reported as dead
+ */
 struct fixture {
     struct agent agent;
     struct clock_manual clock;
     int fabric;
     struct addr closed;
-    unsigned taken;
-    uint64_t dead;
+    unsigned delivered;
+    uint64_t reported_dead;
 };
 
 static struct fixture *current_fixture;
@@ -36,7 +41,7 @@
 int
 stack_input(struct stack *stack, const uint8_t *buf, size_t len)
 {
-    current_fixture->taken++;
+    current_fixture->delivered++;
     return 0;
 }
 
@@ -61,17 +66,17 @@
 datagrams_input(struct agent *agent, const struct packet *packet,
                 const uint8_t *buf)
 {
-    current_fixture->taken++;
+    current_fixture->delivered++;
 }
 
 void
 control_report_dead(struct control *control, uint64_t member,
                     uint64_t incarnation)
 {
-    current_fixture->dead = member;
+    current_fixture->reported_dead = member;
 }
 
-/* A TCP segment without payload, checksums right. */
+/* Builds a TCP segment without payload and with valid checksums. */
 static void
 build_tcp(uint8_t *buf, uint32_t dst, uint16_t sport, uint8_t flags)
 {
@@ -153,7 +158,7 @@
     close(fixture->fabric);
 }
 
-/* Sends @len bytes with a hop list, or a bare header when @service is 0. */
+/* Sends @len bytes with a hop list, or without one when @service is NULL. */
 static void
 send_to_agent(struct fixture *fixture, const char *service, uint8_t flags,
               const uint8_t *inner, size_t len)
@@ -180,34 +185,33 @@
                         fixture->agent.ingress.drops[drop]);
 }
 
-/* What stands on the balancer's list is not believed: the retired_address, the
- * port and the text in force decide. */
-TEST_F(fixture, other_service)
+/* A packet is delivered only if its service and its address match the current
+ * configuration of the agent. */
+TEST_F(fixture, other_service_dropped)
 {
-    uint8_t ours[TCP_LEN];
-    uint8_t theirs[TCP_LEN];
-
-    build_tcp(ours, SERVICE_IP, 5000, PACKET_TCP_SYN);
-    build_tcp(theirs, OTHER_IP, 5000, PACKET_TCP_SYN);
-    send_to_agent(fixture, "albums", GUE_OPEN, ours, TCP_LEN);
-    send_to_agent(fixture, "lots", GUE_OPEN, theirs, TCP_LEN);
-    send_to_agent(fixture, "albums", GUE_OPEN, theirs, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 0);
+    uint8_t own[TCP_LEN];
+    uint8_t foreign[TCP_LEN];
+
+    build_tcp(own, SERVICE_IP, 5000, PACKET_TCP_SYN);
+    build_tcp(foreign, OTHER_IP, 5000, PACKET_TCP_SYN);
+    send_to_agent(fixture, "albums", GUE_OPEN, own, TCP_LEN);
+    send_to_agent(fixture, "lots", GUE_OPEN, foreign, TCP_LEN);
+    send_to_agent(fixture, "albums", GUE_OPEN, foreign, TCP_LEN);
+    g_assert_cmpuint(fixture->delivered, ==, 0);
     g_assert_cmpuint(drops(fixture, PACKET_NO_SERVICE), ==, 3);
-    send_to_agent(fixture, "lots", GUE_OPEN, ours, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 1);
-    /* The host now serves another service at the same retired_address and
-     * port. */
+    send_to_agent(fixture, "lots", GUE_OPEN, own, TCP_LEN);
+    g_assert_cmpuint(fixture->delivered, ==, 1);
+    /* The agent now serves another service at the same address and port. */
     serve(fixture, "albums", SERVICE_IP);
-    send_to_agent(fixture, "lots", GUE_OPEN, ours, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 1);
+    send_to_agent(fixture, "lots", GUE_OPEN, own, TCP_LEN);
+    g_assert_cmpuint(fixture->delivered, ==, 1);
     fixture->agent.service_known = false;
-    send_to_agent(fixture, "albums", GUE_OPEN, ours, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 1);
+    send_to_agent(fixture, "albums", GUE_OPEN, own, TCP_LEN);
+    g_assert_cmpuint(fixture->delivered, ==, 1);
     g_assert_cmpuint(drops(fixture, PACKET_NO_SERVICE), ==, 5);
 }
 
-/* Sends a packet whose list goes on behind us; whether it was forwarded on. */
+/* Sends a packet with a second hop; whether the agent forwarded it there. */
 static bool
 is_forwarded(struct fixture *fixture, const char *service,
              const uint8_t *inner)
@@ -238,33 +242,33 @@
     return true;
 }
 
-/* An owner further down the list is not cut off by a host that has come to
- * serve another service, or whose text has another retired_address. */
-TEST_F(fixture, passed_along)
+/* An agent that serves another service or address still forwards a packet to
+ * the next hop, as the flow's owner may be there. */
+TEST_F(fixture, other_service_forwarded)
 {
-    uint8_t ours[TCP_LEN];
-    uint8_t theirs[TCP_LEN];
-
-    build_tcp(ours, SERVICE_IP, 5000, PACKET_TCP_ACK);
-    build_tcp(theirs, OTHER_IP, 5000, PACKET_TCP_ACK);
-    g_assert_true(is_forwarded(fixture, "albums", theirs));
-    g_assert_true(is_forwarded(fixture, "albums", ours));
-    g_assert_true(is_forwarded(fixture, "lots", theirs));
+    uint8_t own[TCP_LEN];
+    uint8_t foreign[TCP_LEN];
+
+    build_tcp(own, SERVICE_IP, 5000, PACKET_TCP_ACK);
+    build_tcp(foreign, OTHER_IP, 5000, PACKET_TCP_ACK);
+    g_assert_true(is_forwarded(fixture, "albums", foreign));
+    g_assert_true(is_forwarded(fixture, "albums", own));
+    g_assert_true(is_forwarded(fixture, "lots", foreign));
     fixture->agent.service_known = false;
-    g_assert_true(is_forwarded(fixture, "lots", ours));
-    g_assert_cmpuint(fixture->taken, ==, 0);
+    g_assert_true(is_forwarded(fixture, "lots", own));
+    g_assert_cmpuint(fixture->delivered, ==, 0);
     g_assert_cmpuint(
         counter_read(&fixture->agent.counters, fixture->agent.ingress.resets),
         ==, 0);
 }
 
-/* The service moves: its flow goes on, a new one is refused at once, and one
- * to an retired_address whose time is over is told nothing. */
-TEST_F(fixture, retired)
+/* At a retired address open flows continue and new ones are reset; after its
+ * expiry new ones get no reset. */
+TEST_F(fixture, retired_address)
 {
     struct addresses *addresses = &fixture->agent.addresses;
-    uint8_t known[TCP_LEN];
-    uint8_t fresh[TCP_LEN];
+    uint8_t open_flow[TCP_LEN];
+    uint8_t new_flow[TCP_LEN];
 
     struct view *alone = view_new(1);
     alone->count = 1;
@@ -273,28 +277,29 @@
     flow_set_view(fixture->agent.flows, alone, hash_service("lots"), true,
                   fixture->clock.now_us);
     free(alone);
-    build_tcp(known, SERVICE_IP, 5000, PACKET_TCP_SYN);
-    build_tcp(fresh, SERVICE_IP, 5001, PACKET_TCP_SYN);
-    send_to_agent(fixture, "lots", GUE_OPEN, known, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 1);
+    build_tcp(open_flow, SERVICE_IP, 5000, PACKET_TCP_SYN);
+    build_tcp(new_flow, SERVICE_IP, 5001, PACKET_TCP_SYN);
+    send_to_agent(fixture, "lots", GUE_OPEN, open_flow, TCP_LEN);
+    g_assert_cmpuint(fixture->delivered, ==, 1);
     serve(fixture, "lots", OTHER_IP);
     addresses->items[0] =
         (struct retired_address){SERVICE_IP, PORT, 6, UINT64_MAX / 2};
     addresses->count = 1;
-    send_to_agent(fixture, "lots", 0, known, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 2);
-    send_to_agent(fixture, "lots", GUE_OPEN, fresh, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 2);
+    send_to_agent(fixture, "lots", 0, open_flow, TCP_LEN);
+    g_assert_cmpuint(fixture->delivered, ==, 2);
+    send_to_agent(fixture, "lots", GUE_OPEN, new_flow, TCP_LEN);
+    g_assert_cmpuint(fixture->delivered, ==, 2);
     int resets = fixture->agent.ingress.resets;
     g_assert_cmpuint(counter_read(&fixture->agent.counters, resets), ==, 1);
     addresses->items[0].until_ms = 1;
-    send_to_agent(fixture, "lots", GUE_OPEN, fresh, TCP_LEN);
+    send_to_agent(fixture, "lots", GUE_OPEN, new_flow, TCP_LEN);
     g_assert_cmpuint(counter_read(&fixture->agent.counters, resets), ==, 1);
-    send_to_agent(fixture, "lots", 0, known, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 3);
+    send_to_agent(fixture, "lots", 0, open_flow, TCP_LEN);
+    g_assert_cmpuint(fixture->delivered, ==, 3);
     g_assert_cmpuint(flow_count(fixture->agent.flows, NULL), ==, 1);
 }
 
+/* Malformed packets are dropped and counted by reason. */
 TEST_F(fixture, malformed)
 {
     uint8_t good[PACKET_BUF] = {0};
@@ -311,11 +316,11 @@
     bad[25] ^= 1;
     send_to_agent(fixture, "lots", GUE_OPEN, bad, TCP_LEN);
     g_assert_cmpuint(drops(fixture, PACKET_BAD_L4_CHECKSUM), ==, 1);
-    g_assert_cmpuint(fixture->taken, ==, 0);
+    g_assert_cmpuint(fixture->delivered, ==, 0);
 }
 
-/* A hop that refuses proves that its process is gone. */
-TEST_F(fixture, refused_hop)
+/* A member that refuses a forwarded packet is reported as dead. */
+TEST_F(fixture, refused_hop_reported_dead)
 {
     uint8_t segment[TCP_LEN];
 
@@ -325,12 +330,12 @@
     g_assert_cmpuint(counter_read(&fixture->agent.counters,
                                   fixture->agent.ingress.forwarded),
                      ==, 1);
-    g_assert_cmpuint(fixture->dead, ==, hash_name("gone"));
-    g_assert_cmpuint(fixture->taken, ==, 0);
+    g_assert_cmpuint(fixture->reported_dead, ==, hash_name("gone"));
+    g_assert_cmpuint(fixture->delivered, ==, 0);
 }
 
-/* Over the limits a caller is told at once, and nothing is kept. */
-TEST_F(fixture, over_limit)
+/* A flow that exceeds the limits is reset and not stored. */
+TEST_F(fixture, over_limit_reset)
 {
     uint8_t syn[TCP_LEN];
     uint8_t buf[PACKET_BUF];
@@ -340,7 +345,7 @@
     fixture->agent.frontend.limits.connections = 0;
     build_tcp(syn, SERVICE_IP, 5000, PACKET_TCP_SYN);
     send_to_agent(fixture, "lots", GUE_OPEN, syn, TCP_LEN);
-    g_assert_cmpuint(fixture->taken, ==, 0);
+    g_assert_cmpuint(fixture->delivered, ==, 0);
     g_assert_cmpuint(flow_count(fixture->agent.flows, NULL), ==, 0);
     ssize_t len = recv(fixture->fabric, buf, sizeof(buf), MSG_DONTWAIT);
     g_assert_cmpint(len, >, 0);
@@ -353,8 +358,7 @@
     g_assert_cmpuint(reset.flags & PACKET_TCP_RST, !=, 0);
 }
 
-/* Mutated packets never reach the stack unless they are for the service,
- * and leave no more flows than were opened. */
+/* Packets with a flipped bit don't reach the stack and open no flow. */
 TEST_F(fixture, mutations)
 {
     g_autoptr(GRand) random = g_rand_new_with_seed(3);
@@ -369,7 +373,7 @@
         send_to_agent(fixture, "lots", GUE_OPEN, copy,
                       (size_t)g_rand_int_range(random, 1, TCP_LEN + 1));
     }
-    g_assert_cmpuint(fixture->taken, ==, 0);
+    g_assert_cmpuint(fixture->delivered, ==, 0);
     g_assert_cmpuint(flow_count(fixture->agent.flows, NULL), ==, 0);
 }
 
--- a/tests/agent/test_links.c
+++ b/tests/agent/test_links.c
@@ -1,4 +1,5 @@
-/* Links between agents over real sockets; what they tell is noted. */
+/* Links between two agents over real sockets: messages, lost connections and
+ * refused connections reach the right module. */
 #include <errno.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -10,12 +11,13 @@
 
 #define SUITE "/agent/links"
 #define CALLS_MAX 8
-#define ROUNDS 200
+#define LOOP_RUNS_MAX 200
 
-/* What a call told, for the agent it was told to. */
+/* Recorded functions: requests_peer(), requests_peer_lost(),
+ * requests_unsent(), control_report_dead(). */
 enum call_type { CALL_PEER, CALL_LOST, CALL_UNSENT, CALL_DEAD };
 
-/** struct recorded_call - one call of the links into the rest of the agent */
+/** struct recorded_call - call of peer_links into another module */
 struct recorded_call {
     enum call_type type;
     const struct agent *agent;
@@ -106,9 +108,9 @@
     blackboard_finish(&agent->blackboard);
 }
 
-/* Makes @agent add_member_to_view one other agent, at @data. */
+/* Publishes a view of @agent with one other agent, at @data. */
 static void
-add_member_to_view(struct agent *agent, const char *name, struct addr data)
+publish_view(struct agent *agent, const char *name, struct addr data)
 {
     struct view *view = view_new(1);
 
@@ -121,7 +123,7 @@
     blackboard_publish_view(&agent->blackboard, view);
 }
 
-/** struct links - two agents on one loop; @a knows @b */
+/** struct links - two agents on one event loop; @b is in the view of @a */
 struct links {
     struct event_base *base;
     struct agent a;
@@ -135,7 +137,7 @@
     links->base = event_base_new();
     agent_start(&links->a, links->base, "a");
     agent_start(&links->b, links->base, "b");
-    add_member_to_view(&links->a, "b", links->b.settings.data);
+    publish_view(&links->a, "b", links->b.settings.data);
 }
 
 static void
@@ -151,7 +153,7 @@
 {
     const struct timeval step = {0, 10000};
 
-    for (int i = 0; i < ROUNDS && recorded_count < count; i++) {
+    for (int i = 0; i < LOOP_RUNS_MAX && recorded_count < count; i++) {
         event_base_loopexit(links->base, &step);
         event_base_dispatch(links->base);
     }
@@ -181,9 +183,10 @@
     g_assert_cmpuint(recorded_calls[i].id, ==, id);
 }
 
-TEST_F(links, whole_message)
+/* A RUN arrives with its request; a closed connection is reported as lost. */
+TEST_F(links, run_and_lost_peer)
 {
-    add_member_to_view(&links->b, "a", links->a.settings.data);
+    publish_view(&links->b, "a", links->a.settings.data);
     g_assert_cmpint(send_run(&links->a, "b", 7), ==, 0);
     run_until(links, 1);
     assert_call(0, CALL_PEER, links->a.self, 0);
@@ -196,13 +199,13 @@
     agent_start(&links->b, links->base, "b");
 }
 
-/* A connection that never came up carried nothing: its runs are unsent, not
- * lost, and its process is known to be gone. */
-TEST_F(links, refused)
+/* After a refused connection its requests are reported as unsent and the
+ * member as dead. */
+TEST_F(links, refused_connection)
 {
     uint64_t b = hash_name("b");
 
-    add_member_to_view(&links->a, "b", loopback_closed(SOCK_STREAM));
+    publish_view(&links->a, "b", loopback_closed(SOCK_STREAM));
     g_assert_cmpint(send_run(&links->a, "b", 7), ==, 0);
     g_assert_cmpint(send_run(&links->a, "b", 8), ==, 0);
     run_until(links, 4);
@@ -213,8 +216,8 @@
     g_assert_cmpint(send_run(&links->a, "stranger", 9), ==, -ENOENT);
 }
 
-/* A run asked by a member that is not known here yet is declined at once. */
-TEST_F(links, unknown_sender)
+/* A RUN of a sender that isn't in the view is declined at once. */
+TEST_F(links, unknown_sender_declined)
 {
     g_assert_cmpint(send_run(&links->a, "b", 7), ==, 0);
     run_until(links, 1);
--- a/tests/agent/test_wire.c
+++ b/tests/agent/test_wire.c
@@ -1,3 +1,5 @@
+/* Messages between agents survive encoding; invalid messages and announcements
+ * are refused. */
 #include <errno.h>
 #include <string.h>
 
@@ -7,9 +9,9 @@
 
 #define SUITE "/agent"
 
-/* The clocks of two hosts. */
-#define HERE_US 5000000
-#define THERE_US 900000000
+/* Monotonic clocks of the two agents. */
+#define SENDER_US 5000000
+#define RECEIVER_US 900000000
 
 static struct engine_peer_msg
 run_message(void)
@@ -24,17 +26,18 @@
                     .idempotent = true,
                     .keyed = true,
                     .key = {77, {1, 2}, 3},
-                    .deadline_us = HERE_US + 123456},
+                    .deadline_us = SENDER_US + 123456},
         .load = 400,
     };
 }
 
-/* Packs here and reads there; peer_wire_finish() frees it. */
+/* Decodes @packed by the receiver's clock, and frees it; @wire is freed with
+ * peer_wire_finish(). */
 static void
-pass(GByteArray *packed, struct peer_wire *wire)
+unpack_and_free(GByteArray *packed, struct peer_wire *wire)
 {
     g_assert_cmpint(
-        peer_wire_unpack(packed->data, packed->len, THERE_US, wire), ==, 0);
+        peer_wire_unpack(packed->data, packed->len, RECEIVER_US, wire), ==, 0);
     g_byte_array_unref(packed);
 }
 
@@ -45,7 +48,7 @@
     struct peer_wire wire;
 
     g_byte_array_append(http, (const guint8 *)"GET", 3);
-    pass(peer_wire_pack(&msg, http, "trace", HERE_US), &wire);
+    unpack_and_free(peer_wire_pack(&msg, http, "trace", SENDER_US), &wire);
     g_assert_cmpuint(wire.msg.origin, ==, msg.origin);
     g_assert_cmpuint(wire.msg.request.id, ==, msg.request.id);
     g_assert_cmpuint(wire.msg.request.service, ==, 77);
@@ -54,7 +57,7 @@
     g_assert_true(wire.msg.request.keyed);
     g_assert_cmpmem(&wire.msg.request.key, sizeof(struct idem_key),
                     &msg.request.key, sizeof(struct idem_key));
-    g_assert_cmpuint(wire.msg.request.deadline_us, ==, THERE_US + 123456);
+    g_assert_cmpuint(wire.msg.request.deadline_us, ==, RECEIVER_US + 123456);
     g_assert_cmpuint(wire.msg.load, ==, 400);
     g_assert_cmpmem(wire.bytes, wire.len, "GET", 3);
     g_assert_cmpstr(wire.traceparent, ==, "trace");
@@ -75,7 +78,7 @@
     };
     struct peer_wire wire;
 
-    pass(peer_wire_pack(&msg, NULL, NULL, HERE_US), &wire);
+    unpack_and_free(peer_wire_pack(&msg, NULL, NULL, SENDER_US), &wire);
     g_assert_cmpint(wire.msg.idem.type, ==, IDEM_MSG_EXISTS);
     g_assert_cmpint(wire.msg.idem.state, ==, IDEM_DONE);
     g_assert_cmpuint(wire.msg.idem.token, ==, 6);
@@ -90,7 +93,7 @@
     struct flow_pin pin;
     struct peer_wire wire;
 
-    pass(peer_wire_pack_pins(pins, 2), &wire);
+    unpack_and_free(peer_wire_pack_pins(pins, 2), &wire);
     g_assert_true(wire.pins);
     g_assert_true(peer_wire_pin(&wire, 1, &pin));
     g_assert_cmpuint(pin.bucket, ==, 4095);
@@ -99,22 +102,22 @@
     peer_wire_finish(&wire);
 }
 
-/* Mutated messages are refused or read, never more than the enums hold. */
+/* A mutated message is refused, or decoded with all enums in their range. */
 TEST(mutations)
 {
     struct engine_peer_msg msg = run_message();
-    g_autoptr(GByteArray) packed = peer_wire_pack(&msg, NULL, "t", HERE_US);
+    g_autoptr(GByteArray) packed = peer_wire_pack(&msg, NULL, "t", SENDER_US);
     g_autoptr(GRand) random = g_rand_new_with_seed(11);
     unsigned refused = 0;
 
-    for (int round = 0; round < 20000; round++) {
+    for (int i = 0; i < 20000; i++) {
         g_autoptr(GByteArray) copy = g_byte_array_new();
         struct peer_wire wire;
         g_byte_array_append(copy, packed->data, packed->len);
         copy->data[g_rand_int_range(random, 0, (gint)copy->len)] =
             (guint8)g_rand_int_range(random, 0, 256);
         size_t len = (size_t)g_rand_int_range(random, 0, (gint)copy->len + 1);
-        if (peer_wire_unpack(copy->data, len, THERE_US, &wire) < 0) {
+        if (peer_wire_unpack(copy->data, len, RECEIVER_US, &wire) < 0) {
             refused++;
         }
         else {
@@ -127,7 +130,7 @@
     g_assert_cmpuint(refused, >, 0);
 }
 
-/** struct announced - a body, and the key it is refused for (NULL: taken) */
+/** struct announced - a body, and the key named in its error (NULL: valid) */
 struct announced {
     const char *body;
     const char *key;
