--- a/src/control/blackboard.c
+++ b/src/control/blackboard.c
@@ -35,7 +35,7 @@
 void
 blackboard_finish(struct blackboard *blackboard)
 {
-    /* Deferred frees of older views and texts end first. */
+    /* Wait for pending frees of older views and configurations. */
     rcu_barrier();
     free(blackboard->view);
     service_config_free(blackboard->text);
@@ -67,18 +67,18 @@
 
 bool
 blackboard_publish_config(struct blackboard *blackboard,
-                          struct service_config *text, uint64_t now_us)
+                          struct service_config *config, uint64_t now_us)
 {
     struct service_config *old;
 
     pthread_mutex_lock(&blackboard->lock);
     old = blackboard->text;
-    if (old != NULL && old->version >= text->version) {
+    if (old != NULL && old->version >= config->version) {
         pthread_mutex_unlock(&blackboard->lock);
         return false;
     }
     __atomic_store_n(&blackboard->config_since_us, now_us, __ATOMIC_RELAXED);
-    rcu_assign_pointer(blackboard->text, text);
+    rcu_assign_pointer(blackboard->text, config);
     pthread_mutex_unlock(&blackboard->lock);
     if (old != NULL)
         call_rcu(&old->rcu, free_config);
--- a/src/control/bucket.c
+++ b/src/control/bucket.c
@@ -2,7 +2,7 @@
 
 #include "base/clock.h"
 
-/* A rate in tokens a second is the same number of millionths a us. */
+/* Tokens per second equal millionths of a token per microsecond. */
 static void
 bucket_fill(struct bucket *bucket, uint64_t now_us)
 {
--- a/src/control/bucket.h
+++ b/src/control/bucket.h
@@ -10,9 +10,9 @@
 /**
  * struct bucket - see DOC
  * @rate: tokens a second
- * @burst: most tokens held
- * @tokens: tokens held, in millionths
- * @last_us: when @tokens was last filled
+ * @burst: maximum of tokens
+ * @tokens: available tokens, in millionths
+ * @last_us: when @tokens was last refilled
  */
 struct bucket {
     uint32_t rate;
@@ -21,20 +21,20 @@
     uint64_t last_us;
 };
 
-/** bucket_init() - a full bucket */
+/** bucket_init() - start with a full bucket */
 void
 bucket_init(struct bucket *bucket, uint32_t rate, uint32_t burst,
             uint64_t now_us);
 
-/** bucket_take() - take @count tokens, or none and return false */
+/** bucket_take() - take @count tokens; false, and none taken, if too few */
 bool
 bucket_take(struct bucket *bucket, uint32_t count, uint64_t now_us);
 
-/** bucket_level() - whole tokens held now */
+/** bucket_level() - available tokens, rounded down */
 uint32_t
 bucket_level(struct bucket *bucket, uint64_t now_us);
 
-/** bucket_wait_us() - time until @count tokens are there, 0 if they are */
+/** bucket_wait_us() - time until @count tokens are available, 0 if they are */
 uint64_t
 bucket_wait_us(struct bucket *bucket, uint32_t count, uint64_t now_us);
 
--- a/src/control/config.c
+++ b/src/control/config.c
@@ -24,14 +24,14 @@
     core->membership = *membership;
 }
 
-/* A refused body isn't asked for again; a later version may be good. */
+/* A refused version isn't fetched again; a later one may be valid. */
 static bool
 is_acceptable_version(const struct config_core *core, uint64_t version)
 {
     return version > core->have && version > core->refused;
 }
 
-/* @confirmed_us: when @from last knew @version to be current, 0 for never */
+/* @confirmed_us: when @from last had @version confirmed, 0 for never */
 static void
 add_source(struct config_core *core, struct addr from, uint64_t version,
            uint64_t confirmed_us)
@@ -79,12 +79,12 @@
     }
 }
 
-/* Takes a peer's word on the version in force, 0 for none. */
+/* Applies a peer's confirmation of the version in force, 0 for none. */
 static void
 update_confirmed(struct config_core *core, uint64_t confirmed_us)
 {
     core->confirmed_us = MAX(core->confirmed_us, confirmed_us);
-    /* Our own word comes back a little younger than it is. */
+    /* Own confirmations that peers echo look slightly newer: ignore them. */
     if (confirmed_us > core->platform_us + CONFIG_PEER_MARGIN_US)
         core->peer_confirmed_us = MAX(core->peer_confirmed_us, confirmed_us);
 }
@@ -101,7 +101,7 @@
         confirmed_us = now_us - age_us;
     if (is_acceptable_version(core, version))
         add_source(core, from, version, confirmed_us);
-    /* A word on another version says nothing of ours. */
+    /* Only a confirmation of the version in force counts. */
     else if (version == core->have)
         update_confirmed(core, confirmed_us);
 }
@@ -115,13 +115,14 @@
     return random_between(&core->random, CONFIG_BACKOFF_FIRST_US, high);
 }
 
-/* The next turn of a cell of @alive members that share one call. */
+/* Spreads self-reads so that the cell makes one call per interval. */
 static uint64_t
 next_self_read(struct config_core *core, uint64_t now_us)
 {
-    uint64_t round = core->membership.alive * CONFIG_SELF_READ_INTERVAL_US;
+    uint64_t turn_us = core->membership.alive * CONFIG_SELF_READ_INTERVAL_US;
 
-    return now_us + random_between(&core->random, round / 2, round * 3 / 2);
+    return now_us +
+           random_between(&core->random, turn_us / 2, turn_us * 3 / 2);
 }
 
 static void
@@ -136,10 +137,10 @@
 config_handle_platform_reply(struct config_core *core, int status,
                              uint64_t version, uint64_t now_us)
 {
-    bool fresh = status == 0 || status == -EAGAIN || status == -ENOENT;
+    bool replied = status == 0 || status == -EAGAIN || status == -ENOENT;
 
     core->calling = false;
-    if (!fresh) {
+    if (!replied) {
         call_failed(core, now_us);
         return false;
     }
@@ -149,12 +150,12 @@
     if (core->self_reading)
         core->substitute_us = now_us + CONFIG_SUBSTITUTE_US;
     if (status == -ENOENT) {
-        /* Nobody has published yet: a watch on nothing may end at once. */
+        /* A watch on a missing object may end at once. */
         core->next_call_us =
             now_us +
             random_between(&core->random, 2 * USEC_PER_SEC, 4 * USEC_PER_SEC);
     }
-    /* A watch may have slept through a change. */
+    /* After some watches without a change, a read looks for a missed one. */
     core->unchanged_watches =
         status == -EAGAIN ? core->unchanged_watches + 1 : 0;
     if (status == 0 && version < core->have) {
@@ -163,7 +164,7 @@
     }
     if (status == 0 && version > core->have)
         return is_acceptable_version(core, version);
-    /* No object at all is older than any version, too. */
+    /* A missing object confirms only that no version exists. */
     if (status != -ENOENT || core->have == 0)
         core->confirmed_us = now_us;
     return false;
@@ -220,8 +221,8 @@
     return now_us >= since + CONFIG_CONFIRM_TIMEOUT_US;
 }
 
-/* A lone process that knows of others waits for them, then reads seldom:
- * a whole data centre may be starting with it. */
+/* A process that has contacts but hasn't joined waits for them, then reads
+ * rarely: a whole data centre may be starting at once. */
 static bool
 isolated_read_due(struct config_core *core, uint64_t now_us)
 {
@@ -253,7 +254,7 @@
     return true;
 }
 
-/* A substitute stays one until somebody else reads as well. */
+/* A substitute reader continues until another member's confirmation comes. */
 static void
 tick_substitute(struct config_core *core, uint64_t now_us)
 {
@@ -328,7 +329,7 @@
         if (core->sources[i].version > core->sources[best].version)
             best = i;
     }
-    /* The source asked is the first, where a failure finds it. */
+    /* config_handle_fetch_reply() drops the first source on failure. */
     if (best != 0) {
         struct config_source first = core->sources[0];
 
--- a/src/control/config.h
+++ b/src/control/config.h
@@ -1,17 +1,20 @@
 /**
- * DOC: config - which configuration version is in force here, a pure core
+ * DOC: config - decides which configuration version is in force
  *
- * The CONFIG_READERS highest-ranked members of a cell keep one watch each on
- * the platform's object; all others hear of a version in the header of each
- * member message and fetch its body from whoever said so. Reading twice is
- * harmless, so no lease is needed. Versions only go up.
+ * The CONFIG_READERS highest-ranked members of a cell each keep a watch on
+ * the platform's object. The others learn of a version from the header of
+ * member messages and fetch its body from the sender. Duplicate reads are
+ * harmless, so readers hold no lease. Versions only increase.
  *
- * The word on a version is the platform's answer that it is current; its age
- * travels with the version. A member without a word for
- * CONFIG_CONFIRM_TIMEOUT_US reads by itself, at times spread so that a whole
- * cell that starves makes one call each CONFIG_SELF_READ_INTERVAL_US, whatever
- * its size. Who succeeds goes on as a substitute reader for
- * CONFIG_SUBSTITUTE_US, and again while no word comes from another.
+ * A confirmation is a platform reply that a version is current; its age is
+ * sent along with the version. A member without a confirmation for
+ * CONFIG_CONFIRM_TIMEOUT_US reads the platform itself. These self-reads are
+ * spread so that a cell of any size makes one call per
+ * CONFIG_SELF_READ_INTERVAL_US. A member whose self-read succeeds acts as a
+ * substitute reader for CONFIG_SUBSTITUTE_US, and longer while no
+ * confirmation arrives from other members.
+ *
+ * Pure logic: no sockets, threads or clocks.
  */
 #ifndef SWIFTARCH_CONTROL_CONFIG_H
 #define SWIFTARCH_CONTROL_CONFIG_H
@@ -26,10 +29,10 @@
 #include "control/random.h"
 
 #define CONFIG_READERS 2
-/* Half of the 14 s allowed: a watch whose answer is lost ends in time. */
+/* A lost watch reply still leaves time to apply a change within 14 s. */
 #define CONFIG_WATCH_TIMEOUT_S 5
-/* A read after so many watches that told nothing, should they have slept
- * through a change. */
+/* Watches in a row without a change before a plain read, which finds a change
+ * that a watch missed. */
 #define CONFIG_WATCHES_PER_READ 2
 #define CONFIG_CALL_TIMEOUT_US ((CONFIG_WATCH_TIMEOUT_S + 5) * USEC_PER_SEC)
 #define CONFIG_CONFIRM_TIMEOUT_US (12 * USEC_PER_SEC)
@@ -43,32 +46,38 @@
 #define CONFIG_BACKOFF_MAX_US (10 * USEC_PER_SEC)
 #define CONFIG_FETCH_TIMEOUT_US (1 * USEC_PER_SEC)
 #define CONFIG_SOURCES_MAX 4
-#define CONFIG_CALL_RATE 1 /* platform calls a second, at most */
-#define CONFIG_CALL_BURST 5
+#define CONFIG_CALL_RATE 1  /* platform calls per second */
+#define CONFIG_CALL_BURST 5 /* platform calls */
 
-/** enum config_action_type - what the program must do */
+/** enum config_action_type - actions for the control thread */
 enum config_action_type {
     CONFIG_WATCH, /* watch the object for a version above @after */
     CONFIG_READ,  /* read the object */
-    CONFIG_FETCH  /* ask the member at @from for a version above @after */
+    CONFIG_FETCH  /* fetch a version above @after from the member at @from */
 };
 
-/** struct config_action - one action */
+/**
+ * struct config_action - one action of config_tick()
+ * @after: version in force, or a higher one that was refused
+ * @from: CONFIG_FETCH: member to fetch from
+ */
 struct config_action {
     enum config_action_type type;
     uint64_t after;
     struct addr from;
 };
 
-/** struct config_actions - at most one platform call and one fetch a time */
+/** struct config_actions - at most one platform call and one fetch */
 struct config_actions {
     struct config_action items[2];
     size_t count;
 };
 
 /**
- * struct config_source - a member that said it has a version
- * @confirmed_us: when it last knew the version to be current, 0 for never
+ * struct config_source - a member that advertises a newer version
+ * @at: its control address
+ * @version: version that it advertises
+ * @confirmed_us: when it last had @version confirmed, 0 for never
  */
 struct config_source {
     struct addr at;
@@ -76,32 +85,31 @@
     uint64_t confirmed_us;
 };
 
-/** struct config_membership - where this process stands in its cell */
+/** struct config_membership - position of this process in its cell */
 struct config_membership {
-    size_t rank;  /* members alive that rank before it */
-    size_t alive; /* members alive, self included */
+    size_t rank;  /* live members that rank before it */
+    size_t alive; /* live members, including this one */
     bool joined;
-    bool has_contacts; /* it was told of others */
+    bool has_contacts; /* it has addresses to join through */
 };
 
-/** struct config_stats - counts since the start */
+/** struct config_stats - counts since config_core_init() */
 struct config_stats {
     uint64_t calls;
     uint64_t failed_calls;
     uint64_t self_reads;
     uint64_t fetches;
     uint64_t failed_fetches;
-    uint64_t stale; /* answers with an older version */
-    uint64_t refused;
+    uint64_t stale;   /* platform replies with an older version */
+    uint64_t refused; /* bodies that are not a valid configuration */
 };
 
 /**
  * struct config_core - see DOC
  * @have: version in force, 0 for none
- * @refused: highest version whose body was no valid text
- * @confirmed_us: when @have was last known to be current, 0 for never
- * @platform_us: when the platform last answered this process, 0 for never
- * @membership: membership in the cell
+ * @refused: highest version whose body is not a valid configuration
+ * @confirmed_us: when @have was last confirmed as current, 0 for never
+ * @platform_us: when the platform last replied to this process, 0 for never
  */
 struct config_core {
     uint64_t have;
@@ -114,13 +122,13 @@
     uint64_t start_us;
     bool calling;
     uint64_t call_us;
-    uint64_t backoff_us; /* 0: the last call was answered */
+    uint64_t backoff_us; /* 0: the last call succeeded */
     uint64_t next_call_us;
-    unsigned unchanged_watches; /* watches in a row that told nothing */
-    bool self_reading;          /* the call is one of a starving member */
-    uint64_t self_read_us;      /* 0: not starving */
-    uint64_t substitute_us;     /* 0: no substitute reader */
-    uint64_t peer_confirmed_us; /* last word that came from other readers */
+    unsigned unchanged_watches; /* watches in a row without a change */
+    bool self_reading;          /* the pending call is a self-read */
+    uint64_t self_read_us;      /* next self-read, 0: none due */
+    uint64_t substitute_us;     /* end as substitute reader, 0: none */
+    uint64_t peer_confirmed_us; /* last confirmation by other readers */
     struct config_source sources[CONFIG_SOURCES_MAX];
     size_t source_count;
     bool fetching;
@@ -128,46 +136,48 @@
     struct config_stats stats;
 };
 
-/** config_core_init() - nothing in force yet */
+/** config_core_init() - start without a version in force */
 void
 config_core_init(struct config_core *core, uint64_t seed, uint64_t now_us);
 
-/** config_set_membership() - the list of members changed */
+/** config_set_membership() - update rank and size of the cell */
 void
 config_set_membership(struct config_core *core,
                       const struct config_membership *membership);
 
-/** config_handle_peer_version() - member at @from has @version, confirmed so
- * long ago
- * (@confirmed_age_ms UINT32_MAX: never) */
+/**
+ * config_handle_peer_version() - handle the version that a member advertises
+ * @from: control address of the member
+ * @confirmed_age_ms: time since it had @version confirmed, UINT32_MAX: never
+ */
 void
 config_handle_peer_version(struct config_core *core, struct addr from,
                            uint64_t version, uint32_t confirmed_age_ms,
                            uint64_t now_us);
 
 /**
- * config_handle_platform_reply() - the platform call ended
+ * config_handle_platform_reply() - handle the end of a platform call
  * @status: as of struct platform_reply; 0 comes with a body
  *
- * Return: whether the body is newer and should be read.
+ * Return: whether the body is newer and should be applied.
  */
 bool
 config_handle_platform_reply(struct config_core *core, int status,
                              uint64_t version, uint64_t now_us);
 
-/** config_handle_fetch_reply() - a fetch ended; @version 0 for a failure.
- * Return: whether the body is newer and should be read. */
+/** config_handle_fetch_reply() - handle the end of a fetch; @version is 0 for
+ * a failure. Return: whether the body is newer and should be applied. */
 bool
 config_handle_fetch_reply(struct config_core *core, uint64_t version,
                           uint64_t now_us);
 
-/** config_applied() - @version is in force now; the platform confirmed it at
- * @confirmed_us, 0 if it came from a peer */
+/** config_applied() - record that @version is in force; the platform confirmed
+ * it at @confirmed_us, 0 if it came from a peer */
 void
 config_applied(struct config_core *core, uint64_t version,
                uint64_t confirmed_us);
 
-/** config_refuse() - the body of @version is no valid text */
+/** config_refuse() - record that the body of @version is invalid */
 void
 config_refuse(struct config_core *core, uint64_t version);
 
@@ -176,12 +186,12 @@
 bool
 config_is_reader(const struct config_core *core, uint64_t now_us);
 
-/** config_tick() - do what is due */
+/** config_tick() - collect the actions that are due in @out */
 void
 config_tick(struct config_core *core, uint64_t now_us,
             struct config_actions *out);
 
-/** config_next_us() - when config_tick() may have something to do */
+/** config_next_us() - when to call config_tick() next */
 uint64_t
 config_next_us(const struct config_core *core, uint64_t now_us);
 
--- a/src/control/control.c
+++ b/src/control/control.c
@@ -20,7 +20,7 @@
 #define FLUSH_TURNS 20
 #define FLUSH_TURN_MS 10
 
-/* A process takes no new work before it has a configuration. */
+/* A process isn't announced as ready before it has a configuration. */
 static void
 announce_local(struct control *control, uint64_t now_us)
 {
@@ -101,7 +101,7 @@
             extension->ops->on_step(extension, now_us, control_wall_ms());
 }
 
-/* Does what is due, sends, publishes, sets the timer. */
+/* Runs the controllers, sends, publishes and sets the timer. */
 static void
 step(struct control *control)
 {
@@ -164,7 +164,7 @@
         event_base_loopbreak(control->base);
 }
 
-/* Says goodbye, and lets the frames that are queued go out. */
+/* Notifies the peers and waits for queued frames to be sent. */
 static void
 leave_cell(struct control *control)
 {
@@ -223,12 +223,13 @@
     uint64_t seed;
 
     if (getrandom(&seed, sizeof(seed), 0) != sizeof(seed))
-        return error_set(err, -errno, "random", NULL, "No random numbers.");
+        return error_set(err, -errno, "random", NULL,
+                         "Random numbers are unavailable.");
     describe_self(control, &self);
     control->cell = hash_bytes(settings->cell, strlen(settings->cell), 0);
     if (member_core_init(&control->members, &self, control->cell, seed,
                          now_us) < 0)
-        return error_set(err, -ENOMEM, "members", NULL, "No memory.");
+        return error_set(err, -ENOMEM, "members", NULL, "Out of memory.");
     for (size_t i = 0; i < settings->seed_count; i++)
         member_add_contact(&control->members, settings->seeds[i]);
     config_core_init(&control->config, seed + 1, now_us);
@@ -241,13 +242,15 @@
 {
     control->wake = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
     if (control->wake < 0)
-        return error_set(err, -errno, "eventfd", NULL, "No event descriptor.");
+        return error_set(err, -errno, "eventfd", NULL,
+                         "The event descriptor can't be created.");
     control->timer = evtimer_new(control->base, on_timer, control);
     control->wake_event = event_new(control->base, control->wake,
                                     EV_READ | EV_PERSIST, on_wake, control);
     if (control->timer == NULL || control->wake_event == NULL ||
         event_add(control->wake_event, NULL) < 0)
-        return error_set(err, -ENOMEM, "event", NULL, "No event.");
+        return error_set(err, -ENOMEM, "event", NULL,
+                         "The wake event can't be created.");
     return 0;
 }
 
@@ -281,7 +284,7 @@
     int ret;
 
     if (control == NULL) {
-        error_set(err, -ENOMEM, "control", NULL, "No memory.");
+        error_set(err, -ENOMEM, "control", NULL, "Out of memory.");
         return NULL;
     }
     control->ops = &control_ops;
@@ -294,7 +297,8 @@
     pthread_mutex_init(&control->lock, NULL);
     control->base = event_base_new();
     if (control->base == NULL) {
-        error_set(err, -ENOMEM, "event base", NULL, "No event base.");
+        error_set(err, -ENOMEM, "event base", NULL,
+                  "The event base can't be created.");
         goto err;
     }
     if (control_register_counters(control, err) < 0 ||
@@ -304,7 +308,8 @@
         goto err;
     ret = pthread_create(&control->thread, NULL, control_thread, control);
     if (ret != 0) {
-        error_set(err, -ret, "thread", NULL, "No thread.");
+        error_set(err, -ret, "thread", NULL,
+                  "The control thread can't be created.");
         goto err;
     }
     return control;
@@ -319,7 +324,7 @@
     uint64_t one = 1;
     ssize_t ret = write(control->wake, &one, sizeof(one));
 
-    /* Full means that the thread will wake anyway. */
+    /* EAGAIN: the counter is full, so the thread is about to wake. */
     g_assert(ret == sizeof(one) || errno == EAGAIN);
 }
 
@@ -328,7 +333,7 @@
                     uint64_t incarnation)
 {
     pthread_mutex_lock(&control->lock);
-    /* A report that finds no room comes again with the next refusal. */
+    /* A dropped report is repeated by the next refused connection. */
     if (control->report_count < CONTROL_REPORTS_MAX) {
         control->reports[control->report_count].member = member;
         control->reports[control->report_count].incarnation = incarnation;
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -1,9 +1,9 @@
 /**
  * DOC: control - the control thread of a process
  *
- * Runs the membership, configuration and platform controllers on a thread
- * of its own: UDP probes and TCP frames on settings.control, and publishes
- * on the blackboard. Type numbers of its frames are 0x100..0x1ff.
+ * Runs the membership, configuration and seed controllers. It exchanges UDP
+ * datagrams and TCP frames on settings.control and publishes its results on
+ * the blackboard. Its frame types are 0x100..0x1ff.
  */
 #ifndef SWIFTARCH_CONTROL_CONTROL_H
 #define SWIFTARCH_CONTROL_CONTROL_H
@@ -18,10 +18,10 @@
 
 /**
  * control_start() - start the control thread
- * @settings: kept; must outlive the thread
- * @blackboard: published to; kept
- * @clock: kept
- * @counters: kept; counters are registered here before the thread starts
+ * @settings: must outlive the thread
+ * @blackboard: where results are published; must outlive the thread
+ * @clock: must outlive the thread
+ * @counters: the thread's counters are registered here; must outlive it
  *
  * Return: the running control, or NULL with @err filled.
  */
@@ -31,20 +31,23 @@
               struct error *err);
 
 /**
- * control_report_dead() - the data side proved that a process is gone
+ * control_report_dead() - report proof that a process has ended
+ * @member: id of the process
+ * @incarnation: incarnation that the proof is about
  *
- * For example, ECONNREFUSED from its data or control address. Safe from
- * any thread.
+ * For example, ECONNREFUSED from its data or control address. Any thread may
+ * call it.
  */
 void
 control_report_dead(struct control *control, uint64_t member,
                     uint64_t incarnation);
 
-/** control_announce() - spread a changed blackboard_local() now; any thread */
+/** control_announce() - send a changed blackboard_local() to the cell at once;
+ * any thread may call it */
 void
 control_announce(struct control *control);
 
-/** control_stop() - say goodbye to the peers, join the thread, free */
+/** control_stop() - notify the peers, join the thread and free it */
 void
 control_stop(struct control *control);
 
--- a/src/control/control.pb-c.h
+++ b/src/control/control.pb-c.h
@@ -31,7 +31,7 @@
 /* --- messages --- */
 
 /*
- * What is told of one member. Its id is hash_name(name); its incarnation is
+ * State of one member. Its id is hash_name(name); its incarnation is
  * start + bump.
  */
 struct  Swiftarch__GossipMember
@@ -40,15 +40,15 @@
   char *name;
   char *data_centre;
   /*
-   * wall clock of the process's start, us
+   * start of the process, wall clock, us
    */
   uint64_t start;
   /*
-   * suspicions refuted since
+   * suspicions refuted since the start
    */
   uint32_t bump;
   /*
-   * grows with each change it announces
+   * raised by each announced change
    */
   uint32_t revision;
   /*
@@ -86,7 +86,7 @@
    */
   uint32_t kind;
   /*
-   * of the probe
+   * number of the probe
    */
   uint32_t seq;
   /*
@@ -94,19 +94,19 @@
    */
   uint64_t target;
   /*
-   * of the sender's list
+   * digest of the sender's list
    */
   uint64_t digest;
   /*
-   * of the sender
+   * incarnation of the sender
    */
   uint64_t incarnation;
   /*
-   * in force at the sender
+   * version in force at the sender
    */
   uint64_t config_version;
   /*
-   * age of its last word on the version
+   * time since its last confirmation
    */
   uint32_t word_age_ms;
   uint32_t busy;
@@ -118,7 +118,7 @@
    */
   ProtobufCBinaryData summary;
   /*
-   * sync: ids (8) the sender asks for
+   * sync: ids (8) that the sender requests
    */
   ProtobufCBinaryData want;
   /*
@@ -165,7 +165,7 @@
 
 
 /*
- * Replaces what lies between the first prefix and the last suffix bytes.
+ * Replaces the bytes between the first prefix and the last suffix bytes.
  */
 struct  Swiftarch__ConfigEdit
 {
@@ -238,11 +238,11 @@
    */
   uint64_t config_version;
   /*
-   * for how long this version has been in force
+   * time since this version came into force
    */
   uint64_t in_force_ms;
   /*
-   * since the word on the version was last confirmed
+   * time since the version was last confirmed
    */
   uint64_t heard_ms;
   /*
@@ -250,7 +250,7 @@
    */
   protobuf_c_boolean from_platform;
   /*
-   * since the platform last answered it
+   * time since the platform last replied to it
    */
   uint64_t platform_ok_ms;
   /*
@@ -260,7 +260,7 @@
   size_t n_members;
   Swiftarch__ShowMember **members;
   /*
-   * the text in force, when members was asked
+   * configuration in force, if members is requested
    */
   ProtobufCBinaryData config;
   /*
--- a/src/control/control_config.c
+++ b/src/control/control_config.c
@@ -17,19 +17,19 @@
     return name;
 }
 
-/* Puts a body in force if it is a valid text. @confirmed_us as for
+/* Applies a body if it is a valid configuration. @confirmed_us as for
  * config_applied(). */
 static void
 apply_config_body(struct control *control, uint64_t version, const char *body,
                   size_t len, uint64_t confirmed_us)
 {
     const struct service_config *old = control->blackboard->text;
-    struct service_config *text = NULL;
+    struct service_config *config = NULL;
     char *report = NULL;
 
-    if (service_config_parse_envelope(body, len, version, &text, &report) <
+    if (service_config_parse_envelope(body, len, version, &config, &report) <
         0) {
-        g_warning("Version %" PRIu64 " is no valid text: %s", version,
+        g_warning("Configuration version %" PRIu64 " is invalid: %s", version,
                   report != NULL ? report : "unreadable");
         g_free(report);
         config_refuse(&control->config, version);
@@ -39,10 +39,10 @@
     if (old != NULL)
         history_add(&control->history, old->version,
                     (const uint8_t *)old->source, old->source_len, version,
-                    (const uint8_t *)text->source, text->source_len);
-    if (!blackboard_publish_config(control->blackboard, text,
+                    (const uint8_t *)config->source, config->source_len);
+    if (!blackboard_publish_config(control->blackboard, config,
                                    control_now(control))) {
-        service_config_free(text);
+        service_config_free(config);
         return;
     }
     config_applied(&control->config, version, confirmed_us);
@@ -74,7 +74,7 @@
                         now_us);
         return;
     }
-    /* What can't be read is written anew. */
+    /* A malformed list counts as empty and is overwritten. */
     if (seeds_decode(reply->value, reply->len, &list) < 0)
         g_warning("The seed list of the cell is malformed.");
     for (size_t i = 0; i < list.count; i++)
@@ -201,7 +201,7 @@
     g_free(body);
 }
 
-/* Edits instead of the body, when they are known and shorter. */
+/* Fills in edits instead of the body if they are known and shorter. */
 static bool
 fill_edits(const struct control *control, Swiftarch__ConfigReply *reply,
            Swiftarch__ConfigEdit *edits, Swiftarch__ConfigEdit **pointers,
@@ -239,21 +239,21 @@
     Swiftarch__ConfigReply reply = SWIFTARCH__CONFIG_REPLY__INIT;
     Swiftarch__ConfigEdit edits[HISTORY_STEPS_MAX];
     Swiftarch__ConfigEdit *pointers[HISTORY_STEPS_MAX];
-    /* Only this thread replaces the text. */
-    const struct service_config *text = control->blackboard->text;
+    /* Only this thread replaces the configuration: no RCU section. */
+    const struct service_config *config = control->blackboard->text;
 
     request = swiftarch__config_request__unpack(NULL, len, body);
     if (request == NULL) {
         control->bad_messages++;
         return;
     }
-    if (text != NULL && text->version > request->have) {
-        reply.version = text->version;
+    if (config != NULL && config->version > request->have) {
+        reply.version = config->version;
         if (request->have == 0 ||
             !fill_edits(control, &reply, edits, pointers, request->have,
-                        text->source_len)) {
-            reply.body.data = (uint8_t *)text->source;
-            reply.body.len = text->source_len;
+                        config->source_len)) {
+            reply.body.data = (uint8_t *)config->source;
+            reply.body.len = config->source_len;
         }
     }
     reply_config(control, conn, &reply);
@@ -261,13 +261,13 @@
 }
 
 static uint8_t *
-apply_edits(const struct service_config *text,
+apply_edits(const struct service_config *config,
             const Swiftarch__ConfigReply *reply, size_t *len)
 {
     uint8_t *body;
 
-    *len = text->source_len;
-    body = g_memdup2(text->source, text->source_len);
+    *len = config->source_len;
+    body = g_memdup2(config->source, config->source_len);
     for (size_t i = 0; i < reply->n_edits && body != NULL; i++) {
         struct history_edit edit = {
             .prefix = reply->edits[i]->prefix,
@@ -289,7 +289,7 @@
 handle_config_reply(struct control *control,
                     const Swiftarch__ConfigReply *reply)
 {
-    const struct service_config *text = control->blackboard->text;
+    const struct service_config *config = control->blackboard->text;
     uint8_t *body;
     size_t len;
 
@@ -298,10 +298,10 @@
                           (const char *)reply->body.data, reply->body.len, 0);
         return;
     }
-    /* Our version may have moved on while the edits were on their way. */
-    if (text == NULL || reply->have != text->version)
+    /* The version in force may have changed since the request. */
+    if (config == NULL || reply->have != config->version)
         return;
-    body = apply_edits(text, reply, &len);
+    body = apply_edits(config, reply, &len);
     if (body == NULL) {
         control->bad_messages++;
         return;
--- a/src/control/control_internal.h
+++ b/src/control/control_internal.h
@@ -1,11 +1,11 @@
 /**
- * DOC: control_internal - what the parts of the control thread share
+ * DOC: control_internal - declarations shared by the control thread's files
  *
- * control.c is the program and calls control_config, control_net and
- * control_show; they call nobody above or beside them, but tell the program
- * through struct control_ops. control_clock is below all.
+ * control.c calls control_config, control_net and control_show. They don't
+ * call each other, and reach control.c through struct control_ops only.
  *
- * All of it but @lock and what it guards belongs to the control thread.
+ * Only the control thread uses struct control, except for @lock, the reports
+ * that it guards, @stopping and @wake.
  */
 #ifndef SWIFTARCH_CONTROL_CONTROL_INTERNAL_H
 #define SWIFTARCH_CONTROL_CONTROL_INTERNAL_H
@@ -74,22 +74,24 @@
 
 struct control;
 
-/** struct control_ops - what the parts below tell the thread's program */
+/** struct control_ops - callbacks into control.c */
 struct control_ops {
-    /** @step: something changed: do what is due, send, publish */
+    /** @step: run the controllers, send and publish; call after any change */
     void (*step)(struct control *control);
-    /** @on_peer: a frame about the configuration, or a question */
+    /** @on_peer: handle a configuration frame or a ShowRequest */
     void (*on_peer)(struct control *control, struct link_conn *conn,
                     enum control_frame type, const uint8_t *body, size_t len);
 };
 
 /**
  * struct control - the control thread
- * @ops: its program, control.c
+ * @ops: callbacks into control.c
+ * @fetch_from: peer that the pending configuration fetch was sent to
  * @conn: connection whose frame is being handled, or NULL
- * @local_seq: sequence of the blackboard's local part taken last
- * @load_us: when loads may be published again
- * @extension_us: when the extension is due, UINT64_MAX without one
+ * @cell: hash of the cell's name
+ * @load_us: when a view that differs in loads only may be published again
+ * @extension_us: next on_step() of the extension, UINT64_MAX without one
+ * @local_seq: sequence of the last copy of blackboard_local()
  */
 struct control {
     struct link_handler handler;
@@ -136,7 +138,7 @@
 
 /* control_clock.c */
 
-/** control_now() - clock of this process, microseconds */
+/** control_now() - monotonic time, microseconds */
 uint64_t
 control_now(struct control *control);
 
@@ -146,39 +148,40 @@
 
 /* control_net.c */
 
-/** control_net_open() - bind the sockets of settings.control */
+/** control_net_open() - bind UDP and TCP sockets to settings.control */
 int
 control_net_open(struct control *control, struct error *err);
 
-/** control_net_close() - close them */
+/** control_net_close() - close the sockets and connections */
 void
 control_net_close(struct control *control);
 
-/** control_net_send() - send and empty control->out */
+/** control_net_send() - send the messages in control->out and clear it */
 void
 control_net_send(struct control *control);
 
-/** control_net_send_extension() - send a message of the extension */
+/** control_net_send_extension() - send a message of the extension, as a
+ * datagram if it fits */
 void
 control_net_send_extension(struct control *control, struct addr to,
                            const uint8_t *body, size_t len);
 
 /* control_config.c */
 
-/** control_config_step() - platform calls and fetches that are due */
+/** control_config_step() - start platform calls and fetches that are due */
 void
 control_config_step(struct control *control);
 
-/** control_config_request() - a peer asks for the configuration */
+/** control_config_request() - answer a peer's ConfigRequest */
 void
 control_config_request(struct control *control, struct link_conn *conn,
                        const uint8_t *body, size_t len);
 
-/** control_config_reply() - a peer's answer */
+/** control_config_reply() - apply a peer's ConfigReply */
 void
 control_config_reply(struct control *control, const uint8_t *body, size_t len);
 
-/** control_config_open() - the client of the platform */
+/** control_config_open() - create the platform client */
 int
 control_config_open(struct control *control, struct error *err);
 
@@ -189,11 +192,11 @@
 control_show(struct control *control, struct link_conn *conn,
              const uint8_t *body, size_t len);
 
-/** control_register_counters() - register the counters */
+/** control_register_counters() - 0 or an error of the counter table */
 int
 control_register_counters(struct control *control, struct error *err);
 
-/** control_update_counters() - bring the counters up to date */
+/** control_update_counters() - copy the cores' statistics to the counters */
 void
 control_update_counters(struct control *control);
 
--- a/src/control/control_net.c
+++ b/src/control/control_net.c
@@ -15,10 +15,9 @@
 
 #define DATAGRAMS_PER_TURN 64
 #define FRAME_STACK_MAX 2048
-#define EXTENSION_MARK 0 /* no tag of an encoded message */
+#define EXTENSION_MARK 0 /* never the first byte of an encoded message */
 
-/* Takes the errors that ICMP brought: a refusal proves that nobody is there.
- */
+/* Handles ICMP errors: a refusal proves that the process has ended. */
 static void
 drain_errors(struct control *control)
 {
@@ -172,13 +171,14 @@
     control->udp =
         socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (control->udp < 0)
-        return error_set(err, -errno, "socket", NULL, "No UDP socket.");
+        return error_set(err, -errno, "socket", NULL,
+                         "The UDP socket can't be created.");
     if (bind(control->udp, (struct sockaddr *)&sin, sizeof(sin)) < 0)
         return error_set(err, -errno, "bind", addr_format(at, peer),
-                         "The control address can't be used.");
+                         "The control address can't be bound.");
     if (setsockopt(control->udp, IPPROTO_IP, IP_RECVERR, &on, sizeof(on)) < 0)
         return error_set(err, -errno, "setsockopt", NULL,
-                         "Errors of datagrams can't be received.");
+                         "IP_RECVERR can't be set on the UDP socket.");
     return 0;
 }
 
@@ -199,14 +199,15 @@
                         &control->handler, control->settings->control, err);
     if (ret < 0)
         return ret;
-    /* TCP and UDP have one port, also if the kernel chose it. */
+    /* UDP uses the port of TCP, also if the kernel assigned it. */
     ret = bind_udp(control, link_hub_addr(&control->hub), err);
     if (ret < 0)
         return ret;
     control->udp_event = event_new(control->base, control->udp,
                                    EV_READ | EV_PERSIST, on_udp, control);
     if (control->udp_event == NULL || event_add(control->udp_event, NULL) < 0)
-        return error_set(err, -ENOMEM, "event", NULL, "No event.");
+        return error_set(err, -ENOMEM, "event", NULL,
+                         "The UDP event can't be created.");
     return 0;
 }
 
@@ -233,7 +234,7 @@
     g_assert(len + AUTH_OVERHEAD <= MEMBER_DATAGRAM_MAX);
     len = auth_seal(&control->auth, body, len, control_wall_ms(), sealed);
     do {
-        /* An earlier datagram's error is ext_err once here. */
+        /* sendto() reports a pending error of an earlier datagram once. */
         sent = sendto(control->udp, sealed, len, 0, (struct sockaddr *)&sin,
                       sizeof(sin));
     } while (sent < 0 && (errno == EINTR || errno == ECONNREFUSED));
--- a/src/control/control_show.c
+++ b/src/control/control_show.c
@@ -58,7 +58,8 @@
             handle = counter_register(control->counters, names[i].name,
                                       names[i].labels);
         if (handle < 0)
-            return error_set(err, handle, "counters", NULL, "No room for %s.",
+            return error_set(err, handle, "counters", NULL,
+                             "The counter table has no room for %s.",
                              names[i].name);
         control->handles[i] = handle;
     }
@@ -78,7 +79,6 @@
     return count;
 }
 
-/* The cores count for themselves; the table takes their sums. */
 void
 control_update_counters(struct control *control)
 {
@@ -154,7 +154,7 @@
            uint64_t now_us)
 {
     const struct member_core *members = &control->members;
-    const struct service_config *text = control->blackboard->text;
+    const struct service_config *config = control->blackboard->text;
 
     reply->name = (char *)control->settings->name;
     reply->data_centre = (char *)control->settings->data_centre;
@@ -162,8 +162,8 @@
     reply->state = members->entries[members->self].member.state;
     reply->config_version = control->config.have;
     reply->in_force_ms =
-        text == NULL ? 0
-                     : age_ms(control->blackboard->config_since_us, now_us);
+        config == NULL ? 0
+                       : age_ms(control->blackboard->config_since_us, now_us);
     reply->heard_ms = age_ms(control->config.confirmed_us, now_us);
     reply->from_platform = config_is_reader(&control->config, now_us);
     reply->platform_ok_ms = age_ms(control->config.platform_us, now_us);
@@ -187,7 +187,7 @@
 {
     struct view *view =
         member_view(&control->members, control->view_seq, now_us);
-    const struct service_config *text = control->blackboard->text;
+    const struct service_config *config = control->blackboard->text;
     Swiftarch__ShowMember *members;
     Swiftarch__ShowMember **pointers;
 
@@ -201,9 +201,9 @@
     }
     reply->n_members = view->count;
     reply->members = pointers;
-    if (text != NULL) {
-        reply->config.data = (uint8_t *)text->source;
-        reply->config.len = text->source_len;
+    if (config != NULL) {
+        reply->config.data = (uint8_t *)config->source;
+        reply->config.len = config->source_len;
     }
     send_reply(control, conn, reply);
     g_free(pointers);
--- a/src/control/member.c
+++ b/src/control/member.c
@@ -12,7 +12,7 @@
 #include "base/log.h"
 #include "control/member_internal.h"
 
-#define PUSH_RATE 5
+#define PUSH_RATE 5 /* pushes per second */
 #define PUSH_BURST 20
 #define CONTACT_FIRST_INTERVAL_US (100 * USEC_PER_MSEC)
 
@@ -71,14 +71,14 @@
         if (addr_equal(core->contacts[i], contact))
             return;
     }
-    /* Settings come first and stay; later finds replace each other. */
+    /* When full, a new contact replaces the last one: settings stay. */
     if (core->contact_count < MEMBER_CONTACTS_MAX)
         core->contacts[core->contact_count++] = contact;
     else
         core->contacts[MEMBER_CONTACTS_MAX - 1] = contact;
 }
 
-/* What each message says of its sender. */
+/* Applies the sender's load and configuration version. */
 static void
 apply_header(struct member_core *core, const struct member_msg *msg)
 {
@@ -98,7 +98,7 @@
     core->load_changed = true;
 }
 
-/* Lists of old news from a sync are not told on: others sync as well. */
+/* Members learned from a join or sync aren't gossiped: others sync as well. */
 static void
 apply_updates(struct member_core *core, const struct member_msg *msg,
               uint64_t now_us)
@@ -120,7 +120,7 @@
     }
 }
 
-/* After a pause of its own a process judges nobody by the old times. */
+/* After a pause of this process, probes and suspicions start anew. */
 static void
 detect_stall(struct member_core *core, uint64_t now_us)
 {
@@ -150,9 +150,9 @@
     if (core->left || msg->from == member_self(core)->member.id)
         return;
     if (msg->cell != core->cell) {
-        /* A seed of another cell in the settings must not join the two. */
+        /* A wrong seed in the settings must not join two cells. */
         if (core->stats.other_cell++ == 0)
-            g_warning("A member of another cell sent a message.");
+            g_warning("Dropped a message from a member of another cell.");
         return;
     }
     detect_stall(core, now_us);
--- a/src/control/member.h
+++ b/src/control/member.h
@@ -1,27 +1,25 @@
 /**
- * DOC: member - membership of a cell (SWIM), a pure core
+ * DOC: member - membership of a cell (SWIM)
  *
- * Each member probes two others each MEMBER_PERIOD_US: the next in the order
- * of a random permutation, and the one that follows it in the order of ids,
- * so that everybody is probed in every period by one that doesn't change.
- * It pings them directly, then through MEMBER_INDIRECT_PROBES others. A
- * failed round makes a suspect; the change_seq of it is pushed at once, so new
- * flows stop soon. Death comes only from proof (connection refused, a
- * left_cleanly) or from MEMBER_CONFIRM_US without a refutation, longer than a
- * freeze of 5 s and the way of its refutation through the cell. The
- * MEMBER_CONFIRMERS highest-ranked members for a suspect probe it again
- * before they declare it; the others wait MEMBER_SUSPECT_TIMEOUT_US for that
- * word.
+ * Each member probes two others per MEMBER_PERIOD_US: the next of a random
+ * permutation, and its successor in the order of ids, so that each member is
+ * probed in every period by the same one. It pings them directly, then through
+ * MEMBER_INDIRECT_PROBES others. A failed probe makes the target a suspect,
+ * which is pushed at once, so that it gets no new flows. A member is declared
+ * dead only on proof (connection refused, clean leave) or after
+ * MEMBER_CONFIRM_US without a refutation, which covers a freeze of 5 s and the
+ * time that a refutation takes through the cell. The MEMBER_CONFIRMERS
+ * highest-ranked members for a suspect probe it again before they declare it
+ * dead; the others wait MEMBER_SUSPECT_TIMEOUT_US for their update.
  *
- * What is known of a member is two values that only grow: its announcement
- * by (start, revision), its health by (incarnation, health). Merging is
- * thus the same in any order. Changes ride on probes, newest first, each
- * 3 log2(n) times less those that it came back from others; a digest of the
- * list in each message finds what was missed, which a sync over a stream then
- * repairs.
+ * The state of a member is two values that only increase: its announcement,
+ * ordered by (start, revision), and its health, ordered by (incarnation,
+ * health). Merging is therefore independent of the order. Updates are
+ * piggybacked on probes, newest first, 3 log2(n) times each, less the times
+ * that they are received from others. Each message carries a digest of the
+ * list; a lasting mismatch starts a sync over a stream.
  *
- * Events and the time go in, messages to send come out; no sockets, threads
- * or clocks here.
+ * Pure logic: no sockets, threads or clocks.
  */
 #ifndef SWIFTARCH_CONTROL_MEMBER_H
 #define SWIFTARCH_CONTROL_MEMBER_H
@@ -61,35 +59,35 @@
 #define MEMBER_SYNC_INTERVAL_US (5 * USEC_PER_SEC)
 #define MEMBER_CONTACT_INTERVAL_US (20 * USEC_PER_SEC)
 #define MEMBER_CONTACTS_MAX 32
-#define MEMBER_DATAGRAM_MAX 1200
-#define MEMBER_GOSSIP_RATE 2500 /* bytes a second of updates */
-#define MEMBER_GOSSIP_BURST 32768
-#define MEMBER_SYNC_RATE 4096   /* bytes a second of syncs served */
-#define MEMBER_SYNC_BURST 65536 /* some lists of a cell fit */
-#define MEMBER_JOIN_RATE 5      /* joins answered a second */
-#define MEMBER_JOIN_BURST 40
+#define MEMBER_DATAGRAM_MAX 1200  /* bytes, sealed */
+#define MEMBER_GOSSIP_RATE 2500   /* bytes of updates per second */
+#define MEMBER_GOSSIP_BURST 32768 /* bytes */
+#define MEMBER_SYNC_RATE 4096     /* bytes of sync replies per second */
+#define MEMBER_SYNC_BURST 65536   /* bytes, several full lists of a cell */
+#define MEMBER_JOIN_RATE 5        /* join replies per second */
+#define MEMBER_JOIN_BURST 40      /* join replies */
 
 /** enum member_kind - messages between members */
 enum member_kind {
-    MEMBER_PING,         /* are you there? */
-    MEMBER_ACK,          /* @target is here, answer to probe @seq */
+    MEMBER_PING,         /* probe of @target */
+    MEMBER_ACK,          /* reply to probe @seq: @target is alive */
     MEMBER_WRONG_TARGET, /* @target is not at this address */
-    MEMBER_PING_REQ,     /* ping @target for me */
-    MEMBER_PUSH,         /* change_seq, unasked */
-    MEMBER_JOIN,         /* I know nobody: tell me some members */
-    MEMBER_JOIN_REPLY,   /* some members */
-    MEMBER_SYNC_SUMMARY, /* stream: a summary of my list */
-    MEMBER_SYNC_REPLY,   /* stream: what you lack, what I want */
-    MEMBER_SYNC_PUSH,    /* stream: what you wanted */
+    MEMBER_PING_REQ,     /* request to probe @target for the sender */
+    MEMBER_PUSH,         /* urgent updates */
+    MEMBER_JOIN,         /* request for some members */
+    MEMBER_JOIN_REPLY,   /* sample of the members */
+    MEMBER_SYNC_SUMMARY, /* stream: summary of the sender's list */
+    MEMBER_SYNC_REPLY,   /* stream: missing updates, and wanted ids */
+    MEMBER_SYNC_PUSH,    /* stream: the wanted updates */
     MEMBER_KINDS
 };
 
 /**
- * struct member_update - what is told of one member
+ * struct member_update - state of one member, as sent to others
  * @member: announcement, health and incarnation (@since_us, @busy, @waiting
- *          and @config_version aren't told)
+ *          and @config_version aren't sent)
  * @start: start of its process, wall clock in microseconds
- * @revision: grows with each change it announces
+ * @revision: raised by each change that it announces
  */
 struct member_update {
     struct view_member member;
@@ -103,7 +101,21 @@
     uint32_t digest;
 };
 
-/** struct member_msg - one message; member_msg_finish() frees its arrays */
+/**
+ * struct member_msg - one message; member_msg_finish() frees its arrays
+ * @from: id of the sender
+ * @cell: hash of the sender's cell name
+ * @seq: number of the probe
+ * @target: id of the member that the probe is about
+ * @digest: digest of the sender's list
+ * @incarnation: incarnation of the sender
+ * @config_version: configuration version in force at the sender
+ * @word_age_ms: time since that version was confirmed, UINT32_MAX: never
+ * @busy: slots in use at the sender
+ * @waiting: requests queued at the sender
+ * @summary: sync: entries of the sender's list
+ * @want: sync: ids that the sender requests
+ */
 struct member_msg {
     enum member_kind kind;
     uint64_t from;
@@ -131,28 +143,28 @@
     struct member_msg msg;
 };
 
-/** struct member_actions - list that grows; the caller owns and empties it */
+/** struct member_actions - growing list; the caller owns and clears it */
 struct member_actions {
     struct member_action *items;
     size_t count;
     size_t capacity;
 };
 
-/** struct member_entry - what this process knows of one member */
+/** struct member_entry - state of one member as this process tracks it */
 struct member_entry {
     struct view_member member;
     uint64_t start;
     uint32_t revision;
-    uint32_t digest;          /* its share of the list's digest */
-    uint64_t health_since_us; /* when it became suspect or dead here */
+    uint32_t digest;          /* contributes to the list's digest */
+    uint64_t health_since_us; /* when its health last changed here */
     uint64_t confirm_us;      /* next probe before declaring it dead */
-    uint64_t change_seq;      /* order of its last change, newer is higher */
-    uint16_t sends_left;      /* times its change_seq is still to be sent */
+    uint64_t change_seq;      /* sequence of its last change */
+    uint16_t sends_left;      /* remaining transmissions of its update */
     bool urgent;
-    bool left_cleanly; /* left by itself */
+    bool left_cleanly; /* announced that it leaves */
 };
 
-/** struct member_probe - a probe under way */
+/** struct member_probe - a pending probe */
 struct member_probe {
     bool active;
     uint64_t target;
@@ -160,48 +172,49 @@
     uint32_t seq;
     uint64_t start_us;
     uint64_t resend_us;
-    bool indirect_sent; /* helpers were asked */
+    bool indirect_sent; /* PING_REQs were sent */
 };
 
 /** struct member_relay - a ping sent for another member */
 struct member_relay {
     uint64_t target;
-    uint32_t seq; /* own number of the ping */
+    uint32_t seq; /* own probe number */
     struct addr requester;
-    uint32_t requester_seq; /* the requester's number */
+    uint32_t requester_seq; /* the requester's probe number */
     uint64_t resend_us;
     unsigned tries_left;
 };
 
-/** struct member_stats - counts since the start */
+/** struct member_stats - counts since member_core_init() */
 struct member_stats {
     uint64_t probes;
     uint64_t failed_probes;
     uint64_t suspicions;
-    uint64_t refuted; /* suspicions and deaths of others taken back */
+    uint64_t refuted; /* refuted suspicions and deaths of others */
     uint64_t self_refutations;
-    uint64_t deaths; /* by timeout, declared here */
-    uint64_t proven; /* deaths by proof, seen here */
-    uint64_t refused_full;
-    uint64_t refused_joins;
+    uint64_t deaths;        /* declared here after a timeout */
+    uint64_t proven;        /* declared here on proof */
+    uint64_t refused_full;  /* members that the full list couldn't take */
+    uint64_t refused_joins; /* joins above MEMBER_JOIN_RATE */
     uint64_t syncs;
     uint64_t stalls;
-    uint64_t late_periods; /* ended too late to judge by */
+    uint64_t
+        late_periods; /* periods whose timer ran late: probes not judged */
     uint64_t name_conflicts;
     uint64_t other_cell; /* messages from members of other cells */
 };
 
 /**
- * struct member_core - membership as one process sees it
+ * struct member_core - membership of one process
  * @cell: hash of the cell's name; messages of other cells are dropped
- * @self: slot of the own entry
+ * @self: slot of this process
  * @entries: table by slot; an entry with id 0 is free
  * @order: slots sorted by id
- * @probe_order: slots in the order in which they are probed
- * @config_version: own version, told in each message
+ * @probe_order: permutation of slots for probing
+ * @config_version: own version, sent in each message
  * @confirmed_us: when the version was last confirmed, 0 for never
- * @changed: the view should be published again
- * @load_changed: only loads or configuration versions in it changed
+ * @changed: members changed since the last published view
+ * @load_changed: loads or configuration versions changed since then
  */
 struct member_core {
     uint32_t cell;
@@ -226,11 +239,11 @@
     size_t contact_next;
     uint64_t contact_us;
     uint64_t contact_interval_us;
-    uint64_t period_us; /* start of the next probe */
+    uint64_t period_us; /* start of the next period */
     uint64_t dead_probe_us;
-    uint64_t push_us; /* 0: nothing to push */
+    uint64_t push_us; /* next push, 0: none */
     uint64_t mismatch_us;
-    unsigned matches; /* of digests, in a row */
+    unsigned matches; /* matching digests in a row */
     uint64_t sync_us;
     uint64_t tick_us;
     struct bucket gossip_bucket;
@@ -239,7 +252,7 @@
     struct bucket join_bucket;
     uint64_t config_version;
     uint64_t confirmed_us;
-    bool joined; /* the list was synced with another member */
+    bool joined; /* synced with another member */
     bool left;
     bool changed;
     bool load_changed;
@@ -247,10 +260,10 @@
 };
 
 /**
- * member_core_init() - a cell of one
- * @self: own announcement; @self->member.incarnation is its start too
+ * member_core_init() - start with this process as the only member
+ * @self: own announcement; the incarnation starts at @self->start
  * @cell: hash of the cell's name
- * @seed: of the random choices
+ * @seed: seed of the random numbers
  *
  * Return: 0 or -ENOMEM.
  */
@@ -262,46 +275,51 @@
 void
 member_core_finish(struct member_core *core);
 
-/** member_add_contact() - an address to join through; own ones are skipped */
+/** member_add_contact() - add an address to join through; the own one is
+ * ignored */
 void
 member_add_contact(struct member_core *core, struct addr contact);
 
-/** member_receive() - a message came from address @from */
+/** member_receive() - handle a message from address @from */
 void
 member_receive(struct member_core *core, const struct member_msg *msg,
                struct addr from, uint64_t now_us, struct member_actions *out);
 
-/** member_tick() - do what is due; call at member_next_us() or before */
+/** member_tick() - run what is due; call at member_next_us() or earlier */
 void
 member_tick(struct member_core *core, uint64_t now_us,
             struct member_actions *out);
 
-/** member_next_us() - when member_tick() has something to do */
+/** member_next_us() - when to call member_tick() next */
 uint64_t
 member_next_us(const struct member_core *core);
 
-/** member_proven_dead() - @id is gone for certain, if still at @incarnation */
+/** member_proven_dead() - declare @id dead on proof, unless its incarnation is
+ * above @incarnation */
 void
 member_proven_dead(struct member_core *core, uint64_t id, uint64_t incarnation,
                    uint64_t now_us);
 
-/** member_refused() - nobody listens at the control address @at any more */
+/** member_refused() - declare the member with control address @at dead: the
+ * connection was refused */
 void
 member_refused(struct member_core *core, struct addr at, uint64_t now_us);
 
-/** member_announce() - own state, service or slots; busy and waiting ride
- * on each message and make no change_seq */
+/** member_announce() - set the own state, service and slots; @busy and
+ * @waiting are sent in each message and cause no update */
 void
 member_announce(struct member_core *core, enum member_state state,
                 uint32_t service, uint16_t slots, uint16_t busy,
                 uint16_t waiting, uint64_t now_us);
 
-/** member_set_config() - own version; a higher one is pushed at once */
+/** member_set_config() - set the own version; a higher one is pushed at once
+ */
 void
 member_set_config(struct member_core *core, uint64_t version,
                   uint64_t confirmed_us, uint64_t now_us);
 
-/** member_leave() - say left_cleanly to some members; nothing is sent after */
+/** member_leave() - notify some members of a clean leave; nothing is sent
+ * after it */
 void
 member_leave(struct member_core *core, uint64_t now_us,
              struct member_actions *out);
@@ -310,21 +328,22 @@
 const struct member_entry *
 member_find(const struct member_core *core, uint64_t id);
 
-/** member_view() - a view of the list, or NULL when memory is short */
+/** member_view() - snapshot of the list, or NULL if out of memory */
 struct view *
 member_view(const struct member_core *core, uint64_t seq, uint64_t now_us);
 
-/** member_alive_count() - members alive, self included */
+/** member_alive_count() - live members, including this one */
 size_t
 member_alive_count(const struct member_core *core);
 
-/** member_rank() - how many members alive and not leaving rank before this
+/** member_rank() - number of live members, not leaving, that rank before this
  * one by rendezvous hashing with @key; @alive, if not NULL, is set to the
- * number of those that are ranked */
+ * number of ranked members */
 size_t
 member_rank(const struct member_core *core, uint64_t key, size_t *alive);
 
-/** member_random_alive() - a random other member that is alive, or NULL */
+/** member_random_alive() - a random live member other than this one, or NULL
+ */
 const struct member_entry *
 member_random_alive(struct member_core *core);
 
@@ -332,7 +351,7 @@
 void
 member_msg_finish(struct member_msg *msg);
 
-/** member_actions_clear() - empty the list, freeing its messages */
+/** member_actions_clear() - clear the list and free its messages */
 void
 member_actions_clear(struct member_actions *out);
 
--- a/src/control/member_gossip.c
+++ b/src/control/member_gossip.c
@@ -7,7 +7,7 @@
 #include "control/member_internal.h"
 #include "control/wire.h"
 
-#define UPDATE_BYTES_MIN 40
+#define UPDATE_BYTES_MIN 40 /* lower bound of an encoded update */
 #define UPDATES_BYTES_MAX                                                     \
     (MEMBER_DATAGRAM_MAX - AUTH_OVERHEAD - WIRE_HEADER_MAX)
 #define UPDATES_MAX (UPDATES_BYTES_MAX / UPDATE_BYTES_MIN)
@@ -66,7 +66,7 @@
     return a->change_seq > b->change_seq;
 }
 
-/* The @max entries whose change_seq goes first, best first. */
+/* The @max pending entries of highest priority, in order. */
 static size_t
 pick_updates(struct member_core *core, struct member_entry **picked,
              size_t max)
@@ -180,13 +180,13 @@
     for (size_t i = 0; i < 2 * MEMBER_PUSH_FANOUT; i++) {
         const struct member_entry *entry = member_random_alive(core);
         struct member_msg *msg;
-        bool again = false;
+        bool duplicate = false;
 
         if (entry == NULL || count == MEMBER_PUSH_FANOUT)
             return;
         for (size_t j = 0; j < count; j++)
-            again |= sent_to[j] == entry->member.id;
-        if (again)
+            duplicate |= sent_to[j] == entry->member.id;
+        if (duplicate)
             continue;
         sent_to[count++] = entry->member.id;
         msg =
--- a/src/control/member_merge.c
+++ b/src/control/member_merge.c
@@ -77,7 +77,7 @@
 {
     struct member_entry *entry;
 
-    /* News of a death that nobody here remembers helps nobody. */
+    /* A death of an unknown member needs no entry. */
     if (update->member.health == MEMBER_DEAD)
         return false;
     entry = member_insert(core, update->member.id, now_us);
@@ -91,9 +91,9 @@
 }
 
 /*
- * Another start of this name is newer than ours: a former life whose clock
- * was ahead when the address is ours, or it is judged gone; else another
- * process of that name.
+ * The update has this name and a newer start. With the own address, or not
+ * alive, it is an earlier process whose clock was ahead: outbid its
+ * incarnation. Otherwise another process has the same name.
  */
 static bool
 merge_name_conflict(struct member_core *core, struct member_entry *self,
@@ -102,7 +102,8 @@
     if (update->member.health == MEMBER_ALIVE &&
         !addr_equal(update->member.control, self->member.control)) {
         if (core->stats.name_conflicts++ == 0)
-            g_warning("Another process has the name %s.", self->member.name);
+            g_warning("Another process in the cell uses the name %s.",
+                      self->member.name);
         return false;
     }
     self->start = update->member.incarnation + 1;
@@ -159,7 +160,7 @@
         if (update->member.health == MEMBER_ALIVE &&
             entry->member.health != MEMBER_ALIVE)
             core->stats.refuted++;
-        /* A newer suspicion starts its own time. */
+        /* A newer incarnation restarts the suspicion timeout. */
         if (update->member.incarnation > entry->member.incarnation)
             entry->member.health = MEMBER_ALIVE;
         entry->member.incarnation = update->member.incarnation;
@@ -183,7 +184,7 @@
     member_mark_changed(core, entry, true, now_us);
 }
 
-/* Whether this process is one of those that confirm the death of @entry. */
+/* Whether this process confirms the death of @entry before the timeout. */
 static bool
 is_confirmer(const struct member_core *core, const struct member_entry *entry)
 {
--- a/src/control/member_probe.c
+++ b/src/control/member_probe.c
@@ -21,11 +21,11 @@
     }
 }
 
-/* Next member in the permutation that isn't dead, or NULL. */
+/* Next member of the permutation that isn't dead, or NULL. */
 static struct member_entry *
 next_target(struct member_core *core)
 {
-    for (size_t round = 0; round < 2; round++) {
+    for (size_t pass = 0; pass < 2; pass++) {
         while (core->probe_next < core->probe_count) {
             uint16_t slot = core->probe_order[core->probe_next++];
             struct member_entry *entry = &core->entries[slot];
@@ -39,7 +39,7 @@
     return NULL;
 }
 
-/* A suspect is told of the suspicion, so that it can refute it. */
+/* A ping carries the target's suspicion, so that it can refute it. */
 static void
 send_ping(struct member_core *core, struct member_entry *entry, uint32_t seq,
           uint64_t now_us, struct member_actions *out)
@@ -53,7 +53,7 @@
     member_attach(core, msg, include_entry ? entry : NULL, now_us);
 }
 
-/* The living member whose id is the next above ours, or NULL. */
+/* The live member with the next higher id, cyclically, or NULL. */
 static struct member_entry *
 successor(struct member_core *core)
 {
@@ -128,13 +128,13 @@
          i++) {
         const struct member_entry *helper = member_random_alive(core);
         struct member_msg *msg;
-        bool again = false;
+        bool duplicate = false;
 
         if (helper == NULL)
             return;
         for (size_t j = 0; j < count; j++)
-            again |= asked[j] == helper->member.id;
-        if (again || helper->member.id == probe->target)
+            duplicate |= asked[j] == helper->member.id;
+        if (duplicate || helper->member.id == probe->target)
             continue;
         asked[count++] = helper->member.id;
         msg = member_send(core, MEMBER_PING_REQ, helper->member.control,
@@ -155,7 +155,7 @@
         probe->active = false;
         return;
     }
-    /* A suspect is pinged again by those who confirm its death. */
+    /* Confirmers ping a suspect again: see member_expire(). */
     if (entry->member.health != MEMBER_ALIVE) {
         probe->indirect_sent = true;
         probe->resend_us = core->period_us;
@@ -188,7 +188,8 @@
     }
 }
 
-/* Members that were cut off for long may be back without knowing us. */
+/* After a long partition a dead member may be back without this one in its
+ * list. */
 static void
 probe_dead(struct member_core *core, uint64_t now_us,
            struct member_actions *out)
@@ -225,7 +226,7 @@
 end_period(struct member_core *core, uint64_t now_us,
            struct member_actions *out)
 {
-    /* On a busy host the answer may lie unread while this runs late. */
+    /* If the timer runs late, an ACK may be unread: don't judge. */
     bool late = now_us >= core->period_us + MEMBER_TICK_DELAY_MAX_US;
 
     for (size_t i = 0; i < MEMBER_PROBES; i++) {
@@ -257,7 +258,7 @@
     }
 }
 
-/* Whether the sender told what it holds of us: a suspicion or a death. */
+/* Whether the message has an update on this process: suspect or dead. */
 static bool
 mentions_self(const struct member_core *core, const struct member_msg *msg)
 {
@@ -277,19 +278,19 @@
     struct member_entry *self = member_self(core);
     struct member_entry *first = member_lookup(core, msg->from);
     bool mine = msg->target == self->member.id;
-    struct member_msg *answer;
+    struct member_msg *reply;
 
-    /* A refutation goes before telling the sender that it is suspected, also
-     * if others have long heard it: this sender has not. */
+    /* A refutation goes first, before a suspicion of the sender. It is sent
+     * even if it is no longer pending: this sender hasn't received it. */
     if (first != NULL && first->member.health == MEMBER_ALIVE)
         first = NULL;
     if (self->urgent || mentions_self(core, msg))
         first = self;
-    answer = member_send(core, mine ? MEMBER_ACK : MEMBER_WRONG_TARGET, from,
-                         now_us, out);
-    answer->target = msg->target;
-    answer->seq = msg->seq;
-    member_attach(core, answer, first, now_us);
+    reply = member_send(core, mine ? MEMBER_ACK : MEMBER_WRONG_TARGET, from,
+                        now_us, out);
+    reply->target = msg->target;
+    reply->seq = msg->seq;
+    member_attach(core, reply, first, now_us);
 }
 
 static void
@@ -320,16 +321,16 @@
 {
     for (size_t i = 0; i < MEMBER_RELAYS_MAX; i++) {
         struct member_relay *relay = &core->relays[i];
-        struct member_msg *answer;
+        struct member_msg *reply;
 
         if (relay->tries_left == 0 || relay->seq != msg->seq ||
             relay->target != msg->target)
             continue;
         relay->tries_left = 0;
-        answer = member_send(core, MEMBER_ACK, relay->requester, now_us, out);
-        answer->target = relay->target;
-        answer->seq = relay->requester_seq;
-        member_attach(core, answer, NULL, now_us);
+        reply = member_send(core, MEMBER_ACK, relay->requester, now_us, out);
+        reply->target = relay->target;
+        reply->seq = relay->requester_seq;
+        member_attach(core, reply, NULL, now_us);
     }
 }
 
@@ -345,7 +346,7 @@
     relay_ack(core, msg, now_us, out);
 }
 
-/* Another process has taken over the address of @target. */
+/* Another process uses the address of @target: proof of its death. */
 static void
 receive_wrong_target(struct member_core *core, const struct member_msg *msg,
                      struct addr from, uint64_t now_us)
--- a/src/control/member_sync.c
+++ b/src/control/member_sync.c
@@ -31,7 +31,7 @@
                                 2 * MEMBER_SYNC_INTERVAL_US);
 }
 
-/* Adds an entry to a sync message while the bucket pays for it. */
+/* Adds an entry to a sync message within the rate limit. */
 static bool
 add_within_budget(struct member_core *core, struct member_msg *msg,
                   const struct member_entry *entry, uint64_t now_us)
@@ -57,16 +57,16 @@
 reply_sync(struct member_core *core, const struct member_msg *msg,
            struct addr from, uint64_t now_us, struct member_actions *out)
 {
-    struct member_msg *answer;
+    struct member_msg *reply;
     size_t first = random_below(&core->random, core->count);
 
-    /* Who asks learns our list and tells us what we lack. */
+    /* The peer learns this list and pushes the entries that it lacks. */
     core->joined = true;
     qsort(msg->summary, msg->summary_count, sizeof(msg->summary[0]),
           compare_summary);
-    answer = member_send(core, MEMBER_SYNC_REPLY, from, now_us, out);
-    answer->updates = g_new(struct member_update, core->count);
-    answer->want = g_new(uint64_t, msg->summary_count);
+    reply = member_send(core, MEMBER_SYNC_REPLY, from, now_us, out);
+    reply->updates = g_new(struct member_update, core->count);
+    reply->want = g_new(uint64_t, msg->summary_count);
     for (size_t i = 0; i < core->count; i++) {
         uint16_t slot = core->order[(first + i) % core->count];
         const struct member_entry *entry = &core->entries[slot];
@@ -79,7 +79,7 @@
             continue;
         if (theirs != NULL && theirs->digest == entry->digest)
             continue;
-        if (!add_within_budget(core, answer, entry, now_us))
+        if (!add_within_budget(core, reply, entry, now_us))
             break;
     }
     for (size_t i = 0; i < msg->summary_count; i++) {
@@ -87,7 +87,7 @@
             member_lookup(core, msg->summary[i].id);
 
         if (entry == NULL || entry->digest != msg->summary[i].digest)
-            answer->want[answer->want_count++] = msg->summary[i].id;
+            reply->want[reply->want_count++] = msg->summary[i].id;
     }
 }
 
@@ -95,23 +95,23 @@
 send_wanted(struct member_core *core, const struct member_msg *msg,
             struct addr from, uint64_t now_us, struct member_actions *out)
 {
-    struct member_msg *answer;
+    struct member_msg *reply;
 
     core->joined = true;
-    /* Still different lists: news is on its way, or the peer was short of
-     * budget. Somebody else is asked soon. */
+    /* The lists still differ: updates are in transit, or the peer reached
+     * its rate limit. Sync soon with another member. */
     if (msg->digest != core->digest)
         core->sync_us =
             now_us + random_between(&core->random, MEMBER_SYNC_RETRY_US,
                                     2 * MEMBER_SYNC_RETRY_US);
     if (msg->want_count == 0)
         return;
-    answer = member_send(core, MEMBER_SYNC_PUSH, from, now_us, out);
-    answer->updates = g_new(struct member_update, msg->want_count);
+    reply = member_send(core, MEMBER_SYNC_PUSH, from, now_us, out);
+    reply->updates = g_new(struct member_update, msg->want_count);
     for (size_t i = 0; i < msg->want_count; i++) {
         const struct member_entry *entry = member_lookup(core, msg->want[i]);
 
-        if (entry != NULL && !add_within_budget(core, answer, entry, now_us))
+        if (entry != NULL && !add_within_budget(core, reply, entry, now_us))
             return;
     }
 }
@@ -120,17 +120,17 @@
 reply_join(struct member_core *core, struct addr from, uint64_t now_us,
            struct member_actions *out)
 {
-    struct member_msg *answer;
+    struct member_msg *reply;
 
     if (!bucket_take(&core->join_bucket, 1, now_us)) {
         core->stats.refused_joins++;
         return;
     }
-    answer = member_send(core, MEMBER_JOIN_REPLY, from, now_us, out);
-    member_attach_sample(core, answer);
+    reply = member_send(core, MEMBER_JOIN_REPLY, from, now_us, out);
+    member_attach_sample(core, reply);
 }
 
-/* A newcomer syncs with a random member, so that seeds aren't flooded. */
+/* A new member syncs with a random member, which spares the seeds. */
 static void
 handle_join_reply(struct member_core *core, uint64_t now_us,
                   struct member_actions *out)
@@ -172,7 +172,7 @@
                    struct member_actions *out)
 {
     if (digest == core->digest) {
-        /* Another may lack the same news, so one match says little. */
+        /* Peers may lack the same update: require several matches. */
         if (++core->matches >= MEMBER_SYNC_MATCHES)
             core->mismatch_us = 0;
         return;
@@ -180,7 +180,7 @@
     core->matches = 0;
     if (core->mismatch_us == 0)
         core->mismatch_us = now_us;
-    /* News still on its way explains a difference for a while. */
+    /* Updates in transit explain a short mismatch. */
     if (now_us < core->mismatch_us + MEMBER_SYNC_AFTER_US ||
         now_us < core->sync_us)
         return;
@@ -233,7 +233,7 @@
                                 core->contact_interval_us);
     contact = next_contact(core);
     if (contact == NULL) {
-        /* All contacts are known: a first sync may have been lost. */
+        /* All contacts are listed: retry a first sync that was lost. */
         handle_join_reply(core, now_us, out);
         return;
     }
--- a/src/control/member_table.c
+++ b/src/control/member_table.c
@@ -6,9 +6,9 @@
 #include "base/hash.h"
 #include "control/member_internal.h"
 
-#define ENTRIES_FIRST 16
+#define ENTRIES_INITIAL 16
 
-/* Position of @id in the order, or where it would go. */
+/* Position of @id in the order, or its insertion point. */
 static size_t
 order_position(const struct member_core *core, uint64_t id)
 {
@@ -26,7 +26,7 @@
     return low;
 }
 
-/* Dead members have no share: they are forgotten at different times. */
+/* Dead members don't count: each process removes them at its own time. */
 static uint32_t
 entry_digest(const struct member_entry *entry)
 {
@@ -41,7 +41,7 @@
     return hash_bytes(parts, sizeof(parts), 0) | 1;
 }
 
-/* Spreads the 32-bit digest, so that equal shares of two ids differ. */
+/* Mixes in the id, so that equal digests of two members don't cancel out. */
 static uint64_t
 entry_digest_part(const struct member_entry *entry)
 {
@@ -52,7 +52,7 @@
 grow(struct member_core *core)
 {
     size_t capacity =
-        core->entry_capacity == 0 ? ENTRIES_FIRST : 2 * core->entry_capacity;
+        core->entry_capacity == 0 ? ENTRIES_INITIAL : 2 * core->entry_capacity;
 
     if (capacity > VIEW_MEMBERS_MAX)
         capacity = VIEW_MEMBERS_MAX;
@@ -64,7 +64,7 @@
     core->entry_capacity = capacity;
 }
 
-/* A full list gives up the member that has been dead for longest. */
+/* Removes the member that has been dead for longest. */
 static bool
 evict_dead(struct member_core *core)
 {
@@ -152,7 +152,7 @@
     core->entries[slot].member.id = id;
     core->entries[slot].member.since_us = now_us;
 
-    /* A random probe_position in what is left of this round of probes. */
+    /* Insert at a random position in the rest of the permutation. */
     if (core->probe_count < core->entry_capacity) {
         probe_position =
             random_between(&core->random, core->probe_next, core->probe_count);
--- a/src/control/random.h
+++ b/src/control/random.h
@@ -15,11 +15,11 @@
 uint64_t
 random_next(struct random *random);
 
-/** random_below() - a number below @bound, 0 when @bound is 0 */
+/** random_below() - number in 0..@bound - 1, 0 if @bound is 0 */
 uint64_t
 random_below(struct random *random, uint64_t bound);
 
-/** random_between() - a number in @low..@high */
+/** random_between() - number in @low..@high, @low if @high is below it */
 uint64_t
 random_between(struct random *random, uint64_t low, uint64_t high);
 
--- a/src/control/seeds.c
+++ b/src/control/seeds.c
@@ -75,11 +75,11 @@
 }
 
 /*
- * The start is written, not the incarnation that a refutation raised: what
- * is stored changes with processes, not with suspicions.
+ * Stores the start of the process rather than its incarnation, which a
+ * refutation raises: suspicions must not cause writes.
  */
 static void
-put_member(struct seed_list *list, const struct member_entry *entry)
+add_member(struct seed_list *list, const struct member_entry *entry)
 {
     struct seed *seed = &list->items[list->count++];
 
@@ -97,8 +97,8 @@
     return entry == NULL || entry->start < seed->incarnation;
 }
 
-/* What the object should say: members known here, and for some rounds
- * those in it that nobody here knows yet. */
+/* Entries that the object should have: known members and, for some reads,
+ * stored entries that aren't known yet. */
 static void
 wanted_seeds(const struct seeds_core *core, const struct member_core *members,
              uint64_t cell, struct seed_list *list)
@@ -110,13 +110,13 @@
     for (size_t i = 0; i < core->stored.count; i++) {
         const struct seed *seed = &core->stored.items[i];
 
-        /* Half of the list stays for those known here. */
+        /* At least half of the list is left for known members. */
         if (core->foreign_rounds < SEEDS_FOREIGN_ROUNDS &&
             list->count < SEEDS_MAX / 2 && is_foreign(members, seed))
             list->items[list->count++] = *seed;
     }
     for (size_t i = 0; i < count && list->count < SEEDS_MAX; i++)
-        put_member(list, best[i]);
+        add_member(list, best[i]);
     qsort(list->items, list->count, sizeof(list->items[0]), compare_names);
 }
 
@@ -130,14 +130,14 @@
     return false;
 }
 
-/* A lone process that learned something goes on soon. */
+/* Brings the next read of an isolated process forward. */
 static void
 advance_isolated_read(struct seeds_core *core, uint64_t now_us)
 {
-    uint64_t soon =
+    uint64_t retry_us =
         now_us + random_below(&core->random, SEEDS_ISOLATED_RETRY_US);
 
-    core->isolated_read_us = MIN(core->isolated_read_us, soon);
+    core->isolated_read_us = MIN(core->isolated_read_us, retry_us);
 }
 
 static void
@@ -164,7 +164,7 @@
     return action;
 }
 
-/* None of the object's members answers a lone process, if it names any. */
+/* Whether the object is empty or none of its members has answered. */
 static bool
 lacks_live_member(const struct seeds_core *core)
 {
@@ -224,7 +224,7 @@
     if (!members->joined && members->contact_count > 0)
         return tick_isolated(core, members, cell, now_us);
     if (member_rank(members, cell, NULL) > 0) {
-        /* Whoever writes next reads first. */
+        /* If this process becomes the writer, it reads first. */
         core->known = false;
         core->read_us = MAX(now_us, core->call_us + SEEDS_WRITE_INTERVAL_US);
         return SEEDS_NOTHING;
--- a/src/control/view.h
+++ b/src/control/view.h
@@ -1,9 +1,9 @@
 /**
- * DOC: view - an immutable picture of a cell's members
+ * DOC: view - an immutable snapshot of a cell's members
  *
- * The membership controller publishes a new view on the blackboard at each
- * change; everyone else only reads. Members are sorted by id, so every
- * process that knows the same members gives them the same order.
+ * The control thread publishes a new view on the blackboard at each change;
+ * all other threads only read it. Members are sorted by id, so all processes
+ * with the same members have the same order.
  */
 #ifndef SWIFTARCH_CONTROL_VIEW_H
 #define SWIFTARCH_CONTROL_VIEW_H
@@ -17,42 +17,42 @@
 #define VIEW_NAME_MAX 32
 #define VIEW_MEMBERS_MAX 1024
 
-/** enum member_role - which program a member runs */
+/** enum member_role - program that a member runs */
 enum member_role { MEMBER_BALANCER, MEMBER_AGENT };
 
-/** enum member_state - what a member says of itself */
+/** enum member_state - state that a member announces */
 enum member_state {
-    MEMBER_WARMING,  /* cold start: takes a growing share of new work */
+    MEMBER_WARMING,  /* slow start: takes a growing share of new work */
     MEMBER_READY,    /* takes new work */
-    MEMBER_DRAINING, /* upstream leaves: no new flow, no new request here */
-    MEMBER_LEAVING   /* the process itself is being stopped */
+    MEMBER_DRAINING, /* upstream stops: takes no new flows or requests */
+    MEMBER_LEAVING   /* the process stops */
 };
 
-/** enum member_health - what the others think of it */
+/** enum member_health - health as other members judge it */
 enum member_health {
     MEMBER_ALIVE,
-    MEMBER_SUSPECT, /* silent: no new flow, nothing moved away */
-    MEMBER_DEAD     /* proven or timed out: its flows are gone */
+    MEMBER_SUSPECT, /* no reply: gets no new flows, keeps its own */
+    MEMBER_DEAD     /* proven or timed out: its flows have ended */
 };
 
 /**
- * struct view_member - one member as this process knows it
+ * struct view_member - one member as this process tracks it
  * @id: hash_name(name)
  * @incarnation: start time of the process, microseconds of wall clock,
  *               raised by one to refute a suspicion
  * @name: process name
- * @data_centre: where it runs
- * @role: program
+ * @data_centre: data centre of its host
+ * @role: program that it runs
  * @state: announced state
- * @health: judged health
- * @data: where it takes packets
- * @control: where it takes control messages
- * @service: agents: service id of its upstream, 0 while none announced
- * @slots: agents: requests its upstream runs at once
- * @busy: agents: slots busy when last told
- * @waiting: agents: requests waiting there when last told
- * @since_us: local clock when this start of the process was first seen
- * @config_version: configuration version it says is in force there
+ * @health: health as this process judges it
+ * @data: address for packets
+ * @control: address for control messages
+ * @service: agents: service id of its upstream, 0 if none is announced
+ * @slots: agents: concurrent requests of its upstream
+ * @busy: agents: slots in use, as last reported
+ * @waiting: agents: queued requests, as last reported
+ * @since_us: local clock when this start of the process was first learned
+ * @config_version: configuration version in force there, as last reported
  */
 struct view_member {
     uint64_t id;
@@ -74,9 +74,9 @@
 
 /**
  * struct view - all members, self included, sorted by id
- * @rcu: for freeing after a grace period
- * @seq: grows with every published view
- * @self: index of the own entry
+ * @rcu: frees the view after a grace period
+ * @seq: raised by each published view
+ * @self: index of this process
  * @count: entries in @members
  */
 struct view {
@@ -87,11 +87,12 @@
     struct view_member members[];
 };
 
-/** view_new() - an empty view with room for @count members, or NULL */
+/** view_new() - an empty view with room for @count members, NULL if out of
+ * memory */
 struct view *
 view_new(size_t count);
 
-/** view_find() - member @id or NULL */
+/** view_find() - member with @id, or NULL */
 const struct view_member *
 view_find(const struct view *view, uint64_t id);
 
--- a/src/control/wire.c
+++ b/src/control/wire.c
@@ -154,7 +154,7 @@
     return 0;
 }
 
-/* Calls @use with the protobuf form of @msg, whose arrays live meanwhile. */
+/* Encodes @msg to @buf, or only computes its size if @buf is NULL. */
 static size_t
 pack_message(const struct member_msg *msg, uint8_t *buf)
 {
--- a/tests/control/test_member.c
+++ b/tests/control/test_member.c
@@ -1,5 +1,5 @@
-/* Rules of the membership core, one at a time; its wire form; the seed list
- * and the history of edits. */
+/* Rules of the membership core, message encoding, seed list and edit history.
+ */
 #include <errno.h>
 #include <inttypes.h>
 #include <stdio.h>
@@ -52,14 +52,14 @@
     update.member.incarnation += random_below(random, 3);
     update.member.health = random_below(random, 3);
     update.revision = random_below(random, 3);
-    /* One announcement for each revision, as a process makes them. */
+    /* Each revision has one announcement, as in a real process. */
     update.member.state = (update.revision + update.start / 1000) % 3;
     return update;
 }
 
-/* Whatever order news comes in, the same list results. A death of somebody
- * unknown is no news, so all begin with all members known. */
-TEST(any_order)
+/* Updates in any order lead to the same list. A death of an unknown member is
+ * ignored, so all members are listed at the start. */
+TEST(merge_order)
 {
     for (uint64_t seed = 1; seed <= 300; seed++) {
         struct random random = {.state = seed};
@@ -97,7 +97,7 @@
     }
 }
 
-/* Old news doesn't revive the dead; a new start of the process does. */
+/* An old update doesn't revive a dead member; a new start does. */
 TEST(tombstone)
 {
     struct member_update other = make("other", START, 2);
@@ -114,7 +114,7 @@
     other = make("other", START + 5, 2);
     g_assert_true(member_merge(&core, &other, NOW));
     g_assert_cmpint(member_find(&core, id)->member.health, ==, MEMBER_ALIVE);
-    /* A report about the former process harms the new one no more. */
+    /* A report about the earlier process doesn't affect the new one. */
     member_proven_dead(&core, id, START, NOW);
     g_assert_cmpint(member_find(&core, id)->member.health, ==, MEMBER_ALIVE);
     member_proven_dead(&core, id, START + 5, NOW);
@@ -126,7 +126,7 @@
     member_core_finish(&core);
 }
 
-/* The list is bounded: the living are refused, the dead make room. */
+/* A full list refuses new members unless it can evict a dead one. */
 TEST(full_list)
 {
     struct member_core core;
@@ -150,25 +150,25 @@
     member_core_finish(&core);
 }
 
-TEST(own_name)
+TEST(updates_about_self)
 {
     struct member_core core;
     struct member_update self;
 
     start(&core, "self", 1);
-    /* A suspicion is refuted. */
+    /* A suspicion of this process is refuted. */
     self = make("self", START, 1);
     self.member.health = MEMBER_SUSPECT;
     g_assert_true(member_merge(&core, &self, NOW));
     g_assert_cmpuint(member_self(&core)->member.incarnation, ==, START + 1);
     g_assert_cmpint(member_self(&core)->member.health, ==, MEMBER_ALIVE);
-    /* A former life whose clock was ahead is outbid. */
+    /* An earlier process whose clock was ahead is outbid. */
     self = make("self", START + 500, 1);
     g_assert_true(member_merge(&core, &self, NOW));
     g_assert_cmpuint(member_self(&core)->start, ==, START + 501);
-    /* Another process of that name isn't: no duel of incarnations. */
+    /* Another process of the same name is not: no incarnation race. */
     g_test_expect_message("swiftarch-control", G_LOG_LEVEL_WARNING,
-                          "Another process has the name self.");
+                          "Another process in the cell uses the name self.");
     self = make("self", START + 900, 2);
     g_assert_false(member_merge(&core, &self, NOW));
     g_test_assert_expected_messages();
@@ -177,8 +177,8 @@
     member_core_finish(&core);
 }
 
-/* After a pause of its own a process declares nobody dead by old times. */
-TEST(own_pause)
+/* After its own pause a process restarts the timeouts of suspects. */
+TEST(suspects_after_own_pause)
 {
     struct member_update other = make("other", START, 2);
     struct member_actions out = {0};
@@ -197,7 +197,7 @@
     member_core_finish(&core);
 }
 
-/* A flood of joins is answered at a bounded rate. */
+/* Replies to joins are rate-limited. */
 TEST(join_flood)
 {
     struct member_actions out = {0};
@@ -221,8 +221,7 @@
     member_core_finish(&core);
 }
 
-/* Messages of another cell neither join its members to ours nor are they
- * answered. */
+/* Messages of another cell are ignored. */
 TEST(other_cell)
 {
     struct member_update other = make("other", START, 2);
@@ -238,7 +237,7 @@
 
     start(&core, "self", 1);
     g_test_expect_message("swiftarch-control", G_LOG_LEVEL_WARNING,
-                          "A member of another cell sent a message.");
+                          "Dropped a message from a member of another cell.");
     member_receive(&core, &msg, other.member.control, NOW, &out);
     g_test_assert_expected_messages();
     g_assert_cmpuint(out.count, ==, 0);
@@ -298,7 +297,7 @@
     g_assert_cmpmem(back.want, 8, want, 8);
     g_assert_cmpuint(back.summary[1].digest, ==, UINT32_MAX);
     member_msg_finish(&back);
-    /* Whatever a broken sender says, nothing out of range comes in. */
+    /* Values out of range are rejected. */
     for (unsigned i = 0; i < 20000; i++) {
         uint8_t bad[2048];
 
@@ -357,7 +356,7 @@
     }
     g_assert_cmpuint(history.count, ==, HISTORY_STEPS_MAX);
     g_assert_null(history_find(&history, 1, &copy_len));
-    /* An edit of another body doesn't fit. */
+    /* An edit of another body is rejected. */
     struct history_edit edit = {.prefix = 3, .suffix = 9};
     copy_len = 11;
     g_assert_null(history_apply(&edit, copy, &copy_len));
@@ -391,8 +390,8 @@
         -EINVAL);
 }
 
-/* Only the first-ranked writes, over what it read, no more than once in
- * 10 s; a lost race and an unknown outcome are settled by reading. */
+/* Only the first-ranked member writes, over the version it read, at most once
+ * in 10 s; it reads again after a lost race or an unknown outcome. */
 TEST(seed_writes)
 {
     struct member_update other = make("other", START, 2);
@@ -426,7 +425,7 @@
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==, SEEDS_WRITE);
     g_assert_cmpuint(seeds.version, ==, 1);
     g_assert_cmpuint(seeds.pending.count, ==, 2);
-    /* The race is lost to a half of the cell that we don't know. */
+    /* Another part of a split cell wins the race. */
     seeds_write_done(&seeds, -ESTALE, 2, now);
     now += SEEDS_WRITE_INTERVAL_US;
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==, SEEDS_READ);
@@ -438,7 +437,7 @@
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==, SEEDS_WRITE);
     g_assert_cmpuint(seeds.version, ==, 2);
     g_assert_cmpuint(seeds.pending.count, ==, 3);
-    /* Whether it took effect is unknown: read again. */
+    /* The outcome is unknown: read again. */
     seeds_write_done(&seeds, -ETIMEDOUT, 0, now);
     now += SEEDS_RETRY_MAX_US;
     g_assert_cmpint(seeds_tick(&seeds, &members, cell, now), ==, SEEDS_READ);
@@ -448,10 +447,9 @@
     member_core_finish(&members);
 }
 
-/* Where no contact answers, the object may be missing or name the dead
- * only: a lone process then writes itself into it, so that two find each
- * other. */
-TEST(seed_alone)
+/* A process whose contacts don't answer adds itself to a cell object that is
+ * missing or lists dead members only. */
+TEST(seed_list_isolated)
 {
     struct member_core members;
     struct seeds_core seeds;
@@ -468,7 +466,7 @@
     now += SEEDS_ISOLATED_RETRY_US;
     g_assert_cmpint(seeds_tick(&seeds, &members, 1, now), ==, SEEDS_WRITE);
     g_assert_cmpuint(seeds.pending.count, ==, 1);
-    /* Another was first: its entry is a contact, so only reads follow. */
+    /* Another process wrote first: its entry is a contact, so only read. */
     seeds_write_done(&seeds, -ESTALE, 1, now);
     g_strlcpy(list.items[0].name, "other", VIEW_NAME_MAX);
     list.items[0].control = (struct addr){0x0a000001, 7000};
@@ -485,7 +483,7 @@
         reads++;
         seeds_read_done(&seeds, 0, 1, &list, now);
     }
-    /* It never answered: it is joined by ourselves, then replaced. */
+    /* It doesn't answer: this process replaces it. */
     g_assert_cmpuint(reads, ==, 1 + SEEDS_FOREIGN_ROUNDS);
     g_assert_cmpuint(seeds.pending.count, ==, 1);
     g_assert_cmpstr(seeds.pending.items[0].name, ==, "self");
