--- a/bench/control/bench_control.c
+++ b/bench/control/bench_control.c
@@ -1,8 +1,7 @@
 /*
- * Slopes of the control part for docs/CAPACITY.md: cells of several sizes in
- * one process, with the real wire form and seal, on a model network and
- * clock; changes of texts; control threads with real sockets. Prints a table,
- * the lines fitted to it, and the same as JSON.
+ * Cost of the control plane by size for docs/CAPACITY.md: cells on a simulated
+ * network and clock, configuration changes, and control threads with real
+ * sockets. Prints a table with fitted lines, and the same as JSON.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -103,27 +102,27 @@
 {
     double sizes[THREAD_SIZES];
     double values[7][THREAD_SIZES];
-    struct measure_threads warm;
+    struct measure_threads warmup;
     int ret;
 
-    /* The first run pays for what all processes of this bench share. */
-    ret = measure_threads(thread_sizes[0], 1, &warm);
+    /* The first run excludes one-time costs from the others. */
+    ret = measure_threads(thread_sizes[0], 1, &warmup);
     if (ret < 0)
         return ret;
     for (size_t i = 0; i < THREAD_SIZES; i++) {
-        struct measure_threads got;
+        struct measure_threads cost;
 
-        ret = measure_threads(thread_sizes[i], THREAD_SECONDS, &got);
+        ret = measure_threads(thread_sizes[i], THREAD_SECONDS, &cost);
         if (ret < 0)
             return ret;
         sizes[i] = thread_sizes[i];
-        values[0][i] = got.cpu_us;
-        values[1][i] = got.cpu_us_worst;
-        values[2][i] = got.memory_bytes;
-        values[3][i] = got.bytes_out;
-        values[4][i] = got.platform;
-        values[5][i] = got.config_p50_ms;
-        values[6][i] = got.config_max_ms;
+        values[0][i] = cost.cpu_us;
+        values[1][i] = cost.cpu_us_worst;
+        values[2][i] = cost.memory_bytes;
+        values[3][i] = cost.bytes_out;
+        values[4][i] = cost.platform;
+        values[5][i] = cost.config_p50_ms;
+        values[6][i] = cost.config_max_ms;
     }
     printf("\nControl threads with real sockets, %u s in rest\n",
            THREAD_SECONDS);
@@ -152,18 +151,18 @@
     double values[4][CONFIG_SIZES];
 
     for (size_t i = 0; i < CONFIG_SIZES; i++) {
-        struct measure_config_edit got;
-        int ret = measure_config_edit(config_sizes[i], &got);
+        struct measure_config_edit cost;
+        int ret = measure_config_edit(config_sizes[i], &cost);
 
         if (ret < 0)
             return ret;
         sizes[i] = config_sizes[i];
-        values[0][i] = got.bytes;
-        values[1][i] = got.edit_bytes;
-        values[2][i] = got.diff_us;
-        values[3][i] = got.apply_us;
+        values[0][i] = cost.bytes;
+        values[1][i] = cost.edit_bytes;
+        values[2][i] = cost.diff_us;
+        values[3][i] = cost.apply_us;
     }
-    printf("\nA change of one line in a text, by services\n");
+    printf("\nA change of one line in a configuration, by services\n");
     print_header("services", sizes, CONFIG_SIZES, SERVICES_TARGET);
     print_row(root, "text_bytes", sizes, values[0], CONFIG_SIZES,
               SERVICES_TARGET);
--- a/bench/control/config_edit_cost.c
+++ b/bench/control/config_edit_cost.c
@@ -18,7 +18,7 @@
     return now.tv_sec * 1e6 + now.tv_nsec / 1e3;
 }
 
-/* A text of @services, one of which has the deadline @deadline_ms. */
+/* A configuration of @services, one of which has the deadline @deadline_ms. */
 static GString *
 make_config(size_t services, unsigned deadline_ms)
 {
@@ -39,8 +39,8 @@
     return text;
 }
 
-/* What a process does with one change: finds it as an edit of its text,
- * makes the new text from a peer's edit, and reads it. */
+/* Times the steps of one change: computing the edit, then applying it and
+ * parsing the result. */
 int
 measure_config_edit(size_t services, struct measure_config_edit *out)
 {
@@ -64,16 +64,16 @@
     out->edit_bytes = step->edit.middle_len;
     for (unsigned i = 0; i < ROUNDS && ret == 0; i++) {
         size_t len = old->len;
-        struct service_config *text = NULL;
+        struct service_config *config = NULL;
         char *report = NULL;
         uint8_t *body;
 
         begin = cpu_us();
         body = history_apply(&step->edit, (uint8_t *)old->str, &len);
-        ret = service_config_parse_envelope((char *)body, len, 1, &text,
+        ret = service_config_parse_envelope((char *)body, len, 1, &config,
                                             &report);
         out->apply_us += (cpu_us() - begin) / ROUNDS;
-        service_config_free(text);
+        service_config_free(config);
         g_free(report);
         g_free(body);
     }
--- a/bench/control/measure.c
+++ b/bench/control/measure.c
@@ -139,16 +139,16 @@
     g_free(samples);
 }
 
-/* Whether node @i stops new flows to @j. */
+/* Whether node @i sends no new flows to @j. */
 static bool
 suspects(const struct net *net, size_t i, size_t j)
 {
     return net_health(net, i, j) != MEMBER_ALIVE;
 }
 
-/* Whether node @i knows that @j drains. */
+/* Whether node @i lists @j as draining. */
 static bool
-knows_draining(const struct net *net, size_t i, size_t j)
+lists_draining(const struct net *net, size_t i, size_t j)
 {
     const struct member_entry *entry =
         member_find(&net->nodes[i].members, hash_name(net->nodes[j].name));
@@ -156,7 +156,8 @@
     return entry != NULL && entry->member.state == MEMBER_DRAINING;
 }
 
-/* When it became true of @about at each other running node, in ms. */
+/* Adds a sample, in ms, for each node at which @is_true(@about) became true.
+ */
 static size_t
 watch(struct net *net, size_t about,
       bool (*is_true)(const struct net *, size_t, size_t), uint64_t begin_us,
@@ -202,7 +203,7 @@
         size_t node = i % net->count;
 
         net_announce(net, node, MEMBER_DRAINING);
-        count += watch_until_all(net, node, knows_draining, samples + count);
+        count += watch_until_all(net, node, lists_draining, samples + count);
         net_announce(net, node, MEMBER_READY);
         net_run(net, 5 * USEC_PER_SEC);
     }
@@ -226,7 +227,7 @@
     return seconds;
 }
 
-/* A tenth of the cell vanishes at once and comes back. */
+/* A tenth of the cell fails at once and restarts. */
 static void
 measure_rack(struct net *net, double *columns)
 {
--- a/bench/control/threads.c
+++ b/bench/control/threads.c
@@ -117,7 +117,7 @@
     GBytes *value = g_bytes_new_static(text, sizeof(text) - 1);
     uint64_t version;
 
-    /* As the server does it, so that watches are told. */
+    /* Like a put by the server, wakes the watches. */
     g_mutex_lock(&server->lock);
     store_put(&server->store, "config", expect, value, &version);
     g_cond_broadcast(&server->changed);
@@ -132,16 +132,16 @@
 
     rcu_read_lock();
     for (size_t i = 0; i < size; i++) {
-        const struct service_config *text =
+        const struct service_config *config =
             blackboard_config(&processes[i].blackboard);
 
-        count += text != NULL && text->version >= version;
+        count += config != NULL && config->version >= version;
     }
     rcu_read_unlock();
     return count;
 }
 
-/* Publishes a few changes and watches them come in force. */
+/* Publishes changes and times when they come into force. */
 static int
 time_changes(struct process *processes, size_t size, struct server *server,
              struct measure_threads *out)
--- a/tests/control/cell.c
+++ b/tests/control/cell.c
@@ -61,12 +61,12 @@
     node->answer = status == 0 ? cell->served_version : 0;
 }
 
-/* What the platform does with a call that waits for its answer. */
+/* Sets the result of a pending call when the platform has one. */
 static void
 answer_call(struct cell *cell, struct cell_node *node)
 {
     uint64_t waited = cell->now_us - node->begun_us;
-    bool over = waited >= CONFIG_WATCH_TIMEOUT_S * USEC_PER_SEC;
+    bool expired = waited >= CONFIG_WATCH_TIMEOUT_S * USEC_PER_SEC;
 
     if (cell->down || node->platform_unreachable || chance(cell, cell->lost)) {
         end_call(cell, node, -ETIMEDOUT, TIMEOUT_US);
@@ -80,7 +80,7 @@
         end_call(cell, node, -ECONNRESET, 0);
     else if (cell->served_version > node->after && !node->skips)
         end_call(cell, node, 0, cell->answer_us);
-    else if (over)
+    else if (expired)
         end_call(cell, node, -EAGAIN, cell->answer_us);
 }
 
@@ -93,7 +93,7 @@
         config_applied(&node->config, node->answer, cell->now_us);
 }
 
-/* Each process hears one other, as gossip would bring it. */
+/* Each process receives the newest version and confirmation, as by gossip. */
 static void
 spread_versions(struct cell *cell)
 {
@@ -177,11 +177,11 @@
 size_t
 cell_count_outdated(const struct cell *cell)
 {
-    size_t behind = 0;
+    size_t outdated = 0;
 
     for (size_t i = 0; i < cell->count; i++) {
         if (cell->nodes[i].config.have < cell->version)
-            behind++;
+            outdated++;
     }
-    return behind;
+    return outdated;
 }
--- a/tests/control/cell.h
+++ b/tests/control/cell.h
@@ -1,9 +1,9 @@
 /**
- * DOC: cell - configuration cores of one cell with a model platform
+ * DOC: cell - configuration cores of one cell with a simulated platform
  *
- * Words and versions spread to all after a second; what is modelled closely
- * is the platform: outages, slow and lost answers, watches that end or
- * skip, and each call counted by the second.
+ * Versions and confirmations reach all processes after one second. The
+ * platform is simulated with outages, slow and lost replies, and watches that
+ * end early or miss a change. Calls are counted per second.
  */
 #ifndef SWIFTARCH_TESTS_CONTROL_CELL_H
 #define SWIFTARCH_TESTS_CONTROL_CELL_H
@@ -15,8 +15,15 @@
 #define CELL_SECONDS_MAX 8192
 
 /**
- * struct cell_node - one process; its call to the platform, if one is out
- * @platform_unreachable: it doesn't reach the platform
+ * struct cell_node - one process and its pending platform call
+ * @calling: a call is pending
+ * @watching: the call is a watch
+ * @skips: the watch misses a change
+ * @platform_unreachable: its calls fail
+ * @after: version that the watch waits to exceed
+ * @done_us: end of the call, 0 while the platform has no result
+ * @status: result, as in struct platform_reply
+ * @answer: version in the reply
  */
 struct cell_node {
     struct config_core config;
@@ -33,14 +40,15 @@
 
 /**
  * struct cell - see DOC
- * @version: of the platform's object
- * @served_version: version that the platform answers (older after a fault)
- * @down: no answer; calls fail after 2.5 s
- * @answer_us: time to answer
- * @lost: answers lost, of 1000
- * @watch_ends: watches that break off early, of 1000
- * @watch_skips: watches that sleep through a change, of 1000
- * @calls: calls begun in each second
+ * @version: version of the platform's object
+ * @served_version: version that the platform returns (older after a fault)
+ * @down: outage: calls fail after 2.5 s
+ * @answer_us: latency of replies
+ * @lost: lost replies, of 1000 calls per step
+ * @watch_ends: watches that end early, of 1000 per step
+ * @watch_skips: watches that miss a change, of 1000
+ * @calls: calls started in each second
+ * @second: current second
  */
 struct cell {
     struct cell_node *nodes;
@@ -59,23 +67,23 @@
     uint64_t spread_us;
 };
 
-/** cell_init() - @count processes that know each other */
+/** cell_init() - @count processes that are members of the cell */
 void
 cell_init(struct cell *cell, size_t count, uint64_t seed);
 
-/** cell_finish() - free it */
+/** cell_finish() - free the processes */
 void
 cell_finish(struct cell *cell);
 
-/** cell_run() - let @seconds pass */
+/** cell_run() - advance the clock by @seconds */
 void
 cell_run(struct cell *cell, unsigned seconds);
 
-/** cell_calls() - calls begun in the seconds from @first on */
+/** cell_calls() - calls started in @seconds seconds from @first on */
 uint64_t
 cell_calls(const struct cell *cell, size_t first, size_t seconds);
 
-/** cell_peak() - most calls begun in one of them */
+/** cell_peak() - maximum of calls started in one of these seconds */
 uint32_t
 cell_peak(const struct cell *cell, size_t first, size_t seconds);
 
--- a/tests/control/net.c
+++ b/tests/control/net.c
@@ -99,7 +99,7 @@
     g_free(net->nodes);
 }
 
-/* Messages to a node that isn't there are refused, if its host lives. */
+/* Refuses a message to a killed node if its host still runs. */
 static void
 refuse(struct net *net, size_t from, size_t to)
 {
@@ -151,7 +151,7 @@
         node->largest = MAX(node->largest, len + AUTH_OVERHEAD);
     }
     event.base.at_us = net->now_us + delay(net);
-    /* A stream costs another round trip to open. */
+    /* Opening a stream takes another round trip. */
     if (action->stream)
         event.base.at_us += 2 * delay(net);
     if (!net->nodes[to].running) {
@@ -195,7 +195,7 @@
         push(net, event);
 }
 
-/* No platform here: only net_publish() brings versions in. */
+/* There is no platform: versions come from net_publish() only. */
 static void
 step(struct net *net, size_t i)
 {
@@ -207,7 +207,7 @@
     uint64_t next;
 
     config_set_membership(&node->config, &membership);
-    /* Nobody starves here either. */
+    /* The version always counts as confirmed: no self-reads. */
     node->config.confirmed_us = net->now_us;
     config_tick(&node->config, net->now_us, &actions);
     for (size_t j = 0; j < actions.count; j++) {
@@ -376,7 +376,7 @@
     if (node->frozen_us > net->now_us) {
         struct net_event later = *event;
 
-        /* The worse order: timers fire before what came is read. */
+        /* The worst order: timers run before deferred messages are read. */
         later.base.at_us = node->frozen_us + (event->type == NET_TICK ? 0 : 1);
         event->bytes = NULL;
         push(net, later);
--- a/tests/control/net.h
+++ b/tests/control/net.h
@@ -1,9 +1,9 @@
 /**
- * DOC: net - a few control cores on a model network with a paused clock
+ * DOC: net - control cores on a simulated network and clock
  *
- * Each node is a membership core and a configuration core. Messages go
- * through the real wire form, and through the real seal when @seal is set.
- * Everything random comes from one seed.
+ * Each node has a membership core and a configuration core. Messages are
+ * encoded as on the wire, and sealed if @seal is set. All random numbers
+ * derive from one seed.
  */
 #ifndef SWIFTARCH_TESTS_CONTROL_NET_H
 #define SWIFTARCH_TESTS_CONTROL_NET_H
@@ -15,11 +15,16 @@
 #include "control/member.h"
 #include "lib/queue.h"
 
-/** struct net_node - one process
- * @frozen_us: until then it doesn't run; what comes waits
- * @refuses: once killed, its host still answers that nobody listens
- * @group: nodes of different groups don't hear each other
- * @blocked_from: node whose messages don't arrive here, SIZE_MAX for none
+/**
+ * struct net_node - one process
+ * @refuses: after a kill its host refuses messages
+ * @group: messages between different groups are lost
+ * @blocked_from: node whose messages are lost, SIZE_MAX for none
+ * @frozen_us: end of a freeze, during which events are deferred
+ * @tick_us: time of the next tick event
+ * @fetch_from: unused
+ * @largest: maximum size of a sent datagram, bytes
+ * @adopted_us: when its configuration version came into force
  */
 struct net_node {
     struct member_core members;
@@ -46,10 +51,11 @@
 
 /**
  * struct net - see DOC
- * @loss: datagrams lost, of 1000
- * @delay_us: one way, plus as much again at random
- * @body_len: bytes of a configuration sent on a fetch
  * @wall_us: wall clock at time 0
+ * @loss: lost datagrams, of 1000
+ * @delay_us: minimum one-way delay; up to as much is added at random
+ * @body_len: size of a fetched configuration, bytes
+ * @seal: messages are sealed
  */
 struct net {
     struct net_node *nodes;
@@ -73,45 +79,46 @@
 void
 net_finish(struct net *net);
 
-/** net_start() - start (or restart) a node that knows @contact, unless its
- * own */
+/** net_start() - start or restart a node that has @contact as its contact,
+ * unless that is itself */
 void
 net_start(struct net *net, size_t i, size_t contact);
 
-/** net_kill() - end it without a word; @refuses as in struct net_node */
+/** net_kill() - end a node without notice; @refuses as in struct net_node */
 void
 net_kill(struct net *net, size_t i, bool refuses);
 
-/** net_leave() - a planned stop */
+/** net_leave() - stop a node by member_leave() */
 void
 net_leave(struct net *net, size_t i);
 
-/** net_freeze() - stop it for @for_us */
+/** net_freeze() - suspend a node for @for_us */
 void
 net_freeze(struct net *net, size_t i, uint64_t for_us);
 
-/** net_publish() - @version comes from the platform at node @i */
+/** net_publish() - node @i receives @version from the platform */
 void
 net_publish(struct net *net, size_t i, uint64_t version);
 
-/** net_announce() - the process at @i says that its state is @state */
+/** net_announce() - node @i announces @state */
 void
 net_announce(struct net *net, size_t i, enum member_state state);
 
-/** net_run() - let @for_us pass */
+/** net_run() - advance the clock by @for_us */
 void
 net_run(struct net *net, uint64_t for_us);
 
-/** net_health() - what @i thinks of @j; MEMBER_DEAD when it knows nothing */
+/** net_health() - health of @j as @i judges it; MEMBER_DEAD without an entry
+ */
 enum member_health
 net_health(const struct net *net, size_t i, size_t j);
 
-/** net_agrees() - whether all running nodes take all running ones for alive
- * and no other */
+/** net_agrees() - whether all running nodes list exactly the running nodes as
+ * alive */
 bool
 net_agrees(const struct net *net);
 
-/** net_deaths() - deaths that running nodes declared by timeout */
+/** net_deaths() - deaths that running nodes declared after a timeout */
 uint64_t
 net_deaths(const struct net *net);
 
--- a/tests/control/test_config.c
+++ b/tests/control/test_config.c
@@ -1,4 +1,4 @@
-/* The configuration core: versions, words, and the platform's budget. */
+/* The configuration core: versions, confirmations, rate of platform calls. */
 #include <errno.h>
 #include <inttypes.h>
 
@@ -18,10 +18,9 @@
     cell->served_version = version;
 }
 
-/* Calls a second of a whole cell: in rest, and in an hour without the
- * platform. */
+/* Measures a cell's calls per second when idle and in an outage of an hour. */
 static void
-measure(size_t count, double *rest, double *outage, uint32_t *peak)
+measure(size_t count, double *idle, double *outage, uint32_t *peak)
 {
     struct cell *cell = g_new0(struct cell, 1);
 
@@ -29,44 +28,44 @@
     publish(cell, 1);
     cell_run(cell, 100);
     g_assert_cmpuint(cell_count_outdated(cell), ==, 0);
-    *rest = cell_calls(cell, 30, 70) / 70.0;
+    *idle = cell_calls(cell, 30, 70) / 70.0;
     cell->down = true;
     cell_run(cell, HOUR_S);
     *outage = cell_calls(cell, 100, HOUR_S) / (double)HOUR_S;
-    /* The return is no stampede, and word comes soon. */
+    /* After the outage calls don't burst, and the change arrives soon. */
     cell->down = false;
     publish(cell, 2);
     cell_run(cell, 30);
     *peak = cell_peak(cell, 100 + HOUR_S, 30);
     g_assert_cmpuint(cell_count_outdated(cell), ==, 0);
-    /* Those who read for themselves leave it to the readers again. */
+    /* Substitute readers stop when the readers work again. */
     cell_run(cell, 300);
     g_assert_cmpfloat(cell_calls(cell, 230 + HOUR_S, 200) / 200.0, <, 0.7);
     cell_finish(cell);
     g_free(cell);
 }
 
-TEST(calls_flat)
+TEST(call_rate_independent_of_size)
 {
     static const size_t sizes[] = {10, 25, 50, 100, 200};
-    double rest[G_N_ELEMENTS(sizes)];
+    double idle[G_N_ELEMENTS(sizes)];
     double outage[G_N_ELEMENTS(sizes)];
     uint32_t peak[G_N_ELEMENTS(sizes)];
 
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-        measure(sizes[i], &rest[i], &outage[i], &peak[i]);
-        g_test_message("%zu members: %.2f calls/s in rest, %.2f in an "
+        measure(sizes[i], &idle[i], &outage[i], &peak[i]);
+        g_test_message("%zu members: %.2f calls/s idle, %.2f in an "
                        "outage, peak %u in the 30 s after it",
-                       sizes[i], rest[i], outage[i], peak[i]);
-        g_assert_cmpfloat(rest[i], <, 0.7);
+                       sizes[i], idle[i], outage[i], peak[i]);
+        g_assert_cmpfloat(idle[i], <, 0.7);
         g_assert_cmpfloat(outage[i], <, 1.0);
         g_assert_cmpuint(peak[i], <=, 6);
-        g_assert_cmpfloat(rest[i], <, rest[0] * 1.3);
+        g_assert_cmpfloat(idle[i], <, idle[0] * 1.3);
         g_assert_cmpfloat(outage[i], <, outage[0] * 1.5);
     }
 }
 
-/* In force everywhere within 14 s, whatever one fault does. */
+/* A change is in force everywhere within 14 s despite one fault. */
 static void
 run_fault(const char *name, void (*set)(struct cell *), uint64_t seed)
 {
@@ -108,7 +107,7 @@
 static void
 set_lost(struct cell *cell)
 {
-    cell->lost = 5; /* of 1000 in each step of 50 ms a call is out */
+    cell->lost = 5; /* of 1000 per step of 50 ms */
 }
 
 static void
@@ -123,7 +122,7 @@
     cell->watch_skips = 1000;
 }
 
-TEST(faults)
+TEST(change_despite_platform_faults)
 {
     for (uint64_t seed = 1; seed <= 5; seed++) {
         run_fault("answers of 2 s", set_slow, seed);
@@ -133,14 +132,14 @@
     }
 }
 
-/* Only one member reaches the platform, and it is no reader. */
-TEST_F(cell, readers_cut_off, 20, 5)
+/* Only one member reaches the platform, and it isn't a reader. */
+TEST_F(cell, readers_unreachable, 20, 5)
 {
     publish(cell, 1);
     cell_run(cell, 30);
     for (size_t i = 0; i < 19; i++)
         cell->nodes[i].platform_unreachable = true;
-    /* Turns of 20 members, each a call in 5 s on average: at most 150 s. */
+    /* 20 members, one self-read per 5 s on average: at most 150 s. */
     cell_run(cell, 165);
     publish(cell, 2);
     cell_run(cell, 14);
@@ -148,8 +147,8 @@
     g_assert_cmpuint(cell_peak(cell, 30, 179), <=, 5);
 }
 
-/* A platform that answers an older version changes nothing. */
-TEST(never_back)
+/* An older version from the platform is ignored. */
+TEST(older_version_ignored)
 {
     struct config_core core;
 
@@ -159,7 +158,7 @@
     g_assert_false(
         config_handle_platform_reply(&core, 0, 4, 3 * USEC_PER_SEC));
     g_assert_cmpuint(core.stats.stale, ==, 1);
-    /* Nor is its answer a word on the version in force. */
+    /* It doesn't confirm the version in force either. */
     g_assert_cmpuint(core.confirmed_us, ==, 2 * USEC_PER_SEC);
     g_assert_false(
         config_handle_platform_reply(&core, -ENOENT, 0, 4 * USEC_PER_SEC));
@@ -171,8 +170,8 @@
     g_assert_cmpuint(core.have, ==, 5);
 }
 
-/* A fetch that fails goes to another who said that it has the version. */
-TEST(fetch_elsewhere)
+/* A failed fetch is retried from another source. */
+TEST(failed_fetch_retried_elsewhere)
 {
     struct config_membership membership = {
         .rank = 9, .alive = 10, .joined = true};
@@ -199,9 +198,9 @@
     g_assert_cmpuint(core.stats.failed_fetches, ==, 1);
 }
 
-/* The word of a version counts from when a peer told of it, though its body
- * comes later; a word on another version says nothing of it. */
-TEST(word_with_fetch)
+/* A confirmation dates from the peer's message, although the body arrives
+ * later; a confirmation of another version doesn't count. */
+TEST(confirmation_of_fetched_version)
 {
     struct config_membership membership = {
         .rank = 9, .alive = 10, .joined = true};
@@ -226,8 +225,8 @@
     g_assert_cmpuint(core.confirmed_us, ==, now - 500 * USEC_PER_MSEC);
 }
 
-/* A body that is no valid text isn't asked for again and again. */
-TEST(refused_body)
+/* An invalid body isn't fetched again. */
+TEST(invalid_body_not_refetched)
 {
     struct config_membership membership = {
         .rank = 0, .alive = 1, .joined = true};
@@ -248,9 +247,9 @@
     g_assert_cmpuint(core.source_count, ==, 1);
 }
 
-/* A process that ranks first only while it knows few others reads the
- * platform no longer than that. */
-TEST_F(cell, start_of_a_cell, 40, 6)
+/* A process that ranks first only until it has the full list stops reading
+ * the platform then. */
+TEST_F(cell, early_readers_stop, 40, 6)
 {
     publish(cell, 1);
     for (size_t i = 0; i < 40; i++) {
@@ -277,9 +276,9 @@
     g_assert_cmpfloat(cell_calls(cell, 27, 80) / 80.0, <, 0.7);
 }
 
-/* 2,000 processes of a data centre that starts anew, none of which reaches
- * its contacts: the reads come spread. */
-TEST(lone_starts)
+/* 2,000 processes of a starting data centre, without reachable contacts,
+ * spread their reads. */
+TEST(isolated_reads_spread)
 {
     enum { PROCESSES = 2000 };
     struct cell *cell = g_new0(struct cell, 1);
@@ -293,9 +292,9 @@
     }
     cell->down = true;
     cell_run(cell, 120);
-    g_test_message("%u lone processes: peak %u calls/s, mean %.0f after 30 s",
-                   PROCESSES, cell_peak(cell, 0, 120),
-                   cell_calls(cell, 30, 90) / 90.0);
+    g_test_message(
+        "%u isolated processes: peak %u calls/s, mean %.0f after 30 s",
+        PROCESSES, cell_peak(cell, 0, 120), cell_calls(cell, 30, 90) / 90.0);
     g_assert_cmpuint(cell_peak(cell, 0, 120), <, PROCESSES / 8);
     g_assert_cmpuint(cell_calls(cell, 30, 90), <, 90 * PROCESSES / 20);
     cell_finish(cell);
--- a/tests/control/test_control.c
+++ b/tests/control/test_control.c
@@ -1,4 +1,4 @@
-/* Control threads of one process, with the stand-in platform. */
+/* Control threads on loopback with the stand-in platform. */
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
@@ -29,15 +29,15 @@
     struct node nodes[NODES_MAX];
 };
 
-/* A loopback address of this process alone, so that no other run beside it
- * takes a port between choice and use. */
+/* A loopback address per process, so that a concurrent run can't take a port
+ * before it is bound. */
 static uint32_t
 own_ip(void)
 {
     return 0x7f000000 | 1u << 22 | ((uint32_t)getpid() & 0x3fffff);
 }
 
-/* The kernel's choice of a port, and never the same one twice. */
+/* An unused port, each returned once. */
 static struct addr
 own_address(void)
 {
@@ -108,7 +108,7 @@
     g_autoptr(GBytes) value = g_bytes_new_take(text, strlen(text));
     uint64_t version;
 
-    /* As the server does it, so that watches are told. */
+    /* Like a put by the server, wakes the watches. */
     g_mutex_lock(&f->server.lock);
     g_assert_cmpint(
         store_put(&f->server.store, "config", expect, value, &version), ==, 0);
@@ -119,19 +119,19 @@
 static bool
 has_version(struct fixture *f, size_t i, uint64_t version)
 {
-    const struct service_config *text;
+    const struct service_config *config;
     bool ok;
 
     rcu_read_lock();
-    text = blackboard_config(&f->nodes[i].blackboard);
-    ok = text != NULL && text->version == version;
+    config = blackboard_config(&f->nodes[i].blackboard);
+    ok = config != NULL && config->version == version;
     rcu_read_unlock();
     return ok;
 }
 
 static bool
-sees(struct fixture *f, size_t i, const char *name, enum member_state state,
-     enum member_health health)
+lists_member(struct fixture *f, size_t i, const char *name,
+             enum member_state state, enum member_health health)
 {
     const struct view_member *member;
     const struct view *view;
@@ -191,24 +191,31 @@
     server_finish(&f->server);
 }
 
-TEST_WITH(fixture, setup, teardown, find_and_leave, 3, true)
+TEST_WITH(fixture, setup, teardown, join_and_leave, 3, true)
 {
     put_config(fixture, 0, "lots");
     for (size_t i = 0; i < 3; i++) {
         LOOPBACK_WAIT(has_version(fixture, i, 1));
-        LOOPBACK_WAIT(sees(fixture, i, "node-0", MEMBER_READY, MEMBER_ALIVE));
-        LOOPBACK_WAIT(sees(fixture, i, "node-1", MEMBER_READY, MEMBER_ALIVE));
-        LOOPBACK_WAIT(sees(fixture, i, "node-2", MEMBER_READY, MEMBER_ALIVE));
+        LOOPBACK_WAIT(
+            lists_member(fixture, i, "node-0", MEMBER_READY, MEMBER_ALIVE));
+        LOOPBACK_WAIT(
+            lists_member(fixture, i, "node-1", MEMBER_READY, MEMBER_ALIVE));
+        LOOPBACK_WAIT(
+            lists_member(fixture, i, "node-2", MEMBER_READY, MEMBER_ALIVE));
     }
     stop_node(fixture, 1);
-    LOOPBACK_WAIT(sees(fixture, 0, "node-1", MEMBER_LEAVING, MEMBER_DEAD));
-    LOOPBACK_WAIT(sees(fixture, 2, "node-1", MEMBER_LEAVING, MEMBER_DEAD));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-1", MEMBER_LEAVING, MEMBER_DEAD));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 2, "node-1", MEMBER_LEAVING, MEMBER_DEAD));
     start_node(fixture, 1);
-    LOOPBACK_WAIT(sees(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
-    LOOPBACK_WAIT(sees(fixture, 2, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 2, "node-1", MEMBER_READY, MEMBER_ALIVE));
 }
 
-TEST_WITH(fixture, setup, teardown, config_moves_up, 5, true)
+TEST_WITH(fixture, setup, teardown, config_updates, 5, true)
 {
     put_config(fixture, 0, "lots");
     for (size_t i = 0; i < 5; i++)
@@ -220,7 +227,7 @@
     }
 }
 
-/* Whatever the platform does but be down, a change comes in force. */
+/* A change comes into force despite each fault of the platform. */
 TEST_WITH(fixture, setup, teardown, platform_faults, 3, true)
 {
     static const struct server_fault faults[] = {
@@ -271,9 +278,9 @@
     }
 }
 
-/* What doesn't bear the site key's seal changes nothing. A batch fits the
- * socket's buffer, and the next waits for it: UDP keeps no more. */
-TEST_WITH(fixture, setup, teardown, garbage, 2, true)
+/* Datagrams without a valid seal are dropped and counted. A batch fits the
+ * socket's buffer, and the next waits until it is handled. */
+TEST_WITH(fixture, setup, teardown, unsealed_datagrams, 2, true)
 {
     enum { BATCH = 20, TOTAL = 200 };
     struct random random = {.state = 12};
@@ -281,7 +288,8 @@
     int fd;
 
     put_config(fixture, 0, "lots");
-    LOOPBACK_WAIT(sees(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
     sin = addr_to_sockaddr(fixture->nodes[0].settings.control);
     fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     g_assert_cmpint(connect(fd, (struct sockaddr *)&sin, sizeof(sin)), ==, 0);
@@ -291,13 +299,14 @@
         g_assert_cmpuint(bad_messages(fixture, 0), ==, sent);
     }
     close(fd);
-    /* A busy machine may make it a suspect, for as long as it is late. */
-    LOOPBACK_WAIT(sees(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    /* On a busy machine it may be a suspect for a while. */
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
     g_assert_true(has_version(fixture, 0, 1));
 }
 
-/* A process that starts while the platform is down takes it from peers, and
- * isn't ready for anybody before it has a configuration. */
+/* A process that starts in an outage gets the configuration from its peers,
+ * and isn't announced as ready before. */
 TEST(platform_down)
 {
     struct fixture f;
@@ -308,20 +317,20 @@
     server_set_fault(&f.server, (struct server_fault){.mode = SERVER_DOWN});
     start_node(&f, 2);
     LOOPBACK_WAIT(has_version(&f, 2, 1));
-    LOOPBACK_WAIT(sees(&f, 0, "node-2", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(lists_member(&f, 0, "node-2", MEMBER_READY, MEMBER_ALIVE));
     teardown(&f);
 
     setup(&f, 2, false);
-    LOOPBACK_WAIT(sees(&f, 0, "node-1", MEMBER_WARMING, MEMBER_ALIVE));
-    g_assert_false(sees(&f, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(lists_member(&f, 0, "node-1", MEMBER_WARMING, MEMBER_ALIVE));
+    g_assert_false(lists_member(&f, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
     put_config(&f, 0, "lots");
     server_set_fault(&f.server, (struct server_fault){.mode = SERVER_NONE});
-    LOOPBACK_WAIT(sees(&f, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(lists_member(&f, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
     teardown(&f);
 }
 
 static bool
-cell_names(struct fixture *f, const char *name)
+cell_object_lists(struct fixture *f, const char *name)
 {
     g_autoptr(GBytes) value = NULL;
     bool found;
@@ -333,20 +342,22 @@
     return found;
 }
 
-/* No living seed in its settings: the object of the cell names others. */
-TEST_WITH(fixture, setup, teardown, cell_object, 2, true)
+/* Without a live seed in its settings a process joins by the cell object. */
+TEST_WITH(fixture, setup, teardown, join_by_cell_object, 2, true)
 {
     put_config(fixture, 0, "lots");
     LOOPBACK_WAIT(store_get(&fixture->server.store, "cell-dar", NULL) > 0);
-    LOOPBACK_WAIT(sees(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
     fixture->nodes[2].settings.seeds[0].port = own_address().port;
-    LOOPBACK_WAIT(cell_names(fixture, "node-1"));
+    LOOPBACK_WAIT(cell_object_lists(fixture, "node-1"));
     start_node(fixture, 2);
-    LOOPBACK_WAIT(sees(fixture, 0, "node-2", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-2", MEMBER_READY, MEMBER_ALIVE));
 }
 
-/* All seeds in their settings are dead and there is no object yet. */
-TEST_WITH(fixture, setup, teardown, dead_seeds, 0, true)
+/* Processes find each other without live seeds and without a cell object. */
+TEST_WITH(fixture, setup, teardown, join_without_live_seeds, 0, true)
 {
     put_config(fixture, 0, "lots");
     for (size_t i = 0; i < 3; i++) {
@@ -355,13 +366,16 @@
         start_node(fixture, i);
     }
     for (size_t i = 0; i < 3; i++) {
-        LOOPBACK_WAIT(sees(fixture, i, "node-0", MEMBER_READY, MEMBER_ALIVE));
-        LOOPBACK_WAIT(sees(fixture, i, "node-1", MEMBER_READY, MEMBER_ALIVE));
-        LOOPBACK_WAIT(sees(fixture, i, "node-2", MEMBER_READY, MEMBER_ALIVE));
+        LOOPBACK_WAIT(
+            lists_member(fixture, i, "node-0", MEMBER_READY, MEMBER_ALIVE));
+        LOOPBACK_WAIT(
+            lists_member(fixture, i, "node-1", MEMBER_READY, MEMBER_ALIVE));
+        LOOPBACK_WAIT(
+            lists_member(fixture, i, "node-2", MEMBER_READY, MEMBER_ALIVE));
     }
 }
 
-struct asker {
+struct show_client {
     struct link_handler handler;
     struct event_base *base;
     Swiftarch__ShowReply *reply;
@@ -371,11 +385,11 @@
 on_frame(struct link_handler *handler, struct link_conn *conn, uint64_t sender,
          uint16_t type, const uint8_t *body, size_t len)
 {
-    struct asker *asker = (struct asker *)handler;
+    struct show_client *show_client = (struct show_client *)handler;
 
     g_assert_cmpint(type, ==, 0x111);
-    asker->reply = swiftarch__show_reply__unpack(NULL, len, body);
-    event_base_loopbreak(asker->base);
+    show_client->reply = swiftarch__show_reply__unpack(NULL, len, body);
+    event_base_loopbreak(show_client->base);
 }
 
 static void
@@ -388,7 +402,7 @@
 {
     static const struct link_ops ops = {on_frame, on_disconnect};
     Swiftarch__ShowRequest request = SWIFTARCH__SHOW_REQUEST__INIT;
-    struct asker asker = {.handler.ops = &ops};
+    struct show_client show_client = {.handler.ops = &ops};
     struct link_hub hub;
     struct auth auth;
     struct error err = {0};
@@ -396,12 +410,14 @@
     size_t len;
 
     put_config(fixture, 0, "lots");
-    LOOPBACK_WAIT(sees(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
-    asker.base = event_base_new();
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    show_client.base = event_base_new();
     auth_init(&auth, fixture->nodes[0].settings.site_key, 32,
               hash_name("operator"), g_get_real_time() / 1000);
-    g_assert_cmpint(link_hub_init(&hub, asker.base, &auth, &asker.handler,
-                                  (struct addr){0}, &err),
+    g_assert_cmpint(link_hub_init(&hub, show_client.base, &auth,
+                                  &show_client.handler, (struct addr){0},
+                                  &err),
                     ==, 0);
     request.counters = true;
     request.members = true;
@@ -409,35 +425,38 @@
     g_assert_cmpint(
         link_send(&hub, fixture->nodes[0].settings.control, 0x110, body, len),
         ==, 0);
-    event_base_dispatch(asker.base);
-    g_assert_nonnull(asker.reply);
-    g_assert_cmpstr(asker.reply->name, ==, "node-0");
-    g_assert_cmpuint(asker.reply->config_version, ==, 1);
-    g_assert_cmpuint(asker.reply->n_members, ==, 2);
-    g_assert_cmpuint(asker.reply->state, ==, MEMBER_READY);
-    g_assert_true(asker.reply->from_platform);
-    g_assert_cmpuint(asker.reply->heard_ms, <, LOOPBACK_WAIT_MS);
-    g_assert_nonnull(strstr(asker.reply->counters, "platform_calls_total"));
-    g_assert_nonnull(g_strstr_len((char *)asker.reply->config.data,
-                                  asker.reply->config.len, "lots"));
-    swiftarch__show_reply__free_unpacked(asker.reply, NULL);
+    event_base_dispatch(show_client.base);
+    g_assert_nonnull(show_client.reply);
+    g_assert_cmpstr(show_client.reply->name, ==, "node-0");
+    g_assert_cmpuint(show_client.reply->config_version, ==, 1);
+    g_assert_cmpuint(show_client.reply->n_members, ==, 2);
+    g_assert_cmpuint(show_client.reply->state, ==, MEMBER_READY);
+    g_assert_true(show_client.reply->from_platform);
+    g_assert_cmpuint(show_client.reply->heard_ms, <, LOOPBACK_WAIT_MS);
+    g_assert_nonnull(
+        strstr(show_client.reply->counters, "platform_calls_total"));
+    g_assert_nonnull(g_strstr_len((char *)show_client.reply->config.data,
+                                  show_client.reply->config.len, "lots"));
+    swiftarch__show_reply__free_unpacked(show_client.reply, NULL);
     link_hub_finish(&hub);
     auth_finish(&auth);
-    event_base_free(asker.base);
+    event_base_free(show_client.base);
 }
 
-TEST_WITH(fixture, setup, teardown, report_dead, 2, true)
+TEST_WITH(fixture, setup, teardown, false_report_refuted, 2, true)
 {
     uint64_t incarnation;
 
     put_config(fixture, 0, "lots");
-    LOOPBACK_WAIT(sees(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
     incarnation = incarnation_of(fixture, 0, "node-1");
-    /* A false report is refuted by the living process. */
+    /* The live process refutes a false report. */
     control_report_dead(fixture->nodes[0].control, hash_name("node-1"),
                         incarnation);
     LOOPBACK_WAIT(incarnation_of(fixture, 0, "node-1") > incarnation);
-    LOOPBACK_WAIT(sees(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
+    LOOPBACK_WAIT(
+        lists_member(fixture, 0, "node-1", MEMBER_READY, MEMBER_ALIVE));
 }
 
 int
--- a/tests/control/test_member_net.c
+++ b/tests/control/test_member_net.c
@@ -1,7 +1,7 @@
 /*
- * Orders of events on the membership and configuration cores: random
- * scenarios with freezes, kills, joins, leaves, partitions and loss. Each
- * has a seed; a failure prints it with the shortest prefix that fails.
+ * Random scenarios with freezes, kills, joins, leaves, partitions and loss: no
+ * false death, no version or incarnation that decreases, and convergence. A
+ * failure prints its seed and the shortest prefix that fails.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -54,7 +54,7 @@
 
 struct checker {
     struct net net;
-    uint64_t *incarnations; /* by observer and member */
+    uint64_t *incarnations; /* last ones, by observer and member */
     uint64_t *versions;
     uint64_t version;
     uint64_t false_deaths;
@@ -62,7 +62,8 @@
 };
 
 static void
-plan(struct scenario *scenario, uint64_t seed, unsigned loss, bool partitions)
+make_scenario(struct scenario *scenario, uint64_t seed, unsigned loss,
+              bool partitions)
 {
     struct random random = {.state = seed};
 
@@ -83,7 +84,7 @@
 }
 
 static void
-fail(struct checker *check, const char *what, size_t i, size_t j)
+record_failure(struct checker *check, const char *what, size_t i, size_t j)
 {
     if (check->failure[0] != '\0')
         return;
@@ -104,12 +105,12 @@
     if (entry == NULL)
         return;
     if (entry->member.incarnation < *last)
-        fail(check, "incarnation went back", i, j);
+        record_failure(check, "incarnation decreased", i, j);
     *last = entry->member.incarnation;
     if (net->nodes[j].running && entry->start == net->nodes[j].start &&
         entry->member.health == MEMBER_DEAD && !scenario->partitions) {
         check->false_deaths++;
-        fail(check, "a living process was declared dead", i, j);
+        record_failure(check, "a live process was declared dead", i, j);
     }
 }
 
@@ -124,10 +125,10 @@
         if (!node->running)
             continue;
         if (node->config.have < check->versions[i])
-            fail(check, "configuration went back", i, i);
+            record_failure(check, "configuration version decreased", i, i);
         check->versions[i] = node->config.have;
         if (node->largest > MEMBER_DATAGRAM_MAX)
-            fail(check, "datagram too large", i, i);
+            record_failure(check, "datagram too large", i, i);
         for (size_t j = 0; j < net->count; j++)
             check_pair(check, scenario, i, j);
     }
@@ -144,7 +145,7 @@
 }
 
 static void
-forget(struct checker *check, size_t i)
+reset_observer(struct checker *check, size_t i)
 {
     check->versions[i] = 0;
     memset(&check->incarnations[i * check->net.count], 0,
@@ -152,10 +153,10 @@
 }
 
 static size_t
-any_running(const struct net *net, size_t but)
+any_running(const struct net *net, size_t except)
 {
     for (size_t i = 0; i < net->count; i++) {
-        if (i != but && net->nodes[i].running)
+        if (i != except && net->nodes[i].running)
             return i;
     }
     return SIZE_MAX;
@@ -181,7 +182,7 @@
         break;
     case OP_JOIN:
         if (!running) {
-            forget(check, op->node);
+            reset_observer(check, op->node);
             net_start(net, op->node, any_running(net, op->node));
         }
         break;
@@ -216,18 +217,18 @@
         if (net->nodes[i].config.have < check->version &&
             net->nodes[any_running(net, SIZE_MAX)].config.have >
                 net->nodes[i].config.have)
-            fail(check, "configuration did not arrive", i, i);
+            record_failure(check, "configuration did not arrive", i, i);
         for (size_t j = 0; j < net->count; j++) {
             enum member_health want =
                 net->nodes[j].running ? MEMBER_ALIVE : MEMBER_DEAD;
 
             if (net_health(net, i, j) != want)
-                fail(check, "views did not converge", i, j);
+                record_failure(check, "views did not converge", i, j);
         }
     }
 }
 
-/* Runs the first @ops of the scenario; @failure is empty when all holds. */
+/* Runs the first @ops of the scenario; @failure is empty on success. */
 static uint64_t
 run(const struct scenario *scenario, size_t ops, char *failure, size_t size)
 {
@@ -241,7 +242,7 @@
         net_start(&check.net, i, 0);
     run_checked(&check, scenario, 30 * USEC_PER_SEC);
     if (!net_agrees(&check.net))
-        fail(&check, "the start did not converge", 0, 0);
+        record_failure(&check, "the start did not converge", 0, 0);
     check.net.loss = scenario->loss;
     for (size_t i = 0; i < ops && check.failure[0] == '\0'; i++) {
         run_op(&check, scenario, &scenario->ops[i]);
@@ -285,7 +286,7 @@
     struct scenario scenario;
     char failure[256];
 
-    plan(&scenario, seed, loss, partitions);
+    make_scenario(&scenario, seed, loss, partitions);
     run(&scenario, scenario.op_count, failure, sizeof(failure));
     if (failure[0] == '\0')
         return;
@@ -315,8 +316,8 @@
     run_seeds(3000, 50, true);
 }
 
-/* A member whose refutation was no longer news stayed dead for those who
- * had missed it: its answer to their pings didn't repeat it. */
+/* An ACK repeats a refutation to a member that missed it, also when it is no
+ * longer pending. */
 TEST(refutation_repeated)
 {
     static const uint64_t seeds[] = {3023, 3121, 3144};
@@ -333,8 +334,8 @@
     net_run(net, 30 * USEC_PER_SEC);
 }
 
-/* A freeze of 30 s is a death for the others; who returns is back for all,
- * by a higher incarnation of the same start. */
+/* A member frozen for 30 s is declared dead, then returns with a higher
+ * incarnation of the same start. */
 TEST_F(net, long_freeze, 20, 8)
 {
     const struct member_entry *entry;
@@ -351,13 +352,13 @@
     entry = member_find(&net->nodes[0].members, hash_name(net->nodes[7].name));
     g_assert_cmpuint(entry->start, ==, net->nodes[7].start);
     g_assert_cmpuint(entry->member.incarnation, >, entry->start);
-    /* It took nobody else for dead, though it had heard nothing for 30 s. */
+    /* It suspected no other member, although it received nothing for 30 s. */
     g_assert_cmpuint(net->nodes[7].members.stats.deaths, ==, 0);
     g_assert_cmpuint(net->nodes[7].members.stats.suspicions, ==, 0);
 }
 
-/* Two that don't hear each other are both alive to all, by the helpers. */
-TEST_F(net, broken_path, 20, 9)
+/* Indirect probes keep two members alive that can't reach each other. */
+TEST_F(net, indirect_probes, 20, 9)
 {
     uint64_t suspicions = 0;
 
@@ -374,14 +375,14 @@
     g_assert_cmpuint(net->nodes[3].members.stats.failed_probes, ==, 0);
 }
 
-/* A process whose timers run late suspects nobody for that. */
+/* A process whose timers run late starts no suspicion. */
 TEST_F(net, late_timers, 10, 10)
 {
     uint64_t suspicions = 0;
 
     start_all(net);
     for (unsigned i = 0; i < 20; i++) {
-        /* The answers come while it doesn't run. */
+        /* The ACKs arrive while it is frozen. */
         while (!net->nodes[2].members.probes[0].active)
             net_run(net, USEC_PER_MSEC);
         net_freeze(net, 2, 700 * USEC_PER_MSEC);
@@ -392,7 +393,7 @@
     g_assert_cmpuint(net->nodes[2].members.stats.late_periods, >=, 20);
 }
 
-/* A host that vanishes is suspected everywhere within 2 s. */
+/* A host that fails is suspected everywhere within 2 s. */
 TEST(time_to_suspect)
 {
     enum { NODES = 40, TRIALS = 20 };
@@ -425,7 +426,7 @@
     net_finish(&net);
 }
 
-/* Bytes a node sends in rest, at 10 members and at 50. */
+/* Bytes per second that an idle node of a cell sends. */
 static uint64_t
 idle_bytes(size_t nodes)
 {
@@ -446,12 +447,12 @@
     return (after - before) / nodes / 60;
 }
 
-TEST(flat_bytes)
+TEST(idle_bytes_independent_of_size)
 {
     uint64_t small = idle_bytes(10);
     uint64_t large = idle_bytes(50);
 
-    g_test_message("bytes a second in rest: %" PRIu64 " at 10, %" PRIu64
+    g_test_message("idle bytes per second: %" PRIu64 " at 10, %" PRIu64
                    " at 50",
                    small, large);
     g_assert_cmpuint(large, <, small + small / 10);
