--- a/src/service_config/service_config.c
+++ b/src/service_config/service_config.c
@@ -11,7 +11,7 @@
 #include "service_config/service_config_diag.h"
 #include "service_config/service_config_index.h"
 
-/* White space around the config isn't published, so it isn't kept. */
+/* Copies the source without the white space around it. */
 static int
 copy_source(struct service_config *config, const char *source, size_t len)
 {
@@ -32,7 +32,7 @@
     return 0;
 }
 
-/* Size and encoding, which must hold before json-c sees the source. */
+/* json-c takes an int length and doesn't validate UTF-8. */
 static int
 check_size_and_encoding(const char *source, size_t len,
                         struct service_config_diags *diags)
@@ -116,11 +116,11 @@
            struct service_config_diags *diags, struct service_config *config)
 {
     struct service_config_index index;
-    size_t bad;
-    int rc = service_config_index_init(&index, source, len, &bad);
+    size_t error_at;
+    int rc = service_config_index_init(&index, source, len, &error_at);
 
     if (rc == -EINVAL) {
-        add_syntax_diag(source, len, bad, "RFC 8259", diags);
+        add_syntax_diag(source, len, error_at, "RFC 8259", diags);
     }
     if (rc < 0) {
         return rc;
--- a/src/service_config/service_config.h
+++ b/src/service_config/service_config.h
@@ -1,5 +1,8 @@
 /**
- * DOC: config - the operators' one config: services and what each depends on
+ * DOC: service_config - the operators' configuration of all services
+ *
+ * Parses and checks the JSON that operators publish, and reads and writes the
+ * envelope in which the platform stores it.
  */
 #ifndef SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_H
 #define SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_H
@@ -14,16 +17,17 @@
 #include "service_config/service_config_types.h"
 
 /**
- * struct service_config_envelope - what the platform's object "config" holds
- * @write_id: random, 32 hexadecimal digits: tells one write from another
- * @author: who published it (key "operator")
- * @written_ms: when, by that operator's clock, milliseconds since 1970
- * @history: write ids of the versions before it, the latest first
- * @history_count: how many
- * @source: the configuration inside the value it was read from
- * @source_len: its length in bytes
- * @retired: list of retired addresses (JSON) inside the value, or NULL
- * @retired_len: its length in bytes
+ * struct service_config_envelope - value of the platform's object "config"
+ * @write_id: random id of this write, 32 hexadecimal digits
+ * @author: operator who published it (key "operator")
+ * @written_ms: time of the write, milliseconds since 1970 by the operator's
+ *              clock
+ * @history: write ids of the previous versions, the latest first
+ * @history_count: number of ids in @history
+ * @source: the config, points into the value that was read
+ * @source_len: length of @source in bytes
+ * @retired: JSON list of retired addresses in the value, or NULL
+ * @retired_len: length of @retired in bytes
  */
 struct service_config_envelope {
     char write_id[SERVICE_CONFIG_WRITE_ID_MAX];
@@ -38,57 +42,58 @@
 };
 
 /**
- * service_config_parse() - check a config and read it
- * @source: JSON, not necessarily ended by NUL
- * @len: its length
- * @name: file name for messages
- * @config: result, calloc()ed, or NULL
- * @report: all diags, one a line "name:line: key: found, expected"
- *          (g_free() it), NULL when there are none
+ * service_config_parse() - parse and check a config
+ * @source: JSON, not necessarily NUL-terminated
+ * @len: length of @source in bytes
+ * @name: file name for error messages
+ * @config: set to the result, to be freed with service_config_free(), or to
+ *          NULL on failure
+ * @report: set to all errors, one per line as "name:line: key: found,
+ * expected" (free with g_free()), or to NULL when there are none
  *
- * Return: 0 or -EINVAL, -EFBIG, -ENOMEM.
+ * Return: 0; -EINVAL for an invalid config, -EFBIG for one that is too long,
+ * -ENOMEM.
  */
 int
 service_config_parse(const char *source, size_t len, const char *name,
                      struct service_config **config, char **report);
 
 /**
- * service_config_parse_envelope() - check and read the value of the object
- * "config"
- * @value: the object's value: an envelope, or a bare config
- * @len: its length
- * @version: the object's version
- * @config: result as from service_config_parse(), with @version and the
- * retired addresses
- * @report: as from service_config_parse()
+ * service_config_parse_envelope() - parse and check a published value
+ * @value: an envelope, the source of a struct service_config, or a bare config
+ * @len: length of @value in bytes
+ * @version: version of the platform's object
+ * @config: as for service_config_parse(), with @version and the retired
+ *          addresses
+ * @report: as for service_config_parse()
  *
- * What this function makes of a config's source and of the value from which
- * it was read are equal but for the version, so processes may pass on
- * either form.
+ * Parsing the source of the resulting config again gives an equal config, so
+ * processes can send each other the source instead of the envelope.
  *
- * Return: 0 or -EINVAL, -EFBIG, -ENOMEM.
+ * Return: 0 or the errors of service_config_parse().
  */
 int
 service_config_parse_envelope(const char *value, size_t len, uint64_t version,
                               struct service_config **config, char **report);
 
 /**
- * service_config_envelope_read() - read an envelope without checking the
- * config in it
+ * service_config_envelope_read() - parse an envelope, but not the config in it
+ * @value: value of the platform's object
+ * @len: length of @value in bytes
  * @envelope: result; points into @value
  *
- * Return: 0 or -EINVAL when @value is no envelope.
+ * Return: 0, or -EINVAL when @value is not an envelope.
  */
 int
 service_config_envelope_read(const char *value, size_t len,
                              struct service_config_envelope *envelope);
 
 /**
- * service_config_envelope_write() - value to publish for a config
- * @envelope: all fields set
- * @len: its length
+ * service_config_envelope_write() - serialize an envelope for publishing
+ * @envelope: envelope; @envelope->retired may be NULL
+ * @len: set to the length of the result in bytes
  *
- * Return: the value, g_free() it.
+ * Return: the value, free with g_free().
  */
 char *
 service_config_envelope_write(const struct service_config_envelope *envelope,
--- a/src/service_config/service_config_check.c
+++ b/src/service_config/service_config_check.c
@@ -11,9 +11,16 @@
 #include "service_config/service_config_unique.h"
 #include "service_config/service_config_value.h"
 
-#define IP_CLASS_E 0xe0000000u /* multicast and above: no host's address */
-
-/** struct limit_rule - range and default of a limit */
+#define IP_MULTICAST 0xe0000000u /* lowest multicast address */
+
+/**
+ * struct limit_rule - range and default of a limit
+ * @key: key of the limit in the config
+ * @offset: offset of its field in struct service_config_limits
+ * @min: lowest valid value
+ * @max: highest valid value
+ * @initial: value when the key is missing
+ */
 struct limit_rule {
     const char *key;
     size_t offset;
@@ -78,15 +85,15 @@
 {
     const char *expected = "1 to 63 of a-z, 0-9 and -, the first a letter, "
                            "the last not -";
-    struct service_config_value check;
+    struct service_config_value field;
     const char *name;
 
-    if (!service_config_value_required(service, "name", &check) ||
-        (name = service_config_value_string(&check, expected)) == NULL) {
+    if (!service_config_value_required(service, "name", &field) ||
+        (name = service_config_value_string(&field, expected)) == NULL) {
         return;
     }
     if (!name_is_valid(name)) {
-        service_config_value_add_diag(&check, expected);
+        service_config_value_add_diag(&field, expected);
         return;
     }
     g_strlcpy(out->name, name, sizeof(out->name));
@@ -98,7 +105,7 @@
 {
     uint32_t net = ip >> 24;
 
-    return net != 0 && net != 127 && ip < IP_CLASS_E;
+    return net != 0 && net != 127 && ip < IP_MULTICAST;
 }
 
 static void
@@ -106,20 +113,20 @@
               struct service_config_entry *out)
 {
     const char *expected = "an IPv4 address such as \"10.0.0.1\"";
-    struct service_config_value check;
-    const char *word;
+    struct service_config_value field;
+    const char *string;
     uint32_t ip;
 
-    if (!service_config_value_required(service, "address", &check) ||
-        (word = service_config_value_string(&check, expected)) == NULL) {
+    if (!service_config_value_required(service, "address", &field) ||
+        (string = service_config_value_string(&field, expected)) == NULL) {
         return;
     }
-    if (addr_parse_ip(word, &ip) < 0) {
-        service_config_value_add_diag(&check, expected);
+    if (addr_parse_ip(string, &ip) < 0) {
+        service_config_value_add_diag(&field, expected);
     }
     else if (!ip_is_usable(ip)) {
         service_config_value_add_diag(
-            &check, "an address that callers can reach: not 0.0.0.0/8, "
+            &field, "an address that callers can reach: not 0.0.0.0/8, "
                     "127.0.0.0/8, or 224.0.0.0 and above");
     }
     else {
@@ -131,11 +138,11 @@
 check_port(const struct service_config_value *service,
            struct service_config_entry *out)
 {
-    struct service_config_value check;
+    struct service_config_value field;
     uint32_t port;
 
-    if (service_config_value_required(service, "port", &check) &&
-        service_config_value_number(&check, 1, UINT16_MAX, &port)) {
+    if (service_config_value_required(service, "port", &field) &&
+        service_config_value_number(&field, 1, UINT16_MAX, &port)) {
         out->port = (uint16_t)port;
     }
 }
@@ -145,19 +152,19 @@
                struct service_config_entry *out)
 {
     const char *expected = "\"tcp\" or \"udp\"";
-    struct service_config_value check;
-    const char *word;
+    struct service_config_value field;
+    const char *string;
 
     out->proto = SERVICE_CONFIG_TCP;
-    if (!service_config_value_member(service, "protocol", &check) ||
-        (word = service_config_value_string(&check, expected)) == NULL) {
+    if (!service_config_value_member(service, "protocol", &field) ||
+        (string = service_config_value_string(&field, expected)) == NULL) {
         return;
     }
-    if (strcmp(word, "udp") == 0) {
+    if (strcmp(string, "udp") == 0) {
         out->proto = SERVICE_CONFIG_UDP;
     }
-    else if (strcmp(word, "tcp") != 0) {
-        service_config_value_add_diag(&check, expected);
+    else if (strcmp(string, "tcp") != 0) {
+        service_config_value_add_diag(&field, expected);
     }
 }
 
@@ -166,19 +173,19 @@
             struct service_config_entry *out)
 {
     const char *expected = "\"urgent\" or \"ordinary\"";
-    struct service_config_value check;
-    const char *word;
+    struct service_config_value field;
+    const char *string;
 
     out->class = SERVICE_CONFIG_ORDINARY;
-    if (!service_config_value_required(service, "class", &check) ||
-        (word = service_config_value_string(&check, expected)) == NULL) {
+    if (!service_config_value_required(service, "class", &field) ||
+        (string = service_config_value_string(&field, expected)) == NULL) {
         return;
     }
-    if (strcmp(word, "urgent") == 0) {
+    if (strcmp(string, "urgent") == 0) {
         out->class = SERVICE_CONFIG_URGENT;
     }
-    else if (strcmp(word, "ordinary") != 0) {
-        service_config_value_add_diag(&check, expected);
+    else if (strcmp(string, "ordinary") != 0) {
+        service_config_value_add_diag(&field, expected);
     }
 }
 
@@ -188,20 +195,21 @@
     return (uint32_t *)((char *)limits + rule->offset);
 }
 
-/* A caller's share can't be above the whole; only a written one is a diag. */
+/* Lowers the limit per caller to the total; reports it only if it was set. */
 static void
-check_caller_limits(const struct service_config_value *check,
+check_caller_limits(const struct service_config_value *field,
                     struct service_config_limits *limits)
 {
-    struct service_config_value share;
+    struct service_config_value per_caller;
 
     if (limits->connections_per_caller <= limits->connections) {
         return;
     }
-    if (service_config_value_member(check, "connections_per_caller", &share)) {
+    if (service_config_value_member(field, "connections_per_caller",
+                                    &per_caller)) {
         service_config_diags_add(
-            share.diags, service_config_value_line(&share), share.path,
-            "found %u, expected at most \"connections\" (%u)",
+            per_caller.diags, service_config_value_line(&per_caller),
+            per_caller.path, "found %u, expected at most \"connections\" (%u)",
             limits->connections_per_caller, limits->connections);
     }
     limits->connections_per_caller = limits->connections;
@@ -211,43 +219,43 @@
 check_limits(const struct service_config_value *service,
              struct service_config_entry *out)
 {
-    struct service_config_value check;
+    struct service_config_value field;
     struct service_config_value limit;
 
     for (size_t i = 0; i < LIMIT_RULES; i++) {
         *limit_at(&out->limits, &limit_rules[i]) = limit_rules[i].initial;
     }
-    if (!service_config_value_member(service, "limits", &check) ||
-        !service_config_value_is_type(&check, json_type_object, "an object")) {
+    if (!service_config_value_member(service, "limits", &field) ||
+        !service_config_value_is_type(&field, json_type_object, "an object")) {
         return;
     }
-    service_config_value_check_keys(&check, limit_keys);
+    service_config_value_check_keys(&field, limit_keys);
     for (size_t i = 0; i < LIMIT_RULES; i++) {
         const struct limit_rule *rule = &limit_rules[i];
 
-        if (service_config_value_member(&check, rule->key, &limit)) {
+        if (service_config_value_member(&field, rule->key, &limit)) {
             service_config_value_number(&limit, rule->min, rule->max,
                                         limit_at(&out->limits, rule));
         }
     }
-    check_caller_limits(&check, &out->limits);
+    check_caller_limits(&field, &out->limits);
 }
 
 static void
-check_service(const struct service_config_value *check,
+check_service(const struct service_config_value *field,
               const char *const *keys, struct service_config_entry *out)
 {
-    if (!service_config_value_is_type(check, json_type_object, "an object")) {
+    if (!service_config_value_is_type(field, json_type_object, "an object")) {
         return;
     }
-    out->line = service_config_value_line(check);
-    service_config_value_check_keys(check, keys);
-    check_name(check, out);
-    check_address(check, out);
-    check_port(check, out);
-    check_protocol(check, out);
-    check_class(check, out);
-    check_limits(check, out);
+    out->line = service_config_value_line(field);
+    service_config_value_check_keys(field, keys);
+    check_name(field, out);
+    check_address(field, out);
+    check_port(field, out);
+    check_protocol(field, out);
+    check_class(field, out);
+    check_limits(field, out);
 }
 
 static void
@@ -255,17 +263,17 @@
            struct service_config *config)
 {
     struct service_config_unique unique;
-    struct service_config_value check = *list;
+    struct service_config_value field = *list;
 
     service_config_unique_init(&unique, list->diags, config);
-    check.node = list->index->nodes[list->node].first;
+    field.node = list->index->nodes[list->node].first;
     for (size_t i = 0; i < config->count; i++) {
-        check.value = json_object_array_get_idx(list->value, i);
-        g_snprintf(check.path, sizeof(check.path), "services[%zu]", i);
-        check_service(&check, service_keys, &config->services[i]);
+        field.value = json_object_array_get_idx(list->value, i);
+        g_snprintf(field.path, sizeof(field.path), "services[%zu]", i);
+        check_service(&field, service_keys, &config->services[i]);
         service_config_unique_check(
-            &unique, i, service_config_value_line(&check), check.path);
-        check.node = list->index->nodes[check.node].next;
+            &unique, i, service_config_value_line(&field), field.path);
+        field.node = list->index->nodes[field.node].next;
     }
     service_config_unique_finish(&unique);
 }
@@ -276,17 +284,17 @@
                               struct service_config_diags *diags,
                               struct service_config *config)
 {
-    struct service_config_value check = {
+    struct service_config_value field = {
         .index = index, .diags = diags, .value = root};
     struct service_config_value list;
     size_t count;
 
-    if (!service_config_value_is_type(&check, json_type_object,
+    if (!service_config_value_is_type(&field, json_type_object,
                                       "an object with \"services\"")) {
         return 0;
     }
-    service_config_value_check_keys(&check, root_keys);
-    if (!service_config_value_required(&check, "services", &list) ||
+    service_config_value_check_keys(&field, root_keys);
+    if (!service_config_value_required(&field, "services", &list) ||
         !service_config_value_is_type(&list, json_type_array,
                                       "a list of services")) {
         return 0;
@@ -313,22 +321,22 @@
 check_until(const struct service_config_value *retired, uint64_t *until_ms)
 {
     const char *expected = "milliseconds since 1970";
-    struct service_config_value check;
+    struct service_config_value field;
 
-    if (!service_config_value_required(retired, "until_ms", &check) ||
-        !service_config_value_is_type(&check, json_type_int, expected)) {
+    if (!service_config_value_required(retired, "until_ms", &field) ||
+        !service_config_value_is_type(&field, json_type_int, expected)) {
         return;
     }
-    if (json_object_get_int64(check.value) < 0) {
-        service_config_value_add_diag(&check, expected);
+    if (json_object_get_int64(field.value) < 0) {
+        service_config_value_add_diag(&field, expected);
         return;
     }
-    *until_ms = json_object_get_uint64(check.value);
+    *until_ms = json_object_get_uint64(field.value);
 }
 
-/* An address belongs to one service, be it as the one in use. */
+/* Reports a retired address that is in use, or is retired twice. */
 static void
-check_retired_address(const struct service_config_value *check,
+check_retired_address(const struct service_config_value *field,
                       const struct service_config *config, size_t i)
 {
     const struct service_config_entry *service = &config->retired[i].service;
@@ -337,7 +345,7 @@
 
     if (user != NULL) {
         service_config_diags_add(
-            check->diags, service_config_value_line(check), check->path,
+            field->diags, service_config_value_line(field), field->path,
             "found the address of \"%s\" that is in use by "
             "\"%s\", expected one that no service has",
             service->name, user->name);
@@ -348,7 +356,7 @@
         if (other->ip == service->ip && other->port == service->port &&
             other->proto == service->proto) {
             service_config_diags_add(
-                check->diags, service_config_value_line(check), check->path,
+                field->diags, service_config_value_line(field), field->path,
                 "found the address of \"%s\" again, expected it "
                 "once",
                 service->name);
@@ -362,19 +370,19 @@
                              struct service_config_diags *diags,
                              struct service_config *config)
 {
-    struct service_config_value check = {
+    struct service_config_value field = {
         .index = index, .diags = diags, .value = list};
     size_t count;
 
-    g_strlcpy(check.path, "retired", sizeof(check.path));
-    if (!service_config_value_is_type(&check, json_type_array,
+    g_strlcpy(field.path, "retired", sizeof(field.path));
+    if (!service_config_value_is_type(&field, json_type_array,
                                       "a list of retired addresses")) {
         return 0;
     }
     count = json_object_array_length(list);
     if (count > SERVICE_CONFIG_RETIRED_MAX) {
         service_config_diags_add(
-            diags, 1, check.path,
+            diags, 1, field.path,
             "found %zu retired addresses, expected at most %d", count,
             SERVICE_CONFIG_RETIRED_MAX);
         return 0;
@@ -383,16 +391,16 @@
     if (config->retired == NULL) {
         return -ENOMEM;
     }
-    check.node = index->nodes[0].first;
+    field.node = index->nodes[0].first;
     for (size_t i = 0; i < count; i++) {
-        check.value = json_object_array_get_idx(list, i);
-        g_snprintf(check.path, sizeof(check.path), "retired[%zu]", i);
-        check_service(&check, retired_keys, &config->retired[i].service);
-        if (json_object_is_type(check.value, json_type_object)) {
-            check_until(&check, &config->retired[i].until_ms);
+        field.value = json_object_array_get_idx(list, i);
+        g_snprintf(field.path, sizeof(field.path), "retired[%zu]", i);
+        check_service(&field, retired_keys, &config->retired[i].service);
+        if (json_object_is_type(field.value, json_type_object)) {
+            check_until(&field, &config->retired[i].until_ms);
         }
-        check_retired_address(&check, config, i);
-        check.node = index->nodes[check.node].next;
+        check_retired_address(&field, config, i);
+        field.node = index->nodes[field.node].next;
     }
     config->retired_count = count;
     return 0;
--- a/src/service_config/service_config_depends.c
+++ b/src/service_config/service_config_depends.c
@@ -4,25 +4,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CYCLES_MAX 100 /* named one by one */
+#define CYCLES_MAX 100 /* cycles reported one by one; the rest are counted */
 
-/** enum mark - how far the search for cycles has come with a service */
-enum mark { MARK_NEW, MARK_OPEN, MARK_DONE };
+/** enum visit_state - state of a service in the depth-first search */
+enum visit_state { VISIT_NEW, VISIT_ACTIVE, VISIT_DONE };
 
 /**
- * struct cycle_search - search for cycles
+ * struct dependency_search - depth-first search for dependency cycles
  * @config: services with their dependencies
- * @lines: line of each service's list
- * @marks: one for each service
- * @path: services being followed
- * @depth: how many
+ * @diags: receives one diagnostic for each cycle
+ * @lines: line of each service's "depends_on" list
+ * @states: enum visit_state of each service
+ * @path: indexes of the services on the current path
+ * @depth: length of @path
  * @cycles: cycles found
  */
-struct cycle_search {
+struct dependency_search {
     const struct service_config *config;
     struct service_config_diags *diags;
     uint32_t *lines;
-    uint8_t *marks;
+    uint8_t *states;
     uint16_t *path;
     size_t depth;
     size_t cycles;
@@ -44,17 +45,17 @@
 }
 
 static bool
-has_dependency(const struct service_config_entry *service, uint16_t on)
+has_dependency(const struct service_config_entry *service, uint16_t other)
 {
     for (size_t i = 0; i < service->depends_count; i++) {
-        if (service->depends[i] == on) {
+        if (service->depends[i] == other) {
             return true;
         }
     }
     return false;
 }
 
-/* One name of a "depends_on" list; what was found wrong, or NULL. */
+/* Adds one name of a "depends_on" list. Returns NULL, or what was expected. */
 static const char *
 add_dependency(struct service_config_entry *service, GHashTable *names,
                struct json_object *value)
@@ -134,77 +135,75 @@
 }
 
 static void
-report_cycle(struct cycle_search *cycle_search, uint16_t back_to)
+report_cycle(struct dependency_search *search, uint16_t back_to)
 {
     GString *names = g_string_new(NULL);
     char path[SERVICE_CONFIG_PATH_MAX];
-    uint16_t last = cycle_search->path[cycle_search->depth - 1];
+    uint16_t last = search->path[search->depth - 1];
     size_t at = 0;
 
-    while (cycle_search->path[at] != back_to) {
+    while (search->path[at] != back_to) {
         at++;
     }
-    for (; at < cycle_search->depth; at++) {
+    for (; at < search->depth; at++) {
         g_string_append_printf(
-            names, "%s -> ",
-            cycle_search->config->services[cycle_search->path[at]].name);
+            names, "%s -> ", search->config->services[search->path[at]].name);
     }
-    g_string_append(names, cycle_search->config->services[back_to].name);
+    g_string_append(names, search->config->services[back_to].name);
     g_snprintf(path, sizeof(path), "services[%u].depends_on", last);
-    service_config_diags_add(cycle_search->diags, cycle_search->lines[last],
-                             path, "found the cycle %s, expected no cycle",
+    service_config_diags_add(search->diags, search->lines[last], path,
+                             "found the cycle %s, expected no cycle",
                              names->str);
     g_string_free(names, TRUE);
 }
 
 static void
-visit(struct cycle_search *cycle_search, uint16_t at)
+visit(struct dependency_search *search, uint16_t at)
 {
-    const struct service_config_entry *service =
-        &cycle_search->config->services[at];
+    const struct service_config_entry *service = &search->config->services[at];
 
-    cycle_search->marks[at] = MARK_OPEN;
-    cycle_search->path[cycle_search->depth++] = at;
+    search->states[at] = VISIT_ACTIVE;
+    search->path[search->depth++] = at;
     for (size_t i = 0; i < service->depends_count; i++) {
         uint16_t next = service->depends[i];
 
-        if (cycle_search->marks[next] == MARK_OPEN) {
-            if (++cycle_search->cycles <= CYCLES_MAX) {
-                report_cycle(cycle_search, next);
+        if (search->states[next] == VISIT_ACTIVE) {
+            if (++search->cycles <= CYCLES_MAX) {
+                report_cycle(search, next);
             }
         }
-        else if (cycle_search->marks[next] == MARK_NEW) {
-            visit(cycle_search, next);
+        else if (search->states[next] == VISIT_NEW) {
+            visit(search, next);
         }
     }
-    cycle_search->depth--;
-    cycle_search->marks[at] = MARK_DONE;
+    search->depth--;
+    search->states[at] = VISIT_DONE;
 }
 
 static void
 find_cycles(const struct service_config *config,
             struct service_config_diags *diags, uint32_t *lines)
 {
-    struct cycle_search cycle_search = {
+    struct dependency_search search = {
         .config = config,
         .diags = diags,
         .lines = lines,
-        .marks = g_new0(uint8_t, config->count),
+        .states = g_new0(uint8_t, config->count),
         .path = g_new0(uint16_t, config->count),
     };
 
     for (size_t i = 0; i < config->count; i++) {
-        if (cycle_search.marks[i] == MARK_NEW) {
-            visit(&cycle_search, (uint16_t)i);
+        if (search.states[i] == VISIT_NEW) {
+            visit(&search, (uint16_t)i);
         }
     }
-    if (cycle_search.cycles > CYCLES_MAX) {
+    if (search.cycles > CYCLES_MAX) {
         service_config_diags_add(diags, lines[0], "services",
                                  "found %zu more cycles, expected no cycle",
-                                 cycle_search.cycles - CYCLES_MAX);
+                                 search.cycles - CYCLES_MAX);
     }
-    g_free(cycle_search.marks);
-    g_free(cycle_search.path);
+    g_free(search.states);
+    g_free(search.path);
 }
 
 void
--- a/src/service_config/service_config_diag.c
+++ b/src/service_config/service_config_diag.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static void
-clear_fault(gpointer data)
+clear_diag(gpointer data)
 {
     struct service_config_diag *diag = data;
 
@@ -12,7 +12,7 @@
 }
 
 static gint
-by_line(gconstpointer a, gconstpointer b)
+compare_lines(gconstpointer a, gconstpointer b)
 {
     const struct service_config_diag *left = a;
     const struct service_config_diag *right = b;
@@ -30,7 +30,7 @@
         .name = name,
         .lines = g_array_new(FALSE, FALSE, sizeof(struct service_config_diag)),
     };
-    g_array_set_clear_func(diags->lines, clear_fault);
+    g_array_set_clear_func(diags->lines, clear_diag);
 }
 
 void
@@ -60,7 +60,7 @@
 {
     GString *report = g_string_new(NULL);
 
-    g_array_sort(diags->lines, by_line);
+    g_array_sort(diags->lines, compare_lines);
     for (guint i = 0; i < diags->lines->len; i++) {
         const struct service_config_diag *diag =
             &g_array_index(diags->lines, struct service_config_diag, i);
@@ -69,7 +69,7 @@
                                diag->message);
     }
     if (diags->count > SERVICE_CONFIG_DIAGS_MAX) {
-        g_string_append_printf(report, "%s: and %zu more faults\n",
+        g_string_append_printf(report, "%s: and %zu more errors\n",
                                diags->name,
                                diags->count - SERVICE_CONFIG_DIAGS_MAX);
     }
--- a/src/service_config/service_config_diag.h
+++ b/src/service_config/service_config_diag.h
@@ -1,6 +1,5 @@
 /**
- * DOC: service_config_diag - the diags found in a config, collected into one
- * report
+ * DOC: service_config_diag - collects the errors of a config into one report
  */
 #ifndef SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_DIAG_H
 #define SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_DIAG_H
@@ -11,15 +10,15 @@
 #include <stdint.h>
 
 #define SERVICE_CONFIG_DIAGS_MAX                                              \
-    1000 /* listed one by one; the rest are counted */
-#define SERVICE_CONFIG_DESCRIPTION_MAX 64
-#define SERVICE_CONFIG_PATH_MAX 160
+    1000 /* diagnostics reported one by one; the rest are counted */
+#define SERVICE_CONFIG_DESCRIPTION_MAX 64 /* bytes, with the NUL */
+#define SERVICE_CONFIG_PATH_MAX 160       /* bytes, with the NUL */
 
 /**
- * struct service_config_diag - one diag
- * @line: where
- * @order: place among the diags found
- * @message: the rest of its line, owned
+ * struct service_config_diag - a diagnostic
+ * @line: line number in the source, from 1
+ * @order: order of detection, which sorts diagnostics of the same line
+ * @message: "key: found, expected", owned
  */
 struct service_config_diag {
     uint32_t line;
@@ -30,8 +29,9 @@
 /**
  * struct service_config_diags - report under construction
  * @name: file name for messages
- * @lines: struct service_config_diag, SERVICE_CONFIG_DIAGS_MAX at most
- * @count: diags found
+ * @lines: array of struct service_config_diag, at most
+ *         SERVICE_CONFIG_DIAGS_MAX
+ * @count: diagnostics found, also those not stored in @lines
  */
 struct service_config_diags {
     const char *name;
@@ -39,14 +39,17 @@
     size_t count;
 };
 
-/** service_config_diags_init() - no diag yet */
+/** service_config_diags_init() - start an empty report; @name is not copied */
 void
 service_config_diags_init(struct service_config_diags *diags,
                           const char *name);
 
 /**
- * service_config_diags_add() - add "name:line: key: sentence"
- * @key: path of the key, empty or NULL for the file as a whole
+ * service_config_diags_add() - add a diagnostic
+ * @diags: report
+ * @line: line number in the source, from 1
+ * @key: path of the key; empty or NULL when it concerns the whole file
+ * @fmt: printf() format of "found ..., expected ..."
  */
 void
 service_config_diags_add(struct service_config_diags *diags, uint32_t line,
@@ -54,15 +57,21 @@
     __attribute__((format(printf, 4, 5)));
 
 /**
- * service_config_diags_finish() - end the report, sorted by line
+ * service_config_diags_finish() - format the report, sorted by line
+ * @diags: report, freed
  *
- * Return: the report (g_free() it), or NULL when there was no diag.
+ * Return: the report (free with g_free()), or NULL without diagnostics.
  */
 char *
 service_config_diags_finish(struct service_config_diags *diags);
 
-/** service_config_describe_value() - a value in a few words; @buf has
- * SERVICE_CONFIG_DESCRIPTION_MAX bytes */
+/**
+ * service_config_describe_value() - short description of a JSON value
+ * @value: the value; NULL is JSON null
+ * @buf: buffer of SERVICE_CONFIG_DESCRIPTION_MAX bytes
+ *
+ * Return: @buf or a constant string.
+ */
 const char *
 service_config_describe_value(struct json_object *value, char *buf);
 
--- a/src/service_config/service_config_envelope.c
+++ b/src/service_config/service_config_envelope.c
@@ -80,10 +80,10 @@
     return 0;
 }
 
-/* Returns how many keys the value has. */
+/* Locates the config and the retired addresses. Returns the number of keys. */
 static size_t
-find_members_at(const struct service_config_index *index,
-                struct service_config_envelope *envelope)
+scan_members(const struct service_config_index *index,
+             struct service_config_envelope *envelope)
 {
     size_t keys = 0;
     uint32_t node = index->nodes[0].first;
@@ -104,27 +104,27 @@
     return keys;
 }
 
-/* The config inside the value, byte for byte as the operator wrote it, and
- * the retired addresses. Returns how many keys the value has. */
+/* Like scan_members(); fails when @value is not JSON or has no config. */
 static int
 find_members(const char *value, size_t len,
              struct service_config_envelope *envelope)
 {
     struct service_config_index index;
     size_t keys;
-    size_t bad;
+    size_t error_at;
 
-    if (service_config_index_init(&index, value, len, &bad) < 0) {
+    if (service_config_index_init(&index, value, len, &error_at) < 0) {
         return -EINVAL;
     }
-    keys = find_members_at(&index, envelope);
+    keys = scan_members(&index, envelope);
     service_config_index_finish(&index);
     return envelope->source != NULL ? (int)keys : -EINVAL;
 }
 
-/* What processes pass on: a config and retired addresses, and nothing else. */
+/* Reads the form that processes send each other: a config and its retired
+ * addresses, without the other keys of the envelope. */
 static int
-read_source(const char *value, size_t len,
+read_bundle(const char *value, size_t len,
             struct service_config_envelope *envelope)
 {
     int keys;
@@ -230,9 +230,9 @@
     struct json_object *list =
         parse_value(envelope->retired, envelope->retired_len);
     struct service_config_index index;
-    size_t bad;
+    size_t error_at;
     int rc = service_config_index_init(&index, envelope->retired,
-                                       envelope->retired_len, &bad);
+                                       envelope->retired_len, &error_at);
 
     if (rc == 0) {
         rc = service_config_check_retired(list, &index, diags, config);
@@ -245,9 +245,9 @@
     return rc;
 }
 
-/* What read_source() reads. */
+/* Replaces @config->source by the form that read_bundle() reads. */
 static int
-build_source(const struct service_config_envelope *envelope,
+build_bundle(const struct service_config_envelope *envelope,
              struct service_config *config)
 {
     static const char head[] = "{\"retired\":";
@@ -277,14 +277,14 @@
     service_config_diags_init(&diags, ENVELOPE_NAME);
     rc = check_retired(envelope, &diags, config);
     if (rc == 0 && config->retired_count > 0) {
-        rc = build_source(envelope, config);
+        rc = build_bundle(envelope, config);
     }
     *report = service_config_diags_finish(&diags);
     return rc;
 }
 
-/* Lines of a file say nothing here, and what the platform holds and what a
- * process passes on are to be equal. */
+/* Line numbers differ between the published value and the form sent between
+ * processes, and both must parse to equal configs. */
 static void
 clear_lines(struct service_config *config)
 {
@@ -303,7 +303,7 @@
     struct service_config_envelope envelope;
     int rc;
 
-    if (read_source(value, len, &envelope) < 0 &&
+    if (read_bundle(value, len, &envelope) < 0 &&
         service_config_envelope_read(value, len, &envelope) < 0) {
         envelope = (struct service_config_envelope){.source = value,
                                                     .source_len = len};
--- a/src/service_config/service_config_index.c
+++ b/src/service_config/service_config_index.c
@@ -4,7 +4,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** struct scan - a position in the source while the index is built */
+/**
+ * struct scan - state of the scanner that builds the index
+ * @index: index under construction
+ * @at: offset of the next byte
+ * @line: its line number, from 1
+ */
 struct scan {
     struct service_config_index *index;
     size_t at;
@@ -37,9 +42,9 @@
 }
 
 static int
-expect(struct scan *scan, int wanted)
+consume(struct scan *scan, int expected)
 {
-    if (peek(scan) != wanted) {
+    if (peek(scan) != expected) {
         return -EINVAL;
     }
     scan->at++;
@@ -86,7 +91,7 @@
 {
     int c;
 
-    if (expect(scan, '"') < 0) {
+    if (consume(scan, '"') < 0) {
         return -EINVAL;
     }
     while ((c = peek(scan)) != '"') {
@@ -117,7 +122,7 @@
     return scan->at == start ? -EINVAL : 0;
 }
 
-/* Whether another element follows; eats the comma or the closing bracket. */
+/* Consumes a comma (1) or the closing bracket (0); -EINVAL for other bytes. */
 static int
 scan_separator(struct scan *scan, int closing)
 {
@@ -127,7 +132,7 @@
         skip_space(scan);
         return 1;
     }
-    return expect(scan, closing);
+    return consume(scan, closing);
 }
 
 static int
@@ -143,7 +148,7 @@
     at->key = (uint32_t)start;
     at->key_len = (uint32_t)(scan->at - 1 - start);
     skip_space(scan);
-    if (expect(scan, ':') < 0) {
+    if (consume(scan, ':') < 0) {
         return -EINVAL;
     }
     skip_space(scan);
@@ -203,7 +208,7 @@
 
 int
 service_config_index_init(struct service_config_index *index,
-                          const char *source, size_t len, size_t *bad)
+                          const char *source, size_t len, size_t *error_at)
 {
     struct scan scan = {.index = index, .line = 1};
     uint32_t root;
@@ -220,7 +225,7 @@
         rc = scan.at == len ? 0 : -EINVAL;
     }
     if (rc < 0) {
-        *bad = scan.at;
+        *error_at = scan.at;
         service_config_index_finish(index);
     }
     return rc;
--- a/src/service_config/service_config_index.h
+++ b/src/service_config/service_config_index.h
@@ -1,10 +1,10 @@
 /**
- * DOC: service_config_index - where each key and element stands in a JSON
- * source
+ * DOC: service_config_index - positions of keys and values in a JSON source
  *
  * json-c keeps no positions. The index is built from the same source after
- * json-c has accepted it, and is walked beside json-c's objects. It is
- * strict where json-c is lenient (quotes, control characters).
+ * json-c has accepted it, and is traversed in parallel with json-c's objects.
+ * It rejects some input that json-c accepts (single quotes, unescaped control
+ * characters).
  */
 #ifndef SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_INDEX_H
 #define SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_INDEX_H
@@ -13,15 +13,15 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define SERVICE_CONFIG_DEPTH_MAX 16
+#define SERVICE_CONFIG_DEPTH_MAX 16 /* levels of nested JSON values */
 
 /**
- * struct service_config_node - one value of the source
- * @line: line of its key, or of the value in a list
- * @key: offset of its key without quotes, as spelt in the source
+ * struct service_config_node - a value of the source
+ * @line: line of the key, or of the value in a list, from 1
+ * @key: offset of the key, after its opening quote; escapes are not decoded
  * @key_len: length of the key
  * @start: offset of the value
- * @end: offset after the value
+ * @end: offset of the first byte after the value
  * @first: handle of the first child, 0 if none
  * @next: handle of the next sibling, 0 if none
  */
@@ -35,7 +35,13 @@
     uint32_t next;
 };
 
-/** struct service_config_index - nodes in source order; handle 0 is the root
+/**
+ * struct service_config_index - index of a source
+ * @source: the source, not owned
+ * @len: length of @source in bytes
+ * @nodes: nodes in source order; a handle is an index, 0 is the root
+ * @count: number of nodes
+ * @capacity: nodes allocated
  */
 struct service_config_index {
     const char *source;
@@ -46,31 +52,34 @@
 };
 
 /**
- * service_config_index_init() - build the index of @source (kept, not copied)
- * @bad: offset of what is not JSON when -EINVAL is returned
+ * service_config_index_init() - build the index of a source
+ * @index: result; freed already on failure
+ * @source: JSON, must outlive @index
+ * @len: length of @source in bytes
+ * @error_at: on failure, set to the offset of the error
  *
- * Return: 0 or -EINVAL, -ENOMEM.
+ * Return: 0, -EINVAL for invalid JSON, or -ENOMEM.
  */
 int
 service_config_index_init(struct service_config_index *index,
-                          const char *source, size_t len, size_t *bad);
+                          const char *source, size_t len, size_t *error_at);
 
 /** service_config_index_finish() - free the nodes */
 void
 service_config_index_finish(struct service_config_index *index);
 
-/** service_config_index_key_is() - whether a node's key is @key */
+/** service_config_index_key_is() - whether the key of @node is @key */
 bool
 service_config_index_key_is(const struct service_config_index *index,
                             uint32_t node, const char *key);
 
-/** service_config_index_child() - handle of the child of @node named @key, or
- * 0 */
+/** service_config_index_child() - handle of the first child of @node with the
+ * key @key, or 0 */
 uint32_t
 service_config_index_child(const struct service_config_index *index,
                            uint32_t node, const char *key);
 
-/** service_config_line_at() - line number of an offset, from 1 */
+/** service_config_line_at() - line number of a byte offset, from 1 */
 uint32_t
 service_config_line_at(const char *source, size_t offset);
 
--- a/src/service_config/service_config_lookup.c
+++ b/src/service_config/service_config_lookup.c
@@ -9,10 +9,9 @@
 #define SLOT_NONE UINT16_MAX
 
 /**
- * struct service_config_slot - one slot of the hash table, by id and by
- * address
- * @id: index of the service whose id falls here or nearby, or SLOT_NONE
- * @addr: the same for its address
+ * struct service_config_slot - slot of two open-addressing hash tables
+ * @id: table by service id: index of the service, or SLOT_NONE
+ * @addr: table by address, port and transport: likewise
  */
 struct service_config_slot {
     uint16_t id;
@@ -109,7 +108,7 @@
     const struct service_config_entry *service =
         service_config_find_id(config, id);
 
-    /* The one retired last tells what the service was in the end. */
+    /* The address retired last has the latest properties of the service. */
     for (size_t i = config->retired_count; service == NULL && i-- > 0;) {
         if (config->retired[i].service.id == id) {
             service = &config->retired[i].service;
--- a/src/service_config/service_config_retire.c
+++ b/src/service_config/service_config_retire.c
@@ -12,12 +12,11 @@
 #define MSEC_PER_S 1000
 
 /**
- * struct retired_list - the list under construction
- * @change: what for
- * @items: where it goes
- * @count: addresses found, more than SERVICE_CONFIG_RETIRED_MAX of them not
- * kept
- * @diags: report
+ * struct retired_list - list of retired addresses under construction
+ * @change: the change it is computed for
+ * @items: the list, at most SERVICE_CONFIG_RETIRED_MAX
+ * @count: addresses found; those beyond the maximum are not stored
+ * @diags: errors that forbid the change
  */
 struct retired_list {
     const struct service_config_change *change;
@@ -74,7 +73,8 @@
     g_free(until);
 }
 
-/* Two names of one id can't be told apart in packets. */
+/* Packets carry only the id, so a new name must not have the id of a service
+ * with open flows. */
 static void
 check_id(struct retired_list *list, const struct service_config_entry *owner)
 {
@@ -91,8 +91,8 @@
 }
 
 static void
-add(struct retired_list *list, const struct service_config_entry *service,
-    uint64_t until_ms)
+add_address(struct retired_list *list,
+            const struct service_config_entry *service, uint64_t until_ms)
 {
     const struct service_config *to = list->change->to;
     const struct service_config_entry *user = service_config_find_addr(
@@ -116,9 +116,9 @@
     list->count++;
 }
 
-/* Those retired before come first. */
+/* Addresses retired by earlier changes come first. */
 static void
-add_all(struct retired_list *list)
+collect_addresses(struct retired_list *list)
 {
     const struct service_config_change *change = list->change;
     const struct service_config *from = change->from;
@@ -129,7 +129,7 @@
         const struct service_config_retired *retired = &from->retired[i];
 
         if (change->now_ms < retired->until_ms) {
-            add(list, &retired->service, retired->until_ms);
+            add_address(list, &retired->service, retired->until_ms);
         }
     }
     for (size_t i = 0; i < from->count; i++) {
@@ -138,17 +138,17 @@
             service_config_find_id(change->to, service->id);
 
         if (now == NULL || !same_address(service, now)) {
-            add(list, service, until_ms);
+            add_address(list, service, until_ms);
         }
     }
 }
 
-/* The config may be as long as fits into a value alone. */
+/* A config of the maximum size may not fit together with the list. */
 static void
 check_size(struct retired_list *list)
 {
-    char *words = service_config_retired_write(list->items, list->count);
-    size_t size = list->change->to->source_len + strlen(words) +
+    char *json = service_config_retired_write(list->items, list->count);
+    size_t size = list->change->to->source_len + strlen(json) +
                   strlen(",\"retired\":") + SERVICE_CONFIG_ENVELOPE_MAX;
 
     if (list->count > 0 && size > SERVICE_CONFIG_SIZE_MAX) {
@@ -157,7 +157,7 @@
                                  "services have left, expected at most %u",
                                  size, list->count, SERVICE_CONFIG_SIZE_MAX);
     }
-    g_free(words);
+    g_free(json);
 }
 
 int
@@ -170,7 +170,7 @@
 
     service_config_diags_init(&list.diags, change->name);
     if (change->from != NULL) {
-        add_all(&list);
+        collect_addresses(&list);
     }
     if (list.count > SERVICE_CONFIG_RETIRED_MAX) {
         service_config_diags_add(
@@ -239,27 +239,27 @@
                              size_t count)
 {
     struct json_object *list = json_object_new_array();
-    char *words;
+    char *json;
 
     for (size_t i = 0; i < count; i++) {
         json_object_array_add(list, retired_json(&retired[i]));
     }
-    words =
+    json =
         g_strdup(json_object_to_json_string_ext(list, JSON_C_TO_STRING_PLAIN));
     json_object_put(list);
-    return words;
+    return json;
 }
 
 char *
 service_config_format_time(uint64_t ms)
 {
     GDateTime *when = g_date_time_new_from_unix_utc((gint64)(ms / MSEC_PER_S));
-    char *words = when != NULL
-                      ? g_date_time_format(when, "%Y-%m-%d %H:%M:%S UTC")
-                      : g_strdup("an unknown time");
+    char *formatted = when != NULL
+                          ? g_date_time_format(when, "%Y-%m-%d %H:%M:%S UTC")
+                          : g_strdup("an unknown time");
 
     if (when != NULL) {
         g_date_time_unref(when);
     }
-    return words;
+    return formatted;
 }
--- a/src/service_config/service_config_types.h
+++ b/src/service_config/service_config_types.h
@@ -1,5 +1,5 @@
 /**
- * DOC: service_config_types - what a checked config holds
+ * DOC: service_config_types - a checked config and its services
  */
 #ifndef SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_TYPES_H
 #define SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_TYPES_H
@@ -9,9 +9,8 @@
 #include <stdint.h>
 #include <urcu.h>
 
-#define SERVICE_CONFIG_SIZE_MAX (1u << 20)
-#define SERVICE_CONFIG_ENVELOPE_MAX 1024 /* what the envelope adds, at most   \
-                                          */
+#define SERVICE_CONFIG_SIZE_MAX (1u << 20) /* bytes, with the envelope */
+#define SERVICE_CONFIG_ENVELOPE_MAX 1024   /* bytes added by the envelope */
 #define SERVICE_CONFIG_AUTHOR_MAX 64
 #define SERVICE_CONFIG_WRITE_ID_MAX 33
 #define SERVICE_CONFIG_HISTORY_MAX 8
@@ -22,21 +21,22 @@
 
 struct service_config_slot;
 
-/** enum service_config_class - order in which work is served */
+/** enum service_config_class - priority of a service's requests */
 enum service_config_class { SERVICE_CONFIG_URGENT, SERVICE_CONFIG_ORDINARY };
 
 /** enum service_config_proto - transport of a service (IP protocol numbers) */
 enum service_config_proto { SERVICE_CONFIG_TCP = 6, SERVICE_CONFIG_UDP = 17 };
 
 /**
- * struct service_config_limits - limits of a service, with defaults
- * @connections: open flows at one endpoint (2000)
- * @connections_per_caller: of one caller address at one endpoint (200)
- * @queue: requests waiting at one endpoint (64)
- * @requests_per_caller: waiting or running, of one caller, one endpoint (32)
- * @deadline_ms: for requests that bring none (5000)
- * @body_bytes: largest request or answer body (1 MiB)
- * @idle_s: a flow without bytes for so long may be closed (3600)
+ * struct service_config_limits - limits of a service (defaults in parentheses)
+ * @connections: open flows per endpoint (2000)
+ * @connections_per_caller: open flows per caller address and endpoint (200)
+ * @queue: queued requests per endpoint (64)
+ * @requests_per_caller: queued and running requests per caller address and
+ *                       endpoint (32)
+ * @deadline_ms: timeout of requests without one of their own (5000)
+ * @body_bytes: largest body of a request or response (1 MiB)
+ * @idle_s: time without data after which a flow may be closed (3600)
  */
 struct service_config_limits {
     uint32_t connections;
@@ -49,18 +49,18 @@
 };
 
 /**
- * struct service_config_entry - one service
- * @id: hash_service(name)
- * @name: its name
- * @ip: address callers use, host order
- * @port: port callers use
+ * struct service_config_entry - a service
+ * @id: hash_service(@name)
+ * @name: name, unique in the config
+ * @ip: address that callers use, host byte order
+ * @port: port that callers use
  * @proto: transport
- * @class: urgent or ordinary
- * @limits: its limits
+ * @class: priority of its requests
+ * @limits: limits
  * @depends: indexes of the services it depends on
- * @depends_count: how many
- * @line: where it stands in what service_config_parse() was given, from 1; 0
- * in a config from service_config_parse_envelope()
+ * @depends_count: number of indexes in @depends
+ * @line: line number in the source, from 1; 0 in a config from
+ *        service_config_parse_envelope()
  */
 struct service_config_entry {
     uint32_t id;
@@ -76,14 +76,14 @@
 };
 
 /**
- * struct service_config_retired - an address that a service had before
- * @service: the service as it was then; depends on nothing
- * @until_ms: the address stays that service's until then at least,
- *            milliseconds since 1970 by the publisher's clock
+ * struct service_config_retired - an address that a service used before
+ * @service: the service as it was then, without dependencies
+ * @until_ms: end of the reservation, milliseconds since 1970 by the
+ *            publisher's clock
  *
- * Flows that were opened to the address go on; no new one is opened. Who
- * publishes a config decides what is retired and for how long: a process
- * goes by the list it was given and by no clock of its own.
+ * Flows established to the address continue; no new flow is accepted. Only the
+ * publisher of a config removes expired addresses; other processes use the
+ * published list regardless of their clocks.
  */
 struct service_config_retired {
     struct service_config_entry service;
@@ -93,18 +93,18 @@
 /**
  * struct service_config - a checked configuration
  * @rcu: for freeing after a grace period
- * @version: of the platform's object, 0 when not from the platform
- * @services: sorted as written
- * @count: how many
- * @retired: addresses that services had before, none of them in use again
- * @retired_count: how many, SERVICE_CONFIG_RETIRED_MAX at most
- * @source: what others may be given to learn the same: the config as
- *          published, without white space around it, and with it the
- *          retired addresses when there are any
- * @source_len: its length in bytes
- * @slots: hash table behind service_config_find_id() and
- * service_config_find_addr()
- * @slot_mask: its size less one
+ * @version: version of the platform's object, 0 when read from a file
+ * @services: services in the order of the source
+ * @count: number of services
+ * @retired: addresses that services used before, none of them in use
+ * @retired_count: number of retired addresses
+ * @source: NUL-terminated JSON to send to other processes: the config as
+ *          published, without surrounding white space, and the retired
+ *          addresses, if any
+ * @source_len: length of @source in bytes
+ * @slots: hash tables of service_config_find_id() and
+ *         service_config_find_addr()
+ * @slot_mask: number of slots, a power of two, minus one
  */
 struct service_config {
     struct rcu_head rcu;
--- a/src/service_config/service_config_unique.c
+++ b/src/service_config/service_config_unique.c
@@ -3,7 +3,8 @@
 #include "base/addr.h"
 #include "service_config/service_config_lookup.h"
 
-/* Index of the service that has @key already, or -1 after adding @i. */
+/* Returns the index of the service that has @key, or adds @i and returns -1.
+ */
 static int
 find_or_add(GHashTable *table, gpointer key, size_t i)
 {
--- a/src/service_config/service_config_unique.h
+++ b/src/service_config/service_config_unique.h
@@ -1,5 +1,6 @@
 /**
- * DOC: service_config_unique - what no two services of a config may share
+ * DOC: service_config_unique - reports services with the same name, id or
+ * address
  */
 #ifndef SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_UNIQUE_H
 #define SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_UNIQUE_H
@@ -11,11 +12,11 @@
 
 /**
  * struct service_config_unique - services checked so far
- * @diags: report
- * @config: the config being read
+ * @diags: receives the diagnostics
+ * @config: config under construction
  * @names: index of a service by its name
- * @ids: by its id
- * @addrs: by transport, address and port, in words
+ * @ids: index of a service by its id
+ * @addrs: index of a service by the string "transport address:port"
  */
 struct service_config_unique {
     struct service_config_diags *diags;
@@ -25,18 +26,23 @@
     GHashTable *addrs;
 };
 
-/** service_config_unique_init() - no service yet */
+/** service_config_unique_init() - start without services */
 void
 service_config_unique_init(struct service_config_unique *unique,
                            struct service_config_diags *diags,
                            const struct service_config *config);
 
-/** service_config_unique_finish() - free */
+/** service_config_unique_finish() - free the tables */
 void
 service_config_unique_finish(struct service_config_unique *unique);
 
-/** service_config_unique_check() - compare service @i, which stands at @line,
- * with those before it; parts of it that were found wrong are passed over */
+/**
+ * service_config_unique_check() - compare a service with the previous ones
+ * @unique: services checked so far
+ * @i: index of the service; invalid fields, which are 0, are ignored
+ * @line: line number of the service
+ * @path: key path of the service
+ */
 void
 service_config_unique_check(struct service_config_unique *unique, size_t i,
                             uint32_t line, const char *path);
