--- a/tests/caller/test_caller.c
+++ b/tests/caller/test_caller.c
@@ -1,5 +1,6 @@
 /**
- * DOC: test_caller - the caller's own checks: they must find each fault
+ * DOC: test_caller - checks that the stand-in caller detects each fault of an
+ * answer, and writes the expected requests and records
  */
 #include <errno.h>
 #include <glib/gstdio.h>
@@ -34,7 +35,8 @@
     .deadline_us = 2000000,
 };
 
-/* An answer with the headers of @head and a body of @len bytes for @id. */
+/* Builds an answer with the status and headers @head and @len bytes of the
+ * body for @id. */
 static GByteArray *
 make_answer(const char *head, uint64_t id, size_t len)
 {
@@ -51,7 +53,7 @@
     return bytes;
 }
 
-/* Read @bytes in pieces of up to @piece bytes. */
+/* Feeds @bytes to @answer in pieces of up to @piece bytes. */
 static int
 read_in_pieces(struct answer *answer, const GByteArray *bytes, size_t piece)
 {
@@ -68,7 +70,7 @@
     return (int)at;
 }
 
-/** struct answer_case - an answer and what must be found */
+/** struct answer_case - an answer and the expected findings */
 struct answer_case {
     const char *name;
     const char *head;
@@ -84,7 +86,7 @@
 #define OWN "X-Request-Id: 00000000000000a1\r\nX-Service: lots"
 
 static const struct answer_case answer_cases[] = {
-    {"whole", "200 OK\r\n" OWN, ID, ANSWER_BYTES, RESULT_ANSWERED},
+    {"complete", "200 OK\r\n" OWN, ID, ANSWER_BYTES, RESULT_ANSWERED},
     {"other id", "200 OK\r\nX-Service: lots\r\nX-Request-Id: 00000000000000b2",
      OTHER_ID, ANSWER_BYTES, RESULT_ANSWERED, .crossed = true},
     {"no id", "200 OK\r\nX-Service: lots", ID, ANSWER_BYTES, RESULT_ANSWERED,
@@ -115,12 +117,12 @@
      .result = RESULT_REFUSED, .retry_after_ms = 70},
     {"unknown", "504 X\r\nSwiftarch-Outcome: unknown",
      .result = RESULT_UNKNOWN},
-    {"says nothing", "503 X\r\nRetry-After: 1", .result = RESULT_UNKNOWN,
+    {"no outcome", "503 X\r\nRetry-After: 1", .result = RESULT_UNKNOWN,
      .retry_after_ms = 1000},
     {"in progress", "409 X\r\nRetry-After: 1", .result = RESULT_IN_PROGRESS,
      .retry_after_ms = 1000},
-    {"fault of ours", "404 X", .result = RESULT_ANSWERED},
-    {"another's refusal",
+    {"client error", "404 X", .result = RESULT_ANSWERED},
+    {"refusal of another request",
      "503 X\r\nSwiftarch-Outcome: not-run\r\nX-Request-Id: 00000000000000cc",
      .result = RESULT_REFUSED, .crossed = true},
 };
@@ -146,7 +148,7 @@
     g_byte_array_unref(bytes);
 }
 
-/* However the bytes are cut, the same is found. */
+/* The findings do not depend on how the bytes are split. */
 TEST(answers)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(answer_cases); i++) {
@@ -157,8 +159,9 @@
     }
 }
 
-/* Bytes after one answer stay for the next; interim ones are passed over. */
-TEST(answers_in_a_row)
+/* answer_read() leaves the bytes of the next answer, and skips interim
+ * answers. */
+TEST(pipelined_answers)
 {
     g_autoptr(GByteArray) both =
         make_answer("200 OK\r\n" OWN, ID, ANSWER_BYTES);
@@ -188,7 +191,7 @@
     answer_finish(&answer);
 }
 
-/* The owner of the flow is the nearest host that the answer passed. */
+/* The last host of the Via header is the owner of the flow. */
 TEST(via)
 {
     g_autoptr(GByteArray) bytes = make_answer(
@@ -213,7 +216,7 @@
                     -EBADMSG);
 }
 
-TEST(request_text)
+TEST(request_format)
 {
     g_autoptr(GByteArray) out = g_byte_array_new();
     char body[6] = "";
@@ -234,7 +237,8 @@
     g_assert_cmpstr((const char *)out->data, ==, expected);
 }
 
-/* The mean of the waits is the inverse of the rate; a seed fixes them. */
+/* The mean interval is the inverse of the rate; equal seeds give equal
+ * intervals. */
 TEST(arrivals)
 {
     guint32 seed = g_test_rand_int();
--- a/tests/fuzz/fuzz_agent.c
+++ b/tests/fuzz/fuzz_agent.c
@@ -95,14 +95,14 @@
 {
 }
 
-/* The requests found don't depend on how the bytes are cut. */
+/* The number of requests does not depend on how the bytes are split. */
 static void
 decode_request(const uint8_t *data, size_t len)
 {
     static const struct reader_ops ops = {on_request, on_continue};
     static const size_t steps[] = {SIZE_MAX, 1, 7};
     struct reader_owner owner = {&ops};
-    unsigned found = 0;
+    unsigned expected = 0;
 
     for (size_t i = 0; i < G_N_ELEMENTS(steps); i++) {
         struct reader reader;
@@ -122,9 +122,9 @@
         }
         reader_finish(&reader);
         if (i == 0) {
-            found = requests;
+            expected = requests;
         }
-        g_assert_cmpuint(requests, ==, found);
+        g_assert_cmpuint(requests, ==, expected);
     }
 }
 
@@ -163,7 +163,7 @@
         }
         answer_reader_finish(&reader);
     }
-    /* Answers of peers are held as they came. */
+    /* Answers from peers are stored without parsing. */
     GByteArray *copy = answer_with_field(data, len, "Connection: close\r\n");
 
     (void)answer_status(data, len);
--- a/tests/fuzz/fuzz_base.c
+++ b/tests/fuzz/fuzz_base.c
@@ -64,7 +64,7 @@
 static uint8_t sealed[256];
 static size_t sealed_len;
 
-/* Only the very bytes that were sealed pass. */
+/* Only the unmodified message is accepted, and only once. */
 static void
 decode_sealed(const uint8_t *data, size_t len)
 {
@@ -102,7 +102,7 @@
 
 static struct link_wire receiver;
 
-/* Only the very frame that was sealed for this connection passes. */
+/* Only the unmodified frame of this connection is accepted. */
 static void
 decode_frame(const uint8_t *data, size_t len)
 {
@@ -113,7 +113,7 @@
     int rc;
 
     g_assert_cmpint(auth_init(&auth, key, sizeof(key) - 1, 2, WALL_MS), ==, 0);
-    /* The hub opens what the length says, no more and no less. */
+    /* Callers of link_wire_open() pass exactly one frame. */
     if (len < LINK_WIRE_LENGTH_LEN || link_wire_frame_size(data) != len) {
         auth_finish(&auth);
         return;
--- a/tests/fuzz/fuzz_control.c
+++ b/tests/fuzz/fuzz_control.c
@@ -35,7 +35,7 @@
     return update;
 }
 
-/* What can be read is taken in by a member, and can be written again. */
+/* A decoded message can be encoded again and handled by a member. */
 static void
 decode_gossip(const uint8_t *data, size_t len)
 {
@@ -133,14 +133,14 @@
         swiftarch__config_request__unpack(NULL, len, data);
     Swiftarch__ConfigReply *reply =
         swiftarch__config_reply__unpack(NULL, len, data);
-    Swiftarch__ShowRequest *ask =
+    Swiftarch__ShowRequest *show_request =
         swiftarch__show_request__unpack(NULL, len, data);
     Swiftarch__ShowReply *show =
         swiftarch__show_reply__unpack(NULL, len, data);
 
     swiftarch__config_request__free_unpacked(request, NULL);
     swiftarch__config_reply__free_unpacked(reply, NULL);
-    swiftarch__show_request__free_unpacked(ask, NULL);
+    swiftarch__show_request__free_unpacked(show_request, NULL);
     swiftarch__show_reply__free_unpacked(show, NULL);
 }
 
@@ -167,7 +167,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    /* Damaged messages may be warned of; only a crash is a failure here. */
+    /* Warnings about malformed messages are expected. */
     g_log_set_always_fatal(G_LOG_LEVEL_CRITICAL | G_LOG_FATAL_MASK);
     return harness_run();
 }
--- a/tests/fuzz/fuzz_idem.c
+++ b/tests/fuzz/fuzz_idem.c
@@ -9,7 +9,7 @@
 #define RUNS 40000
 #define MEMBERS 4
 
-/* A message of fixed layout, so that mutation changes its fields. */
+/* A call of fixed layout, so that mutations change its fields. */
 struct raw {
     uint8_t call;
     uint8_t type;
@@ -47,7 +47,7 @@
 }
 
 static void
-carry_out(struct idem_actions *out)
+check_actions(struct idem_actions *out)
 {
     for (size_t i = 0; i < out->count; i++) {
         const struct idem_action *action = &out->items[i];
@@ -81,7 +81,7 @@
     };
 
     (void)idem_receive(idem, raw->from % (MEMBERS + 2), &msg, now_us, &out);
-    carry_out(&out);
+    check_actions(&out);
 }
 
 static void
@@ -111,7 +111,7 @@
         receive(raw, &key);
         break;
     }
-    carry_out(&out);
+    check_actions(&out);
 }
 
 static void
@@ -125,7 +125,7 @@
     }
 }
 
-/* Any message of a member that went wrong is survived. */
+/* Arbitrary calls and messages of a faulty member are handled. */
 TEST(idem)
 {
     static const struct raw calls[] = {
@@ -155,7 +155,7 @@
     now_us = 60 * USEC_PER_SEC;
     idem = idem_new(1, 64);
     g_assert_cmpint(idem_set_view(idem, view, now_us, &out), ==, 0);
-    carry_out(&out);
+    check_actions(&out);
     MUTATE("idem", samples, RUNS, decode_calls);
     idem_free(idem);
     g_free(view);
--- a/tests/fuzz/fuzz_packet.c
+++ b/tests/fuzz/fuzz_packet.c
@@ -28,8 +28,8 @@
     }
 }
 
-/* As it is, and with a right length and header checksum, which lets more
- * through. */
+/* Parses the input as it is, and with a valid length and header checksum to
+ * reach the later checks. */
 static void
 decode_packet(const uint8_t *data, size_t len)
 {
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -12,15 +12,15 @@
 #define RUNS 400
 
 /**
- * struct fake - a platform that sends what it is told to
- * @call: the client's call
+ * struct fake_platform - a platform that replies with the input of the run
+ * @call: call of the client
  * @base: event base
- * @platform: the client
- * @data: answer of this run
- * @len: its length
- * @done: times the call ended
+ * @platform: client under test
+ * @data: reply of this run
+ * @len: length of @data in bytes
+ * @done: completions of the call
  */
-struct fake {
+struct fake_platform {
     struct platform_call call;
     struct event_base *base;
     struct platform *platform;
@@ -29,7 +29,7 @@
     unsigned done;
 };
 
-static struct fake fake;
+static struct fake_platform fake_platform;
 
 static void
 on_event(struct bufferevent *bev, short events, void *arg)
@@ -43,17 +43,17 @@
     bufferevent_free(bev);
 }
 
-/* Whatever was asked: the answer, then the connection ends. */
+/* Sends the reply to any request, then closes the connection. */
 static void
 on_read(struct bufferevent *bev, void *arg)
 {
     evbuffer_drain(bufferevent_get_input(bev), SIZE_MAX);
     bufferevent_setcb(bev, NULL, on_written, on_event, NULL);
-    if (fake.len == 0) {
+    if (fake_platform.len == 0) {
         bufferevent_free(bev);
         return;
     }
-    bufferevent_write(bev, fake.data, fake.len);
+    bufferevent_write(bev, fake_platform.data, fake_platform.len);
 }
 
 static void
@@ -61,7 +61,7 @@
           struct sockaddr *addr, int addr_len, void *arg)
 {
     struct bufferevent *bev =
-        bufferevent_socket_new(fake.base, fd, BEV_OPT_CLOSE_ON_FREE);
+        bufferevent_socket_new(fake_platform.base, fd, BEV_OPT_CLOSE_ON_FREE);
 
     bufferevent_setcb(bev, on_read, NULL, on_event, NULL);
     bufferevent_enable(bev, EV_READ | EV_WRITE);
@@ -70,26 +70,28 @@
 static void
 on_done(struct platform_call *call, const struct platform_reply *reply)
 {
-    fake.done++;
+    fake_platform.done++;
     g_assert_cmpint(reply->status, <=, 0);
     g_assert_cmpuint(reply->len, <=, PLATFORM_VALUE_MAX);
     if (reply->status == 0) {
         g_assert_cmpuint(reply->version, >, 0);
     }
     g_assert_true(reply->value != NULL || reply->len == 0);
-    event_base_loopbreak(fake.base);
+    event_base_loopbreak(fake_platform.base);
 }
 
 static void
 decode(const uint8_t *data, size_t len)
 {
-    fake.data = data;
-    fake.len = len;
-    fake.done = 0;
-    fake.call.done = on_done;
-    g_assert_cmpint(platform_get(fake.platform, "config", &fake.call), ==, 0);
-    event_base_dispatch(fake.base);
-    g_assert_cmpuint(fake.done, ==, 1);
+    fake_platform.data = data;
+    fake_platform.len = len;
+    fake_platform.done = 0;
+    fake_platform.call.done = on_done;
+    g_assert_cmpint(
+        platform_get(fake_platform.platform, "config", &fake_platform.call),
+        ==, 0);
+    event_base_dispatch(fake_platform.base);
+    g_assert_cmpuint(fake_platform.done, ==, 1);
 }
 
 TEST(platform)
@@ -108,8 +110,8 @@
     g_autofree char *url = NULL;
 
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    fake.base = event_base_new();
-    listener = evconnlistener_new_bind(fake.base, on_accept, NULL,
+    fake_platform.base = event_base_new();
+    listener = evconnlistener_new_bind(fake_platform.base, on_accept, NULL,
                                        LEV_OPT_CLOSE_ON_FREE, 16,
                                        (struct sockaddr *)&at, sizeof(at));
     g_assert_nonnull(listener);
@@ -117,10 +119,10 @@
                                 (struct sockaddr *)&at, &at_len),
                     ==, 0);
     url = g_strdup_printf("http://127.0.0.1:%u", ntohs(at.sin_port));
-    fake.platform = platform_new(fake.base, url, &err);
-    g_assert_nonnull(fake.platform);
+    fake_platform.platform = platform_new(fake_platform.base, url, &err);
+    g_assert_nonnull(fake_platform.platform);
     MUTATE("platform answers", samples, RUNS, decode);
-    platform_free(fake.platform);
+    platform_free(fake_platform.platform);
     evconnlistener_free(listener);
-    event_base_free(fake.base);
+    event_base_free(fake_platform.base);
 }
--- a/tests/fuzz/fuzz_service_config.c
+++ b/tests/fuzz/fuzz_service_config.c
@@ -16,7 +16,7 @@
     "{\"name\": \"clock\", \"address\": \"10.0.0.1\", \"port\": 80,\n"
     "\"protocol\": \"udp\", \"class\": \"ordinary\"}]}\n";
 
-/* Either a config or a report of what is wrong with it. */
+/* Parsing gives either a consistent config or a report. */
 static void
 check(int rc, struct service_config *config, char *report)
 {
@@ -39,7 +39,7 @@
 }
 
 static void
-decode_text(const uint8_t *data, size_t len)
+decode_config(const uint8_t *data, size_t len)
 {
     struct service_config *config = NULL;
     char *report = NULL;
@@ -83,7 +83,7 @@
         ==, 0);
     service_config_free(config);
 
-    MUTATE("text_parse", samples, RUNS, decode_text);
+    MUTATE("service_config_parse", samples, RUNS, decode_config);
 }
 
 TEST(envelope)
@@ -104,6 +104,6 @@
         mutate_string(sample),
     };
 
-    MUTATE("text_parse_envelope", samples, RUNS, decode_envelope);
+    MUTATE("service_config_parse_envelope", samples, RUNS, decode_envelope);
     g_free(value);
 }
--- a/tests/fuzz/mutate.c
+++ b/tests/fuzz/mutate.c
@@ -9,7 +9,7 @@
 
 #define SEED_DEFAULT 20261202
 #define CHANGES_MAX 8
-#define CHUNK_MAX 64
+#define PIECE_MAX 64
 
 static char current[128];
 static size_t current_len;
@@ -40,9 +40,9 @@
     return (struct mutate_sample){(const uint8_t *)text, strlen(text)};
 }
 
-/* Numbers at which lengths and counts go wrong. */
+/* Boundary values of integer types, lengths and counts. */
 static uint64_t
-odd_number(struct random *random)
+boundary_number(struct random *random)
 {
     static const uint64_t numbers[] = {
         0,          1,          0x7f,      0x80,    0xff,       0x100,
@@ -57,7 +57,7 @@
 overwrite_number(struct random *random, GByteArray *input)
 {
     size_t width = (size_t)1 << below(random, 4);
-    uint64_t number = odd_number(random);
+    uint64_t number = boundary_number(random);
     bool little = below(random, 2) == 0;
     size_t at;
 
@@ -82,13 +82,13 @@
     memcpy(input->data + at, data, len);
 }
 
-/* Repeat a piece of the input, or put in one of another sample. */
+/* Inserts a piece of @from, which is the input itself or another sample. */
 static void
 insert_piece(struct random *random, GByteArray *input, const uint8_t *from,
              size_t from_len)
 {
-    uint8_t piece[CHUNK_MAX];
-    size_t len = 1 + below(random, MIN(from_len, CHUNK_MAX));
+    uint8_t piece[PIECE_MAX];
+    size_t len = 1 + below(random, MIN(from_len, PIECE_MAX));
     size_t start;
 
     if (from_len == 0 || input->len + len > MUTATE_INPUT_MAX) {
@@ -104,7 +104,7 @@
 insert_noise(struct random *random, GByteArray *input)
 {
     static const char marks[] = "{}[]\":,\\\r\n\0 0-9eE+;=%/";
-    uint8_t piece[CHUNK_MAX];
+    uint8_t piece[PIECE_MAX];
     size_t len = 1 + below(random, 8);
 
     for (size_t i = 0; i < len; i++) {
@@ -192,14 +192,14 @@
 }
 
 static uint64_t
-from_environment(const char *name, uint64_t otherwise)
+env_number(const char *name, uint64_t fallback)
 {
     const char *text = g_getenv(name);
 
-    return text != NULL ? g_ascii_strtoull(text, NULL, 10) : otherwise;
+    return text != NULL ? g_ascii_strtoull(text, NULL, 10) : fallback;
 }
 
-/* A block of its own, as long as the input, shows reads past its end. */
+/* A heap block of the exact size lets tools detect reads past the end. */
 static void
 feed(const GByteArray *input, void (*decode)(const uint8_t *data, size_t len))
 {
@@ -215,9 +215,9 @@
            size_t sample_count, unsigned runs,
            void (*decode)(const uint8_t *data, size_t len))
 {
-    uint64_t seed = from_environment("FUZZ_SEED", SEED_DEFAULT);
-    uint64_t count = from_environment("FUZZ_RUNS", runs);
-    uint64_t only = from_environment("FUZZ_ONLY", UINT64_MAX);
+    uint64_t seed = env_number("FUZZ_SEED", SEED_DEFAULT);
+    uint64_t count = env_number("FUZZ_RUNS", runs);
+    uint64_t only = env_number("FUZZ_ONLY", UINT64_MAX);
     GByteArray *input = g_byte_array_new();
 
     signal(SIGABRT, on_crash);
--- a/tests/fuzz/mutate.h
+++ b/tests/fuzz/mutate.h
@@ -1,9 +1,10 @@
 /**
- * DOC: mutate - seeded mutation of samples, to feed decoders with
+ * DOC: mutate - feeds seeded mutations of samples to decoders
  *
- * Run number N of seed S always makes the same input. FUZZ_SEED and
- * FUZZ_RUNS choose others, FUZZ_ONLY repeats a single run. A decoder that
- * crashes leaves the seed and the run on standard error.
+ * The input of a run depends only on the seed and the run number. The
+ * environment variables FUZZ_SEED and FUZZ_RUNS set the seed and the number of
+ * runs, FUZZ_ONLY limits the test to one run. When an assertion fails, the
+ * seed and the run are printed to standard error.
  */
 #ifndef SWIFTARCH_TESTS_FUZZ_MUTATE_H
 #define SWIFTARCH_TESTS_FUZZ_MUTATE_H
@@ -13,36 +14,42 @@
 
 #include "lib/harness.h"
 
-#define MUTATE_INPUT_MAX 65536
+#define MUTATE_INPUT_MAX 65536 /* bytes */
 
-/** struct mutate_sample - a well-formed input to start from */
+/**
+ * struct mutate_sample - a well-formed input to mutate
+ * @data: the input, not owned
+ * @len: length of @data in bytes
+ */
 struct mutate_sample {
     const uint8_t *data;
     size_t len;
 };
 
-/** mutate_string() - sample of a C string */
+/** mutate_string() - sample of a C string, without its NUL */
 struct mutate_sample
 mutate_string(const char *text);
 
 /**
- * mutate_run() - feed @runs mutations of @samples to @decode
- * @name: of the decoder, for messages
- * @decode: must return for any input, and check what it got; @data lies in
- *          a block of exactly @len bytes, so that reading past it shows
- *
- * Run 0 and the next ones are the samples themselves.
+ * mutate_run() - feed mutations of samples to a decoder
+ * @name: name of the decoder for messages
+ * @samples: samples
+ * @sample_count: number of samples
+ * @runs: number of inputs; the first @sample_count are the unmodified samples
+ * @decode: decodes an input and checks the result; @data is a heap block of
+ *          exactly @len bytes
  */
 void
 mutate_run(const char *name, const struct mutate_sample *samples,
            size_t sample_count, unsigned runs,
            void (*decode)(const uint8_t *data, size_t len));
 
-/** MUTATE() - mutate_run() of an array of samples */
+/** MUTATE() - mutate_run() with an array of samples */
 #define MUTATE(name, samples, runs, decode)                                   \
     mutate_run(name, samples, G_N_ELEMENTS(samples), runs, decode)
 
-/** FUZZ_STRINGS() - a test that feeds mutations of C strings to @decode */
+/** FUZZ_STRINGS() - define a test that feeds mutations of C strings to @decode
+ */
 #define FUZZ_STRINGS(name, runs, decode, ...)                                 \
     TEST(name)                                                                \
     {                                                                         \
--- a/tests/service_config/sample.c
+++ b/tests/service_config/sample.c
@@ -23,7 +23,7 @@
         struct service_config_entry left = a->services[i];
         struct service_config_entry right = b->services[i];
 
-        /* The source begins where the config does, the file may not. */
+        /* Line numbers differ when one of them had a leading blank line. */
         left.line = 0;
         right.line = 0;
         g_assert_cmpmem(&left, sizeof(left), &right, sizeof(right));
--- a/tests/service_config/service_config_envelope_test.c
+++ b/tests/service_config/service_config_envelope_test.c
@@ -4,7 +4,7 @@
 #include "sample.h"
 #include "lib/harness.h"
 
-#define SUITE "/text"
+#define SUITE "/service_config"
 
 static struct service_config_envelope
 sample_envelope(const struct service_config *config)
@@ -23,38 +23,41 @@
     return envelope;
 }
 
+/* Writing and reading an envelope preserves all fields and the config. */
 TEST(envelope)
 {
     struct service_config *config = sample_parse(sample_config);
     struct service_config_envelope envelope = sample_envelope(config);
-    struct service_config_envelope read;
-    struct service_config *again;
+    struct service_config_envelope parsed;
+    struct service_config *reparsed;
     char *report;
     size_t len;
     g_autofree char *value = service_config_envelope_write(&envelope, &len);
 
     g_assert_cmpuint(len - config->source_len, <, SERVICE_CONFIG_ENVELOPE_MAX);
-    g_assert_cmpint(service_config_envelope_read(value, len, &read), ==, 0);
-    g_assert_cmpstr(read.write_id, ==, envelope.write_id);
-    g_assert_cmpstr(read.author, ==, envelope.author);
-    g_assert_cmpuint(read.written_ms, ==, envelope.written_ms);
-    g_assert_cmpuint(read.history_count, ==, 2);
-    g_assert_cmpstr(read.history[1], ==, envelope.history[1]);
+    g_assert_cmpint(service_config_envelope_read(value, len, &parsed), ==, 0);
+    g_assert_cmpstr(parsed.write_id, ==, envelope.write_id);
+    g_assert_cmpstr(parsed.author, ==, envelope.author);
+    g_assert_cmpuint(parsed.written_ms, ==, envelope.written_ms);
+    g_assert_cmpuint(parsed.history_count, ==, 2);
+    g_assert_cmpstr(parsed.history[1], ==, envelope.history[1]);
     g_assert_cmpint(
-        service_config_parse_envelope(value, len, 7, &again, &report), ==, 0);
-    g_assert_cmpuint(again->version, ==, 7);
-    sample_assert_same(config, again);
-    service_config_free(again);
+        service_config_parse_envelope(value, len, 7, &reparsed, &report), ==,
+        0);
+    g_assert_cmpuint(reparsed->version, ==, 7);
+    sample_assert_same(config, reparsed);
+    service_config_free(reparsed);
     g_assert_cmpint(service_config_parse_envelope(config->source,
                                                   config->source_len, 8,
-                                                  &again, &report),
+                                                  &reparsed, &report),
                     ==, 0);
-    g_assert_cmpuint(again->version, ==, 8);
-    sample_assert_same(config, again);
-    service_config_free(again);
+    g_assert_cmpuint(reparsed->version, ==, 8);
+    sample_assert_same(config, reparsed);
+    service_config_free(reparsed);
     service_config_free(config);
 }
 
+/* The largest envelope stays within SERVICE_CONFIG_ENVELOPE_MAX. */
 TEST(envelope_largest)
 {
     struct service_config *config = sample_parse(sample_config);
@@ -77,6 +80,7 @@
     service_config_free(config);
 }
 
+/* Values with missing or invalid keys are rejected. */
 TEST(not_an_envelope)
 {
     static const char *const values[] = {
--- a/tests/service_config/service_config_mutation_test.c
+++ b/tests/service_config/service_config_mutation_test.c
@@ -3,11 +3,11 @@
 #include "sample.h"
 #include "lib/harness.h"
 
-#define SUITE "/text"
+#define SUITE "/service_config"
 #define MUTATIONS 4000
 #define SEED 20261202
 
-/* Often leaves a good config with another value. */
+/* Often yields a valid config with another value. */
 static void
 mutate_digit(GRand *rand, GString *source)
 {
@@ -24,13 +24,14 @@
 static void
 mutate_once(GRand *rand, GString *source)
 {
-    static const char *const bits[] = {
+    static const char *const snippets[] = {
         "\"",  "{",  "}",    "[",        "]",      ",",
         ":",   "\n", "null", "\\u0000",  "80",     "\"lots\"",
         "1e9", "-1", "\xff", "\"port\"", "[[[[[[", "\"depends_on\":[]"};
     gsize at = (gsize)g_rand_int_range(rand, 0, (gint32)source->len);
     gsize len = (gsize)g_rand_int_range(rand, 1, 12);
-    const char *bit = bits[g_rand_int_range(rand, 0, G_N_ELEMENTS(bits))];
+    const char *snippet =
+        snippets[g_rand_int_range(rand, 0, G_N_ELEMENTS(snippets))];
     char *copy;
 
     switch (g_rand_int_range(rand, 0, 5)) {
@@ -38,7 +39,7 @@
         g_string_erase(source, (gssize)at, (gssize)MIN(len, source->len - at));
         break;
     case 1:
-        g_string_insert(source, (gssize)at, bit);
+        g_string_insert(source, (gssize)at, snippet);
         break;
     case 2:
         source->str[at] = (char)g_rand_int_range(rand, 1, 256);
@@ -57,7 +58,7 @@
     }
 }
 
-/* Every line of a report names the file and a line that exists. */
+/* Every line of a report has the file name and a line number in the file. */
 static void
 assert_report(const char *report, const char *source)
 {
@@ -80,7 +81,7 @@
 check_mutant(const GString *source)
 {
     struct service_config *config;
-    struct service_config *again;
+    struct service_config *reparsed;
     char *report;
     int rc =
         service_config_parse(source->str, source->len, "t", &config, &report);
@@ -93,13 +94,15 @@
         g_free(report);
         return false;
     }
-    again = sample_parse(config->source);
-    sample_assert_same(config, again);
-    service_config_free(again);
+    reparsed = sample_parse(config->source);
+    sample_assert_same(config, reparsed);
+    service_config_free(reparsed);
     service_config_free(config);
     return true;
 }
 
+/* A mutated config is either rejected with a well-formed report, or its source
+ * parses to an equal config. */
 TEST(mutations)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(SEED);
@@ -120,13 +123,13 @@
     g_assert_cmpuint(accepted, <, MUTATIONS);
 }
 
-/* What is accepted reads the same when it is passed on, and gives no address
- * to two services. */
+/* The source of an accepted value parses to an equal config, and no address is
+ * both in use and retired. */
 static bool
 check_value(const GString *value)
 {
     struct service_config *config;
-    struct service_config *again;
+    struct service_config *reparsed;
     char *report;
 
     if (service_config_parse_envelope(value->str, value->len, 7, &config,
@@ -139,9 +142,9 @@
     g_assert_null(report);
     g_assert_cmpint(service_config_parse_envelope(config->source,
                                                   config->source_len, 7,
-                                                  &again, &report),
+                                                  &reparsed, &report),
                     ==, 0);
-    sample_assert_same(config, again);
+    sample_assert_same(config, reparsed);
     for (size_t i = 0; i < config->retired_count; i++) {
         const struct service_config_entry *old = &config->retired[i].service;
 
@@ -152,7 +155,7 @@
         g_assert_null(
             service_config_find_addr(config, old->ip, old->port, old->proto));
     }
-    service_config_free(again);
+    service_config_free(reparsed);
     service_config_free(config);
     return true;
 }
--- a/tests/service_config/service_config_retire_test.c
+++ b/tests/service_config/service_config_retire_test.c
@@ -6,7 +6,7 @@
 #include "service_config/service_config_retire.h"
 #include "lib/harness.h"
 
-#define SUITE "/text/retire"
+#define SUITE "/service_config/retire"
 #define NOW_MS UINT64_C(1700000000000)
 #define HOLD_MS UINT64_C(1000000)
 #define UNTIL_MS (NOW_MS + HOLD_MS + SERVICE_CONFIG_RETIRE_SKEW_MS)
@@ -18,10 +18,16 @@
 #define ALBUMS(port)                                                          \
     "{\"name\": \"albums\", \"address\": \"10.0.0.1\", "                      \
     "\"port\": " port ", \"class\": \"ordinary\"}"
-#define TEXT(services) "{\"services\": [\n" services "]}"
+#define CONFIG(services) "{\"services\": [\n" services "]}"
 
-/** struct step - what a change made of the list */
-struct step {
+/**
+ * struct result - output of service_config_retire()
+ * @retired: retired addresses
+ * @count: number of addresses in @retired
+ * @report: errors, or NULL
+ * @rc: return value
+ */
+struct result {
     struct service_config_retired retired[SERVICE_CONFIG_RETIRED_MAX];
     size_t count;
     char *report;
@@ -40,14 +46,14 @@
 }
 
 static void
-take_step(const struct service_config_change *change, struct step *step)
+compute(const struct service_config_change *change, struct result *result)
 {
-    step->rc = service_config_retire(change, step->retired, &step->count,
-                                     &step->report);
-    g_assert_true((step->rc == 0) == (step->report == NULL));
+    result->rc = service_config_retire(change, result->retired, &result->count,
+                                       &result->report);
+    g_assert_true((result->rc == 0) == (result->report == NULL));
 }
 
-/* The value that holds a config and a list. */
+/* Returns the envelope of a config and a JSON list of retired addresses. */
 static char *
 value_of(const struct service_config *config, const char *list, size_t *len)
 {
@@ -63,21 +69,21 @@
     return service_config_envelope_write(&envelope, len);
 }
 
-/* The config that processes have once @to was published over @from. */
+/* Returns the config that processes parse after @source replaced @from. */
 static struct service_config *
 publish(const struct service_config *from, const char *source, uint64_t now_ms)
 {
     struct service_config *to = sample_parse(source);
     struct service_config_change change = change_of(from, to, now_ms);
-    struct step step;
+    struct result result;
     struct service_config *config;
     char *report;
     size_t len;
 
-    take_step(&change, &step);
-    g_assert_cmpstr(step.report, ==, NULL);
+    compute(&change, &result);
+    g_assert_cmpstr(result.report, ==, NULL);
     g_autofree char *list =
-        service_config_retired_write(step.retired, step.count);
+        service_config_retired_write(result.retired, result.count);
     g_autofree char *value = value_of(to, list, &len);
     g_assert_cmpint(
         service_config_parse_envelope(value, len, 2, &config, &report), ==, 0);
@@ -99,16 +105,18 @@
                   &config->retired[i]);
 }
 
-/* Twice moved, then moved back to the first address, then removed. */
-TEST(moves)
+/* A service moves twice, returns to its first address, and is removed.
+ */
+TEST(moved_service)
 {
-    struct service_config *first = publish(NULL, TEXT(LOTS("80")), NOW_MS);
-    struct service_config *second = publish(first, TEXT(LOTS("81")), NOW_MS);
+    struct service_config *first = publish(NULL, CONFIG(LOTS("80")), NOW_MS);
+    struct service_config *second = publish(first, CONFIG(LOTS("81")), NOW_MS);
     struct service_config *third =
-        publish(second, TEXT(LOTS("82")), NOW_MS + 1);
-    struct service_config *back = publish(third, TEXT(LOTS("80")), NOW_MS + 2);
-    struct service_config *gone =
-        publish(back, TEXT(ALBUMS("90")), NOW_MS + 3);
+        publish(second, CONFIG(LOTS("82")), NOW_MS + 1);
+    struct service_config *back =
+        publish(third, CONFIG(LOTS("80")), NOW_MS + 2);
+    struct service_config *removed =
+        publish(back, CONFIG(ALBUMS("90")), NOW_MS + 3);
     uint32_t id = hash_service("lots");
 
     g_assert_cmpuint(first->retired_count, ==, 0);
@@ -120,37 +128,39 @@
     g_assert_cmpuint(back->retired_count, ==, 2);
     assert_retired(back, 0, "lots", 81, UNTIL_MS + 1);
     assert_retired(back, 1, "lots", 82, UNTIL_MS + 2);
-    g_assert_cmpuint(gone->retired_count, ==, 3);
-    assert_retired(gone, 2, "lots", 80, UNTIL_MS + 3);
-    g_assert_true(service_config_find_id(gone, id) == NULL);
-    g_assert_true(service_config_find_with_retired(gone, id) ==
-                  &gone->retired[2].service);
-    g_assert_cmpuint(gone->retired[2].service.limits.queue, ==, 9);
-    g_assert_cmpint(gone->retired[2].service.class, ==, SERVICE_CONFIG_URGENT);
+    g_assert_cmpuint(removed->retired_count, ==, 3);
+    assert_retired(removed, 2, "lots", 80, UNTIL_MS + 3);
+    g_assert_true(service_config_find_id(removed, id) == NULL);
+    g_assert_true(service_config_find_with_retired(removed, id) ==
+                  &removed->retired[2].service);
+    g_assert_cmpuint(removed->retired[2].service.limits.queue, ==, 9);
+    g_assert_cmpint(removed->retired[2].service.class, ==,
+                    SERVICE_CONFIG_URGENT);
     g_assert_true(service_config_find_with_retired(back, id) ==
                   service_config_find_id(back, id));
     service_config_free(first);
     service_config_free(second);
     service_config_free(third);
     service_config_free(back);
-    service_config_free(gone);
+    service_config_free(removed);
 }
 
-/* What a process passes on says the same as what the platform holds. */
-TEST(passed_on)
+/* The source sent between processes preserves the retired addresses. */
+TEST(source_round_trip)
 {
-    struct service_config *first = publish(NULL, TEXT(LOTS("80")), NOW_MS);
-    struct service_config *moved = publish(first, TEXT(LOTS("81")), NOW_MS);
-    struct service_config *again;
+    struct service_config *first = publish(NULL, CONFIG(LOTS("80")), NOW_MS);
+    struct service_config *moved = publish(first, CONFIG(LOTS("81")), NOW_MS);
+    struct service_config *reparsed;
     char *report;
 
-    g_assert_cmpint(service_config_parse_envelope(
-                        moved->source, moved->source_len, 2, &again, &report),
+    g_assert_cmpint(service_config_parse_envelope(moved->source,
+                                                  moved->source_len, 2,
+                                                  &reparsed, &report),
                     ==, 0);
-    sample_assert_same(moved, again);
+    sample_assert_same(moved, reparsed);
     service_config_free(first);
     service_config_free(moved);
-    service_config_free(again);
+    service_config_free(reparsed);
 }
 
 static void
@@ -159,71 +169,75 @@
 {
     struct service_config *to = sample_parse(source);
     struct service_config_change change = change_of(from, to, now_ms);
-    struct step step;
+    struct result result;
 
-    take_step(&change, &step);
-    g_assert_cmpstr(step.report, ==, expected);
-    g_free(step.report);
+    compute(&change, &result);
+    g_assert_cmpstr(result.report, ==, expected);
+    g_free(result.report);
     service_config_free(to);
 }
 
-/* A name is a service's identity: a renamed one is another. */
-TEST(reuse)
+/* No other service gets a retired address before its time has expired. */
+TEST(reused_address)
 {
     struct service_config *first =
-        publish(NULL, TEXT(LOTS("80") ",\n" ALBUMS("81")), NOW_MS);
-    struct service_config *gone = publish(first, TEXT(LOTS("80")), NOW_MS);
+        publish(NULL, CONFIG(LOTS("80") ",\n" ALBUMS("81")), NOW_MS);
+    struct service_config *removed =
+        publish(first, CONFIG(LOTS("80")), NOW_MS);
     struct service_config *later;
 
-    assert_refused(first, TEXT(LOTS("82") ",\n" ALBUMS("80")), NOW_MS,
+    assert_refused(first, CONFIG(LOTS("82") ",\n" ALBUMS("80")), NOW_MS,
                    "t:3: services[1].address: found tcp 10.0.0.1:80 for "
                    "\"albums\", which stays the address of \"lots\" until "
                    "2023-11-14 22:35:00 UTC for the sake of its open flows, "
                    "expected another address or port\n");
-    assert_refused(gone, TEXT(LOTS("81")), UNTIL_MS - 1,
+    assert_refused(removed, CONFIG(LOTS("81")), UNTIL_MS - 1,
                    "t:2: services[0].address: found tcp 10.0.0.1:81 for "
                    "\"lots\", which stays the address of \"albums\" until "
                    "2023-11-14 22:35:00 UTC for the sake of its open flows, "
                    "expected another address or port\n");
-    later = publish(gone, TEXT(LOTS("81")), UNTIL_MS);
+    later = publish(removed, CONFIG(LOTS("81")), UNTIL_MS);
     g_assert_cmpuint(later->retired_count, ==, 1);
     assert_retired(later, 0, "lots", 80,
                    UNTIL_MS + HOLD_MS + SERVICE_CONFIG_RETIRE_SKEW_MS);
     service_config_free(first);
-    service_config_free(gone);
+    service_config_free(removed);
     service_config_free(later);
 }
 
+/* The operator can release one address or all; the transport must match. */
 TEST(forget)
 {
     struct service_config *first =
-        publish(NULL, TEXT(LOTS("80") ",\n" ALBUMS("81")), NOW_MS);
-    struct service_config *gone = publish(first, TEXT(LOTS("80")), NOW_MS);
-    struct service_config *to = sample_parse(TEXT(LOTS("81")));
-    struct service_config_change change = change_of(gone, to, NOW_MS);
+        publish(NULL, CONFIG(LOTS("80") ",\n" ALBUMS("81")), NOW_MS);
+    struct service_config *removed =
+        publish(first, CONFIG(LOTS("80")), NOW_MS);
+    struct service_config *to = sample_parse(CONFIG(LOTS("81")));
+    struct service_config_change change = change_of(removed, to, NOW_MS);
     struct service_config_forget forget = {{0x0a000001, 81},
                                            SERVICE_CONFIG_UDP};
-    struct step step;
+    struct result result;
 
     change.forget = &forget;
     change.forget_count = 1;
-    take_step(&change, &step);
-    g_assert_cmpint(step.rc, ==, -EINVAL);
-    g_free(step.report);
+    compute(&change, &result);
+    g_assert_cmpint(result.rc, ==, -EINVAL);
+    g_free(result.report);
     forget.proto = SERVICE_CONFIG_TCP;
-    take_step(&change, &step);
-    g_assert_cmpint(step.rc, ==, 0);
-    g_assert_cmpuint(step.count, ==, 1);
-    g_assert_cmpuint(step.retired[0].service.port, ==, 80);
+    compute(&change, &result);
+    g_assert_cmpint(result.rc, ==, 0);
+    g_assert_cmpuint(result.count, ==, 1);
+    g_assert_cmpuint(result.retired[0].service.port, ==, 80);
     change.forget_all = true;
-    take_step(&change, &step);
-    g_assert_cmpint(step.rc, ==, 0);
-    g_assert_cmpuint(step.count, ==, 0);
+    compute(&change, &result);
+    g_assert_cmpint(result.rc, ==, 0);
+    g_assert_cmpuint(result.count, ==, 0);
     service_config_free(first);
-    service_config_free(gone);
+    service_config_free(removed);
     service_config_free(to);
 }
 
+/* A change that retires too many addresses is rejected. */
 TEST(too_many)
 {
     g_autoptr(GString) many = g_string_new("{\"services\": [");
@@ -237,31 +251,31 @@
                                i > 0 ? "," : "", i, i + 1);
     g_string_append(many, "]}");
     config = sample_parse(many->str);
-    assert_refused(config, TEXT(LOTS("80")), NOW_MS,
+    assert_refused(config, CONFIG(LOTS("80")), NOW_MS,
                    "t:1: found 257 addresses that services have left and "
                    "that may have open flows, expected at most 256\n");
     service_config_free(config);
 }
 
-/* A config that just fits leaves no room for a list. */
+/* A config of the maximum size is rejected when addresses must be retired. */
 TEST(too_long)
 {
-    size_t room = SERVICE_CONFIG_SIZE_MAX - SERVICE_CONFIG_ENVELOPE_MAX;
-    struct service_config *config = publish(NULL, TEXT(LOTS("80")), NOW_MS);
-    g_autoptr(GString) source = g_string_new(TEXT(LOTS("81")));
-    size_t pad = room - source->len;
+    size_t max = SERVICE_CONFIG_SIZE_MAX - SERVICE_CONFIG_ENVELOPE_MAX;
+    struct service_config *config = publish(NULL, CONFIG(LOTS("80")), NOW_MS);
+    g_autoptr(GString) source = g_string_new(CONFIG(LOTS("81")));
+    size_t pad = max - source->len;
     g_autofree char *spaces = g_strnfill(pad, ' ');
 
     g_string_insert(source, 1, spaces);
-    g_assert_cmpuint(source->len, ==, room);
+    g_assert_cmpuint(source->len, ==, max);
     assert_refused(config, source->str, NOW_MS,
                    "t:1: found 1048842 bytes with the 1 addresses that "
                    "services have left, expected at most 1048576\n");
     service_config_free(config);
 }
 
-/* A list that nobody could have written is refused with the config. */
-TEST(bad_lists)
+/* A config with an invalid list of retired addresses is rejected. */
+TEST(invalid_lists)
 {
     static const struct {
         const char *list;
@@ -290,7 +304,7 @@
          "config:2: retired[1]: found the address of \"y\" again, expected "
          "it once\n"},
     };
-    struct service_config *config = sample_parse(TEXT(LOTS("80")));
+    struct service_config *config = sample_parse(CONFIG(LOTS("80")));
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct service_config *parsed;
--- a/tests/service_config/service_config_test.c
+++ b/tests/service_config/service_config_test.c
@@ -5,7 +5,7 @@
 #include "sample.h"
 #include "lib/harness.h"
 
-#define SUITE "/text"
+#define SUITE "/service_config"
 #define LOTS                                                                  \
     "{\"name\":\"lots\",\"address\":\"10.0.0.1\",\"port\":80,"                \
     "\"class\":\"urgent\"}"
@@ -77,8 +77,8 @@
     service_config_free(config);
 }
 
-/** struct fault_case - a wrong config and the report it must get */
-struct fault_case {
+/** struct error_case - an invalid config and its report */
+struct error_case {
     const char *source;
     const char *report;
 };
@@ -94,7 +94,7 @@
     "{\"services\":[{\"name\":\"a\",\"address\":" address ",\"port\":" port   \
     ",\"class\":\"urgent\"}]}"
 
-static const struct fault_case fault_cases[] = {
+static const struct error_case error_cases[] = {
     {"", "t:1: found the end of the file, expected more JSON\n"},
     {"null", "t:1: found null, expected an object\n"},
     {"[]", "t:1: found a list, expected an object with \"services\"\n"},
@@ -181,10 +181,10 @@
      "\"ordinary\"\n"},
 };
 
-TEST(faults)
+TEST(errors)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(fault_cases); i++) {
-        const struct fault_case *row = &fault_cases[i];
+    for (size_t i = 0; i < G_N_ELEMENTS(error_cases); i++) {
+        const struct error_case *row = &error_cases[i];
         g_autofree char *report =
             parse_bad(row->source, strlen(row->source), -EINVAL);
 
@@ -220,7 +220,7 @@
     }
 }
 
-/** struct limit_case - range of a limit */
+/** struct limit_case - valid range of a limit */
 struct limit_case {
     const char *key;
     uint32_t min;
@@ -277,20 +277,21 @@
                     "b -> c -> b, expected no cycle\n");
 }
 
+/* Surrounding white space counts towards the size limit but is not kept. */
 TEST(size)
 {
-    size_t most = SERVICE_CONFIG_SIZE_MAX - SERVICE_CONFIG_ENVELOPE_MAX;
+    size_t max = SERVICE_CONFIG_SIZE_MAX - SERVICE_CONFIG_ENVELOPE_MAX;
     g_autofree char *good = g_strdup("{\"services\":[" LOTS "]}");
-    g_autofree char *space = g_strnfill(most + 1 - strlen(good), ' ');
+    g_autofree char *space = g_strnfill(max + 1 - strlen(good), ' ');
     g_autofree char *source = g_strconcat(good, space, NULL);
     struct service_config *config;
     g_autofree char *report = NULL;
 
-    g_assert_cmpint(service_config_parse(source, most, "t", &config, &report),
+    g_assert_cmpint(service_config_parse(source, max, "t", &config, &report),
                     ==, 0);
     g_assert_cmpuint(config->source_len, ==, strlen(good));
     service_config_free(config);
-    report = parse_bad(source, most + 1, -EFBIG);
+    report = parse_bad(source, max + 1, -EFBIG);
     g_assert_cmpstr(report, ==,
                     "t:1: found 1047553 bytes, expected at most 1047552 (a "
                     "megabyte with the envelope it is published in)\n");
@@ -307,7 +308,7 @@
     g_free(report);
 }
 
-/* Two names whose ids are equal, found by search. */
+/* Finds two names with the same id. */
 static void
 find_collision(char **one, char **other)
 {
@@ -329,6 +330,7 @@
     g_hash_table_destroy(seen);
 }
 
+/* Two names with the same id are rejected. */
 TEST(collision)
 {
     g_autofree char *one = NULL;
