--- a/tests/golden/golden_test.c
+++ b/tests/golden/golden_test.c
@@ -1,16 +1,16 @@
 /**
- * DOC: golden_test - sessions played again must give the same transcript
+ * DOC: golden_test - compares transcripts of sessions with golden files
  *
- * Arguments: NAME.session files; NAME.golden beside each holds what it gave.
- * With GOLDEN_UPDATE=1 in the environment the golden files are written anew:
- * read the difference before it is committed.
+ * Arguments: NAME.session files, each with a NAME.golden file in the same
+ * folder. GOLDEN_UPDATE=1 in the environment rewrites the golden files; review
+ * the difference before committing it.
  */
 #include <glib.h>
 #include <string.h>
 
 #include "script.h"
 
-#define CONTEXT 3
+#define CONTEXT_LINES 3
 
 static char *
 read_file(const char *path)
@@ -31,24 +31,25 @@
     }
 }
 
-/* The first difference, with lines around it. */
+/* Prints the first difference with its context. */
 static void
-print_difference(const char *path, const char *want, const char *have)
+print_difference(const char *path, const char *expected, const char *actual)
 {
-    g_auto(GStrv) old = g_strsplit(want, "\n", -1);
-    g_auto(GStrv) new = g_strsplit(have, "\n", -1);
+    g_auto(GStrv) old_lines = g_strsplit(expected, "\n", -1);
+    g_auto(GStrv) new_lines = g_strsplit(actual, "\n", -1);
     guint at = 0;
 
-    while (old[at] != NULL && new[at] != NULL &&
-           strcmp(old[at], new[at]) == 0) {
+    while (old_lines[at] != NULL && new_lines[at] != NULL &&
+           strcmp(old_lines[at], new_lines[at]) == 0) {
         at++;
     }
     g_test_message("--- %s", path);
-    g_test_message("+++ played now");
+    g_test_message("+++ this run");
     g_test_message("@@ line %u @@", at + 1);
-    print_lines(old, at > CONTEXT ? at - CONTEXT : 0, at, ' ');
-    print_lines(old, at, at + CONTEXT, '-');
-    print_lines(new, at, at + CONTEXT, '+');
+    print_lines(old_lines, at > CONTEXT_LINES ? at - CONTEXT_LINES : 0, at,
+                ' ');
+    print_lines(old_lines, at, at + CONTEXT_LINES, '-');
+    print_lines(new_lines, at, at + CONTEXT_LINES, '+');
 }
 
 static void
@@ -59,17 +60,17 @@
     g_autofree char *golden = g_strconcat(stem, ".golden", NULL);
     g_autofree char *folder = g_path_get_dirname(path);
     g_autofree char *script = read_file(path);
-    g_autofree char *have = script_play(script, folder);
+    g_autofree char *actual = script_play(script, folder);
 
     if (g_strcmp0(g_getenv("GOLDEN_UPDATE"), "1") == 0) {
         GError *error = NULL;
 
-        g_file_set_contents(golden, have, -1, &error);
+        g_file_set_contents(golden, actual, -1, &error);
         g_assert_no_error(error);
     }
-    g_autofree char *want = read_file(golden);
-    if (strcmp(want, have) != 0) {
-        print_difference(golden, want, have);
+    g_autofree char *expected = read_file(golden);
+    if (strcmp(expected, actual) != 0) {
+        print_difference(golden, expected, actual);
         g_test_fail();
     }
 }
--- a/tests/golden/scene.c
+++ b/tests/golden/scene.c
@@ -8,13 +8,19 @@
 #define FLOWS_MAX 1000
 
 static const char *const kind_names[] = {
-    [SCENE_GOSSIP] = "gossip",   [SCENE_SYNC] = "sync",
-    [SCENE_ASK] = "config-ask",  [SCENE_CONFIG] = "config",
-    [SCENE_PEER] = "peer",       [SCENE_PACKET] = "packet",
-    [SCENE_ANSWER] = "answer",   [SCENE_READ] = "read",
-    [SCENE_REFUSED] = "refused", [SCENE_BROKEN] = "broken",
-    [SCENE_RUN_END] = "run-end", [SCENE_CALL] = "call",
-    [SCENE_REPLY] = "reply",
+    [SCENE_GOSSIP] = "gossip",
+    [SCENE_SYNC] = "sync",
+    [SCENE_CONFIG_QUERY] = "config-ask",
+    [SCENE_CONFIG_REPLY] = "config",
+    [SCENE_PEER] = "peer",
+    [SCENE_PACKET] = "packet",
+    [SCENE_ANSWER] = "answer",
+    [SCENE_PLATFORM_REPLY] = "read",
+    [SCENE_REFUSED] = "refused",
+    [SCENE_BROKEN] = "broken",
+    [SCENE_RUN_END] = "run-end",
+    [SCENE_OPERATOR_CALL] = "call",
+    [SCENE_OPERATOR_REPLY] = "reply",
 };
 
 uint64_t
@@ -26,15 +32,15 @@
 void
 scene_log(struct scene *scene, const char *fmt, ...)
 {
-    uint64_t past_us = scene_now(scene) - scene->zero_us;
+    uint64_t elapsed_us = scene_now(scene) - scene->origin_us;
     va_list args;
 
     if (scene->muted) {
         return;
     }
     g_string_append_printf(scene->log, "%4u.%03u  ",
-                           (unsigned)(past_us / USEC_PER_SEC),
-                           (unsigned)(past_us / USEC_PER_MSEC % 1000));
+                           (unsigned)(elapsed_us / USEC_PER_SEC),
+                           (unsigned)(elapsed_us / USEC_PER_MSEC % 1000));
     va_start(args, fmt);
     g_string_append_vprintf(scene->log, fmt, args);
     va_end(args);
@@ -42,25 +48,25 @@
 }
 
 void
-scene_told(struct scene *scene)
+scene_log_quiet(struct scene *scene)
 {
-    if (scene->quiet > 0) {
-        scene_log(scene, "(%u probes and load reports without news)",
-                  scene->quiet);
+    if (scene->quiet_count > 0) {
+        scene_log(scene, "(%u probes and load reports without updates)",
+                  scene->quiet_count);
     }
-    scene->quiet = 0;
+    scene->quiet_count = 0;
 }
 
 const char *
-scene_place(const struct scene *scene, int place)
+scene_node_name(const struct scene *scene, int node)
 {
-    if (place == SCENE_CALLER) {
+    if (node == SCENE_CALLER) {
         return "caller";
     }
-    if (place == SCENE_OPERATOR) {
+    if (node == SCENE_OPERATOR) {
         return "operator";
     }
-    return place == SCENE_PLATFORM ? "platform" : scene->hosts[place].name;
+    return node == SCENE_PLATFORM ? "platform" : scene->hosts[node].name;
 }
 
 int
@@ -75,7 +81,7 @@
 }
 
 const char *
-scene_name(const struct scene *scene, uint64_t id)
+scene_member_name(const struct scene *scene, uint64_t id)
 {
     for (int i = 0; i < scene->count; i++) {
         if (hash_name(scene->hosts[i].name) == id) {
@@ -105,12 +111,12 @@
     if (msg->bytes != NULL) {
         g_bytes_unref(msg->bytes);
     }
-    g_free(msg->what);
+    g_free(msg->description);
     g_free(msg);
 }
 
 void
-scene_heal(struct scene *scene)
+scene_clear_rules(struct scene *scene)
 {
     struct scene_rule *rule;
 
@@ -123,23 +129,23 @@
 }
 
 static bool
-matches(const char *pattern, const char *word)
+matches(const char *pattern, const char *value)
 {
-    return strcmp(pattern, "*") == 0 || strcmp(pattern, word) == 0;
+    return strcmp(pattern, "*") == 0 || strcmp(pattern, value) == 0;
 }
 
 static struct scene_rule *
 find_rule(struct scene *scene, const struct scene_message *msg)
 {
-    bool probe = msg->kind == SCENE_GOSSIP && msg->what == NULL;
+    bool probe = msg->kind == SCENE_GOSSIP && msg->description == NULL;
     const char *kind = probe ? "probe" : kind_names[msg->kind];
 
     for (GList *l = scene->rules.head; l != NULL; l = l->next) {
         struct scene_rule *rule = l->data;
 
         if (rule->count > 0 && matches(rule->kind, kind) &&
-            matches(rule->from, scene_place(scene, msg->from)) &&
-            matches(rule->to, scene_place(scene, msg->to))) {
+            matches(rule->from, scene_node_name(scene, msg->from)) &&
+            matches(rule->to, scene_node_name(scene, msg->to))) {
             rule->count--;
             return rule;
         }
@@ -150,13 +156,13 @@
 static bool
 is_stream(enum scene_kind kind)
 {
-    return kind == SCENE_SYNC || kind == SCENE_ASK || kind == SCENE_CONFIG ||
-           kind == SCENE_PEER;
+    return kind == SCENE_SYNC || kind == SCENE_CONFIG_QUERY ||
+           kind == SCENE_CONFIG_REPLY || kind == SCENE_PEER;
 }
 
 struct scene_message *
 scene_send(struct scene *scene, enum scene_kind kind, int from, int to,
-           GBytes *bytes, char *what)
+           GBytes *bytes, char *description)
 {
     struct scene_message *msg = g_new0(struct scene_message, 1);
 
@@ -166,37 +172,38 @@
                                   .from = from,
                                   .to = to,
                                   .bytes = bytes,
-                                  .what = what};
-    if (to >= 0 && (is_stream(kind) || kind > SCENE_FAR)) {
-        msg->life = scene->hosts[to].life;
+                                  .description = description};
+    if (to >= 0 && (is_stream(kind) || kind > SCENE_HOST_KINDS_END)) {
+        msg->generation = scene->hosts[to].generation;
     }
     struct scene_rule *rule = find_rule(scene, msg);
-    const char *fate = "";
+    const char *suffix = "";
     if (rule != NULL && rule->delay_us > 0) {
         msg->at_us += rule->delay_us;
-        fate = " [DELAYED]";
+        suffix = " [DELAYED]";
     }
     else if (rule != NULL) {
         msg->to = G_MININT;
-        fate = " [LOST]";
+        suffix = " [LOST]";
     }
-    if (what != NULL) {
-        scene_log(scene, "%s > %s %s %s%s", scene_place(scene, from),
-                  scene_place(scene, to), kind_names[kind], what, fate);
+    if (description != NULL) {
+        scene_log(scene, "%s > %s %s %s%s", scene_node_name(scene, from),
+                  scene_node_name(scene, to), kind_names[kind], description,
+                  suffix);
     }
-    else if (kind < SCENE_FAR) {
-        scene->quiet++;
+    else if (kind < SCENE_HOST_KINDS_END) {
+        scene->quiet_count++;
     }
-    g_queue_insert_sorted(&scene->under_way, msg, by_time, NULL);
+    g_queue_insert_sorted(&scene->in_flight, msg, by_time, NULL);
     return msg;
 }
 
 void
 scene_delay(struct scene *scene, struct scene_message *msg, uint64_t delay_us)
 {
-    g_queue_remove(&scene->under_way, msg);
+    g_queue_remove(&scene->in_flight, msg);
     msg->at_us = scene_now(scene) + delay_us;
-    g_queue_insert_sorted(&scene->under_way, msg, by_time, NULL);
+    g_queue_insert_sorted(&scene->in_flight, msg, by_time, NULL);
 }
 
 static void
@@ -210,10 +217,10 @@
         scene_receive_peer(scene, msg);
         break;
     case SCENE_BROKEN:
-        scene_broken(scene, msg);
+        scene_receive_broken(scene, msg);
         break;
     case SCENE_REFUSED:
-        scene_refused(scene, msg);
+        scene_receive_refused(scene, msg);
         break;
     case SCENE_RUN_END:
         scene_run_end(scene, msg->to, msg->a,
@@ -226,7 +233,7 @@
     scene_control_step(scene, msg->to);
 }
 
-/* Returns whether the message was kept for later. */
+/* Returns whether the message is now in the inbox of a frozen host. */
 static bool
 deliver(struct scene *scene, struct scene_message *msg)
 {
@@ -242,8 +249,9 @@
         return false;
     }
     struct scene_host *host = &scene->hosts[msg->to];
-    if (!host->up || (msg->life != 0 && msg->life != host->life)) {
-        if (msg->kind < SCENE_FAR && !host->up && msg->from >= 0) {
+    if (!host->up ||
+        (msg->generation != 0 && msg->generation != host->generation)) {
+        if (msg->kind < SCENE_HOST_KINDS_END && !host->up && msg->from >= 0) {
             struct scene_message *refused =
                 scene_send(scene, SCENE_REFUSED, msg->to, msg->from, NULL,
                            g_strdup(kind_names[msg->kind]));
@@ -254,9 +262,9 @@
         return false;
     }
     if (host->frozen) {
-        if (msg->what != NULL && msg->kind != SCENE_GOSSIP) {
+        if (msg->description != NULL && msg->kind != SCENE_GOSSIP) {
             scene_log(scene, "  (%s is frozen: %s waits)", host->name,
-                      msg->what);
+                      msg->description);
         }
         g_queue_push_tail(&host->inbox, msg);
         return true;
@@ -270,9 +278,9 @@
 {
     struct scene_message *msg;
 
-    while ((msg = g_queue_peek_head(&scene->under_way)) != NULL &&
+    while ((msg = g_queue_peek_head(&scene->in_flight)) != NULL &&
            msg->at_us <= scene_now(scene)) {
-        g_queue_pop_head(&scene->under_way);
+        g_queue_pop_head(&scene->in_flight);
         if (!deliver(scene, msg)) {
             message_free(msg);
         }
@@ -298,7 +306,7 @@
 {
     while (scene_now(scene) < at_us) {
         const struct scene_message *next =
-            g_queue_peek_head(&scene->under_way);
+            g_queue_peek_head(&scene->in_flight);
         uint64_t now_us = scene_now(scene);
         uint64_t tick_us = now_us - now_us % SCENE_TICK_US + SCENE_TICK_US;
         uint64_t to_us = MIN(tick_us, at_us);
@@ -328,7 +336,7 @@
 
     member_actions_finish(&host->out);
     member_core_finish(&host->members);
-    service_config_free(host->text);
+    service_config_free(host->service_config);
     free(host->view);
     route_table_free(host->table);
     while ((msg = g_queue_pop_head(&host->inbox)) != NULL) {
@@ -339,7 +347,7 @@
         engine_free(host->engine);
         engine_actions_finish(&host->actions);
         g_hash_table_unref(host->conns);
-        g_hash_table_unref(host->bytes);
+        g_hash_table_unref(host->answers);
     }
 }
 
@@ -354,12 +362,12 @@
         g_strlcpy(scene->hosts[i].name, name, VIEW_NAME_MAX);
     }
     struct scene_host *host = &scene->hosts[i];
-    unsigned life = host->life + 1;
+    unsigned generation = host->generation + 1;
     g_assert(!host->up);
     memset(host, 0, sizeof(*host));
     g_strlcpy(host->name, name, VIEW_NAME_MAX);
     host->up = true;
-    host->life = life;
+    host->generation = generation;
     host->state = MEMBER_READY;
     host->data = (struct addr){0x0a010001 + (uint32_t)i, 4500};
     host->control = (struct addr){host->data.ip, 4600};
@@ -374,7 +382,7 @@
     host->flows = flow_table_new(self, FLOWS_MAX);
     host->engine = engine_new(self, ENGINE_POLICY_DEFAULT, (uint64_t)i);
     host->conns = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    host->bytes = g_hash_table_new_full(NULL, NULL, NULL, free_bytes);
+    host->answers = g_hash_table_new_full(NULL, NULL, NULL, free_bytes);
 }
 
 void
@@ -385,8 +393,8 @@
     host_finish(host);
     host->up = false;
     for (int i = 0; i < scene->count; i++) {
-        if (scene->hosts[i].up && scene->hosts[i].linked[dead]) {
-            scene->hosts[i].linked[dead] = false;
+        if (scene->hosts[i].up && scene->hosts[i].connected[dead]) {
+            scene->hosts[i].connected[dead] = false;
             scene_send(scene, SCENE_BROKEN, dead, i, NULL,
                        g_strdup("connection"));
         }
@@ -431,7 +439,7 @@
 {
     memset(scene, 0, sizeof(*scene));
     clock_manual_init(&scene->clock, USEC_PER_SEC);
-    scene->zero_us = USEC_PER_SEC;
+    scene->origin_us = USEC_PER_SEC;
     scene->log = g_string_new(NULL);
     scene->flows = g_ptr_array_new_with_free_func(flow_free);
     scene->requests = g_ptr_array_new_with_free_func(request_free);
@@ -446,14 +454,14 @@
         }
     }
     for (size_t i = 0; i < G_N_ELEMENTS(scene->operators); i++) {
-        g_free(scene->operators[i].text);
+        g_free(scene->operators[i].source);
         g_free(scene->operators[i].retired);
-        if (scene->operators[i].seen != NULL) {
-            g_bytes_unref(scene->operators[i].seen);
+        if (scene->operators[i].last_value != NULL) {
+            g_bytes_unref(scene->operators[i].last_value);
         }
     }
-    g_queue_clear_full(&scene->under_way, message_free);
-    scene_heal(scene);
+    g_queue_clear_full(&scene->in_flight, message_free);
+    scene_clear_rules(scene);
     g_queue_clear_full(&scene->watches, g_free);
     g_ptr_array_unref(scene->flows);
     g_ptr_array_unref(scene->requests);
--- a/tests/golden/scene_control.c
+++ b/tests/golden/scene_control.c
@@ -13,14 +13,14 @@
 static const char *const member_kinds[] = {
     [MEMBER_PING] = "ping",
     [MEMBER_ACK] = "ack",
-    [MEMBER_WRONG_TARGET] = "not-me",
-    [MEMBER_PING_REQ] = "ping-for",
+    [MEMBER_WRONG_TARGET] = "wrong-target",
+    [MEMBER_PING_REQ] = "ping-req",
     [MEMBER_PUSH] = "push",
     [MEMBER_JOIN] = "join",
-    [MEMBER_JOIN_REPLY] = "welcome",
-    [MEMBER_SYNC_SUMMARY] = "list",
-    [MEMBER_SYNC_REPLY] = "list-answer",
-    [MEMBER_SYNC_PUSH] = "list-push",
+    [MEMBER_JOIN_REPLY] = "join-reply",
+    [MEMBER_SYNC_SUMMARY] = "summary",
+    [MEMBER_SYNC_REPLY] = "reply",
+    [MEMBER_SYNC_PUSH] = "push",
 };
 static const char *const states[] = {"warming", "ready", "draining",
                                      "leaving"};
@@ -37,7 +37,7 @@
                            states[member->state], healths[member->health]);
     if (member->incarnation > update->start) {
         g_string_append_printf(
-            text, " again+%u",
+            text, " incarnation+%u",
             (unsigned)(member->incarnation - update->start));
     }
     for (int i = 0; i < scene->count; i++) {
@@ -52,7 +52,7 @@
     g_string_append_c(text, '}');
 }
 
-/* NULL for a probe or an answer to one that carries no news. */
+/* Returns NULL for a probe, or a reply to one, without updates. */
 static char *
 describe(const struct scene *scene, const struct member_msg *msg)
 {
@@ -64,21 +64,22 @@
     }
     text = g_string_new(member_kinds[msg->kind]);
     if (msg->target != 0) {
-        g_string_append_printf(text, " of %s", scene_name(scene, msg->target));
+        g_string_append_printf(text, " of %s",
+                               scene_member_name(scene, msg->target));
     }
     g_string_append_printf(text, " v%u", (unsigned)msg->config_version);
     for (size_t i = 0; i < msg->update_count; i++) {
         describe_update(text, scene, &msg->updates[i]);
     }
     if (msg->summary_count > 0 || msg->want_count > 0) {
-        g_string_append_printf(text, " knows %zu wants %zu",
+        g_string_append_printf(text, " lists %zu wants %zu",
                                msg->summary_count, msg->want_count);
     }
     return g_string_free(text, FALSE);
 }
 
 static int
-host_at(const struct scene *scene, struct addr control)
+find_control_addr(const struct scene *scene, struct addr control)
 {
     for (int i = 0; i < scene->count; i++) {
         if (addr_equal(scene->hosts[i].control, control)) {
@@ -97,7 +98,8 @@
         const struct member_action *action = &host->out.items[n];
         size_t len = wire_size(&action->msg);
         uint8_t *buf = g_malloc(len);
-        int to = action->to.ip == 0 ? host->conn : host_at(scene, action->to);
+        int to = action->to.ip == 0 ? host->stream_from
+                                    : find_control_addr(scene, action->to);
 
         len = wire_encode(&action->msg, buf);
         g_assert_cmpint(to, >=, 0);
@@ -112,13 +114,13 @@
       uint64_t confirmed_us)
 {
     struct scene_host *host = &scene->hosts[i];
-    struct service_config *text = NULL;
+    struct service_config *service_config = NULL;
     char *report = NULL;
     size_t len = 0;
     const char *body = g_bytes_get_data(value, &len);
 
-    if (service_config_parse_envelope(body, len, version, &text, &report) <
-        0) {
+    if (service_config_parse_envelope(body, len, version, &service_config,
+                                      &report) < 0) {
         scene_log(scene, "  %s refuses version %u", host->name,
                   (unsigned)version);
         g_free(report);
@@ -127,11 +129,12 @@
     }
     scene_log(scene, "  %s: version %u is in force (before: %u)", host->name,
               (unsigned)version, (unsigned)host->config.have);
-    service_config_free(host->text);
-    host->text = text;
+    service_config_free(host->service_config);
+    host->service_config = service_config;
     config_applied(&host->config, version, confirmed_us);
     if (host->agent) {
-        engine_set_text(host->engine, text, scene_now(scene), &host->actions);
+        engine_set_text(host->engine, service_config, scene_now(scene),
+                        &host->actions);
         scene_act(scene, i);
     }
     scene_refresh(scene, i);
@@ -141,13 +144,14 @@
 answer_watch(struct scene *scene, int host, int status)
 {
     struct scene_message *reply;
-    char *what =
+    char *description =
         status == 0
             ? g_strdup_printf("version %u", (unsigned)scene->version)
             : g_strdup(status == -EAGAIN ? "nothing newer" : "no answer");
 
-    reply = scene_send(scene, SCENE_READ, SCENE_PLATFORM, host,
-                       status == 0 ? g_bytes_ref(scene->value) : NULL, what);
+    reply = scene_send(scene, SCENE_PLATFORM_REPLY, SCENE_PLATFORM, host,
+                       status == 0 ? g_bytes_ref(scene->value) : NULL,
+                       description);
     reply->status = status;
     reply->a = scene->version;
 }
@@ -166,7 +170,7 @@
         if (!all && !newer && scene_now(scene) < watch->until_us) {
             continue;
         }
-        if (host->up && host->life == watch->life) {
+        if (host->up && host->generation == watch->generation) {
             answer_watch(scene, watch->host,
                          all ? -ECONNRESET : (newer ? 0 : -EAGAIN));
         }
@@ -195,7 +199,7 @@
     watch = g_new0(struct scene_watch, 1);
     *watch = (struct scene_watch){
         .host = i,
-        .life = scene->hosts[i].life,
+        .generation = scene->hosts[i].generation,
         .after = action->after,
         .until_us = scene_now(scene) + CONFIG_WATCH_TIMEOUT_S * USEC_PER_SEC,
     };
@@ -211,11 +215,11 @@
 
     request.have = action->after;
     len = swiftarch__config_request__pack(&request, body);
-    scene->hosts[i].asked = host_at(scene, action->from);
-    scene_send(scene, SCENE_ASK, i, scene->hosts[i].asked,
-               g_bytes_new(body, len),
-               g_strdup_printf("have you a version above %u?",
-                               (unsigned)action->after));
+    scene->hosts[i].config_source = find_control_addr(scene, action->from);
+    scene_send(
+        scene, SCENE_CONFIG_QUERY, i, scene->hosts[i].config_source,
+        g_bytes_new(body, len),
+        g_strdup_printf("newer than version %u?", (unsigned)action->after));
 }
 
 static void
@@ -248,12 +252,12 @@
     const struct service_config_entry *service = NULL;
     enum member_state state = host->state;
 
-    if (state == MEMBER_READY && host->text == NULL) {
+    if (state == MEMBER_READY && host->service_config == NULL) {
         state = MEMBER_WARMING;
     }
-    if (host->agent && host->text != NULL) {
+    if (host->agent && host->service_config != NULL) {
         service = service_config_find_with_retired(
-            host->text, hash_service(host->service));
+            host->service_config, hash_service(host->service));
     }
     member_announce(&host->members, state, service != NULL ? service->id : 0,
                     service != NULL ? SCENE_SLOTS : 0,
@@ -270,14 +274,14 @@
     uint64_t seq = host->view == NULL ? 1 : host->view->seq + 1;
 
     if (!host->members.changed &&
-        (!host->members.load_changed || now_us < host->load_us)) {
+        (!host->members.load_changed || now_us < host->next_load_us)) {
         return;
     }
     free(host->view);
     host->view = member_view(&host->members, seq, now_us);
     host->members.changed = false;
     host->members.load_changed = false;
-    host->load_us = now_us + LOAD_PUBLISH_US;
+    host->next_load_us = now_us + LOAD_PUBLISH_US;
     scene_refresh(scene, i);
     if (host->agent) {
         engine_set_view(host->engine, host->view, now_us, &host->actions);
@@ -320,7 +324,7 @@
     self.member.state = MEMBER_WARMING;
     self.member.data = host->data;
     self.member.control = host->control;
-    host->conn = -1;
+    host->stream_from = -1;
     g_assert_cmpint(member_core_init(&host->members, &self,
                                      (uint32_t)hash_name(CELL),
                                      (uint64_t)i + 1, now_us),
@@ -339,32 +343,33 @@
     struct scene_host *host = &scene->hosts[msg->to];
     const struct scene_host *from = &scene->hosts[msg->from];
     struct addr none = {0};
-    struct member_msg read;
+    struct member_msg decoded;
     size_t len = 0;
     const uint8_t *buf = g_bytes_get_data(msg->bytes, &len);
     bool stream = msg->kind == SCENE_SYNC;
 
-    g_assert_cmpint(wire_decode(buf, len, hash_name(from->name), &read), ==,
+    g_assert_cmpint(wire_decode(buf, len, hash_name(from->name), &decoded), ==,
                     0);
-    host->conn = msg->from;
-    member_receive(&host->members, &read, stream ? none : from->control,
+    host->stream_from = msg->from;
+    member_receive(&host->members, &decoded, stream ? none : from->control,
                    scene_now(scene), &host->out);
     send_members(scene, msg->to);
-    host->conn = -1;
+    host->stream_from = -1;
     const struct member_entry *entry =
         member_find(&host->members, hash_name(from->name));
     if (entry != NULL) {
         config_handle_peer_version(&host->config, entry->member.control,
-                                   read.config_version, read.word_age_ms,
+                                   decoded.config_version, decoded.word_age_ms,
                                    scene_now(scene));
     }
-    member_msg_finish(&read);
+    member_msg_finish(&decoded);
 }
 
 static void
 receive_ask(struct scene *scene, const struct scene_message *msg)
 {
-    const struct service_config *text = scene->hosts[msg->to].text;
+    const struct service_config *service_config =
+        scene->hosts[msg->to].service_config;
     Swiftarch__ConfigReply reply = SWIFTARCH__CONFIG_REPLY__INIT;
     size_t len = 0;
     const uint8_t *body = g_bytes_get_data(msg->bytes, &len);
@@ -372,16 +377,16 @@
         swiftarch__config_request__unpack(NULL, len, body);
 
     g_assert_nonnull(request);
-    if (text != NULL && text->version > request->have) {
-        reply.version = text->version;
-        reply.body.data = (uint8_t *)text->source;
-        reply.body.len = text->source_len;
+    if (service_config != NULL && service_config->version > request->have) {
+        reply.version = service_config->version;
+        reply.body.data = (uint8_t *)service_config->source;
+        reply.body.len = service_config->source_len;
     }
     swiftarch__config_request__free_unpacked(request, NULL);
     len = swiftarch__config_reply__get_packed_size(&reply);
     uint8_t *packed = g_malloc(len);
     swiftarch__config_reply__pack(&reply, packed);
-    scene_send(scene, SCENE_CONFIG, msg->to, msg->from,
+    scene_send(scene, SCENE_CONFIG_REPLY, msg->to, msg->from,
                g_bytes_new_take(packed, len),
                g_strdup_printf("version %u", (unsigned)reply.version));
 }
@@ -404,7 +409,7 @@
         adopt(scene, msg->to, reply->version, value, 0);
     }
     else {
-        scene_log(scene, "  %s leaves version %u, has %u", host->name,
+        scene_log(scene, "  %s ignores version %u, has %u", host->name,
                   (unsigned)reply->version, (unsigned)host->config.have);
     }
     swiftarch__config_reply__free_unpacked(reply, NULL);
@@ -421,10 +426,10 @@
     case SCENE_SYNC:
         receive_member(scene, msg);
         break;
-    case SCENE_ASK:
+    case SCENE_CONFIG_QUERY:
         receive_ask(scene, msg);
         break;
-    case SCENE_CONFIG:
+    case SCENE_CONFIG_REPLY:
         receive_config(scene, msg);
         break;
     default:
@@ -433,7 +438,7 @@
             adopt(scene, msg->to, msg->a, msg->bytes, now_us);
         }
         else if (msg->status == 0) {
-            scene_log(scene, "  %s leaves version %u, has %u", host->name,
+            scene_log(scene, "  %s ignores version %u, has %u", host->name,
                       (unsigned)msg->a, (unsigned)host->config.have);
         }
         break;
@@ -441,14 +446,14 @@
 }
 
 static void
-prove_dead(struct scene *scene, struct scene_host *host, int dead)
+report_dead(struct scene *scene, struct scene_host *host, int dead)
 {
     uint64_t id = hash_name(scene->hosts[dead].name);
     const struct view_member *member =
         host->view == NULL ? NULL : view_find(host->view, id);
 
     if (member != NULL && member->health != MEMBER_DEAD) {
-        scene_log(scene, "  %s has proof that %s is gone", host->name,
+        scene_log(scene, "  %s has proof that %s is dead", host->name,
                   scene->hosts[dead].name);
         member_proven_dead(&host->members, id, member->incarnation,
                            scene_now(scene));
@@ -456,7 +461,7 @@
 }
 
 void
-scene_refused(struct scene *scene, const struct scene_message *msg)
+scene_receive_refused(struct scene *scene, const struct scene_message *msg)
 {
     struct scene_host *host = &scene->hosts[msg->to];
     const struct scene_host *dead = &scene->hosts[msg->a];
@@ -465,10 +470,10 @@
 
     switch ((enum scene_kind)msg->status) {
     case SCENE_PACKET:
-        prove_dead(scene, host, (int)msg->a);
+        report_dead(scene, host, (int)msg->a);
         break;
     case SCENE_PEER:
-        prove_dead(scene, host, (int)msg->a);
+        report_dead(scene, host, (int)msg->a);
         if (msg->b != 0) {
             engine_send_failed(host->engine, id, msg->b, now_us,
                                &host->actions);
@@ -479,7 +484,7 @@
         break;
     default:
         member_refused(&host->members, dead->control, now_us);
-        if (host->config.fetching && host->asked == (int)msg->a) {
+        if (host->config.fetching && host->config_source == (int)msg->a) {
             config_handle_fetch_reply(&host->config, 0, now_us);
         }
         break;
--- a/tests/golden/scene_packet.c
+++ b/tests/golden/scene_packet.c
@@ -12,8 +12,8 @@
 #define FIRST_SEQ 1000
 #define SYN_ACK (PACKET_TCP_SYN | PACKET_TCP_ACK)
 
-static const char *const verdicts[] = {"taken", "opened", "passed on", "reset",
-                                       "dropped, "};
+static const char *const verdicts[] = {"delivered", "opened", "forwarded",
+                                       "reset", "dropped, "};
 
 static GBytes *
 build_tcp(const struct packet *packet, const char *payload)
@@ -59,7 +59,7 @@
     for (unsigned i = 0; i < gue->count; i++) {
         g_string_append_printf(text, "%s%s%s", i > 0 ? " " : "",
                                i == gue->index ? "*" : "",
-                               scene_name(scene, gue->hops[i].member));
+                               scene_member_name(scene, gue->hops[i].member));
     }
     g_string_append_printf(
         text, "]%s%s", (gue->flags & GUE_OPEN) != 0 ? " may open" : "",
@@ -85,7 +85,7 @@
 }
 
 static void
-drop_bytes(GBytes *bytes)
+unref_bytes(GBytes *bytes)
 {
     if (bytes != NULL) {
         g_bytes_unref(bytes);
@@ -110,7 +110,7 @@
         packet.ack = flow->acked;
         flow->next_seq +=
             (uint32_t)strlen(payload) + (flags == PACKET_TCP_SYN ? 1 : 0);
-        drop_bytes(flow->last);
+        unref_bytes(flow->last);
         flow->last = build_tcp(&packet, payload);
     }
     g_assert_nonnull(flow->last);
@@ -126,7 +126,7 @@
         const struct packet *packet, const uint8_t *buf, size_t len)
 {
     uint8_t header[GUE_HEADER_MAX];
-    GByteArray *whole = g_byte_array_new();
+    GByteArray *encapsulated = g_byte_array_new();
     g_autofree char *inner = describe_packet(packet, buf);
     g_autofree char *hops = describe_hops(scene, gue);
     int to = 0;
@@ -134,10 +134,10 @@
     while (!addr_equal(scene->hosts[to].data, gue->hops[gue->index].data)) {
         to++;
     }
-    g_byte_array_append(whole, header, (guint)gue_encode(gue, header));
-    g_byte_array_append(whole, buf, (guint)len);
+    g_byte_array_append(encapsulated, header, (guint)gue_encode(gue, header));
+    g_byte_array_append(encapsulated, buf, (guint)len);
     scene_send(scene, SCENE_PACKET, from, to,
-               g_byte_array_free_to_bytes(whole),
+               g_byte_array_free_to_bytes(encapsulated),
                g_strdup_printf("%s %s", inner, hops));
 }
 
@@ -187,7 +187,7 @@
     return ISN_STEP * ((uint32_t)host + 1);
 }
 
-/* The caller's stack; only what a scene needs of it. */
+/* Minimal TCP of the caller. */
 void
 scene_receive_answer(struct scene *scene, const struct scene_message *msg)
 {
@@ -218,7 +218,7 @@
     }
 }
 
-/* The stack of the agent that took the packet. */
+/* Minimal TCP of the agent to which the packet was delivered. */
 static void
 input(struct scene *scene, int i, const struct packet *packet,
       const uint8_t *buf)
@@ -246,7 +246,7 @@
         return;
     }
     if (packet->seq != conn->expected) {
-        scene_log(scene, "  %s has read that already", host->name);
+        scene_log(scene, "  %s ignores a retransmission", host->name);
         return;
     }
     conn->expected += packet->payload_len;
@@ -268,7 +268,7 @@
                describe_packet(&sent, buf));
 }
 
-/* What the text in force here makes of the address for our service. */
+/* Classifies the destination by the configuration in force at the agent. */
 static enum flow_address
 address_of(const struct scene_host *host, const struct gue *gue,
            const struct packet *packet)
@@ -276,13 +276,13 @@
     uint32_t id = hash_service(host->service);
     struct addresses addresses;
 
-    if (host->text == NULL || gue->service != id ||
-        service_config_find_with_retired(host->text, id) == NULL) {
+    if (host->service_config == NULL || gue->service != id ||
+        service_config_find_with_retired(host->service_config, id) == NULL) {
         return FLOW_ADDRESS_NONE;
     }
-    addresses_set(&addresses, host->text, id);
+    addresses_set(&addresses, host->service_config, id);
     return addresses_find(
-        &addresses, service_config_find_with_retired(host->text, id),
+        &addresses, service_config_find_with_retired(host->service_config, id),
         packet->dst, packet->dport, packet->proto, SCENE_WALL_MS);
 }
 
--- a/tests/golden/scene_request.c
+++ b/tests/golden/scene_request.c
@@ -12,8 +12,8 @@
 static const char *const idem_types[] = {
     "RESERVE", "GRANT", "EXISTS", "RELEASE", "RECORD", "ACK", "DENY"};
 static const char *const idem_states[] = {"started", "done", "unknown"};
-static const char *const ends[] = {"answers", "refuses", "is not reached for",
-                                   "loses", "cuts its answer to"};
+static const char *const end_names[] = {
+    "answers", "refuses", "is not reached for", "loses", "cuts its answer to"};
 
 static void
 hash_key(const char *text, struct engine_request *request)
@@ -37,7 +37,7 @@
 {
     struct scene_host *host = &scene->hosts[i];
     const struct service_config_entry *service =
-        service_config_find_with_retired(host->text,
+        service_config_find_with_retired(host->service_config,
                                          hash_service(host->service));
     struct scene_request *item = g_new0(struct scene_request, 1);
     struct engine_request request = {
@@ -67,8 +67,8 @@
     for (guint n = 0; n < scene->requests->len; n++) {
         struct scene_request *request = g_ptr_array_index(scene->requests, n);
 
-        if (request->host == i && request->flow == flow && !request->gone) {
-            request->gone = true;
+        if (request->host == i && request->flow == flow && !request->closed) {
+            request->closed = true;
             scene_log(scene, "  %s: the caller of #%u is gone", host->name,
                       n + 1);
             engine_cancel(host->engine, n + 1, scene_now(scene),
@@ -86,9 +86,9 @@
 
     g_string_printf(text, "%s key %08x of %s", idem_types[idem->type],
                     (unsigned)(idem->key.hash[0] >> 32),
-                    scene_name(scene, idem->owner));
+                    scene_member_name(scene, idem->owner));
     if (idem->type == IDEM_MSG_GRANT && idem->state == IDEM_UNKNOWN) {
-        g_string_append(text, " (not settled)");
+        g_string_append(text, " (unresolved)");
     }
     if (idem->type == IDEM_MSG_EXISTS || idem->type == IDEM_MSG_RECORD ||
         idem->type == IDEM_MSG_ACK) {
@@ -101,7 +101,7 @@
     return g_string_free(text, FALSE);
 }
 
-/* NULL for a report of load without waiting requests. */
+/* Returns NULL for a load report without waiting requests. */
 static char *
 describe_peer(const struct scene *scene, const struct engine_peer_msg *msg,
               uint64_t now_us)
@@ -143,31 +143,31 @@
 {
     struct scene_host *host = &scene->hosts[i];
     const struct engine_peer_msg *msg = &action->msg;
-    int to = scene_find(scene, scene_name(scene, action->to));
+    int to = scene_find(scene, scene_member_name(scene, action->to));
     uint64_t id = msg->request.id;
     GByteArray *bytes = NULL;
-    GBytes *held = NULL;
+    GBytes *content = NULL;
 
     if (msg->type == ENGINE_PEER_RUN) {
         const struct scene_request *request =
             g_ptr_array_index(scene->requests, id - 1);
-        held = g_bytes_new(request->text, strlen(request->text));
+        content = g_bytes_new(request->text, strlen(request->text));
     }
     else if (msg->type == ENGINE_PEER_DONE &&
              msg->outcome == ENGINE_ANSWERED) {
-        held = g_bytes_ref(
-            g_hash_table_lookup(host->bytes, GUINT_TO_POINTER(id)));
+        content = g_bytes_ref(
+            g_hash_table_lookup(host->answers, GUINT_TO_POINTER(id)));
     }
-    if (held != NULL) {
-        bytes = g_bytes_unref_to_array(held);
+    if (content != NULL) {
+        bytes = g_bytes_unref_to_array(content);
     }
     GByteArray *packed = peer_wire_pack(msg, bytes, "", scene_now(scene));
     struct scene_message *sent = scene_send(
         scene, SCENE_PEER, i, to, g_byte_array_free_to_bytes(packed),
         describe_peer(scene, msg, scene_now(scene)));
     sent->a = msg->type == ENGINE_PEER_RUN ? id : 0;
-    host->linked[to] = true;
-    scene->hosts[to].linked[i] = scene->hosts[to].up;
+    host->connected[to] = true;
+    scene->hosts[to].connected[i] = scene->hosts[to].up;
     if (bytes != NULL) {
         g_byte_array_unref(bytes);
     }
@@ -189,13 +189,13 @@
         runs += strcmp(other->text, request->text) == 0 ? other->runs : 0;
     }
     scene_log(scene, "  %s: runs #%u of %s, run %u of \"%s\"", host->name,
-              (unsigned)action->id, scene_name(scene, action->origin), runs,
-              request->text);
+              (unsigned)action->id, scene_member_name(scene, action->origin),
+              runs, request->text);
     char *bytes = g_strdup_printf("200 %s, run %u at %s", request->text, runs,
                                   host->name);
-    g_hash_table_replace(host->bytes, GUINT_TO_POINTER(action->id),
+    g_hash_table_replace(host->answers, GUINT_TO_POINTER(action->id),
                          g_bytes_new_take(bytes, strlen(bytes)));
-    if (!host->holds) {
+    if (!host->manual_upstream) {
         struct scene_message *end =
             scene_send(scene, SCENE_RUN_END, i, i, NULL, NULL);
         end->a = action->id;
@@ -222,8 +222,8 @@
     struct scene_host *host = &scene->hosts[i];
     struct scene_request *request =
         g_ptr_array_index(scene->requests, action->id - 1);
-    GBytes *held =
-        g_hash_table_lookup(host->bytes, GUINT_TO_POINTER(action->id));
+    GBytes *content =
+        g_hash_table_lookup(host->answers, GUINT_TO_POINTER(action->id));
     char *text;
 
     if (action->outcome != ENGINE_ANSWERED) {
@@ -239,16 +239,18 @@
                                (const char *)action->msg.idem.answer);
     }
     else {
-        g_assert_nonnull(held);
-        text = g_strndup(g_bytes_get_data(held, NULL), g_bytes_get_size(held));
+        g_assert_nonnull(content);
+        text = g_strndup(g_bytes_get_data(content, NULL),
+                         g_bytes_get_size(content));
     }
     scene_log(scene, "  %s: finishes #%u%s: %s", host->name,
-              (unsigned)action->id, request->gone ? " for nobody" : "", text);
-    if (!request->gone) {
+              (unsigned)action->id, request->closed ? " without a caller" : "",
+              text);
+    if (!request->closed) {
         struct packet out = {.flags = PACKET_TCP_ACK,
                              .seq = scene_isn(i) + 1,
                              .ack = request->flow->next_seq};
-        request->gone = true;
+        request->closed = true;
         scene_answer(scene, i, request->flow, out, text);
     }
     g_free(text);
@@ -287,15 +289,16 @@
     struct scene_host *host = &scene->hosts[i];
     const struct scene_request *request =
         g_ptr_array_index(scene->requests, id - 1);
-    GBytes *held = g_hash_table_lookup(host->bytes, GUINT_TO_POINTER(id));
-    bool whole = how == ENGINE_UP_ANSWERED;
+    GBytes *content = g_hash_table_lookup(host->answers, GUINT_TO_POINTER(id));
+    bool complete = how == ENGINE_UP_ANSWERED;
 
-    scene_log(scene, "  %s: its upstream %s #%u", host->name, ends[how],
+    scene_log(scene, "  %s: its upstream %s #%u", host->name, end_names[how],
               (unsigned)id);
-    engine_upstream_end(
-        host->engine, hash_name(scene->hosts[request->host].name), id, how,
-        whole ? g_bytes_get_data(held, NULL) : NULL,
-        whole ? g_bytes_get_size(held) : 0, scene_now(scene), &host->actions);
+    engine_upstream_end(host->engine,
+                        hash_name(scene->hosts[request->host].name), id, how,
+                        complete ? g_bytes_get_data(content, NULL) : NULL,
+                        complete ? g_bytes_get_size(content) : 0,
+                        scene_now(scene), &host->actions);
     scene_act(scene, i);
 }
 
@@ -318,7 +321,7 @@
         return;
     }
     if (wire.msg.type == ENGINE_PEER_DONE && wire.bytes != NULL) {
-        g_hash_table_replace(host->bytes,
+        g_hash_table_replace(host->answers,
                              GUINT_TO_POINTER(wire.msg.request.id),
                              g_bytes_new(wire.bytes, wire.len));
     }
@@ -329,7 +332,7 @@
 }
 
 void
-scene_broken(struct scene *scene, const struct scene_message *msg)
+scene_receive_broken(struct scene *scene, const struct scene_message *msg)
 {
     struct scene_host *host = &scene->hosts[msg->to];
 
@@ -346,13 +349,13 @@
     uint64_t to;
 
     while (flow_pins_due(host->flows, scene_now(scene), &pin, &to, 1) > 0) {
-        int at = scene_find(scene, scene_name(scene, to));
+        int at = scene_find(scene, scene_member_name(scene, to));
         GByteArray *packed = peer_wire_pack_pins(&pin, 1);
 
-        scene_send(scene, SCENE_PEER, i, at,
-                   g_byte_array_free_to_bytes(packed),
-                   g_strdup_printf("pin: bucket %u has flows of %s",
-                                   pin.bucket, scene_name(scene, pin.owner)));
+        scene_send(
+            scene, SCENE_PEER, i, at, g_byte_array_free_to_bytes(packed),
+            g_strdup_printf("pin: bucket %u has flows of %s", pin.bucket,
+                            scene_member_name(scene, pin.owner)));
     }
 }
 
@@ -377,25 +380,26 @@
     uint64_t now_us = scene_now(scene);
     const struct service_config_entry *service;
 
-    if (host->view == NULL || host->text == NULL) {
+    if (host->view == NULL || host->service_config == NULL) {
         return;
     }
     if (!host->agent) {
         struct route_table *table = NULL;
 
-        g_assert_cmpint(
-            route_table_new(host->view, host->text, host->table, &table), ==,
-            0);
+        g_assert_cmpint(route_table_new(host->view, host->service_config,
+                                        host->table, &table),
+                        ==, 0);
         route_table_free(host->table);
         host->table = table;
         return;
     }
-    service = service_config_find_with_retired(host->text,
+    service = service_config_find_with_retired(host->service_config,
                                                hash_service(host->service));
     uint32_t id = service != NULL ? service->id : 0;
     bool accept = id != 0 && host->state == MEMBER_READY;
     flow_set_view(host->flows, host->view, id,
-                  accept && service_config_find_id(host->text, id) != NULL,
+                  accept &&
+                      service_config_find_id(host->service_config, id) != NULL,
                   now_us);
     engine_set_upstream(host->engine, id, id != 0 ? SCENE_SLOTS : 0, accept,
                         now_us, &host->actions);
--- a/tests/golden/script.c
+++ b/tests/golden/script.c
@@ -8,7 +8,13 @@
 
 #define WORDS_MAX 10
 
-/** struct step - one line, split; @error says what is wrong with it */
+/**
+ * struct step - a line of a session
+ * @scene: scene to act on
+ * @folder: folder of the configs to publish
+ * @words: words of the line
+ * @count: number of words
+ */
 struct step {
     struct scene *scene;
     const char *folder;
@@ -25,7 +31,7 @@
         host = scene_find(step->scene, step->words[word]);
     }
     if (host < 0) {
-        g_error("No such host in: %s ...", step->words[0]);
+        g_error("%s: unknown or missing host", step->words[0]);
     }
     return host;
 }
@@ -38,7 +44,7 @@
     if (word >= step->count ||
         !g_ascii_string_to_unsigned(step->words[word], 10, 0, UINT32_MAX,
                                     &number, NULL)) {
-        g_error("No number in: %s ...", step->words[0]);
+        g_error("%s: invalid or missing number", step->words[0]);
     }
     return number;
 }
@@ -48,7 +54,7 @@
 {
     uint64_t at_us = number_of(step, 1) * USEC_PER_MSEC;
 
-    scene_run_to(step->scene, step->scene->zero_us + at_us);
+    scene_run_to(step->scene, step->scene->origin_us + at_us);
 }
 
 static void
@@ -65,8 +71,8 @@
     scene->muted = true;
     scene_run_to(scene, scene_now(scene) + number_of(step, 1) * USEC_PER_SEC);
     scene->muted = false;
-    scene->quiet = 0;
-    scene->zero_us = scene_now(scene);
+    scene->quiet_count = 0;
+    scene->origin_us = scene_now(scene);
 }
 
 static void
@@ -120,10 +126,10 @@
         scene_thaw(scene, host);
     }
     else if (strcmp(what, "hold") == 0) {
-        scene->hosts[host].holds = true;
+        scene->hosts[host].manual_upstream = true;
     }
     else if (strcmp(what, "release") == 0) {
-        scene->hosts[host].holds = false;
+        scene->hosts[host].manual_upstream = false;
     }
     else {
         set_state(scene, host,
@@ -150,7 +156,7 @@
 static void
 do_heal(const struct step *step)
 {
-    scene_heal(step->scene);
+    scene_clear_rules(step->scene);
 }
 
 static void
@@ -170,7 +176,7 @@
             return;
         }
     }
-    g_error("An upstream doesn't end like that: %s", step->words[3]);
+    g_error("upstream-end: unknown way to end: %s", step->words[3]);
 }
 
 static void
@@ -193,14 +199,14 @@
         g_strdup_printf("%032x", run->call * 16 + 10 + (unsigned)at);
     GError *error = NULL;
 
-    g_free(run->text);
-    g_file_get_contents(path, &run->text, NULL, &error);
+    g_free(run->source);
+    g_file_get_contents(path, &run->source, NULL, &error);
     g_assert_no_error(error);
-    g_strstrip(run->text);
+    g_strstrip(run->source);
     g_strlcpy(run->author, step->words[1], sizeof(run->author));
-    if (run->seen != NULL) {
-        g_bytes_unref(run->seen);
-        run->seen = NULL;
+    if (run->last_value != NULL) {
+        g_bytes_unref(run->last_value);
+        run->last_value = NULL;
     }
     scene_apply_step(step->scene, at,
                      apply_core_start(&run->core, write_id, NULL));
@@ -212,7 +218,7 @@
 {
     const struct scene_host *host = &scene->hosts[i];
     g_autoptr(GString) others = g_string_new(NULL);
-    size_t embryos = 0;
+    size_t half_open = 0;
     unsigned alive = 0;
 
     for (size_t n = 0; host->up && n < host->view->count; n++) {
@@ -239,8 +245,8 @@
                   "  %s: version %u, flows %zu, busy %u, waiting %u, open %u,"
                   " sees %u alive%s",
                   host->name, (unsigned)host->config.have,
-                  flow_count(host->flows, &embryos), engine_busy(host->engine),
-                  engine_waiting(host->engine),
+                  flow_count(host->flows, &half_open),
+                  engine_busy(host->engine), engine_waiting(host->engine),
                   engine_open_requests(host->engine), alive, others->str);
     }
 }
@@ -283,7 +289,7 @@
 {
     struct step step = {.scene = scene, .folder = folder};
 
-    scene_told(scene);
+    scene_log_quiet(scene);
     g_string_append_printf(scene->log, "%s%s\n", line[0] == '#' ? "" : "> ",
                            line);
     if (line[0] == '#') {
@@ -298,7 +304,7 @@
             return;
         }
     }
-    g_error("Not a step: %s", line);
+    g_error("unknown step or too few words: %s", line);
 }
 
 char *
@@ -314,7 +320,7 @@
             play_line(&scene, folder, lines[i]);
         }
     }
-    scene_told(&scene);
+    scene_log_quiet(&scene);
     log = g_strdup(scene.log->str);
     scene_finish(&scene);
     return log;
