--- a/src/service_config/service_config.h
+++ b/src/service_config/service_config.h
@@ -48,8 +48,8 @@
  * @name: file name for error messages
  * @config: set to the result, to be freed with service_config_free(), or to
  *          NULL on failure
- * @report: set to all errors, one per line as "name:line: key: found,
- * expected" (free with g_free()), or to NULL when there are none
+ * @report: set to all errors, as lines of "name:line: key: found, expected"
+ *          (free with g_free()), or to NULL when there are none
  *
  * Return: 0; -EINVAL for an invalid config, -EFBIG for one that is too long,
  * -ENOMEM.
--- a/src/service_config/service_config_lookup.h
+++ b/src/service_config/service_config_lookup.h
@@ -1,6 +1,5 @@
 /**
- * DOC: service_config_lookup - finds services of a config by id, name or
- * address
+ * DOC: service_config_lookup - finds services by id, name or address
  */
 #ifndef SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_LOOKUP_H
 #define SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_LOOKUP_H
--- a/src/service_config/service_config_unique.h
+++ b/src/service_config/service_config_unique.h
@@ -1,6 +1,6 @@
 /**
- * DOC: service_config_unique - reports services with the same name, id or
- * address
+ * DOC: service_config_unique - reports services with equal names, ids or
+ * addresses
  */
 #ifndef SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_UNIQUE_H
 #define SWIFTARCH_SERVICE_CONFIG_SERVICE_CONFIG_UNIQUE_H
--- a/tests/golden/scene.h
+++ b/tests/golden/scene.h
@@ -236,8 +236,7 @@
  * @clock: manual clock
  * @origin_us: time shown as 0 in the transcript
  * @muted: whether scene_log() is off
- * @quiet_count: messages without a description since the last line of a
- * session
+ * @quiet_count: messages without a description since the last step
  * @log: transcript
  * @hosts: processes, also those that have ended
  * @count: number of hosts
--- a/tests/service_config/service_config_retire_test.c
+++ b/tests/service_config/service_config_retire_test.c
@@ -105,8 +105,7 @@
                   &config->retired[i]);
 }
 
-/* A service moves twice, returns to its first address, and is removed.
- */
+/* A service moves twice, returns to its first address, and is removed. */
 TEST(moved_service)
 {
     struct service_config *first = publish(NULL, CONFIG(LOTS("80")), NOW_MS);
